--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # Targets for daily work. CI runs .ci/run, which includes what build, test and lint do.
 
-.PHONY: build test lint run toy trio fleet measure fuzz sites
+.PHONY: build test lint run demo three-nodes members measure fuzz sites
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
@@ -13,26 +13,26 @@
 	test -z "$$(git ls-files -co --exclude-standard '*.go' | xargs gofmt -l)"
 	go vet ./...
 
-# The example gatherer with both fronts. Start the toy world first, in another terminal.
+# The example gatherer with both fronts. Start the demo stores first, in another terminal.
 run: build
 	bin/alderproxy --config example/alderproxy.ini
 
-toy:
-	go run ./example/toy
+demo:
+	go run ./example/demo
 
-# Three instances that agree on their shared configuration, with toy stores; see docs/operate/agreed-configuration.md.
-trio: build
-	go build -o bin/ ./example/toy
-	example/trio/start
+# Three instances that agree on their shared configuration, with demo stores; see docs/operate/agreed-configuration.md.
+three-nodes: build
+	go build -o bin/ ./example/demo
+	example/three-nodes/start
 
 # Three instances that agree and four that follow, members of one fleet; see docs/operate/membership.md.
-fleet: build
-	go build -o bin/ ./example/toy
-	example/fleet/start
+members: build
+	go build -o bin/ ./example/demo
+	example/members/start
 
 # Long measurements, outside CI; figures and their machine stand in docs/measurements.
 measure:
-	go test -tags measure -count=1 -v -timeout 60m -run '^TestMeasure' . ./agreed ./group ./membership ./maintenance | grep -v '=== \|--- PASS'
+	go test -tags measure -count=1 -v -timeout 60m -run '^TestMeasure' . ./sharedconfig ./raftnode ./membership ./maintenance | grep -v '=== \|--- PASS'
 
 fuzz:
 	go test ./membership -run '^$$' -fuzz FuzzRead -fuzztime 20s
--- a/admin/admin.go
+++ b/admin/admin.go
@@ -14,10 +14,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/document"
-	"alderproxy/fleet"
-	"alderproxy/group"
+	"alderproxy/gossip"
+	"alderproxy/raftnode"
 )
 
 // Put asks for a change: of the text, or, where Restores is set, back to a kept version.
@@ -41,21 +41,21 @@
 // Parts are what operators can reach of an instance. What is nil has no pages.
 type Parts struct {
 	Agreement Agreement
-	Fleet     *fleet.Node
+	Fleet     *gossip.Node
 }
 
 // Agreement is an instance's part in its group, with a vote or without.
 type Agreement interface {
-	Status() group.Status
-	State() agreed.State
-	Read(within time.Duration) (agreed.State, error)
-	Do(o group.Order, within time.Duration) agreed.Outcome
+	Status() raftnode.Status
+	State() sharedconfig.State
+	Read(within time.Duration) (sharedconfig.State, error)
+	Do(o raftnode.Order, within time.Duration) sharedconfig.Outcome
 }
 
 // Server answers operators.
 type Server struct {
 	node  Agreement
-	fleet *fleet.Node
+	fleet *gossip.Node
 	token string
 	http  *http.Server
 	l     net.Listener
@@ -175,7 +175,7 @@
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) { answer(w, 200, s.node.Status()) }
 
 // state is what the group holds, as a majority confirms it now; with local=1 as this instance has it.
-func (s *Server) state(w http.ResponseWriter, r *http.Request) (agreed.State, bool) {
+func (s *Server) state(w http.ResponseWriter, r *http.Request) (sharedconfig.State, bool) {
 	if r.FormValue("local") == "1" {
 		return s.node.State(), true
 	}
@@ -208,7 +208,7 @@
 	if !ok {
 		return
 	}
-	all := make([]agreed.Version, len(state.Versions))
+	all := make([]sharedconfig.Version, len(state.Versions))
 	for i, v := range state.Versions {
 		v.Text = ""
 		all[i] = v
@@ -242,12 +242,12 @@
 		fail(w, 422, err)
 		return
 	}
-	s.order(w, group.Order{Change: &agreed.Change{Request: p.Request, Expect: p.Expect, Text: p.Text, Digest: document.Digest(p.Text),
+	s.order(w, raftnode.Order{Change: &sharedconfig.Change{Request: p.Request, Expect: p.Expect, Text: p.Text, Digest: document.Digest(p.Text),
 		Author: p.Author, Reason: p.Reason, At: time.Now().UnixMilli(), Restores: p.Restores}})
 }
 
 func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
-	var o group.Order
+	var o raftnode.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil || o.Change != nil {
 		fail(w, 400, errors.Join(err, errors.New("no order about instances")))
 		return
@@ -256,9 +256,9 @@
 }
 
 // statuses are those of HTTP for what becomes of an order.
-var statuses = map[agreed.Status]int{agreed.Done: 200, agreed.Conflict: 409, agreed.Busy: 409, agreed.Refused: 422, agreed.Unknown: 503}
+var statuses = map[sharedconfig.Status]int{sharedconfig.Done: 200, sharedconfig.Conflict: 409, sharedconfig.Busy: 409, sharedconfig.Refused: 422, sharedconfig.Unknown: 503}
 
-func (s *Server) order(w http.ResponseWriter, o group.Order) {
+func (s *Server) order(w http.ResponseWriter, o raftnode.Order) {
 	out := s.node.Do(o, orderLimit)
 	answer(w, statuses[out.Status], out)
 }
--- a/admin/client.go
+++ b/admin/client.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"alderproxy/agreed"
-	"alderproxy/fleet"
-	"alderproxy/group"
+	"alderproxy/sharedconfig"
+	"alderproxy/gossip"
+	"alderproxy/raftnode"
 )
 
 // Client talks to one instance's pages.
@@ -71,14 +71,14 @@
 }
 
 // Status is how the instance sees its group.
-func (c Client) Status() (s group.Status, err error) {
+func (c Client) Status() (s raftnode.Status, err error) {
 	_, err = c.call("GET", "/v1/status", nil, &s)
 	return s, err
 }
 
 // Members is how the instance sees its fleet. after, where it is not 0, is the number of a view: the instance waits a
 // few seconds for another one.
-func (c Client) Members(after uint64) (s fleet.Status, err error) {
+func (c Client) Members(after uint64) (s gossip.Status, err error) {
 	path := "/v1/members"
 	if after > 0 {
 		path += "?after=" + strconv.FormatUint(after, 10)
@@ -88,7 +88,7 @@
 }
 
 // Show is a version; 0: the active one. Local: as this instance has it, without asking the others.
-func (c Client) Show(version uint64, local bool) (v agreed.Version, err error) {
+func (c Client) Show(version uint64, local bool) (v sharedconfig.Version, err error) {
 	q := url.Values{}
 	if version > 0 {
 		q.Set("version", strconv.FormatUint(version, 10))
@@ -101,7 +101,7 @@
 }
 
 // History is the versions that are kept, without their texts, the oldest first.
-func (c Client) History(local bool) (all []agreed.Version, err error) {
+func (c Client) History(local bool) (all []sharedconfig.Version, err error) {
 	path := "/v1/config/history"
 	if local {
 		path += "?local=1"
@@ -111,13 +111,13 @@
 }
 
 // Put asks for a change.
-func (c Client) Put(p Put) (o agreed.Outcome, err error) {
+func (c Client) Put(p Put) (o sharedconfig.Outcome, err error) {
 	_, err = c.call("POST", "/v1/config", p, &o)
 	return o, err
 }
 
 // Order asks for a change of the members or of the lead.
-func (c Client) Order(order group.Order) (o agreed.Outcome, err error) {
+func (c Client) Order(order raftnode.Order) (o sharedconfig.Outcome, err error) {
 	_, err = c.call("POST", "/v1/instances", order, &o)
 	return o, err
 }
--- a/agreement.go
+++ b/agreement.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"alderproxy/admin"
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/broker"
 	"alderproxy/config"
 	"alderproxy/document"
-	"alderproxy/group"
+	"alderproxy/raftnode"
 	"alderproxy/opensearch"
 	"alderproxy/platform"
 )
@@ -68,11 +68,11 @@
 	a := &agreement{p: p}
 	a.edge.Store(edge)
 	log := p.log.WithField("instance", p.config.ID)
-	conf := group.Config{Name: p.config.ID, Folder: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
+	conf := raftnode.Config{Name: p.config.ID, Folder: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
 		Bound: c.StaleAfter, ServeOn: c.ServeStale, Speed: c.Speed, SnapshotAfter: c.SnapshotAfter, Log: log,
 		Check: a.check, Use: a.use, At: atStep}
 	if len(c.Follow) > 0 {
-		f, err := group.Follow(conf)
+		f, err := raftnode.Follow(conf)
 		if err != nil {
 			return fmt.Errorf("agreement: %w", err)
 		}
@@ -85,7 +85,7 @@
 		return fmt.Errorf("agreement: %w", err)
 	}
 	conf.Listener = peers
-	n, err := group.Open(conf)
+	n, err := raftnode.Open(conf)
 	if err != nil {
 		peers.Close()
 		return fmt.Errorf("agreement: %w", err)
@@ -97,7 +97,7 @@
 }
 
 func (a *agreement) close() {
-	if n, votes := a.node.(*group.Node); votes {
+	if n, votes := a.node.(*raftnode.Node); votes {
 		n.HandOverIfLeading(time.Second)
 	}
 	if err := a.node.Close(); err != nil {
@@ -134,7 +134,7 @@
 }
 
 // use has the fronts serve by a version. Those that have not started yet begin with it.
-func (a *agreement) use(v agreed.Version) error {
+func (a *agreement) use(v sharedconfig.Version) error {
 	d, err := document.Parse("document", v.Text)
 	if err != nil {
 		return err
@@ -208,5 +208,5 @@
 		}
 	}
 	digest = document.Digest(text)
-	return digest, group.Begin(c.Folder, c.ID, c.Agreement.Address, text, digest, author, c.Agreement.Keep, time.Now())
+	return digest, raftnode.Begin(c.Folder, c.ID, c.Agreement.Address, text, digest, author, c.Agreement.Keep, time.Now())
 }
--- a/agreement_test.go
+++ b/agreement_test.go
@@ -21,12 +21,12 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/admin"
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/config"
-	"alderproxy/group"
+	"alderproxy/raftnode"
 	"alderproxy/httpwire"
 	"alderproxy/internal/faultnet"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 const sharedText = `[layout]
@@ -48,8 +48,8 @@
 	faults    *faultnet.Network
 	bound     time.Duration
 	fleet     bool // they are members of a fleet
-	discovery *standin.Discovery
-	stores    []*standin.Store
+	discovery *testserver.Discovery
+	stores    []*testserver.Store
 	instances map[string]*instance
 }
 
@@ -74,17 +74,17 @@
 func newFleet(t *testing.T, bound time.Duration, dieAt string, fleet bool, follow int) *trio {
 	r := &trio{fleet: fleet, t: t, dir: t.TempDir(), faults: faultnet.New(5), bound: bound, instances: map[string]*instance{}}
 	for range 2 {
-		s := standin.NewSearchStore(t, "0 {\"_id\":\"a\",\"_score\":1}\n1 {\"_id\":\"b\",\"_score\":2}\n")
+		s := testserver.NewSearchStore(t, "0 {\"_id\":\"a\",\"_score\":1}\n1 {\"_id\":\"b\",\"_score\":2}\n")
 		r.stores = append(r.stores, s)
 	}
-	frames := standin.NewFrameStore(t)
+	frames := testserver.NewFrameStore(t)
 	for _, s := range append(r.stores, frames) {
 		go func() { // what comes there is of no matter here
 			for range s.Parts {
 			}
 		}()
 	}
-	r.discovery = standin.NewDiscovery(t, standin.Entry("s-1", frames, "in_service"))
+	r.discovery = testserver.NewDiscovery(t, testserver.Entry("s-1", frames, "in_service"))
 	go func() {
 		for range r.discovery.Targets {
 		}
@@ -119,9 +119,9 @@
 	r.instances["n1"].start(dieAt)
 	for _, name := range []string{"n2", "n3"} {
 		r.instances[name].start("")
-		o, err := r.instances["n1"].client().Order(group.Order{Add: &agreed.Member{Name: name, Addr: r.instances[name].front.Addr()}})
+		o, err := r.instances["n1"].client().Order(raftnode.Order{Add: &sharedconfig.Member{Name: name, Addr: r.instances[name].front.Addr()}})
 		require.NoError(t, err)
-		require.Equal(t, agreed.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	}
 	for _, name := range names[3:] {
 		r.instances[name].start("")
@@ -135,7 +135,7 @@
 func (i *instance) write() {
 	r := i.trio
 	edge := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, i.name, r.discovery.Addr,
-		fmt.Sprintf(standin.Settings, standin.Lookup, 0, 15_000_000))
+		fmt.Sprintf(testserver.Settings, testserver.Lookup, 0, 15_000_000))
 	require.NoError(r.t, os.WriteFile(i.path("json"), []byte(edge), 0o600))
 	text := fmt.Sprintf("[instance]\nid = %s\nfolder = %s\nadmin = 127.0.0.1:0\n[gatherer]\nconfig = %s\n[opensearch]\nlisten = 127.0.0.1:0\n"+
 		"[agreement]\nstale_after = %s\nspeed = 2\n", i.name, i.path("folder"), i.path("json"), r.bound)
@@ -365,9 +365,9 @@
 // leadBy has an instance lead.
 func (r *trio) leadBy(name string) {
 	require.Eventually(r.t, func() bool {
-		o, err := r.instances["n2"].client().Order(group.Order{HandOver: &name})
+		o, err := r.instances["n2"].client().Order(raftnode.Order{HandOver: &name})
 		s, err2 := r.instances[name].client().Status()
-		return err == nil && err2 == nil && o.Status == agreed.Done && s.Leader == name
+		return err == nil && err2 == nil && o.Status == sharedconfig.Done && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
@@ -384,7 +384,7 @@
 			o, err := n1.client().Put(put("change", 1, 2))
 			if err == nil { // its last breath may still have been the answer
 				require.Equal(t, "decided", step)
-				require.Equal(t, agreed.Outcome{Request: "change", Status: agreed.Done, Version: 2}, o)
+				require.Equal(t, sharedconfig.Outcome{Request: "change", Status: sharedconfig.Done, Version: 2}, o)
 			} else {
 				require.ErrorIs(t, err, admin.ErrUnreachable)
 			}
@@ -406,7 +406,7 @@
 			}
 			o, err = n2.client().Put(put("change", 1, 2))
 			require.NoError(t, err)
-			assert.Equal(t, agreed.Outcome{Request: "change", Status: agreed.Done, Version: 2}, o)
+			assert.Equal(t, sharedconfig.Outcome{Request: "change", Status: sharedconfig.Done, Version: 2}, o)
 			r.serving(2, "n1", "n2", "n3")
 			for _, name := range []string{"n1", "n2", "n3"} {
 				all, err := r.instances[name].client().History(false)
@@ -415,7 +415,7 @@
 			}
 			o, err = n2.client().Put(put("other", 1, 3))
 			require.NoError(t, err)
-			assert.Equal(t, agreed.Conflict, o.Status)
+			assert.Equal(t, sharedconfig.Conflict, o.Status)
 		})
 	}
 }
@@ -436,7 +436,7 @@
 		require.NoError(t, err)
 		o, err := r.instances["n2"].client().Put(put("while "+name, s.Number, 10+int(s.Number)))
 		require.NoError(t, err)
-		require.Equal(t, agreed.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		var waiting []*bufio.Reader
 		for range 5 { // the kernel takes these for it
 			c, err := net.Dial("tcp", i.search)
@@ -462,7 +462,7 @@
 	t.Parallel()
 	r := newTrio(t, 2*time.Second, "")
 	for round := range uint64(5) {
-		results := make(chan agreed.Outcome, 3)
+		results := make(chan sharedconfig.Outcome, 3)
 		for k, name := range []string{"n1", "n2", "n3"} {
 			go func() {
 				o, err := r.instances[name].client().Put(put(fmt.Sprint(round, name), round+1, 100*int(round)+k+2))
@@ -472,11 +472,11 @@
 				results <- o
 			}()
 		}
-		count := map[agreed.Status]int{}
+		count := map[sharedconfig.Status]int{}
 		for range 3 {
 			count[(<-results).Status]++
 		}
-		assert.Equal(t, map[agreed.Status]int{agreed.Done: 1, agreed.Conflict: 2}, count)
+		assert.Equal(t, map[sharedconfig.Status]int{sharedconfig.Done: 1, sharedconfig.Conflict: 2}, count)
 	}
 	r.serving(6, "n1", "n2", "n3")
 	for what, text := range map[string]string{ // what a front here could not serve by is active nowhere
@@ -487,7 +487,7 @@
 	} {
 		o, err := r.instances["n3"].client().Put(admin.Put{Request: what, Expect: 6, Text: text, Author: "test"})
 		if err == nil {
-			assert.Equal(t, agreed.Refused, o.Status)
+			assert.Equal(t, sharedconfig.Refused, o.Status)
 			assert.NotEmpty(t, o.Instance)
 			err = errors.New(o.Why)
 		}
@@ -508,13 +508,13 @@
 		if v == 4 {
 			go func() { time.Sleep(3 * time.Millisecond); r.instances["n1"].cmd.Process.Kill() }()
 		}
-		var o agreed.Outcome
+		var o sharedconfig.Outcome
 		var err error
 		require.Eventually(t, func() bool {
 			o, err = client.Put(put(fmt.Sprint("c", v), v, int(v)+1))
-			return !errors.Is(err, admin.ErrUnreachable) && o.Status != agreed.Unknown
+			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
 		}, 20*time.Second, 10*time.Millisecond)
-		require.Equal(t, agreed.Done, o.Status, "%s %v", o.Why, err)
+		require.Equal(t, sharedconfig.Done, o.Status, "%s %v", o.Why, err)
 	}
 	r.serving(9, "n2", "n3")
 	sum := load.stop()
@@ -582,7 +582,7 @@
 		p.Text += long
 		o, err := r.instances["n2"].client().Put(p)
 		require.NoError(t, err)
-		require.Equal(t, agreed.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	}
 	time.Sleep(time.Second) // the bound
 	status, version, err := n3.ask()
--- a/alderproxy_test.go
+++ b/alderproxy_test.go
@@ -22,7 +22,7 @@
 
 	"alderproxy/config"
 	"alderproxy/httpwire"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 	"alderproxy/platform"
 )
 
@@ -55,7 +55,7 @@
 }
 
 // running starts the program and returns once it is ready, with a client of it and its log.
-func running(t *testing.T, config string) (c *exec.Cmd, path string, cl *standin.Client, lines *bufio.Scanner) {
+func running(t *testing.T, config string) (c *exec.Cmd, path string, cl *testserver.Client, lines *bufio.Scanner) {
 	c, path = command(t, config)
 	out, err := c.StderrPipe()
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 	t.Cleanup(func() { c.Process.Kill() }) // if the test fails before the program has ended
 	lines = bufio.NewScanner(out)
 	m := logged(t, lines, `msg=serving.*listen="([^"]+)"`)
-	cl = standin.Dial(t, m[1])
+	cl = testserver.Dial(t, m[1])
 	require.Eventually(t, func() bool { // as the platform does: clients come once it is ready
 		cl.Send("GET", "/healthz", "")
 		return cl.Read().Status == 200
@@ -82,18 +82,18 @@
 	return nil
 }
 
-func settings(d *standin.Discovery) string {
+func settings(d *testserver.Discovery) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, d.Addr,
-		fmt.Sprintf(standin.Settings, standin.Lookup, 0, 15_000_000))
+		fmt.Sprintf(testserver.Settings, testserver.Lookup, 0, 15_000_000))
 }
 
-func ask(c *standin.Client, id string) {
+func ask(c *testserver.Client, id string) {
 	c.Send("POST", "/lookup", `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", id, "Request-Timeout", "2")
 }
 
 func TestPlannedStopEndsWithStatusZero(t *testing.T) {
-	s := standin.NewFrameStore(t)
-	c, _, cl, lines := running(t, settings(standin.NewDiscovery(t, standin.Entry("s-1", s, "in_service"))))
+	s := testserver.NewFrameStore(t)
+	c, _, cl, lines := running(t, settings(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
 	ask(cl, "q")
 	assert.Equal(t, 200, cl.Read().Status)
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
@@ -105,13 +105,13 @@
 // Go ends a process on a SIGHUP that nobody takes. It must move the watch and keep every open request; a file that
 // can't be used must change nothing.
 func TestSIGHUPMovesTheWatchAndKeepsOpenRequests(t *testing.T) {
-	s := standin.NewFrameStore(t)
-	entry := standin.Entry("s-1", s, "in_service")
-	old, moved := standin.NewDiscovery(t, entry), standin.NewDiscovery(t, entry)
+	s := testserver.NewFrameStore(t)
+	entry := testserver.Entry("s-1", s, "in_service")
+	old, moved := testserver.NewDiscovery(t, entry), testserver.NewDiscovery(t, entry)
 	c, path, cl, lines := running(t, settings(old))
 	release := s.Hold()
 	ask(cl, "q1")
-	standin.Next(t, s)
+	testserver.Next(t, s)
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":`), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	logged(t, lines, "new configuration unusable")
@@ -161,24 +161,24 @@
 // The settings of another customer come with SIGHUP: from then on none of the old ones is in force, and what was taken by
 // them is answered by them. Settings that cannot be served change nothing.
 func TestSettingsAtSIGHUPTakeThePlaceOfAllOldOnes(t *testing.T) {
-	s := standin.NewFrameStore(t)
-	d := standin.NewDiscovery(t, standin.Entry("s-1", s, "in_service"))
+	s := testserver.NewFrameStore(t)
+	d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
 	c, path, cl, lines := running(t, settings(d))
 	release := s.Hold()
 	ask(cl, "q1")
-	standin.Next(t, s)
+	testserver.Next(t, s)
 	reload := func(text, logs string) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 		logged(t, lines, logs)
 	}
 	post := func(class, key string) int {
-		other := standin.Dial(t, cl.RemoteAddr().String())
+		other := testserver.Dial(t, cl.RemoteAddr().String())
 		other.Send("POST", "/"+class, `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", "r-"+class+key,
 			"Request-Timeout", "2", "Idempotency-Key", key)
 		return other.Read().Status
 	}
-	booking := strings.NewReplacer(standin.Lookup, `{"name":"booking","effect":"idempotency_key","window_us":400000,"promise_us":300000,"give_up_us":900000,"gain":4}`,
+	booking := strings.NewReplacer(testserver.Lookup, `{"name":"booking","effect":"idempotency_key","window_us":400000,"promise_us":300000,"give_up_us":900000,"gain":4}`,
 		`"drain_grace_us":500000`, `"drain_grace_us":250000`, `"max_streams":32`, `"max_streams":1`).Replace(settings(d))
 	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "new configuration unusable")
 	reload(booking, `configuration read again.*next_start="\[\]".*settings=true`)
@@ -206,13 +206,13 @@
 // kept for it.
 func TestClientsAtTheBoundLeaveRoomForDiscovery(t *testing.T) {
 	const sockets = 64
-	s := standin.NewFrameStore(t)
+	s := testserver.NewFrameStore(t)
 	watchArrivals(s)
 	var entries []string
 	for i := range 24 { // more stores than there is room for connections
-		entries = append(entries, standin.Entry(fmt.Sprint("s-", i), s, "in_service"))
+		entries = append(entries, testserver.Entry(fmt.Sprint("s-", i), s, "in_service"))
 	}
-	d := standin.NewDiscovery(t, entries...)
+	d := testserver.NewDiscovery(t, entries...)
 	config := strings.Replace(settings(d), `"settings":`, fmt.Sprintf(`"limits":{"sockets":%d},"settings":`, sockets), 1)
 	c, _ := command(t, config)
 	c.Path, c.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %q", sockets, os.Args[0])}
@@ -233,7 +233,7 @@
 		}
 	}()
 	d.Silence(true)
-	s.SetFault(standin.Mute)
+	s.SetFault(testserver.Mute)
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
 	for i := range 3 * sockets {
@@ -264,7 +264,7 @@
 		<-d.Targets
 	}
 	d.Silence(false)
-	d.Tell(false, standin.Entry("s-0", s, "terminating"))
+	d.Tell(false, testserver.Entry("s-0", s, "terminating"))
 	heard := fmt.Sprintf("from=%d&", d.Version())
 	require.Eventually(t, func() bool { return strings.Contains(<-d.Targets, heard) }, 5*time.Second, time.Millisecond)
 	close(stop)
@@ -279,55 +279,55 @@
 // has gone, and the process ends with status 0 in its time.
 func TestPlannedStopAtAnyMoment(t *testing.T) {
 	term := func(c *exec.Cmd) { c.Process.Signal(syscall.SIGTERM) }
-	for name, during := range map[string]func(t *testing.T, c *exec.Cmd, d *standin.Discovery, s *standin.Store, release func()) (status []int){
-		"answer on its way": func(_ *testing.T, c *exec.Cmd, _ *standin.Discovery, _ *standin.Store, release func()) []int {
+	for name, during := range map[string]func(t *testing.T, c *exec.Cmd, d *testserver.Discovery, s *testserver.Store, release func()) (status []int){
+		"answer on its way": func(_ *testing.T, c *exec.Cmd, _ *testserver.Discovery, _ *testserver.Store, release func()) []int {
 			term(c)
 			release()
 			return []int{200}
 		},
-		"twice, and SIGHUP between": func(_ *testing.T, c *exec.Cmd, _ *standin.Discovery, _ *standin.Store, release func()) []int {
+		"twice, and SIGHUP between": func(_ *testing.T, c *exec.Cmd, _ *testserver.Discovery, _ *testserver.Store, release func()) []int {
 			term(c)
 			c.Process.Signal(syscall.SIGHUP)
 			term(c)
 			release()
 			return []int{200}
 		},
-		"right behind SIGHUP": func(_ *testing.T, c *exec.Cmd, _ *standin.Discovery, _ *standin.Store, release func()) []int {
+		"right behind SIGHUP": func(_ *testing.T, c *exec.Cmd, _ *testserver.Discovery, _ *testserver.Store, release func()) []int {
 			c.Process.Signal(syscall.SIGHUP)
 			term(c)
 			release()
 			return []int{200}
 		},
-		"a list comes": func(_ *testing.T, c *exec.Cmd, d *standin.Discovery, s *standin.Store, release func()) []int {
-			d.Tell(false, standin.Entry("s-1", s, "terminating"))
+		"a list comes": func(_ *testing.T, c *exec.Cmd, d *testserver.Discovery, s *testserver.Store, release func()) []int {
+			d.Tell(false, testserver.Entry("s-1", s, "terminating"))
 			term(c)
 			release()
 			return []int{200}
 		},
-		"discovery falls silent": func(_ *testing.T, c *exec.Cmd, d *standin.Discovery, _ *standin.Store, release func()) []int {
+		"discovery falls silent": func(_ *testing.T, c *exec.Cmd, d *testserver.Discovery, _ *testserver.Store, release func()) []int {
 			d.Silence(true)
 			term(c)
 			release()
 			return []int{200}
 		},
-		"stores hang all the while": func(_ *testing.T, c *exec.Cmd, _ *standin.Discovery, _ *standin.Store, _ func()) []int {
+		"stores hang all the while": func(_ *testing.T, c *exec.Cmd, _ *testserver.Discovery, _ *testserver.Store, _ func()) []int {
 			term(c)
 			return []int{429, 503}
 		},
-		"the store goes away": func(_ *testing.T, c *exec.Cmd, _ *standin.Discovery, s *standin.Store, _ func()) []int {
+		"the store goes away": func(_ *testing.T, c *exec.Cmd, _ *testserver.Discovery, s *testserver.Store, _ func()) []int {
 			term(c)
-			s.SetFault(standin.Down)
+			s.SetFault(testserver.Down)
 			return []int{429, 503}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := standin.NewFrameStore(t)
-			d := standin.NewDiscovery(t, standin.Entry("s-1", s, "in_service"))
+			s := testserver.NewFrameStore(t)
+			d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
 			c, _, cl, lines := running(t, settings(d))
 			release := s.Hold()
 			ask(cl, "q1")
-			standin.Next(t, s)
+			testserver.Next(t, s)
 			cl.Write([]byte("POST /lookup HTTP/1.1\r\nConte")) // half of a next one lies unread
 			began := time.Now()
 			want := during(t, c, d, s, release)
@@ -345,7 +345,7 @@
 	}
 	t.Run("before it is ready", func(t *testing.T) {
 		t.Parallel()
-		d := standin.NewDiscovery(t)
+		d := testserver.NewDiscovery(t)
 		d.Silence(true)
 		c, _ := command(t, settings(d))
 		out, err := c.StderrPipe()
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/internal/seldom"
+	"alderproxy/internal/ratelog"
 	"alderproxy/policy"
 )
 
@@ -188,8 +188,8 @@
 	timers  timers
 	events  []policy.Event
 	cutoff  time.Time // of a drain; zero: none
-	cutOffs seldom.Line
-	notSent seldom.Line
+	cutOffs ratelog.Line
+	notSent ratelog.Line
 }
 
 type query struct {
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/admin"
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/document"
-	"alderproxy/group"
-	"alderproxy/internal/standin"
+	"alderproxy/raftnode"
+	"alderproxy/internal/testserver"
 )
 
 const first = "[class lookup]\naim = 1s\ngive_up = 2s\n"
@@ -28,9 +28,9 @@
 	folder := t.TempDir()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, group.Begin(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
-	n, err := group.Open(group.Config{Name: "n1", Folder: folder, Listener: l, Address: l.Addr().String(), Bound: time.Second, Speed: 5,
-		Log: standin.Log(), Use: func(agreed.Version) error { return nil }, Check: func(text string) error {
+	require.NoError(t, raftnode.Begin(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
+	n, err := raftnode.Open(raftnode.Config{Name: "n1", Folder: folder, Listener: l, Address: l.Addr().String(), Bound: time.Second, Speed: 5,
+		Log: testserver.Log(), Use: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
 			}
@@ -40,7 +40,7 @@
 	t.Cleanup(func() { n.Close() })
 	l, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := admin.Start(l, admin.Parts{Agreement: n}, token, standin.Log())
+	s := admin.Start(l, admin.Parts{Agreement: n}, token, testserver.Log())
 	t.Cleanup(func() { s.Close() })
 	require.Eventually(t, func() bool { open, _ := n.Gate(n.Used()); return open }, 10*time.Second, 5*time.Millisecond)
 	return s.Addr()
@@ -100,7 +100,7 @@
 	}
 	status, out, _ := command("config", "history", "--json", "--admin", addr, "--token-file", token)
 	assert.Zero(t, status)
-	var all []agreed.Version
+	var all []sharedconfig.Version
 	require.NoError(t, json.Unmarshal([]byte(out), &all))
 	require.Len(t, all, 3)
 	assert.Equal(t, uint64(1), all[2].Restores)
@@ -122,9 +122,9 @@
 	assert.Equal(t, path+":2: instance.odd: unknown key\n"+path+":4: log.format: \"xml\" is none of text, json\n"+
 		path+":5: class a.give_up: is missing\n"+path+":6: class a.aim: \"0\" is no time such as 250ms or 2s\n", strings.ReplaceAll(out, "0s is not between 1ms and 1h0m0s", "\"0\" is no time such as 250ms or 2s"))
 	assert.Equal(t, "alderproxy: faults found: 4\n", errs)
-	status, _, _ = command("check", "../../example/alderproxy.ini", "../../example/trio/n1.ini", "../../deploy/alderproxy.ini")
+	status, _, _ = command("check", "../../example/alderproxy.ini", "../../example/three-nodes/n1.ini", "../../deploy/alderproxy.ini")
 	assert.Zero(t, status)
-	status, _, _ = command("check", "--shared", "../../example/trio/first.ini", "../../example/trio/quicker.ini")
+	status, _, _ = command("check", "--shared", "../../example/three-nodes/first.ini", "../../example/three-nodes/quicker.ini")
 	assert.Zero(t, status)
 	status, out, _ = command("--version")
 	assert.Zero(t, status)
--- a/cmd/alderproxy/members.go
+++ b/cmd/alderproxy/members.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"alderproxy/fleet"
+	"alderproxy/gossip"
 )
 
 func members() *cobra.Command {
@@ -23,10 +23,10 @@
 }
 
 // fleet asks the instance.
-func (o *operator) fleet(after uint64) (fleet.Status, error) {
+func (o *operator) fleet(after uint64) (gossip.Status, error) {
 	client, err := o.client()
 	if err != nil {
-		return fleet.Status{}, err
+		return gossip.Status{}, err
 	}
 	return client.Members(after)
 }
@@ -39,7 +39,7 @@
 }
 
 // trust words how far a view can be relied on.
-func trust(s fleet.Status) string {
+func trust(s gossip.Status) string {
 	switch {
 	case s.Taken != "":
 		return "no member: the instance at " + s.Taken + " has its name"
@@ -106,11 +106,11 @@
 }
 
 // differences words what one view has and another has not.
-func differences(was, is fleet.Status) string {
+func differences(was, is gossip.Status) string {
 	var out strings.Builder
 	for _, m := range is.Members {
-		before := fleet.Member{State: "unknown", Reach: m.Reach}
-		if i := slices.IndexFunc(was.Members, func(o fleet.Member) bool { return o.Name == m.Name }); i >= 0 {
+		before := gossip.Member{State: "unknown", Reach: m.Reach}
+		if i := slices.IndexFunc(was.Members, func(o gossip.Member) bool { return o.Name == m.Name }); i >= 0 {
 			before = was.Members[i]
 		}
 		switch {
@@ -141,7 +141,7 @@
 			if err != nil {
 				return err
 			}
-			i := slices.IndexFunc(s.Members, func(m fleet.Member) bool { return m.Name == given[0] })
+			i := slices.IndexFunc(s.Members, func(m gossip.Member) bool { return m.Name == given[0] })
 			if i < 0 {
 				return fmt.Errorf("%s knows no member %s", s.Name, given[0])
 			}
@@ -171,7 +171,7 @@
 			}
 			type line struct {
 				Member string `json:"member"`
-				fleet.Fact
+				gossip.Fact
 			}
 			all := []line{}
 			for _, m := range s.Members {
--- a/cmd/alderproxy/operate.go
+++ b/cmd/alderproxy/operate.go
@@ -17,9 +17,9 @@
 
 	"alderproxy"
 	"alderproxy/admin"
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/config"
-	"alderproxy/group"
+	"alderproxy/raftnode"
 )
 
 // operator is what all commands that talk to an instance have.
@@ -58,11 +58,11 @@
 }
 
 // ended prints what became of an order; what was not done is an error.
-func (o *operator) ended(c *cobra.Command, out agreed.Outcome, err error) error {
+func (o *operator) ended(c *cobra.Command, out sharedconfig.Outcome, err error) error {
 	if err != nil {
 		return err
 	}
-	if out.Status == agreed.Done || o.json {
+	if out.Status == sharedconfig.Done || o.json {
 		err = o.print(c.OutOrStdout(), out, func(w io.Writer) {
 			switch {
 			case out.Version > 0 && out.Why != "":
@@ -77,11 +77,11 @@
 		})
 	}
 	switch {
-	case err != nil || out.Status == agreed.Done:
+	case err != nil || out.Status == sharedconfig.Done:
 		return err
-	case out.Status == agreed.Unknown && out.Request != "":
+	case out.Status == sharedconfig.Unknown && out.Request != "":
 		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", out.Why, out.Request)
-	case out.Status == agreed.Unknown:
+	case out.Status == sharedconfig.Unknown:
 		return fmt.Errorf("unknown whether it was done: %s", out.Why)
 	case out.Instance != "":
 		return fmt.Errorf("%s: %s says: %s", out.Status, out.Instance, out.Why)
@@ -212,7 +212,7 @@
 	p.Author, p.Reason = f.author, f.reason
 	out, err := client.Put(p)
 	if errors.Is(err, admin.ErrUnreachable) {
-		out, err = agreed.Outcome{Request: p.Request, Why: err.Error()}, nil
+		out, err = sharedconfig.Outcome{Request: p.Request, Why: err.Error()}, nil
 	}
 	return o.ended(c, out, err)
 }
@@ -277,7 +277,7 @@
 	var o operator
 	c := &cobra.Command{Use: "instances", Short: "Read and change who holds the agreed document"}
 	o.flags(c)
-	order := func(use, short string, n cobra.PositionalArgs, make func(given []string) group.Order) *cobra.Command {
+	order := func(use, short string, n cobra.PositionalArgs, make func(given []string) raftnode.Order) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: args(n), RunE: func(c *cobra.Command, given []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -288,13 +288,13 @@
 		}}
 	}
 	c.AddCommand(o.list(),
-		order("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2), func(given []string) group.Order {
-			return group.Order{Add: &agreed.Member{Name: given[0], Addr: given[1]}}
+		order("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2), func(given []string) raftnode.Order {
+			return raftnode.Order{Add: &sharedconfig.Member{Name: given[0], Addr: given[1]}}
 		}),
-		order("remove ID", "Remove an instance for good", cobra.ExactArgs(1), func(given []string) group.Order { return group.Order{Remove: given[0]} }),
-		order("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1), func(given []string) group.Order {
+		order("remove ID", "Remove an instance for good", cobra.ExactArgs(1), func(given []string) raftnode.Order { return raftnode.Order{Remove: given[0]} }),
+		order("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1), func(given []string) raftnode.Order {
 			to := strings.Join(given, "")
-			return group.Order{HandOver: &to}
+			return raftnode.Order{HandOver: &to}
 		}))
 	return c
 }
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -8,7 +8,7 @@
 
 	"alderproxy"
 	"alderproxy/config"
-	"alderproxy/group"
+	"alderproxy/raftnode"
 )
 
 func recovery() *cobra.Command {
@@ -25,7 +25,7 @@
 			if file.Agreement == nil {
 				return errors.New("the file has no [agreement]")
 			}
-			r, err := group.Examine(file.Folder, file.ID)
+			r, err := raftnode.Examine(file.Folder, file.ID)
 			if err != nil {
 				return err
 			}
@@ -46,7 +46,7 @@
 			if !sure {
 				return errors.New("nothing was done: give --i-may-lose-changes to go on")
 			}
-			if err := group.Recover(file.Folder, file.ID, file.Agreement.Address); err != nil {
+			if err := raftnode.Recover(file.Folder, file.ID, file.Agreement.Address); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%s is the only member of a new group; start it, and add the others\n", r.Name)
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill is the adapter between the policy and the simulator's wire: it hosts any number
+// Command simadapter is the adapter between the policy and the simulator's wire: it hosts any number
 // of aggregators, keeps each one's server list, and translates. It decides nothing.
 package main
 
@@ -9,19 +9,19 @@
 	"io"
 	"os"
 
-	"alderproxy/internal/wire"
+	"alderproxy/internal/simcodec"
 	"alderproxy/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 func run(in io.Reader, out io.Writer) error {
-	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	decoder := simcodec.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	host := host{instances: map[uint16]*instance{}}
 	replies := bufio.NewWriterSize(out, 1<<16)
 	for {
@@ -36,7 +36,7 @@
 		if err != nil {
 			return fmt.Errorf("at clock %d: %w", batch.Clock, err)
 		}
-		if err := wire.WriteReply(replies, actions); err != nil {
+		if err := simcodec.WriteReply(replies, actions); err != nil {
 			return err
 		}
 		if err := replies.Flush(); err != nil {
@@ -47,7 +47,7 @@
 
 // instance is one aggregator with what the adapter keeps for it.
 type instance struct {
-	facts   *wire.Facts
+	facts   *simcodec.Facts
 	policy  *policy.Aggregator
 	servers []policy.Server
 	events  []policy.Event
@@ -60,14 +60,14 @@
 }
 
 // turn hands each instance its events of the batch as one Step, in order of first mention.
-func (h *host) turn(batch wire.Batch) ([]wire.Addressed, error) {
+func (h *host) turn(batch simcodec.Batch) ([]simcodec.Addressed, error) {
 	h.order = h.order[:0]
 	for _, e := range batch.Events {
 		if err := h.take(e); err != nil {
 			return nil, fmt.Errorf("instance %d: %w", e.Instance, err)
 		}
 	}
-	var out []wire.Addressed
+	var out []simcodec.Addressed
 	for _, number := range h.order {
 		it := h.instances[number]
 		if it == nil || !it.queued {
@@ -76,10 +76,10 @@
 		it.queued = false
 		actions, crash := step(it.policy, batch.Clock, it.events)
 		for _, a := range actions {
-			out = append(out, wire.Addressed{Instance: number, What: a})
+			out = append(out, simcodec.Addressed{Instance: number, What: a})
 		}
 		if crash != "" {
-			out = append(out, wire.Addressed{Instance: number, What: wire.Crash{Text: crash}})
+			out = append(out, simcodec.Addressed{Instance: number, What: simcodec.Crash{Text: crash}})
 		}
 		it.events = it.events[:0]
 	}
@@ -95,15 +95,15 @@
 	return p.Step(now, events), ""
 }
 
-func (h *host) take(e wire.Addressed) error {
-	if hello, ok := e.What.(wire.Hello); ok {
+func (h *host) take(e simcodec.Addressed) error {
+	if hello, ok := e.What.(simcodec.Hello); ok {
 		return h.start(e.Instance, hello)
 	}
 	it := h.instances[e.Instance]
 	if it == nil {
 		return fmt.Errorf("%T for an instance that was never started", e.What)
 	}
-	if _, ok := e.What.(wire.Down); ok {
+	if _, ok := e.What.(simcodec.Down); ok {
 		delete(h.instances, e.Instance)
 		return nil
 	}
@@ -117,8 +117,8 @@
 	return nil
 }
 
-func (h *host) start(number uint16, hello wire.Hello) error {
-	facts := wire.ParseFacts(hello.Facts)
+func (h *host) start(number uint16, hello simcodec.Hello) error {
+	facts := simcodec.ParseFacts(hello.Facts)
 	settings, err := facts.Settings()
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
@@ -134,16 +134,16 @@
 
 func (it *instance) translate(what any) policy.Event {
 	switch e := what.(type) {
-	case wire.List:
-		if e.Mode == wire.Failed {
+	case simcodec.List:
+		if e.Mode == simcodec.Failed {
 			return policy.ListFailed{}
 		}
 		it.servers = e.Apply(it.servers)
 		return policy.Members{Servers: it.servers}
-	case wire.Answered:
+	case simcodec.Answered:
 		e.Outcome.Report = it.facts.Report(e.Figures)
 		return e.Outcome
-	case wire.Probed:
+	case simcodec.Probed:
 		e.ProbeResult.Report = it.facts.Report(e.Figures)
 		return e.ProbeResult
 	case policy.Event:
--- a/cmd/drill/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -4,17 +4,17 @@
 	"bytes"
 	"testing"
 
-	"alderproxy/internal/wire"
+	"alderproxy/internal/simcodec"
 	"alderproxy/policy"
 )
 
 const facts = "fleet_size=1\ntick_us=5000\nfamily_info.slices=2\nfamily_info.cells=2\nfamily_info.reach=1\n" +
 	"grades.count=1\ngrades.0.effect=read_like\ngrades.0.promise_us=1000000\ngrades.0.give_up_us=2000000\ngrades.0.gain=1\n"
 
-func batch(what ...any) wire.Batch {
-	b := wire.Batch{Clock: 1_000_000}
+func batch(what ...any) simcodec.Batch {
+	b := simcodec.Batch{Clock: 1_000_000}
 	for _, w := range what {
-		b.Events = append(b.Events, wire.Addressed{Instance: 3, What: w})
+		b.Events = append(b.Events, simcodec.Addressed{Instance: 3, What: w})
 	}
 	return b
 }
@@ -24,12 +24,12 @@
 // TestRestartWithinOneBatch: what came before DOWN is void, what comes after HELLO counts.
 func TestRestartWithinOneBatch(t *testing.T) {
 	h := host{instances: map[uint16]*instance{}}
-	start := wire.Hello{Salt: 1, Facts: facts}
-	list := wire.List{Mode: wire.Cached, Entries: []policy.Server{{ID: 5, Presence: policy.Ready}}}
+	start := simcodec.Hello{Salt: 1, Facts: facts}
+	list := simcodec.List{Mode: simcodec.Cached, Entries: []policy.Server{{ID: 5, Presence: policy.Ready}}}
 	if _, err := h.turn(batch(start, list)); err != nil {
 		t.Fatal(err)
 	}
-	events := append(append([]any{}, oneQuery...), wire.Down{}, start, list,
+	events := append(append([]any{}, oneQuery...), simcodec.Down{}, start, list,
 		policy.Query{ID: 20, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 21, Number: 1, Weight: 1})
 	actions, err := h.turn(batch(events...))
 	if err != nil {
@@ -50,8 +50,8 @@
 }
 
 func TestBadTurns(t *testing.T) {
-	for name, what := range map[string]any{"never started": policy.Timer{}, "unusable settings": wire.Hello{Facts: "tick_us=5"},
-		"no number": wire.Hello{Facts: "tick_us=five"}} {
+	for name, what := range map[string]any{"never started": policy.Timer{}, "unusable settings": simcodec.Hello{Facts: "tick_us=5"},
+		"no number": simcodec.Hello{Facts: "tick_us=five"}} {
 		h := host{instances: map[uint16]*instance{}}
 		if _, err := h.turn(batch(what)); err == nil {
 			t.Errorf("%s: taken", name)
--- a/drain_test.go
+++ b/drain_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/httpwire"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 // arrivals keeps when calls came to a store.
@@ -23,7 +23,7 @@
 	times []time.Time
 }
 
-func watchArrivals(s *standin.Store) *arrivals {
+func watchArrivals(s *testserver.Store) *arrivals {
 	a := &arrivals{}
 	go func() {
 		for p := range s.Parts {
@@ -54,13 +54,13 @@
 // store begins to drain right at discovery's return.
 func TestNoProcessCallsALeavingStoreHoweverDiscoveryFailed(t *testing.T) {
 	const processes, grace = 4, 550 * time.Millisecond
-	leaving, other := standin.NewFrameStore(t), standin.NewFrameStore(t)
+	leaving, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
 	came := watchArrivals(leaving)
 	watchArrivals(other)
-	in, out := standin.Entry("s-1", leaving, "in_service"), standin.Entry("s-1", leaving, "terminating")
-	d := standin.NewDiscovery(t, in, standin.Entry("s-2", other, "in_service"))
+	in, out := testserver.Entry("s-1", leaving, "in_service"), testserver.Entry("s-1", leaving, "terminating")
+	d := testserver.NewDiscovery(t, in, testserver.Entry("s-2", other, "in_service"))
 	config := func() string {
-		known := fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s,%s]}`, in, standin.Entry("s-2", other, "in_service"))
+		known := fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s,%s]}`, in, testserver.Entry("s-2", other, "in_service"))
 		return strings.Replace(strings.TrimSuffix(settings(d), "}")+known+"}", `"fleet_size":1`, `"fleet_size":300`, 1)
 	}
 	var served, odd atomic.Int64
@@ -69,7 +69,7 @@
 	stop := make(chan struct{})
 	defer clients.Wait()
 	defer close(stop)
-	query := func(cl *standin.Client) {
+	query := func(cl *testserver.Client) {
 		defer clients.Done()
 		for {
 			select {
@@ -100,7 +100,7 @@
 		go drainLog(lines)
 		for range 8 {
 			clients.Add(1)
-			more := standin.Dial(t, cl.RemoteAddr().String())
+			more := testserver.Dial(t, cl.RemoteAddr().String())
 			go query(more)
 		}
 		return process{func() { c.Process.Signal(syscall.SIGKILL); c.Wait() }, func(s syscall.Signal) { c.Process.Signal(s) }}
@@ -139,7 +139,7 @@
 			require.Eventually(t, func() bool { return came.between(time.Time{}, time.Now()) > before+20 }, 10*time.Second, time.Millisecond,
 				"the store is in use")
 			c.fail()
-			d.Tell(true, out, standin.Entry("s-2", other, "in_service"))
+			d.Tell(true, out, testserver.Entry("s-2", other, "in_service"))
 			told := time.Now()
 			if strings.HasPrefix(c.name, "killed") { // what the agent has counts from a new process's first moment
 				all[0] = begin()
@@ -152,7 +152,7 @@
 			}
 			require.Greater(t, served.Load(), since, "queries went on")
 			assert.Zero(t, came.between(told.Add(grace), time.Now()), "calls reached the leaving store")
-			d.Tell(true, in, standin.Entry("s-2", other, "in_service"))
+			d.Tell(true, in, testserver.Entry("s-2", other, "in_service"))
 		})
 	}
 	t.Logf("%d queries answered, %d of them not served", served.Load(), odd.Load())
--- a/example/toy/main.go
+++ b/example/demo/main.go
@@ -1,4 +1,4 @@
-// Command toy is a small world for trying alderproxy: discovery, two stores that speak frames and two that answer
+// Command demo runs what is needed to try alderproxy: discovery, two stores that speak frames and two that answer
 // searches, all on this machine. Every store holds every slice and answers after a moment.
 package main
 
@@ -26,11 +26,11 @@
 	} {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
-			log.Fatalf("toy: %v", err)
+			log.Fatalf("demo: %v", err)
 		}
 		go serve(l, speak)
 	}
-	log.Print("toy: discovery on 8500, frame stores on 8601 and 8602, search stores on 9301 and 9302")
+	log.Print("demo: discovery on 8500, frame stores on 8601 and 8602, search stores on 9301 and 9302")
 	select {}
 }
 
@@ -38,7 +38,7 @@
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			log.Fatalf("toy: %v", err)
+			log.Fatalf("demo: %v", err)
 		}
 		go func() {
 			defer c.Close()
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/admin"
-	"alderproxy/agreed"
-	"alderproxy/fleet"
+	"alderproxy/sharedconfig"
+	"alderproxy/gossip"
 	"alderproxy/internal/faultnet"
 	"alderproxy/membership"
 )
@@ -28,17 +28,17 @@
 	return all
 }
 
-func (i *instance) members() fleet.Status {
+func (i *instance) members() gossip.Status {
 	s, err := i.client().Members(0)
 	require.NoError(i.trio.t, err, "%s: %s", i.name, i.logged())
 	return s
 }
 
-func (i *instance) member(name string) fleet.Member {
+func (i *instance) member(name string) gossip.Member {
 	all := i.members().Members
-	k := slices.IndexFunc(all, func(m fleet.Member) bool { return m.Name == name })
+	k := slices.IndexFunc(all, func(m gossip.Member) bool { return m.Name == name })
 	if k < 0 {
-		return fleet.Member{State: "unknown"}
+		return gossip.Member{State: "unknown"}
 	}
 	return all[k]
 }
@@ -178,7 +178,7 @@
 	}, 20*time.Second, 50*time.Millisecond)
 	o, err := client.Put(put("split", 1, 2))
 	require.NoError(t, err)
-	require.Equal(t, agreed.Done, o.Status, o.Why)
+	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	load.changed(1)
 	r.agree(there, 30*time.Second)
 	// Whoever is on the smaller side stops by the bound: it cannot know that its version was not replaced.
@@ -210,14 +210,14 @@
 		r.instances[leader].signal(syscall.SIGKILL)
 		<-r.instances[leader].ended
 		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
-		var o agreed.Outcome
+		var o sharedconfig.Outcome
 		var err error
 		require.Eventually(t, func() bool {
 			o, err = r.instances[asked].client().Put(put(fmt.Sprint("round", round), version, int(version)+1))
-			return !errors.Is(err, admin.ErrUnreachable) && o.Status != agreed.Unknown
+			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
 		}, 20*time.Second, 20*time.Millisecond)
 		require.NoError(t, err)
-		require.Equal(t, agreed.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		load.changed(version)
 		version++
 		r.serving(version, follow...)
@@ -228,7 +228,7 @@
 	f1 := r.instances["f1"].client()
 	o, err := f1.Put(put("elsewhere", version, 99))
 	require.NoError(t, err)
-	assert.Equal(t, agreed.Refused, o.Status)
+	assert.Equal(t, sharedconfig.Refused, o.Status)
 	assert.Contains(t, o.Why, r.instances["n2"].front.Addr())
 	v, err := f1.Show(0, true)
 	require.NoError(t, err)
--- a/fleet/fleet.go
+++ b/gossip/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is an instance's part in the membership of all instances: it runs the datagrams and the clock for the
+// Package gossip is an instance's part in the membership of all instances: it runs the datagrams and the clock for the
 // decisions in membership, and carries out what these return.
-package fleet
+package gossip
 
 import (
 	"errors"
--- a/fleet/status.go
+++ b/gossip/status.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"fmt"
--- a/httpwire/server.go
+++ b/httpwire/server.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/internal/seldom"
+	"alderproxy/internal/ratelog"
 )
 
 // Server serves HTTP with one goroutine a connection.
@@ -40,7 +40,7 @@
 	conns    map[*Exchange]struct{}
 	extra    int // connections being turned away, and those that yield
 	idles    int // of conns, those between requests
-	warned   seldom.Line
+	warned   ratelog.Line
 	listener net.Listener
 	leaving  atomic.Bool // answers say that the connection ends
 	closed   atomic.Bool // idle connections end at once
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/httpwire"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 // serving starts a server whose handler answers at once, but for /wait: that waits for the channel it returns, or
@@ -24,7 +24,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	release, gone = make(chan struct{}), make(chan bool, 16)
-	s.Log = standin.Log()
+	s.Log = testserver.Log()
 	s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			gone <- false
@@ -41,7 +41,7 @@
 	return l.Addr().String(), release, gone
 }
 
-func status(c *standin.Client, target string) int {
+func status(c *testserver.Client, target string) int {
 	c.Send("GET", target, "")
 	return c.Read().Status
 }
@@ -50,7 +50,7 @@
 func TestIdleConnectionYieldsToANewOne(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{MaxConns: 4})
 	for range 12 {
-		assert.Equal(t, 200, status(standin.Dial(t, addr), "/"))
+		assert.Equal(t, 200, status(testserver.Dial(t, addr), "/"))
 	}
 }
 
@@ -58,9 +58,9 @@
 // new comes.
 func TestTooManyIdleConnectionsYieldAtOnce(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{MaxIdle: 2})
-	var clients []*standin.Client
+	var clients []*testserver.Client
 	for range 3 {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		require.Equal(t, 200, status(c, "/"))
 		clients = append(clients, c)
 	}
@@ -90,14 +90,14 @@
 // A connection with an open request never yields: the new client is told.
 func TestOpenRequestNeverYields(t *testing.T) {
 	addr, release, gone := serving(t, &httpwire.Server{MaxConns: 2})
-	var held []*standin.Client
+	var held []*testserver.Client
 	for range 2 {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send("GET", "/wait", "")
 		<-gone // it is open
 		held = append(held, c)
 	}
-	assert.Equal(t, 503, standin.Dial(t, addr).Read().Status)
+	assert.Equal(t, 503, testserver.Dial(t, addr).Read().Status)
 	close(release)
 	for _, c := range held {
 		assert.Equal(t, 200, c.Read().Status)
@@ -109,7 +109,7 @@
 func TestClientThatNeverAsksIsEnded(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{FirstLimit: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Write([]byte(text))
 		got, _ := c.R.ReadString(' ')
 		rest, _ := c.R.ReadString(' ')
@@ -121,7 +121,7 @@
 func TestClientThatSentAheadIsSeenToLeave(t *testing.T) {
 	addr, release, gone := serving(t, &httpwire.Server{})
 	defer close(release)
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	c.Send("GET", "/wait", "")
 	c.Send("GET", "/", "")
 	<-gone // it is open
@@ -137,7 +137,7 @@
 // A client still sending when it is turned away reads its error: a close on unread bytes would be a reset.
 func TestClientStillSendingReadsItsError(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{})
-	c := standin.Dial(t, addr)
+	c := testserver.Dial(t, addr)
 	piece := strings.Repeat("x", 1<<20)
 	_, err := c.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n"))
 	for range 8 {
@@ -221,21 +221,21 @@
 // Connections come between the server's last look for one and the close of its listener: they are served.
 func TestConnectionThatComesBeforeTheListenerClosesIsServed(t *testing.T) {
 	g := newGate(t, nil)
-	var late []*standin.Client
+	var late []*testserver.Client
 	looks := 0
 	g.none = func() {
 		if looks++; looks == 2 {
 			for range 3 {
-				c := standin.Dial(t, g.Addr().String())
+				c := testserver.Dial(t, g.Addr().String())
 				c.Send("GET", "/", "")
 				late = append(late, c)
 			}
 		}
 	}
-	s := &httpwire.Server{Log: standin.Log(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.Log(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(g) }()
-	require.Equal(t, 200, status(standin.Dial(t, g.Addr().String()), "/"))
+	require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
 	s.Close()
 	assert.NoError(t, <-done)
 	require.Len(t, late, 3)
@@ -256,14 +256,14 @@
 		var looks atomic.Int32
 		g := newGate(t, &hooks{deadline: func(_ time.Time, set func()) { looks.Add(1); set() }})
 		taken, gone := make(chan struct{}), make(chan bool, 1)
-		s := &httpwire.Server{Log: standin.Log(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+		s := &httpwire.Server{Log: testserver.Log(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 			close(taken)
 			gone <- x.Wait()
 			return nil
 		}}
 		go s.Serve(g)
 		t.Cleanup(s.Close)
-		c := standin.Dial(t, g.Addr().String())
+		c := testserver.Dial(t, g.Addr().String())
 		c.Send("GET", "/", "")
 		<-taken
 		before := looks.Load()
@@ -280,7 +280,7 @@
 	}
 	for ahead, last := range map[int]bool{6 << 10: false, 200 << 10: true} {
 		addr, release, gone := serving(t, &httpwire.Server{})
-		c := standin.Dial(t, addr)
+		c := testserver.Dial(t, addr)
 		c.Send("GET", "/wait", "")
 		<-gone
 		for n := 0; n < ahead; n += 1 << 10 {
@@ -324,7 +324,7 @@
 		}
 	}})
 	release := make(chan struct{})
-	s := &httpwire.Server{Log: standin.Log(), FirstLimit: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.Log(), FirstLimit: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			go func() { <-release; x.Wake() }()
 			x.Wait()
@@ -333,7 +333,7 @@
 	}}
 	go s.Serve(g)
 	t.Cleanup(s.Close)
-	c := standin.Dial(t, g.Addr().String())
+	c := testserver.Dial(t, g.Addr().String())
 	close(release)
 	assert.Equal(t, 200, status(c, "/wait"))
 	<-struck
@@ -350,8 +350,8 @@
 	}{
 		"closes, resting":   {false, func(s *httpwire.Server, _ string, _ *testing.T) { s.Close() }},
 		"closes, new":       {true, func(s *httpwire.Server, _ string, _ *testing.T) { s.Close() }},
-		"yields, resting":   {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(standin.Dial(t, addr), "/") }},
-		"too many, resting": {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(standin.Dial(t, addr), "/") }},
+		"yields, resting":   {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(testserver.Dial(t, addr), "/") }},
+		"too many, resting": {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(testserver.Dial(t, addr), "/") }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold, reached := make(chan struct{}), make(chan struct{}, 64)
@@ -369,7 +369,7 @@
 				}
 			}
 			g := newGate(t, h)
-			s := &httpwire.Server{Log: standin.Log(), MaxConns: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
+			s := &httpwire.Server{Log: testserver.Log(), MaxConns: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
 				return &httpwire.Reply{Status: 200}
 			}}
 			switch {
@@ -380,7 +380,7 @@
 			}
 			go s.Serve(g)
 			t.Cleanup(s.Close)
-			cl := standin.Dial(t, g.Addr().String())
+			cl := testserver.Dial(t, g.Addr().String())
 			if !c.first {
 				require.Equal(t, 200, status(cl, "/"))
 			}
@@ -419,14 +419,14 @@
 			}
 		},
 	})
-	s := &httpwire.Server{Log: standin.Log(), MaxConns: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.Log(), MaxConns: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	go s.Serve(g)
 	t.Cleanup(s.Close)
-	cl := standin.Dial(t, g.Addr().String())
+	cl := testserver.Dial(t, g.Addr().String())
 	cl.Write([]byte("GET / HTTP/1.1\r\n"))
 	<-reached
 	yields.Store(true)
-	other := standin.Dial(t, g.Addr().String())
+	other := testserver.Dial(t, g.Addr().String())
 	<-yielded
 	cl.Write([]byte("\r\n"))
 	time.Sleep(60 * time.Millisecond) // three times a last look
@@ -440,11 +440,11 @@
 	hold := make(chan struct{})
 	g := newGate(t, nil)
 	g.accept = func() { <-hold }
-	s := &httpwire.Server{Log: standin.Log(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.Log(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(g) }()
 	hold <- struct{}{} // it serves, and accepts no more
-	first := standin.Dial(t, g.Addr().String())
+	first := testserver.Dial(t, g.Addr().String())
 	require.Eventually(t, func() bool {
 		select {
 		case hold <- struct{}{}:
@@ -454,9 +454,9 @@
 		}
 	}, 5*time.Second, time.Millisecond)
 	require.Equal(t, 200, status(first, "/"))
-	var late []*standin.Client
+	var late []*testserver.Client
 	for range 3 {
-		c := standin.Dial(t, g.Addr().String())
+		c := testserver.Dial(t, g.Addr().String())
 		c.Send("GET", "/", "")
 		late = append(late, c)
 	}
@@ -474,7 +474,7 @@
 func TestAnswerThatNobodyReadsHoldsUpNobody(t *testing.T) {
 	g := newGate(t, nil)
 	writes := make(chan struct{})
-	s := &httpwire.Server{Log: standin.Log(), WriteLimit: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.Log(), WriteLimit: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/much" {
 			close(writes)
 			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than two systems' buffers hold
@@ -483,9 +483,9 @@
 	}}
 	go s.Serve(g)
 	t.Cleanup(s.Close)
-	other := standin.Dial(t, g.Addr().String())
+	other := testserver.Dial(t, g.Addr().String())
 	require.Equal(t, 200, status(other, "/"))
-	standin.Dial(t, g.Addr().String()).Send("GET", "/much", "")
+	testserver.Dial(t, g.Addr().String()).Send("GET", "/much", "")
 	<-writes
 	other.Send("GET", "/", "")
 	s.Close()
@@ -500,7 +500,7 @@
 		"idle for long": {IdleLimit: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdle: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var cl *standin.Client
+			var cl *testserver.Client
 			resting := make(chan struct{})
 			rests := sync.OnceFunc(func() { close(resting) })
 			h := &hooks{end: func() { cl.Send("GET", "/late", "") }, deadline: func(at time.Time, set func()) {
@@ -510,18 +510,18 @@
 			}}
 			g := newGate(t, h)
 			served := make(chan string, 16)
-			s.Log = standin.Log()
+			s.Log = testserver.Log()
 			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply { served <- x.Path(); return &httpwire.Reply{Status: 200} }
 			go s.Serve(g)
 			t.Cleanup(s.Close)
-			cl = standin.Dial(t, g.Addr().String())
+			cl = testserver.Dial(t, g.Addr().String())
 			require.Equal(t, 200, status(cl, "/"))
 			switch name {
 			case "closes":
 				s.Close()
 			case "yields":
 				<-resting // else the second one may rest before it
-				require.Equal(t, 200, status(standin.Dial(t, g.Addr().String()), "/"))
+				require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
 				<-served
 			}
 			_, err := cl.R.Peek(1)
--- a/internal/seldom/seldom.go
+++ b/internal/ratelog/seldom.go
@@ -1,5 +1,5 @@
-// Package seldom bounds the rate of log lines that peers can cause.
-package seldom
+// Package ratelog bounds the rate of log lines that peers can cause.
+package ratelog
 
 import (
 	"sync"
--- a/internal/wire/wire.go
+++ b/internal/simcodec/wire.go
@@ -1,6 +1,6 @@
-// Package wire turns frames of the simulator's protocol into the policy's own types and back.
+// Package simcodec turns frames of the simulator's protocol into the policy's own types and back.
 // It translates and checks; it decides nothing.
-package wire
+package simcodec
 
 import (
 	"bytes"
--- a/internal/standin/standin.go
+++ b/internal/testserver/standin.go
@@ -1,6 +1,6 @@
-// Package standin has the stand-ins that the tests of both fronts share: stores that speak frames or searches,
+// Package testserver has the stand-ins that the tests of both fronts share: stores that speak frames or searches,
 // with faults to inject, discovery, and a client.
-package standin
+package testserver
 
 import (
 	"bufio"
--- a/left_test.go
+++ b/left_test.go
@@ -13,25 +13,25 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 // The process stands still while clients come, ask and leave, each time some more of them at once, and goes on: nothing of
 // what they asked reaches a store.
 func TestStoppedProcessBeginsNothingForClientsThatLeft(t *testing.T) {
-	s := standin.NewFrameStore(t)
-	c, _, cl, lines := running(t, settings(standin.NewDiscovery(t, standin.Entry("s-1", s, "in_service"))))
+	s := testserver.NewFrameStore(t)
+	c, _, cl, lines := running(t, settings(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
 	go drainLog(lines)
 	for round := range 10 {
 		require.NoError(t, c.Process.Signal(syscall.SIGSTOP))
 		require.Eventually(t, func() bool { return stopped(t, c.Process.Pid) }, 5*time.Second, time.Millisecond)
 		for i := range 8 * (round + 1) {
-			left := standin.Dial(t, cl.RemoteAddr().String()) // the system accepts it
+			left := testserver.Dial(t, cl.RemoteAddr().String()) // the system accepts it
 			ask(left, fmt.Sprintf("left%d-%d", round, i))
 			left.Close()
 		}
 		require.NoError(t, c.Process.Signal(syscall.SIGCONT))
-		behind := standin.Dial(t, cl.RemoteAddr().String())
+		behind := testserver.Dial(t, cl.RemoteAddr().String())
 		ask(behind, fmt.Sprint("behind", round))
 		assert.Equal(t, 200, behind.Read().Status)
 		behind.Close()
--- a/measure_test.go
+++ b/measure_test.go
@@ -20,11 +20,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/config"
 	"alderproxy/document"
-	"alderproxy/group"
-	"alderproxy/internal/standin"
+	"alderproxy/raftnode"
+	"alderproxy/internal/testserver"
 )
 
 func quantiles(t *testing.T, all []time.Duration) (median, p99, most time.Duration) {
@@ -59,7 +59,7 @@
 		began := time.Now()
 		o, err := r.instances["n2"].client().Put(put(fmt.Sprint(v), v, int(v)+1))
 		require.NoError(t, err)
-		require.Equal(t, agreed.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		done = append(done, time.Since(began))
 		until(t, func() bool { return r.allServe(v+1, "n1", "n2", "n3") })
 		everywhere = append(everywhere, time.Since(began))
@@ -114,7 +114,7 @@
 		require.NoError(t, err)
 		o, err := r.instances[others[0]].client().Put(put(fmt.Sprint("after ", round), v.Number, round+1000))
 		require.NoError(t, err)
-		require.Equal(t, agreed.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		puts = append(puts, time.Since(began))
 		stop.Store(true)
 		wg.Wait()
@@ -166,7 +166,7 @@
 			require.NoError(t, err)
 			o, err := r.instances["n3"].client().Put(put(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
 			require.NoError(t, err)
-			require.Equal(t, agreed.Done, o.Status, o.Why)
+			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
 		wg.Wait()
 		return sum
@@ -192,20 +192,20 @@
 		first := fmt.Sprintf(sharedText, 1)
 		_, err = Init(c, first, "test")
 		require.NoError(t, err)
-		open := func() *group.Node {
+		open := func() *raftnode.Node {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			n, err := group.Open(group.Config{Name: "n1", Folder: lone, Listener: l, Address: l.Addr().String(), Bound: 5 * time.Second, Speed: 4,
+			n, err := raftnode.Open(raftnode.Config{Name: "n1", Folder: lone, Listener: l, Address: l.Addr().String(), Bound: 5 * time.Second, Speed: 4,
 				SnapshotAfter: after, Log: logger(config.Log{Level: "error"}).WithField("measure", true),
-				Check: func(string) error { return nil }, Use: func(agreed.Version) error { return nil }})
+				Check: func(string) error { return nil }, Use: func(sharedconfig.Version) error { return nil }})
 			require.NoError(t, err)
 			return n
 		}
 		n := open()
 		for v := uint64(1); v < 1000; v++ {
 			text := fmt.Sprintf(sharedText, v+1)
-			o := n.Do(group.Order{Change: &agreed.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
-			require.Equal(t, agreed.Done, o.Status, o.Why)
+			o := n.Do(raftnode.Order{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
+			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
 		require.NoError(t, n.Close())
@@ -295,10 +295,10 @@
 		r.instances[leader].signal(syscall.SIGKILL)
 		<-r.instances[leader].ended
 		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
-		o := agreed.Outcome{}
+		o := sharedconfig.Outcome{}
 		until(t, func() bool {
 			o, _ = r.instances[asked].client().Put(put(fmt.Sprint("round", round), version, int(version)+1))
-			return o.Status == agreed.Done
+			return o.Status == sharedconfig.Done
 		})
 		load.changed(version)
 		began := time.Now()
@@ -316,15 +316,15 @@
 // What one gatherer takes at so many stores: a process that has asked each of them, once idle and once while lists come.
 func TestMeasureStores(t *testing.T) {
 	for _, stores := range []int{16, 200, 1024} {
-		s := standin.NewFrameStore(t)
+		s := testserver.NewFrameStore(t)
 		go func() {
 			for range s.Parts {
 			}
 		}()
-		d := standin.NewDiscovery(t)
+		d := testserver.NewDiscovery(t)
 		var entries []string
 		for i := range stores {
-			entries = append(entries, standin.Entry(fmt.Sprintf("s-%08x", i), s, "in_service"))
+			entries = append(entries, testserver.Entry(fmt.Sprintf("s-%08x", i), s, "in_service"))
 		}
 		d.Tell(true, entries...)
 		// The list is known at the start, so that its log lines come before anybody waits for the program.
--- a/members.go
+++ b/members.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"alderproxy/config"
-	"alderproxy/fleet"
+	"alderproxy/gossip"
 	"alderproxy/membership"
 	"alderproxy/platform"
 	"alderproxy/storepool"
@@ -43,7 +43,7 @@
 		return fmt.Errorf("membership: %w", err)
 	}
 	log := p.log.WithField("instance", c.Member.Name)
-	if p.fleet, err = fleet.Open(fleet.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Now: now}); err != nil {
+	if p.fleet, err = gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Now: now}); err != nil {
 		conn.Close()
 		return err
 	}
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -14,7 +14,7 @@
 
 	"alderproxy/broker"
 	"alderproxy/document"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 	"alderproxy/policy"
 	"alderproxy/storepool"
 )
@@ -30,7 +30,7 @@
 type rig struct {
 	*Service
 	config *Config
-	stores [2]*standin.Store
+	stores [2]*testserver.Store
 }
 
 // terms are the shared sections of all tests.
@@ -59,12 +59,12 @@
 	r := &rig{config: &Config{Listen: "127.0.0.1:0", MaxConns: 256, Fleet: 1,
 		Limits: storepool.Limits{Streams: 1, Conns: 16, ConnectTimeout: 250_000, ConnIdle: 15_000_000}}}
 	for i := range r.stores {
-		r.stores[i] = standin.NewSearchStore(t, docs)
+		r.stores[i] = testserver.NewSearchStore(t, docs)
 		r.config.Stores = append(r.config.Stores, storepool.Store{Name: fmt.Sprint("s-", i), Addr: r.stores[i].Addr,
 			Server: policy.Server{ID: uint32(i + 1), Presence: policy.Ready, Size: 1}})
 	}
 	var err error
-	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(terms, maxOpen)), nil, standin.Log())
+	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(terms, maxOpen)), nil, testserver.Log())
 	require.NoError(t, err)
 	t.Cleanup(func() { r.server.Close(); r.broker.Close(); r.pool.Close() })
 	return r
@@ -78,8 +78,8 @@
 	return terms
 }
 
-func (r *rig) ask(t *testing.T, target, body string) *standin.Client {
-	c := standin.Dial(t, r.Addr())
+func (r *rig) ask(t *testing.T, target, body string) *testserver.Client {
+	c := testserver.Dial(t, r.Addr())
 	c.Send("POST", target, body)
 	return c
 }
@@ -154,7 +154,7 @@
 // The same faults as on the platform's path, with the same outcomes. A success status with a failed shard or a
 // time-out in it is a missing part and never a whole answer.
 func TestFaults(t *testing.T) {
-	for _, c := range standin.Cases {
+	for _, c := range testserver.Cases {
 		for both, want := range map[bool]int{false: c.One, true: c.Query} {
 			t.Run(fmt.Sprintf("%s/both=%v", c.Fault, both), func(t *testing.T) {
 				t.Parallel()
@@ -184,7 +184,7 @@
 
 // A class that takes half of its parts is answered from these, and the answer tells of the failed shard.
 func TestPartialAnswerTellsOfTheFailedShard(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.Error, standin.Partial, standin.Late} {
+	for _, fault := range []testserver.Fault{testserver.Error, testserver.Partial, testserver.Late} {
 		r := start(t, 1000)
 		for _, s := range r.stores {
 			s.SetFaultAt(1, fault)
@@ -224,7 +224,7 @@
 func TestMultiSearchItemIsRefusedAlone(t *testing.T) {
 	r := start(t, 3)
 	for _, s := range r.stores {
-		s.SetFault(standin.Silent)
+		s.SetFault(testserver.Silent)
 	}
 	resp := r.ask(t, "/catalogue/_msearch", "{}\n{}\n{}\n{}\n").Read()
 	a := read(t, resp.Body)
@@ -242,7 +242,7 @@
 		release = append(release, s.Hold())
 	}
 	before := r.ask(t, "/catalogue/_search", `{}`)
-	standin.Next(t, r.stores[0])
+	testserver.Next(t, r.stores[0])
 	require.NoError(t, r.Use(r.terms(t, 2, `
 [layout]
 slices = 2
@@ -275,7 +275,7 @@
 	done := make(chan map[int]int)
 	for range 4 {
 		go func() {
-			c, count := standin.Dial(t, r.Addr()), map[int]int{}
+			c, count := testserver.Dial(t, r.Addr()), map[int]int{}
 			for range 100 {
 				c.Send("POST", "/_msearch", "{\"index\":\"catalogue\"}\n{}\n{\"index\":\"families\"}\n{}\n")
 				for _, a := range read(t, c.Read().Body).Responses {
@@ -305,7 +305,7 @@
 // Where the agreement does not hold, new searches are refused at once, with word when to come back.
 func TestClosedGate(t *testing.T) {
 	r := &rig{}
-	s := standin.NewSearchStore(t, docs)
+	s := testserver.NewSearchStore(t, docs)
 	r.config = &Config{Listen: "127.0.0.1:0", Fleet: 1, Limits: storepool.Limits{Streams: 1, Conns: 16, ConnectTimeout: 250_000,
 		ConnIdle: 15_000_000}, Stores: []storepool.Store{{Addr: s.Addr, Server: policy.Server{ID: 1, Presence: policy.Ready}}}}
 	var open atomic.Bool
@@ -313,7 +313,7 @@
 	var err error
 	r.Service, err = Start(r.config, r.terms(t, 3, fmt.Sprintf(terms, 10)), func(t *broker.Terms) (bool, time.Duration) {
 		return open.Load() && t.Version == 3, 1500 * time.Millisecond
-	}, standin.Log())
+	}, testserver.Log())
 	require.NoError(t, err)
 	t.Cleanup(func() { r.server.Close(); r.broker.Close(); r.pool.Close() })
 	resp := r.ask(t, "/catalogue/_search", `{}`).Read()
@@ -324,7 +324,7 @@
 	assert.Equal(t, 503, resp.Status)
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
 	assert.Equal(t, "cluster_block_exception", read(t, resp.Body).Error.Type)
-	c := standin.Dial(t, r.Addr())
+	c := testserver.Dial(t, r.Addr())
 	c.Send("GET", "/healthz", "")
 	assert.Equal(t, 503, c.Read().Status)
 }
@@ -336,12 +336,12 @@
 		release = append(release, s.Hold())
 	}
 	c := r.ask(t, "/catalogue/_search", `{}`)
-	standin.Next(t, r.stores[0])
+	testserver.Next(t, r.stores[0])
 	stopped := make(chan struct{})
 	now := time.Now()
 	go func() { r.Stop(now.Add(300*time.Millisecond), now.Add(2*time.Second)); close(stopped) }()
 	require.Eventually(t, r.leave.Load, 5*time.Second, time.Millisecond)
-	late := standin.Dial(t, r.Addr()) // still served for a moment
+	late := testserver.Dial(t, r.Addr()) // still served for a moment
 	late.Send("GET", "/healthz", "")
 	assert.Equal(t, 503, late.Read().Status)
 	for _, f := range release {
@@ -381,10 +381,10 @@
 func TestClientThatLeavesClosesItsSearches(t *testing.T) {
 	r := start(t, 1000)
 	for _, s := range r.stores {
-		s.SetFault(standin.Silent)
+		s.SetFault(testserver.Silent)
 	}
 	c := r.ask(t, "/catalogue/_search", `{}`)
-	standin.Next(t, r.stores[0])
+	testserver.Next(t, r.stores[0])
 	c.Close()
 	<-r.stores[0].Closed
 }
@@ -416,7 +416,7 @@
 func TestRequestReadAfterItsClientHasLeftDoesNotGoOut(t *testing.T) {
 	r := start(t, 1000)
 	for target, body := range map[string]string{"/catalogue/_search": `{"size":7}`, "/_msearch": "{\"index\":\"catalogue\"}\n{\"size\":7}\n"} {
-		release := standin.AskAndLeave(t, r.server.Handle, func(c *standin.Client) { c.Send("POST", target, body) })
+		release := testserver.AskAndLeave(t, r.server.Handle, func(c *testserver.Client) { c.Send("POST", target, body) })
 		assert.Equal(t, 200, r.ask(t, "/catalogue/_search", `{"size":3}`).Read().Status)
 		for _, s := range r.stores {
 			for len(s.Parts) > 0 {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -24,7 +24,7 @@
 func open(t *testing.T, id, group, key string) *Net {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	n := Listen(Config{ID: id, Group: func() string { return group }, Key: []byte(key), Log: standin.Log()}, l, map[byte]Handler{
+	n := Listen(Config{ID: id, Group: func() string { return group }, Key: []byte(key), Log: testserver.Log()}, l, map[byte]Handler{
 		kindEcho: func(from string, body []byte, _ io.Reader) ([]byte, error) {
 			return fmt.Appendf(nil, "%s:%s", from, body), nil
 		},
@@ -144,13 +144,13 @@
 func TestThousandFollowersLeaveRoomForTheFew(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	n := Listen(Config{ID: "v", Group: func() string { return "g" }, Log: standin.Log(),
+	n := Listen(Config{ID: "v", Group: func() string { return "g" }, Log: testserver.Log(),
 		Guest: func(id string) bool { return strings.HasPrefix(id, "f") }}, l, map[byte]Handler{
 		kindEcho: func(string, []byte, io.Reader) ([]byte, error) { return nil, nil }})
 	t.Cleanup(n.Close)
 	to := Target{"v", n.Addr()}
 	ask := func(id string) error {
-		f := New(Config{ID: id, Group: func() string { return "g" }, Log: standin.Log()})
+		f := New(Config{ID: id, Group: func() string { return "g" }, Log: testserver.Log()})
 		t.Cleanup(f.Close)
 		_, err := f.Call(to, kindEcho, nil, nil, 10*time.Second)
 		return err
--- a/group/faults_test.go
+++ b/raftnode/faults_test.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/internal/faultnet"
 )
 
@@ -27,7 +27,7 @@
 }
 
 type outcome struct {
-	status  agreed.Status // of a put
+	status  sharedconfig.Status // of a put
 	version uint64
 	text    string // of a read
 }
@@ -50,17 +50,17 @@
 		}
 		next := held{c.expect + 1, c.text}
 		switch o.status {
-		case agreed.Done:
+		case sharedconfig.Done:
 			if s.version == c.expect && o.version == next.version {
 				return []any{next}
 			}
 			return nil
-		case agreed.Conflict:
+		case sharedconfig.Conflict:
 			if s.version != c.expect {
 				return []any{s}
 			}
 			return nil
-		case agreed.Refused:
+		case sharedconfig.Refused:
 			return []any{s}
 		}
 		if s.version == c.expect { // unknown: it may have been made, now or later, or not
@@ -129,7 +129,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, op)
-		if !c.put || o.status == agreed.Done {
+		if !c.put || o.status == sharedconfig.Done {
 			seen++
 		}
 	}
@@ -157,7 +157,7 @@
 			c := call{true, v.Number, fmt.Sprint(id, ".", k)}
 			from = time.Now()
 			o := n.Do(change(c.text, c.expect, c.text), 3*time.Second)
-			note(id, c, from, outcome{status: o.Status, version: o.Version}, o.Status != agreed.Unknown)
+			note(id, c, from, outcome{status: o.Status, version: o.Version}, o.Status != sharedconfig.Unknown)
 		}
 	}
 	for id := range 6 {
@@ -193,9 +193,9 @@
 		switch o := op.Output.(outcome); {
 		case !op.Input.(call).put:
 			sum.reads++
-		case o.status == agreed.Done:
+		case o.status == sharedconfig.Done:
 			sum.done++
-		case o.status == agreed.Unknown:
+		case o.status == sharedconfig.Unknown:
 			sum.unknown++
 		}
 	}
@@ -228,26 +228,26 @@
 	r.begin()
 	lead := r.leader()
 	for v := uint64(1); v <= 12; v++ {
-		require.Equal(t, agreed.Done, lead.Do(change(fmt.Sprint(v), v, fmt.Sprint(v)), 10*time.Second).Status)
+		require.Equal(t, sharedconfig.Done, lead.Do(change(fmt.Sprint(v), v, fmt.Sprint(v)), 10*time.Second).Status)
 	}
 	for _, n := range r.nodes { // most of what was agreed on is in the snapshot only
 		require.NoError(t, n.raft.Snapshot().Error())
 	}
 	c := r.config("n4")
 	n4 := r.open(c)
-	answer := make(chan agreed.Outcome, 1)
+	answer := make(chan sharedconfig.Outcome, 1)
 	var other *Node
 	for _, n := range r.nodes {
 		if n != lead && n != n4 {
 			other = n
 		}
 	}
-	go func() { answer <- other.Do(Order{Add: &agreed.Member{Name: "n4", Addr: c.Address}}, 20*time.Second) }()
+	go func() { answer <- other.Do(Order{Add: &sharedconfig.Member{Name: "n4", Addr: c.Address}}, 20*time.Second) }()
 	require.Eventually(t, func() bool { return len(lead.Roster()) == 4 }, 10*time.Second, time.Millisecond)
 	require.NoError(t, lead.Close())
 	delete(r.nodes, lead.Name)
 	o := <-answer
-	assert.Equal(t, agreed.Done, o.Status, o.Why)
+	assert.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	r.agreed(13)
 	voters := 0
 	for _, m := range n4.Roster() {
@@ -263,7 +263,7 @@
 func TestRecover(t *testing.T) {
 	r := newRig(t, time.Second)
 	r.begin()
-	require.Equal(t, agreed.Done, r.leader().Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, r.leader().Do(change("a", 1, "two"), 10*time.Second).Status)
 	r.agreed(2)
 	for _, n := range r.nodes {
 		require.NoError(t, n.Close())
@@ -283,12 +283,12 @@
 	require.NoError(t, Recover(c.Folder, "n3", c.Address), "at another address")
 	n3 := r.open(c)
 	r.agreed(2)
-	require.Equal(t, agreed.Done, n3.Do(change("b", 2, "three"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, n3.Do(change("b", 2, "three"), 10*time.Second).Status)
 	old := r.configs["n1"]
 	old.Listener = listen(t)
 	n1 := r.open(old)
-	o := n3.Do(Order{Add: &agreed.Member{Name: "n1", Addr: old.Listener.Addr().String()}}, 5*time.Second)
-	assert.Equal(t, agreed.Refused, o.Status, "one of the old group was taken in")
+	o := n3.Do(Order{Add: &sharedconfig.Member{Name: "n1", Addr: old.Listener.Addr().String()}}, 5*time.Second)
+	assert.Equal(t, sharedconfig.Refused, o.Status, "one of the old group was taken in")
 	open, _ := n1.Gate(n1.Used())
 	assert.False(t, open)
 	_, err = Examine(t.TempDir(), "n9")
@@ -302,7 +302,7 @@
 	require.NoError(t, Begin(c.Folder, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
 	n := r.open(c)
 	r.agreed(1)
-	require.Equal(t, agreed.Done, n.Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, n.Do(change("a", 1, "two"), 10*time.Second).Status)
 	require.NoError(t, n.raft.Snapshot().Error())
 	metas, err := n.inspected()
 	require.NoError(t, err)
--- a/group/follower.go
+++ b/raftnode/follower.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"encoding/json"
@@ -13,20 +13,20 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/peer"
 )
 
 // followCalled answers an instance without a vote.
 func (n *Node) followCalled(_ string, body []byte, _ io.Reader) ([]byte, error) {
-	var a agreed.Ask
+	var a sharedconfig.Ask
 	if err := json.Unmarshal(body, &a); err != nil {
 		return nil, err
 	}
 	// The state is read before the lease: what is granted for a later version covers no earlier one.
 	s := n.state.Load()
-	return json.Marshal(agreed.Answer(*s, *n.lease.Load(), clock.Now(), n.Roster(), a))
+	return json.Marshal(sharedconfig.Answer(*s, *n.lease.Load(), clock.Now(), n.Roster(), a))
 }
 
 // isGuest tells whether an id is none of the members'.
@@ -44,13 +44,13 @@
 	serving
 	id     raft.ServerID
 	net    *peer.Net
-	core   *agreed.Follower // the loop's
+	core   *sharedconfig.Follower // the loop's
 	group  atomic.Pointer[string]
-	active atomic.Pointer[agreed.Version]
-	voters atomic.Pointer[[]agreed.Member]
+	active atomic.Pointer[sharedconfig.Version]
+	voters atomic.Pointer[[]sharedconfig.Member]
 
 	mu     sync.Mutex
-	events []agreed.Event
+	events []sharedconfig.Event
 }
 
 // Follow starts an instance without a vote. With an empty folder it serves once a voter has told it by what.
@@ -66,9 +66,9 @@
 		f.store.Close()
 		return nil, err
 	}
-	set := agreed.Defaults(string(f.id), f.Bound.Microseconds(), f.ServeOn)
-	f.core = agreed.NewFollower(set, c.Voters, last)
-	lease, group, none := agreed.Lease{Serve: set.ServeOn}, "", []agreed.Member{}
+	set := sharedconfig.Defaults(string(f.id), f.Bound.Microseconds(), f.ServeOn)
+	f.core = sharedconfig.NewFollower(set, c.Voters, last)
+	lease, group, none := sharedconfig.Lease{Serve: set.ServeOn}, "", []sharedconfig.Member{}
 	f.lease.Store(&lease)
 	f.group.Store(&group)
 	f.active.Store(&last)
@@ -93,7 +93,7 @@
 	return f.Log.WithFields(logrus.Fields{"instance": f.Name, "version": f.active.Load().Number, "follows": len(*f.voters.Load())})
 }
 
-func (f *Follower) tell(e agreed.Event) {
+func (f *Follower) tell(e sharedconfig.Event) {
 	f.mu.Lock()
 	f.events = append(f.events, e)
 	f.mu.Unlock()
@@ -117,14 +117,14 @@
 		f.mu.Unlock()
 		for _, a := range f.core.Step(clock.Now(), events) {
 			switch a := a.(type) {
-			case agreed.AskVoter:
+			case sharedconfig.AskVoter:
 				go f.ask(a)
-			case agreed.Activate:
+			case sharedconfig.Activate:
 				f.active.Store(&a.Version)
 				f.activate(a.Version)
-			case agreed.NewLease:
+			case sharedconfig.NewLease:
 				f.lease.Store(&a.Lease)
-			case agreed.Log:
+			case sharedconfig.Log:
 				f.log().Warn(a.Text)
 			}
 		}
@@ -136,22 +136,22 @@
 }
 
 func (f *Follower) askEvery() time.Duration {
-	return span(agreed.Defaults("", f.Bound.Microseconds(), false).AskEvery)
+	return span(sharedconfig.Defaults("", f.Bound.Microseconds(), false).AskEvery)
 }
 
 // ask puts one ask to a voter. An answer that comes after the bound would be worth nothing.
-func (f *Follower) ask(a agreed.AskVoter) {
+func (f *Follower) ask(a sharedconfig.AskVoter) {
 	t, err := f.askOnce(a)
 	if err != nil {
 		f.Log.WithError(err).WithField("voter", a.Voter.Addr).Debug("no answer from a voter")
-		f.tell(agreed.Silent{Seq: a.Seq})
+		f.tell(sharedconfig.Silent{Seq: a.Seq})
 		return
 	}
 	t.Seq = a.Seq
 	f.tell(t)
 }
 
-func (f *Follower) askOnce(a agreed.AskVoter) (t agreed.Told, err error) {
+func (f *Follower) askOnce(a sharedconfig.AskVoter) (t sharedconfig.Told, err error) {
 	body, err := json.Marshal(a.Ask)
 	if err != nil {
 		return t, err
@@ -182,9 +182,9 @@
 }
 
 // State is what this instance has of the group's state: the one version that it serves by.
-func (f *Follower) State() (s agreed.State) {
+func (f *Follower) State() (s sharedconfig.State) {
 	if v := f.active.Load(); v.Number > 0 {
-		s.Group, s.Versions = *f.group.Load(), []agreed.Version{*v}
+		s.Group, s.Versions = *f.group.Load(), []sharedconfig.Version{*v}
 	}
 	return s
 }
@@ -192,13 +192,13 @@
 var errNoVote = errors.New("this instance has no vote")
 
 // Read fails: nobody confirms anything to an instance without a vote beyond its lease. The error names the voters.
-func (f *Follower) Read(time.Duration) (agreed.State, error) {
-	return agreed.State{}, fmt.Errorf("%w: ask one of %s, or for what it has itself (--local)", errNoVote, strings.Join(f.Status().Follows, ", "))
+func (f *Follower) Read(time.Duration) (sharedconfig.State, error) {
+	return sharedconfig.State{}, fmt.Errorf("%w: ask one of %s, or for what it has itself (--local)", errNoVote, strings.Join(f.Status().Follows, ", "))
 }
 
 // Do refuses: orders go to instances with a vote.
-func (f *Follower) Do(o Order, _ time.Duration) agreed.Outcome {
-	out := agreed.Outcome{Status: agreed.Refused, Why: fmt.Sprintf("%v: give the order to one of %s", errNoVote, strings.Join(f.Status().Follows, ", "))}
+func (f *Follower) Do(o Order, _ time.Duration) sharedconfig.Outcome {
+	out := sharedconfig.Outcome{Status: sharedconfig.Refused, Why: fmt.Sprintf("%v: give the order to one of %s", errNoVote, strings.Join(f.Status().Follows, ", "))}
 	if o.Change != nil {
 		out.Request = o.Change.Request
 	}
--- a/group/group.go
+++ b/raftnode/group.go
@@ -1,6 +1,6 @@
-// Package group is an instance's part in a group that holds one configuration: it runs the log (Raft), the calls
+// Package raftnode is an instance's part in a group that holds one configuration: it runs the log (Raft), the calls
 // between instances and the clock for the decisions in agreed, and carries out what these return.
-package group
+package raftnode
 
 import (
 	"crypto/rand"
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/peer"
 	"alderproxy/raftstore"
@@ -43,7 +43,7 @@
 	// Check says whether this instance could serve by a document, Use has it serve by one. Use is called for one
 	// version after another, from one goroutine.
 	Check func(text string) error
-	Use   func(agreed.Version) error
+	Use   func(sharedconfig.Version) error
 	// At is called before each step that a leader takes with a change ("propose", "check", "decide") and when what was
 	// appended is agreed on ("proposed", "decided"); nil: not. Tests let an instance die there.
 	At func(step string)
@@ -56,14 +56,14 @@
 	net     *peer.Net
 	raft    *raft.Raft
 	machine *machine
-	core    *agreed.Core // the loop's
-	state   atomic.Pointer[agreed.State]
+	core    *sharedconfig.Core // the loop's
+	state   atomic.Pointer[sharedconfig.State]
 	group   atomic.Pointer[string]
 
 	mu     sync.Mutex
-	events []agreed.Event
-	calls  map[uint64]chan agreed.Outcome
-	grants map[uint64]chan agreed.GrantTo
+	events []sharedconfig.Event
+	calls  map[uint64]chan sharedconfig.Outcome
+	grants map[uint64]chan sharedconfig.GrantTo
 	lastNo uint64
 	moved  chan struct{} // closed when the state moves on
 }
@@ -100,8 +100,8 @@
 		return errors.Join(err, fmt.Errorf("%s: %w", folder, ErrFounded))
 	}
 	group := randomHex(8)
-	first := agreed.Change{Request: "first-" + group, Text: text, Digest: digest, Author: author, Reason: "the group begins", At: at.UnixMilli()}
-	entry, err := agreed.Entry{Found: &agreed.Found{Group: group, Keep: keep, First: first}}.Encode()
+	first := sharedconfig.Change{Request: "first-" + group, Text: text, Digest: digest, Author: author, Reason: "the group begins", At: at.UnixMilli()}
+	entry, err := sharedconfig.Entry{Found: &sharedconfig.Found{Group: group, Keep: keep, First: first}}.Encode()
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 
 // Open starts an instance. With an empty folder it waits to be added to a group.
 func Open(c Config) (*Node, error) {
-	n := &Node{serving: newServing(c), calls: map[uint64]chan agreed.Outcome{}, grants: map[uint64]chan agreed.GrantTo{}, moved: make(chan struct{})}
+	n := &Node{serving: newServing(c), calls: map[uint64]chan sharedconfig.Outcome{}, grants: map[uint64]chan sharedconfig.GrantTo{}, moved: make(chan struct{})}
 	n.fields = n.Fields
 	var err error
 	if n.store, n.id, err = openFolder(c.Folder, c.Name); err != nil {
@@ -177,12 +177,12 @@
 	}
 	n.machine = &machine{tell: n.tell}
 	_, folder, _ := splitID(string(n.id))
-	set := agreed.Defaults(folder, n.Bound.Microseconds(), n.ServeOn)
+	set := sharedconfig.Defaults(folder, n.Bound.Microseconds(), n.ServeOn)
 	set.Removed = removed != ""
-	n.core = agreed.New(set, agreed.State{})
+	n.core = sharedconfig.New(set, sharedconfig.State{})
 	lease := n.core.Lease()
 	n.lease.Store(&lease)
-	n.state.Store(&agreed.State{})
+	n.state.Store(&sharedconfig.State{})
 	// What was served last is at hand before the log is: it is served only under a lease, or where the settings prefer
 	// service to agreement.
 	if v, err := n.last(); err != nil {
@@ -249,7 +249,7 @@
 }
 
 // tell hands an event to the loop. It never waits.
-func (n *Node) tell(e agreed.Event) {
+func (n *Node) tell(e sharedconfig.Event) {
 	n.mu.Lock()
 	n.events = append(n.events, e)
 	n.mu.Unlock()
@@ -258,7 +258,7 @@
 
 // loop owns the core.
 func (n *Node) loop() {
-	every := time.Duration(agreed.Defaults("", n.Bound.Microseconds(), false).AskEvery) * time.Microsecond / 8
+	every := time.Duration(sharedconfig.Defaults("", n.Bound.Microseconds(), false).AskEvery) * time.Microsecond / 8
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for {
@@ -272,7 +272,7 @@
 		events := n.events
 		n.events = nil
 		n.mu.Unlock()
-		events = append([]agreed.Event{agreed.Roster{Members: n.Roster()}}, events...)
+		events = append([]sharedconfig.Event{sharedconfig.Roster{Members: n.Roster()}}, events...)
 		for _, a := range n.core.Step(clock.Now(), events) {
 			n.carryOut(a)
 		}
@@ -311,12 +311,12 @@
 		select {
 		case leading := <-leads:
 			term := n.raft.CurrentTerm()
-			n.tell(agreed.Role{Leading: leading, Term: term})
+			n.tell(sharedconfig.Role{Leading: leading, Term: term})
 			n.Fields().WithField("leading", leading).Info("role")
 			if leading {
 				go func() {
 					if n.raft.Barrier(0).Error() == nil {
-						n.tell(agreed.Ready{Term: term})
+						n.tell(sharedconfig.Ready{Term: term})
 					}
 				}()
 			}
@@ -327,50 +327,50 @@
 }
 
 // Roster is who is a member, by this instance's newest word of the log.
-func (n *Node) Roster() []agreed.Member {
+func (n *Node) Roster() []sharedconfig.Member {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
 		return nil
 	}
-	var all []agreed.Member
+	var all []sharedconfig.Member
 	for _, s := range f.Configuration().Servers {
 		name, folder, err := splitID(string(s.ID))
 		if err == nil {
-			all = append(all, agreed.Member{Name: name, Folder: folder, Addr: string(s.Address), Voter: s.Suffrage == raft.Voter})
+			all = append(all, sharedconfig.Member{Name: name, Folder: folder, Addr: string(s.Address), Voter: s.Suffrage == raft.Voter})
 		}
 	}
 	return all
 }
 
-func target(m agreed.Member) peer.Target {
+func target(m sharedconfig.Member) peer.Target {
 	return peer.Target{ID: string(idOf(m.Name, m.Folder)), Addr: m.Addr}
 }
 
-func span(m agreed.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func span(m sharedconfig.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // carryOut does what the core decided. What may wait is done on a goroutine of its own.
-func (n *Node) carryOut(a agreed.Action) {
-	set := agreed.Defaults("", n.Bound.Microseconds(), false)
+func (n *Node) carryOut(a sharedconfig.Action) {
+	set := sharedconfig.Defaults("", n.Bound.Microseconds(), false)
 	switch a := a.(type) {
-	case agreed.Append:
+	case sharedconfig.Append:
 		go n.append(a)
-	case agreed.Check:
+	case sharedconfig.Check:
 		n.at("check")
 		go n.check(a, span(set.CheckFor))
-	case agreed.Reply:
+	case sharedconfig.Reply:
 		n.reply(a)
-	case agreed.AskLease:
+	case sharedconfig.AskLease:
 		go n.askLease(a.Seq, span(set.AskEvery*4))
-	case agreed.Verify:
+	case sharedconfig.Verify:
 		go func() {
 			term := n.raft.CurrentTerm()
 			err := n.raft.VerifyLeader().Error()
 			if n.raft.CurrentTerm() != term {
 				term = 0
 			}
-			n.tell(agreed.Verified{Seq: a.Seq, OK: err == nil, Term: term})
+			n.tell(sharedconfig.Verified{Seq: a.Seq, OK: err == nil, Term: term})
 		}()
-	case agreed.GrantTo:
+	case sharedconfig.GrantTo:
 		n.mu.Lock()
 		to := n.grants[a.Call]
 		delete(n.grants, a.Call)
@@ -378,22 +378,22 @@
 		if to != nil {
 			to <- a
 		}
-	case agreed.SetRoster:
+	case sharedconfig.SetRoster:
 		go n.setRoster(a)
-	case agreed.Await:
+	case sharedconfig.Await:
 		go n.await(a.Member, span(set.CheckFor))
-	case agreed.Activate:
+	case sharedconfig.Activate:
 		if a.Version.Number > n.used.Load() { // the log is read again from the start
 			n.activate(a.Version)
 		}
-	case agreed.NewLease:
+	case sharedconfig.NewLease:
 		n.lease.Store(&a.Lease)
 		if a.Lease.Removed {
 			if err := n.store.SetSelf(selfRemoved, "yes"); err != nil {
 				n.Log.WithError(err).Error("the removal could not be kept")
 			}
 		}
-	case agreed.Log:
+	case sharedconfig.Log:
 		n.Fields().Info(a.Text)
 	}
 }
@@ -404,7 +404,7 @@
 	}
 }
 
-func (n *Node) append(a agreed.Append) {
+func (n *Node) append(a sharedconfig.Append) {
 	before, after := "propose", "proposed"
 	if a.Entry.Decide != nil {
 		before, after = "decide", "decided"
@@ -418,11 +418,11 @@
 		n.at(after)
 	}
 	if err != nil && a.Request != "" {
-		n.tell(agreed.Lost{Request: a.Request})
+		n.tell(sharedconfig.Lost{Request: a.Request})
 	}
 }
 
-func (n *Node) setRoster(a agreed.SetRoster) {
+func (n *Node) setRoster(a sharedconfig.SetRoster) {
 	id, addr := idOf(a.Member.Name, a.Member.Folder), raft.ServerAddress(a.Member.Addr)
 	var f raft.IndexFuture
 	switch {
@@ -433,22 +433,22 @@
 	default:
 		f = n.raft.AddNonvoter(id, addr, 0, 5*time.Second)
 	}
-	set := agreed.RosterSet{Seq: a.Seq, OK: true}
+	set := sharedconfig.RosterSet{Seq: a.Seq, OK: true}
 	if err := f.Error(); err != nil {
 		set.OK, set.Why = false, err.Error()
 	}
-	n.tell(agreed.Roster{Members: n.Roster()})
+	n.tell(sharedconfig.Roster{Members: n.Roster()})
 	n.tell(set)
 }
 
 // await tells once a member has applied all that was agreed on when it was asked for.
-func (n *Node) await(m agreed.Member, within time.Duration) {
+func (n *Node) await(m sharedconfig.Member, within time.Duration) {
 	want, until := n.raft.CommitIndex(), time.Now().Add(within)
 	for time.Now().Before(until) {
 		body, err := n.net.Call(target(m), callApplied, nil, nil, within)
 		var at uint64
 		if err == nil && json.Unmarshal(body, &at) == nil && at >= want {
-			n.tell(agreed.CaughtUp{Folder: m.Folder})
+			n.tell(sharedconfig.CaughtUp{Folder: m.Folder})
 			return
 		}
 		select {
@@ -464,8 +464,8 @@
 }
 
 // check asks a member, or this instance itself, what it says of a change.
-func (n *Node) check(a agreed.Check, within time.Duration) {
-	v := agreed.Verdict{Request: a.Change.Request, Folder: a.Member.Folder}
+func (n *Node) check(a sharedconfig.Check, within time.Duration) {
+	v := sharedconfig.Verdict{Request: a.Change.Request, Folder: a.Member.Folder}
 	body, err := json.Marshal(a.Change)
 	if err == nil && target(a.Member).ID == string(n.id) {
 		body, err = n.checkCalled("", body, nil)
@@ -483,7 +483,7 @@
 
 // checkCalled says why this instance could not serve by a document; nothing: it could.
 func (n *Node) checkCalled(_ string, body []byte, _ io.Reader) ([]byte, error) {
-	var c agreed.Change
+	var c sharedconfig.Change
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
@@ -500,10 +500,10 @@
 		n.Log.WithError(err).WithField("ask", seq).Debug("no lease granted")
 		return
 	}
-	n.tell(agreed.Granted{Seq: seq, OK: g.OK, Version: g.Version, Removed: g.Removed})
+	n.tell(sharedconfig.Granted{Seq: seq, OK: g.OK, Version: g.Version, Removed: g.Removed})
 }
 
-func (n *Node) askOnce(within time.Duration) (g agreed.GrantTo, err error) {
+func (n *Node) askOnce(within time.Duration) (g sharedconfig.GrantTo, err error) {
 	addr, id := n.raft.LeaderWithID()
 	var body []byte
 	switch id {
@@ -525,7 +525,7 @@
 	for _, m := range n.Roster() {
 		if to := target(m); to.ID != string(n.id) {
 			body, err := n.net.Call(to, callLease, nil, nil, within/2)
-			var g agreed.GrantTo
+			var g sharedconfig.GrantTo
 			if err == nil && json.Unmarshal(body, &g) == nil && g.OK {
 				return body, nil
 			}
@@ -540,7 +540,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g, ok := answered(n, n.grants, 2*time.Second, func(call uint64) agreed.Event { return agreed.LeaseAsked{Call: call, Folder: folder} })
+	g, ok := answered(n, n.grants, 2*time.Second, func(call uint64) sharedconfig.Event { return sharedconfig.LeaseAsked{Call: call, Folder: folder} })
 	if !ok {
 		return nil, errors.New("not verified in time")
 	}
--- a/group/group_test.go
+++ b/raftnode/group_test.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/internal/faultnet"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 // rig is a group whose instances reach each other over a faulty network only.
@@ -49,7 +49,7 @@
 	front, own := listen(r.t), listen(r.t)
 	r.faults.Front(name, front).Behind(own.Addr().String())
 	c := Config{Name: name, Folder: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), Bound: r.bound,
-		Speed: 5, SnapshotAfter: 8, Log: standin.Log(), Use: func(agreed.Version) error { return nil },
+		Speed: 5, SnapshotAfter: 8, Log: testserver.Log(), Use: func(sharedconfig.Version) error { return nil },
 		Check: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
 				return fmt.Errorf("%s has no such index", name)
@@ -75,8 +75,8 @@
 	for _, name := range []string{"n2", "n3"} {
 		c := r.config(name)
 		r.open(c)
-		o := n1.Do(Order{Add: &agreed.Member{Name: name, Addr: c.Address}}, 15*time.Second)
-		require.Equal(r.t, agreed.Done, o.Status, o.Why)
+		o := n1.Do(Order{Add: &sharedconfig.Member{Name: name, Addr: c.Address}}, 15*time.Second)
+		require.Equal(r.t, sharedconfig.Done, o.Status, o.Why)
 	}
 	r.agreed(1)
 }
@@ -105,7 +105,7 @@
 }
 
 func change(request string, expect uint64, text string) Order {
-	return Order{Change: &agreed.Change{Request: request, Expect: expect, Text: text, Digest: text, Author: "test"}}
+	return Order{Change: &sharedconfig.Change{Request: request, Expect: expect, Text: text, Digest: text, Author: "test"}}
 }
 
 func TestAChangeIsActiveEverywhereAndAskedForTwiceMadeOnce(t *testing.T) {
@@ -113,20 +113,20 @@
 	r.begin()
 	for _, n := range r.nodes { // whoever is asked passes it on
 		o := n.Do(change("a", 1, "two"), 10*time.Second)
-		assert.Equal(t, agreed.Outcome{Request: "a", Status: agreed.Done, Version: 2}, o)
+		assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Done, Version: 2}, o)
 	}
 	r.agreed(2)
 	o := r.leader().Do(change("b", 1, "other"), 10*time.Second)
-	assert.Equal(t, agreed.Conflict, o.Status)
+	assert.Equal(t, sharedconfig.Conflict, o.Status)
 }
 
 func TestOneNoMeansNowhere(t *testing.T) {
 	r := newRig(t, time.Second)
 	r.begin()
 	o := r.nodes["n1"].Do(change("a", 1, "bad for n3"), 10*time.Second)
-	assert.Equal(t, agreed.Outcome{Request: "a", Status: agreed.Refused, Instance: "n3", Why: "n3 has no such index"}, o)
+	assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Refused, Instance: "n3", Why: "n3 has no such index"}, o)
 	r.agreed(1)
-	assert.Equal(t, agreed.Done, r.nodes["n2"].Do(change("b", 1, "two"), 10*time.Second).Status)
+	assert.Equal(t, sharedconfig.Done, r.nodes["n2"].Do(change("b", 1, "two"), 10*time.Second).Status)
 	r.agreed(2)
 }
 
@@ -143,7 +143,7 @@
 	}
 	r.faults.Isolate(cut.Name, others...)
 	o := r.nodes[others[0]].Do(change("a", 1, "two"), 10*time.Second)
-	require.Equal(t, agreed.Done, o.Status, o.Why)
+	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	done := time.Now()
 	require.Eventually(t, func() bool { open, _ := cut.Gate(cut.Used()); return !open }, 10*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(done), r.bound)
@@ -158,7 +158,7 @@
 	c := r.configs["n2"]
 	require.NoError(t, r.nodes["n2"].Close())
 	delete(r.nodes, "n2")
-	require.Equal(t, agreed.Done, r.leader().Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, r.leader().Do(change("a", 1, "two"), 10*time.Second).Status)
 	r.faults.Isolate("n2", "n1", "n3")
 	var err error
 	c.Listener, err = net.Listen("tcp", c.Listener.Addr().String())
@@ -190,17 +190,17 @@
 	c.Folder = filepath.Join(r.dir, "another")
 	c.Listener, _ = net.Listen("tcp", c.Listener.Addr().String())
 	n := r.open(c)
-	o := lead.Do(Order{Add: &agreed.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
-	assert.Equal(t, agreed.Refused, o.Status)
+	o := lead.Do(Order{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
+	assert.Equal(t, sharedconfig.Refused, o.Status)
 	assert.Contains(t, o.Why, "another folder")
 	assert.Zero(t, n.Status().Term, "it was asked for its vote")
-	require.Equal(t, agreed.Done, lead.Do(Order{Remove: gone}, 10*time.Second).Status)
-	o = lead.Do(Order{Add: &agreed.Member{Name: gone, Addr: c.Address}}, 15*time.Second)
-	require.Equal(t, agreed.Done, o.Status, o.Why)
+	require.Equal(t, sharedconfig.Done, lead.Do(Order{Remove: gone}, 10*time.Second).Status)
+	o = lead.Do(Order{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 15*time.Second)
+	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	r.agreed(1)
-	require.Equal(t, agreed.Done, lead.Do(Order{Remove: gone}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, lead.Do(Order{Remove: gone}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return n.Status().Why == "this instance was removed from its group" }, 10*time.Second, 5*time.Millisecond)
-	o = lead.Do(Order{Add: &agreed.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
+	o = lead.Do(Order{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
 	assert.Contains(t, o.Why, "removed from this group for good")
 }
 
@@ -218,13 +218,13 @@
 	r.faults.Front("n2", front).Behind(c.Listener.Addr().String())
 	n2 := r.open(c)
 	require.Eventually(t, func() bool {
-		return r.leader().Do(Order{Add: &agreed.Member{Name: "n2", Addr: c.Address}}, 10*time.Second).Status == agreed.Done
+		return r.leader().Do(Order{Add: &sharedconfig.Member{Name: "n2", Addr: c.Address}}, 10*time.Second).Status == sharedconfig.Done
 	}, 20*time.Second, 50*time.Millisecond)
 	r.agreed(1)
 	for _, m := range n2.Roster() {
 		assert.True(t, m.Voter, m.Name)
 	}
-	require.Equal(t, agreed.Done, n2.Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, n2.Do(change("a", 1, "two"), 10*time.Second).Status)
 	r.agreed(2)
 }
 
@@ -259,7 +259,7 @@
 	assert.Equal(t, uint64(1), n.Used())
 	r.faults.Clear()
 	r.agreed(1)
-	require.Equal(t, agreed.Done, r.nodes[lead].Do(Order{Remove: other}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, r.nodes[lead].Do(Order{Remove: other}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { open, _ := n.Gate(n.Used()); return !open }, 10*time.Second, 5*time.Millisecond)
 	r.faults.Isolate(other, "n1", "n2", "n3")
 	n = reopen()
--- a/group/inspect.go
+++ b/raftnode/inspect.go
@@ -1,14 +1,14 @@
-package group
+package raftnode
 
 import (
 	"github.com/hashicorp/raft"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 )
 
 // inspect reads what the folder holds before Raft does, and says why the instance must not start from it.
 func (n *Node) inspect(snapshots raft.SnapshotStore) error {
-	var f agreed.Folder
+	var f sharedconfig.Folder
 	var err error
 	if f.First, err = n.store.FirstIndex(); err != nil {
 		return err
@@ -21,7 +21,7 @@
 		return err
 	}
 	for _, m := range metas {
-		found := agreed.SnapshotFound{Name: m.ID, Index: m.Index}
+		found := sharedconfig.SnapshotFound{Name: m.ID, Index: m.Index}
 		_, from, err := snapshots.Open(m.ID)
 		if err == nil {
 			_, err = decodeState(from)
--- a/group/machine.go
+++ b/raftnode/machine.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"encoding/binary"
@@ -11,33 +11,33 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/raft"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 )
 
 // machine is what Raft applies the log to. Raft calls Apply, Snapshot and Restore from one goroutine.
 type machine struct {
-	tell func(agreed.Event)
+	tell func(sharedconfig.Event)
 
 	mu    sync.Mutex
-	state agreed.State
+	state sharedconfig.State
 	index uint64 // of the newest entry applied
 }
 
 // Apply makes an entry. What no instance can read changes nothing at any of them.
 func (m *machine) Apply(l *raft.Log) any {
-	e, err := agreed.DecodeEntry(l.Data)
+	e, err := sharedconfig.DecodeEntry(l.Data)
 	m.mu.Lock()
-	next, o := m.state, agreed.Outcome{}
+	next, o := m.state, sharedconfig.Outcome{}
 	if err == nil {
 		next, o = m.state.Apply(e)
 	}
 	m.state, m.index = next, l.Index
 	m.mu.Unlock()
-	m.tell(agreed.Applied{State: next, Outcomes: []agreed.Outcome{o}})
+	m.tell(sharedconfig.Applied{State: next, Outcomes: []sharedconfig.Outcome{o}})
 	return o
 }
 
-func (m *machine) now() (agreed.State, uint64) {
+func (m *machine) now() (sharedconfig.State, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state, m.index
@@ -49,11 +49,11 @@
 	return snapshot(s), nil
 }
 
-type snapshot agreed.State
+type snapshot sharedconfig.State
 
 // Persist writes the state behind its checksum.
 func (s snapshot) Persist(to raft.SnapshotSink) error {
-	text, err := encodeState(agreed.State(s))
+	text, err := encodeState(sharedconfig.State(s))
 	if err == nil {
 		_, err = to.Write(text)
 	}
@@ -66,7 +66,7 @@
 // Release has nothing to do.
 func (snapshot) Release() {}
 
-func encodeState(s agreed.State) ([]byte, error) {
+func encodeState(s sharedconfig.State) ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 // maxState bounds a snapshot, in bytes: the versions that are kept, each at its largest, would be far under it.
 const maxState = 1 << 30
 
-func decodeState(from io.Reader) (s agreed.State, err error) {
+func decodeState(from io.Reader) (s sharedconfig.State, err error) {
 	text, err := io.ReadAll(io.LimitReader(from, maxState))
 	switch {
 	case err != nil:
@@ -101,6 +101,6 @@
 	m.mu.Lock()
 	m.state = s
 	m.mu.Unlock()
-	m.tell(agreed.Applied{State: s})
+	m.tell(sharedconfig.Applied{State: s})
 	return nil
 }
--- a/group/measure_test.go
+++ b/raftnode/measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package group
+package raftnode
 
 import (
 	"fmt"
--- a/group/operate.go
+++ b/raftnode/operate.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"encoding/json"
@@ -9,15 +9,15 @@
 
 	"github.com/hashicorp/raft"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/peer"
 )
 
 // Order is what an operator asks of the group. Exactly one field is set.
 type Order struct {
-	Change   *agreed.Change `json:"change,omitempty"`
-	Add      *agreed.Member `json:"add,omitempty"` // its name and address; the folder is asked for there
+	Change   *sharedconfig.Change `json:"change,omitempty"`
+	Add      *sharedconfig.Member `json:"add,omitempty"` // its name and address; the folder is asked for there
 	Remove   string         `json:"remove,omitempty"`
 	HandOver *string        `json:"hand_over,omitempty"` // to whom; empty: to any
 }
@@ -31,9 +31,9 @@
 // Do has an order carried out by the leader, wherever that is, and tells what became of it. It tries again for as
 // long as there is time: every order may be repeated without being carried out twice. An Unknown outcome says that
 // nobody could tell; then the same order may be given again.
-func (n *Node) Do(o Order, within time.Duration) agreed.Outcome {
+func (n *Node) Do(o Order, within time.Duration) sharedconfig.Outcome {
 	until := time.Now().Add(within)
-	out := agreed.Outcome{Why: "nobody leads"}
+	out := sharedconfig.Outcome{Why: "nobody leads"}
 	if o.Change != nil {
 		out.Request = o.Change.Request
 	}
@@ -52,15 +52,15 @@
 			if err == nil {
 				body, err = n.net.Call(peer.Target{ID: string(id), Addr: string(addr)}, callForward, body, nil, try)
 			}
-			answer := agreed.Outcome{}
+			answer := sharedconfig.Outcome{}
 			if err == nil {
 				err = json.Unmarshal(body, &answer)
 			}
 			if out = answer; err != nil {
-				out = agreed.Outcome{Request: out.Request, Why: err.Error()}
+				out = sharedconfig.Outcome{Request: out.Request, Why: err.Error()}
 			}
 		}
-		if out.Status != agreed.Unknown && out.Status != agreed.Busy { // what is under way ends soon
+		if out.Status != sharedconfig.Unknown && out.Status != sharedconfig.Busy { // what is under way ends soon
 			return out
 		}
 		select {
@@ -81,41 +81,41 @@
 }
 
 // order carries an order out here, if this instance leads.
-func (n *Node) order(o Order, within time.Duration) agreed.Outcome {
+func (n *Node) order(o Order, within time.Duration) sharedconfig.Outcome {
 	switch {
 	case o.Change != nil:
-		return n.wait(within, func(call uint64) agreed.Event { return agreed.Asked{Call: call, Change: *o.Change} })
+		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.Asked{Call: call, Change: *o.Change} })
 	case o.Add != nil:
 		h, err := n.net.Identify(o.Add.Addr, 2*time.Second)
 		if err != nil {
-			return agreed.Outcome{Status: agreed.Refused, Why: fmt.Sprintf("no instance answers at %s: %v", o.Add.Addr, err)}
+			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: fmt.Sprintf("no instance answers at %s: %v", o.Add.Addr, err)}
 		}
 		name, folder, err := splitID(h.From)
 		switch {
 		case err != nil:
-			return agreed.Outcome{Status: agreed.Refused, Why: err.Error()}
+			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: err.Error()}
 		case name != o.Add.Name:
-			return agreed.Outcome{Status: agreed.Refused, Why: fmt.Sprintf("%s answers at %s, and not %s", name, o.Add.Addr, o.Add.Name)}
+			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: fmt.Sprintf("%s answers at %s, and not %s", name, o.Add.Addr, o.Add.Name)}
 		}
-		m := agreed.Member{Name: name, Folder: folder, Addr: o.Add.Addr}
-		return n.wait(within, func(call uint64) agreed.Event { return agreed.AddAsked{Call: call, Member: m} })
+		m := sharedconfig.Member{Name: name, Folder: folder, Addr: o.Add.Addr}
+		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.AddAsked{Call: call, Member: m} })
 	case o.Remove != "":
-		return n.wait(within, func(call uint64) agreed.Event { return agreed.RemoveAsked{Call: call, Name: o.Remove} })
+		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.RemoveAsked{Call: call, Name: o.Remove} })
 	case o.HandOver != nil:
 		return n.handOver(*o.HandOver)
 	}
-	return agreed.Outcome{Status: agreed.Refused, Why: "an empty order"}
+	return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: "an empty order"}
 }
 
-func (n *Node) wait(within time.Duration, event func(call uint64) agreed.Event) agreed.Outcome {
+func (n *Node) wait(within time.Duration, event func(call uint64) sharedconfig.Event) sharedconfig.Outcome {
 	if o, ok := answered(n, n.calls, within, event); ok {
 		return o
 	}
-	return agreed.Outcome{Why: "not decided in time"}
+	return sharedconfig.Outcome{Why: "not decided in time"}
 }
 
 // answered hands the loop an event that is a call, and waits for its answer.
-func answered[T any](n *Node, open map[uint64]chan T, within time.Duration, event func(call uint64) agreed.Event) (answer T, ok bool) {
+func answered[T any](n *Node, open map[uint64]chan T, within time.Duration, event func(call uint64) sharedconfig.Event) (answer T, ok bool) {
 	to := make(chan T, 1)
 	n.mu.Lock()
 	n.lastNo++
@@ -135,7 +135,7 @@
 	return answer, false
 }
 
-func (n *Node) reply(r agreed.Reply) {
+func (n *Node) reply(r sharedconfig.Reply) {
 	n.mu.Lock()
 	to := n.calls[r.Call]
 	delete(n.calls, r.Call)
@@ -146,7 +146,7 @@
 }
 
 // handOver gives the lead to another instance.
-func (n *Node) handOver(to string) agreed.Outcome {
+func (n *Node) handOver(to string) sharedconfig.Outcome {
 	f := n.raft.LeadershipTransfer
 	if to != "" {
 		f = nil
@@ -158,20 +158,20 @@
 			}
 		}
 		if to == n.Name {
-			return agreed.Outcome{Status: agreed.Done, Why: to + " leads"}
+			return sharedconfig.Outcome{Status: sharedconfig.Done, Why: to + " leads"}
 		}
 		if f == nil {
-			return agreed.Outcome{Status: agreed.Refused, Why: "there is no instance " + to + " with a vote"}
+			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: "there is no instance " + to + " with a vote"}
 		}
 	}
 	err := f().Error()
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
-		return agreed.Outcome{Why: "this instance does not lead"}
+		return sharedconfig.Outcome{Why: "this instance does not lead"}
 	case err != nil:
-		return agreed.Outcome{Status: agreed.Refused, Why: err.Error()}
+		return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: err.Error()}
 	}
-	return agreed.Outcome{Status: agreed.Done}
+	return sharedconfig.Outcome{Status: sharedconfig.Done}
 }
 
 // Status is how an instance sees its group.
@@ -186,7 +186,7 @@
 	Pending  string          `json:"pending,omitempty"` // request of the change under way
 	Lease    int64           `json:"lease_ms"`          // how much longer it may serve by it; 0: it may not
 	Why      string          `json:"why,omitempty"`     // it does not serve as agreed
-	Members  []agreed.Member `json:"members"`
+	Members  []sharedconfig.Member `json:"members"`
 	Follows  []string        `json:"follows,omitempty"` // voters that it asks, in turn: it has no vote itself
 	LogFirst uint64          `json:"log_first"`
 	LogLast  uint64          `json:"log_last"`
@@ -209,17 +209,17 @@
 }
 
 // State is what the log has made here so far.
-func (n *Node) State() agreed.State { return *n.state.Load() }
+func (n *Node) State() sharedconfig.State { return *n.state.Load() }
 
 // Read is the state as a majority confirms it: everything that was agreed on before the call is in it.
-func (n *Node) Read(within time.Duration) (agreed.State, error) {
+func (n *Node) Read(within time.Duration) (sharedconfig.State, error) {
 	until := time.Now().Add(within)
 	err := errors.New("nobody leads, or no majority is reachable")
 	for time.Now().Before(until) {
 		changed := n.changed()
 		g, failed := n.askOnce(min(time.Until(until), changeTry))
 		if failed == nil && g.Removed {
-			return agreed.State{}, errors.New("this instance was removed from its group")
+			return sharedconfig.State{}, errors.New("this instance was removed from its group")
 		}
 		for failed == nil && g.OK { // the verified version may be on its way here
 			if s := n.State(); s.Active().Number >= g.Version {
@@ -229,16 +229,16 @@
 			case <-changed:
 				changed = n.changed()
 			case <-time.After(time.Until(until)):
-				return agreed.State{}, errors.New("this instance lags behind")
+				return sharedconfig.State{}, errors.New("this instance lags behind")
 			}
 		}
 		select {
 		case <-time.After(forwardPause / 2):
 		case <-n.stop:
-			return agreed.State{}, errClosed
+			return sharedconfig.State{}, errClosed
 		}
 	}
-	return agreed.State{}, err
+	return sharedconfig.State{}, err
 }
 
 // changed closes when the state is another one than now.
--- a/group/recover.go
+++ b/raftnode/recover.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 )
 
 // Remains is what a folder holds, for who must decide whether to go on from it alone.
 type Remains struct {
 	Name    string
-	Members []agreed.Member
+	Members []sharedconfig.Member
 	Last    uint64 // newest entry of the log
 	Term    uint64
-	State   agreed.State
+	State   sharedconfig.State
 }
 
 // recovered is the machine that a group is begun anew from. What it snapshots belongs to a group of its own, in
@@ -65,7 +65,7 @@
 	}
 	rem.Name = name
 	var m machine
-	m.tell = func(agreed.Event) {}
+	m.tell = func(sharedconfig.Event) {}
 	var members raft.Configuration
 	after := uint64(0)
 	if metas, err := snaps.List(); err == nil && len(metas) > 0 {
@@ -97,7 +97,7 @@
 	}
 	for _, s := range members.Servers {
 		if name, folder, err := splitID(string(s.ID)); err == nil {
-			rem.Members = append(rem.Members, agreed.Member{Name: name, Folder: folder, Addr: string(s.Address), Voter: s.Suffrage == raft.Voter})
+			rem.Members = append(rem.Members, sharedconfig.Member{Name: name, Folder: folder, Addr: string(s.Address), Voter: s.Suffrage == raft.Voter})
 		}
 	}
 	rem.State, _ = m.now()
@@ -119,7 +119,7 @@
 		return fmt.Errorf("folder %s: no version is in it", folder)
 	}
 	m := &recovered{group: randomHex(8)}
-	m.tell = func(agreed.Event) {}
+	m.tell = func(sharedconfig.Event) {}
 	for _, o := range rem.Members {
 		if idOf(o.Name, o.Folder) != n.id {
 			m.retired = append(m.retired, o.Folder)
--- a/group/serving.go
+++ b/raftnode/serving.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/agreed"
+	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/raftstore"
 )
@@ -19,7 +19,7 @@
 type serving struct {
 	Config
 	store    *raftstore.Store
-	lease    atomic.Pointer[agreed.Lease]
+	lease    atomic.Pointer[sharedconfig.Lease]
 	used     atomic.Uint64 // the version that Use was last called for without an error
 	reason   string        // the loop's: why it does not serve as agreed, as logged last, and when that was
 	reported time.Time
@@ -27,12 +27,12 @@
 
 	wake    chan struct{}
 	stop    chan struct{}
-	use     chan agreed.Version
+	use     chan sharedconfig.Version
 	stopped sync.WaitGroup
 }
 
 func newServing(c Config) serving {
-	return serving{Config: c, wake: make(chan struct{}, 1), stop: make(chan struct{}), use: make(chan agreed.Version, 1)}
+	return serving{Config: c, wake: make(chan struct{}, 1), stop: make(chan struct{}), use: make(chan sharedconfig.Version, 1)}
 }
 
 // run starts the instance's goroutines, which end by stop.
@@ -44,7 +44,7 @@
 }
 
 // last is the version that was served last, from the folder; its number is 0 where there is none.
-func (s *serving) last() (v agreed.Version, err error) {
+func (s *serving) last() (v sharedconfig.Version, err error) {
 	text, err := s.store.Self(selfActive)
 	if err != nil || text == "" {
 		return v, err
@@ -56,7 +56,7 @@
 }
 
 // activate has follow serve by a version: of several only the newest counts.
-func (s *serving) activate(v agreed.Version) {
+func (s *serving) activate(v sharedconfig.Version) {
 	select {
 	case <-s.use:
 	default:
@@ -139,7 +139,7 @@
 }
 
 // serve has the instance serve by a version.
-func (s *serving) serve(v agreed.Version) bool {
+func (s *serving) serve(v sharedconfig.Version) bool {
 	log := s.fields().WithFields(logrus.Fields{"version": v.Number, "digest": v.Digest, "author": v.Author, "reason": v.Reason})
 	if err := s.Use(v); err != nil {
 		log.WithError(err).Error("the agreed document cannot be served here: the last one stands until the bound passes")
--- a/group/transport.go
+++ b/raftnode/transport.go
@@ -1,4 +1,4 @@
-package group
+package raftnode
 
 import (
 	"errors"
--- a/restart_test.go
+++ b/restart_test.go
@@ -12,18 +12,18 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 // A fleet's restart at its worst: all begin at once, share one core, and discovery is silent. Nine in ten take clients
 // within 10 s, by the list that they had.
 func TestNineInTenAreReadyInTimeOnOneCoreWithoutDiscovery(t *testing.T) {
 	const processes = 10
-	s := standin.NewFrameStore(t)
-	d := standin.NewDiscovery(t, standin.Entry("s-1", s, "in_service"))
+	s := testserver.NewFrameStore(t)
+	d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
 	d.Silence(true)
 	config := strings.TrimSuffix(settings(d), "}") + fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s]}}`,
-		standin.Entry("s-1", s, "in_service"))
+		testserver.Entry("s-1", s, "in_service"))
 
 	var had, one unix.CPUSet
 	runtime.LockOSThread() // children have the cores of the thread that starts them
@@ -45,7 +45,7 @@
 		t.Cleanup(func() { c.Process.Kill(); c.Wait() })
 		go func() {
 			lines := bufio.NewScanner(out)
-			cl := standin.Dial(t, logged(t, lines, `msg=serving.*listen="([^"]+)"`)[1])
+			cl := testserver.Dial(t, logged(t, lines, `msg=serving.*listen="([^"]+)"`)[1])
 			go drainLog(lines)
 			for {
 				if cl.Send("GET", "/healthz", ""); cl.Read().Status == 200 {
--- a/agreed/follower.go
+++ b/sharedconfig/follower.go
@@ -1,4 +1,4 @@
-package agreed
+package sharedconfig
 
 import (
 	"cmp"
--- a/agreed/measure_test.go
+++ b/sharedconfig/measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package agreed
+package sharedconfig
 
 import (
 	"slices"
--- a/agreed/state.go
+++ b/sharedconfig/state.go
@@ -1,10 +1,10 @@
-// Package agreed decides how a few instances hold one configuration: a change in two steps, the lease without which
+// Package sharedconfig decides how a few instances hold one configuration: a change in two steps, the lease without which
 // none serves, and who is a member. It has no clock, input or output. Core takes events and returns actions, as the
 // decisions in policy do; State is what the log of the group makes of its entries, the same at every instance.
 //
 // All times are microseconds on a clock of the instance's own that may start anywhere, never runs backwards and goes
 // on while the process is stopped or the machine sleeps.
-package agreed
+package sharedconfig
 
 import (
 	"encoding/json"
--- a/stop_test.go
+++ b/stop_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/httpwire"
-	"alderproxy/internal/standin"
+	"alderproxy/internal/testserver"
 )
 
 // A planned stop under clients that come, stay, rest for as long as connections last and write slowly, while stores serve
@@ -36,11 +36,11 @@
 func stopUnderRandomClients(t *testing.T, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 7))
 	var sentOn sync.Map // ids of requests that came to a store
-	var stores []*standin.Store
+	var stores []*testserver.Store
 	var list []string
 	for i := range 3 {
-		s := standin.NewFrameStore(t)
-		stores, list = append(stores, s), append(list, standin.Entry(fmt.Sprint("s-", i), s, "in_service"))
+		s := testserver.NewFrameStore(t)
+		stores, list = append(stores, s), append(list, testserver.Entry(fmt.Sprint("s-", i), s, "in_service"))
 		go func() {
 			for {
 				select {
@@ -53,7 +53,7 @@
 			}
 		}()
 	}
-	c, _, cl, lines := running(t, settings(standin.NewDiscovery(t, list...)))
+	c, _, cl, lines := running(t, settings(testserver.NewDiscovery(t, list...)))
 	go drainLog(lines)
 
 	var mu sync.Mutex
@@ -117,7 +117,7 @@
 	}
 	time.Sleep(time.Duration(300+draw.IntN(400)) * time.Millisecond) // any moment will do
 	for _, s := range stores {
-		s.SetFault([]standin.Fault{standin.None, standin.Silent, standin.Mute, standin.Reset, standin.Busy}[seed%5])
+		s.SetFault([]testserver.Fault{testserver.None, testserver.Silent, testserver.Mute, testserver.Reset, testserver.Busy}[seed%5])
 	}
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, c.Wait())
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/broker"
-	"alderproxy/internal/seldom"
-	"alderproxy/internal/standin"
-	"alderproxy/internal/wire"
+	"alderproxy/internal/ratelog"
+	"alderproxy/internal/testserver"
+	"alderproxy/internal/simcodec"
 	"alderproxy/policy"
 )
 
@@ -34,12 +34,12 @@
 
 // attempts returns where a query's attempts come out, one after the other as each ends, and its final answer.
 func attempts(t *testing.T) (capture, sink) {
-	facts, err := wire.FlattenFacts(fmt.Appendf(nil, standin.Settings, standin.Save, 0, 15_000_000))
+	facts, err := simcodec.FlattenFacts(fmt.Appendf(nil, testserver.Settings, testserver.Save, 0, 15_000_000))
 	require.NoError(t, err)
 	set, err := facts.Settings()
 	require.NoError(t, err)
 	to, answers := make(capture, 16), make(sink, 1)
-	b, err := broker.New(broker.Config{Settings: set, Transport: to, Log: standin.Log()})
+	b, err := broker.New(broker.Config{Settings: set, Transport: to, Log: testserver.Log()})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}, {ID: 2, Presence: policy.Ready}})
@@ -50,7 +50,7 @@
 
 // waiting is a connection that is not up yet.
 func waiting(streams int) *conn {
-	return newConn(New(Limits{ConnectTimeout: 250_000, ConnIdle: 15_000_000, Streams: streams}, nil, standin.Log()), Store{})
+	return newConn(New(Limits{ConnectTimeout: 250_000, ConnIdle: 15_000_000, Streams: streams}, nil, testserver.Log()), Store{})
 }
 
 // A store that ends every connection costs one log line a second, which tells how many it stands for.
@@ -62,7 +62,7 @@
 	for range 200 {
 		newConn(p, Store{Name: "s", Server: policy.Server{ID: 1}}).close(io.ErrUnexpectedEOF)
 	}
-	most := 1 + int(time.Since(began)/seldom.Every)
+	most := 1 + int(time.Since(began)/ratelog.Every)
 	assert.LessOrEqual(t, len(lines.AllEntries()), most)
 	assert.Positive(t, len(lines.AllEntries()))
 }
@@ -175,7 +175,7 @@
 
 // A connection that is closed while it is dialled holds its descriptor until the dial has ended, and counts until then.
 func TestConnectionCountsUntilItsDialHasEnded(t *testing.T) {
-	s := standin.NewFrameStore(t)
+	s := testserver.NewFrameStore(t)
 	p := waiting(32).pool
 	began, hold := make(chan struct{}, 1), make(chan struct{})
 	p.DialBy(func(addr string, limit time.Duration) (net.Conn, error) {
@@ -211,9 +211,9 @@
 	} {
 		for _, written := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, written: %v", name, written), func(t *testing.T) {
-				s := standin.NewFrameStore(t)
-				s.SetFault(standin.Silent)
-				p := New(Limits{ConnectTimeout: 5_000_000, ConnIdle: time.Hour.Microseconds(), Streams: 32}, frames{}, standin.Log())
+				s := testserver.NewFrameStore(t)
+				s.SetFault(testserver.Silent)
+				p := New(Limits{ConnectTimeout: 5_000_000, ConnIdle: time.Hour.Microseconds(), Streams: 32}, frames{}, testserver.Log())
 				t.Cleanup(p.Close)
 				began, hold := make(chan struct{}, 1), make(chan struct{})
 				p.DialBy(func(addr string, limit time.Duration) (net.Conn, error) {
@@ -229,7 +229,7 @@
 				<-began
 				if written {
 					close(hold)
-					standin.Next(t, s)
+					testserver.Next(t, s)
 					p.Follow(list(ready))
 					p.Cancel(a)
 				} else {
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 
 	"alderproxy/broker"
-	"alderproxy/internal/seldom"
+	"alderproxy/internal/ratelog"
 	"alderproxy/policy"
 )
 
@@ -117,7 +117,7 @@
 	Store
 	conns []*conn
 	broke time.Time // when a connection last broke under a call
-	ends  seldom.Line
+	ends  ratelog.Line
 }
 
 // apartFor is how long after a connection broke under a call calls to that store leave on connections of their own:
@@ -320,7 +320,7 @@
 
 // forget takes a closed connection out of its store. broke tells that a call was out on it. It returns the log line about
 // such ends, of which a store can cause any number; nil: its store is gone.
-func (p *Pool) forget(c *conn, broke bool) *seldom.Line {
+func (p *Pool) forget(c *conn, broke bool) *ratelog.Line {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.leaving, c); i >= 0 {
