--- a/admin/admin.go
+++ b/admin/admin.go
@@ -14,10 +14,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/document"
 	"alderproxy/gossip"
 	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 // Put asks for a change: of the text, or, where Restores is set, back to a kept version.
@@ -78,8 +78,10 @@
 	if s.fleet != nil {
 		mux.HandleFunc("GET /v1/members", s.members)
 	}
-	s.http = &http.Server{Handler: s.allowed(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
-		WriteTimeout: orderLimit + 10*time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
+	s.http = &http.Server{
+		Handler: s.allowed(mux), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
+		WriteTimeout: orderLimit + 10*time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10,
+	}
 	go func() {
 		if err := s.http.Serve(bounded{l, make(chan struct{}, maxConns)}); !errors.Is(err, http.ErrServerClosed) {
 			log.WithError(err).Error("operators are no longer served")
@@ -242,8 +244,10 @@
 		fail(w, 422, err)
 		return
 	}
-	s.order(w, raftnode.Order{Change: &sharedconfig.Change{Request: p.Request, Expect: p.Expect, Text: p.Text, Digest: document.Digest(p.Text),
-		Author: p.Author, Reason: p.Reason, At: time.Now().UnixMilli(), Restores: p.Restores}})
+	s.order(w, raftnode.Order{Change: &sharedconfig.Change{
+		Request: p.Request, Expect: p.Expect, Text: p.Text, Digest: document.Digest(p.Text),
+		Author: p.Author, Reason: p.Reason, At: time.Now().UnixMilli(), Restores: p.Restores,
+	}})
 }
 
 func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
--- a/admin/client.go
+++ b/admin/client.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/gossip"
 	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 // Client talks to one instance's pages.
@@ -64,7 +64,7 @@
 		return resp.StatusCode, fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
 	}
 	var p problem
-	if resp.StatusCode != 200 && json.Unmarshal(raw, &p) == nil && p.Error != "" {
+	if resp.StatusCode != http.StatusOK && json.Unmarshal(raw, &p) == nil && p.Error != "" {
 		return resp.StatusCode, fmt.Errorf("%w: %s", ErrRefused, p.Error)
 	}
 	return resp.StatusCode, json.Unmarshal(raw, into)
--- a/agreement.go
+++ b/agreement.go
@@ -11,13 +11,13 @@
 	"time"
 
 	"alderproxy/admin"
-	"alderproxy/sharedconfig"
 	"alderproxy/broker"
 	"alderproxy/config"
 	"alderproxy/document"
-	"alderproxy/raftnode"
 	"alderproxy/opensearch"
 	"alderproxy/platform"
+	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 // agreement is the program's side of its group: it has the fronts serve by each version of the agreed document.
@@ -68,9 +68,11 @@
 	a := &agreement{p: p}
 	a.edge.Store(edge)
 	log := p.log.WithField("instance", p.config.ID)
-	conf := raftnode.Config{Name: p.config.ID, Folder: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
+	conf := raftnode.Config{
+		Name: p.config.ID, Folder: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
 		Bound: c.StaleAfter, ServeOn: c.ServeStale, Speed: c.Speed, SnapshotAfter: c.SnapshotAfter, Log: log,
-		Check: a.check, Use: a.use, At: atStep}
+		Check: a.check, Use: a.use, At: atStep,
+	}
 	if len(c.Follow) > 0 {
 		f, err := raftnode.Follow(conf)
 		if err != nil {
--- a/agreement_test.go
+++ b/agreement_test.go
@@ -21,12 +21,12 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/admin"
-	"alderproxy/sharedconfig"
 	"alderproxy/config"
-	"alderproxy/raftnode"
 	"alderproxy/httpwire"
 	"alderproxy/internal/faultnet"
 	"alderproxy/internal/testserver"
+	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 const sharedText = `[layout]
@@ -263,8 +263,10 @@
 func (i *instance) ask() (int, string, error) { return once(i.search, searchRequest()) }
 
 func edgeRequest(id string) []byte {
-	return httpwire.AppendRequest(nil, "POST", "/lookup", "test", httpwire.Header{{Name: "Request-Id", Value: id},
-		{Name: "Request-Timeout", Value: "2"}}, []byte(`{"slices":[{"slice":0,"mass":1}],"filter":"x"}`))
+	return httpwire.AppendRequest(nil, "POST", "/lookup", "test", httpwire.Header{
+		{Name: "Request-Id", Value: id},
+		{Name: "Request-Timeout", Value: "2"},
+	}, []byte(`{"slices":[{"slice":0,"mass":1}],"filter":"x"}`))
 }
 
 func (i *instance) askEdge(id string) (int, string, error) { return once(i.edge, edgeRequest(id)) }
--- a/alderproxy.go
+++ b/alderproxy.go
@@ -108,7 +108,7 @@
 	served   <-chan error
 
 	agreement *agreement    // nil: the instance stands alone
-	fleet     *gossip.Node   // nil: the instance is no member of a fleet
+	fleet     *gossip.Node  // nil: the instance is no member of a fleet
 	operators *admin.Server // nil: there is nothing to operate
 	telling   ends          // of the goroutine that tells the fleet of this instance
 	sharing   ends          // of the one that follows its share
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -246,10 +246,12 @@
 	if c.Queue <= 0 {
 		c.Queue = 1024
 	}
-	b := &Broker{set: c.Terms.Settings, gate: c.Gate, to: c.Transport, log: c.Log, policy: p, epoch: time.Now(),
+	b := &Broker{
+		set: c.Terms.Settings, gate: c.Gate, to: c.Transport, log: c.Log, policy: p, epoch: time.Now(),
 		queue: make(chan any, c.Queue), stop: make(chan struct{}), done: make(chan struct{}),
 		idle: make(chan struct{}), queries: map[uint64]*query{}, parts: map[uint64]*part{},
-		byQuery: map[*Query]*query{}}
+		byQuery: map[*Query]*query{},
+	}
 	b.terms.Store(c.Terms)
 	go b.run()
 	return b, nil
@@ -384,8 +386,10 @@
 	case finished:
 		b.outcome(it.a, it.o, now)
 	case probed:
-		b.emit(policy.ProbeResult{Server: it.server, Status: it.o.Status, Elapsed: now.Sub(it.at).Microseconds(),
-			Report: it.o.Report})
+		b.emit(policy.ProbeResult{
+			Server: it.server, Status: it.o.Status, Elapsed: now.Sub(it.at).Microseconds(),
+			Report: it.o.Report,
+		})
 	case members:
 		b.emit(policy.Members{Servers: it.servers})
 	case change:
@@ -440,8 +444,10 @@
 	}
 	b.queries[q.id], b.byQuery[spec] = q, q
 	b.open += 1 + len(spec.Parts)
-	b.emit(policy.Query{ID: q.id, Number: q.id, Class: spec.Class, Deadline: b.micros(spec.Deadline),
-		Parts: len(spec.Parts), Retry: spec.Retry})
+	b.emit(policy.Query{
+		ID: q.id, Number: q.id, Class: spec.Class, Deadline: b.micros(spec.Deadline),
+		Parts: len(spec.Parts), Retry: spec.Retry,
+	})
 	for _, s := range spec.Parts {
 		b.nextID++
 		p := &part{id: b.nextID, q: q, spec: s}
@@ -522,8 +528,10 @@
 	if o.Status == policy.OK && b.queries[a.part.q.id] == a.part.q && !a.part.in {
 		a.part.in, a.part.value = true, o.Value
 	}
-	b.emit(policy.Outcome{Part: a.part.id, Try: a.try, Server: a.Server, Status: o.Status,
-		Elapsed: now.Sub(a.sent).Microseconds(), Report: o.Report})
+	b.emit(policy.Outcome{
+		Part: a.part.id, Try: a.try, Server: a.Server, Status: o.Status,
+		Elapsed: now.Sub(a.sent).Microseconds(), Report: o.Report,
+	})
 	b.settle(a.part)
 }
 
@@ -606,8 +614,10 @@
 	if act.Timeout == 0 || until.After(p.q.Deadline) {
 		until = p.q.Deadline
 	}
-	a := &Attempt{Query: p.q.Query, Slice: p.spec.Slice, Server: act.Server, Until: until,
-		broker: b, part: p, try: len(p.tries), sent: now}
+	a := &Attempt{
+		Query: p.q.Query, Slice: p.spec.Slice, Server: act.Server, Until: until,
+		broker: b, part: p, try: len(p.tries), sent: now,
+	}
 	a.RepeatBy = p.repeatBy()
 	p.tries = append(p.tries, a)
 	if b.queries[p.q.id] != p.q || !until.After(now) || b.set.MaxAttempts > 0 && a.try >= b.set.MaxAttempts {
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -41,9 +41,13 @@
 func (s sink) Final(a Answer) { s <- a }
 
 func settings(effect policy.Effect) policy.Settings {
-	return policy.Settings{Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, MaxAttempts: 2, MayCancel: true,
-		MayAdvise: true, MaxAdvice: 1_000_000, Classes: []policy.Class{{Name: "c", Aim: 300_000, GiveUp: 900_000, Worth: 1,
-			Need: 1, Least: 1, Effect: effect, Window: 900_000}}}
+	return policy.Settings{
+		Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, MaxAttempts: 2, MayCancel: true,
+		MayAdvise: true, MaxAdvice: 1_000_000, Classes: []policy.Class{{
+			Name: "c", Aim: 300_000, GiveUp: 900_000, Worth: 1,
+			Need: 1, Least: 1, Effect: effect, Window: 900_000,
+		}},
+	}
 }
 
 func start(t *testing.T, set policy.Settings) (*Broker, *transport) {
@@ -234,7 +238,8 @@
 func TestClosedGateRefusesAtOnceAndKeepsWhatWasTaken(t *testing.T) {
 	to := &transport{sent: make(chan *Attempt, 64), given: make(chan *Attempt, 64)}
 	closed := make(chan bool, 1)
-	b, err := New(Config{Terms: &Terms{Version: 7, Settings: settings(policy.Safe)}, Transport: to,
+	b, err := New(Config{
+		Terms: &Terms{Version: 7, Settings: settings(policy.Safe)}, Transport: to,
 		Log: logrus.NewEntry(logrus.New()), Gate: func(t *Terms) (bool, time.Duration) {
 			select {
 			case <-closed:
@@ -243,7 +248,8 @@
 			default:
 				return t.Version == 7, 0
 			}
-		}})
+		},
+	})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}})
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/admin"
-	"alderproxy/sharedconfig"
 	"alderproxy/document"
-	"alderproxy/raftnode"
 	"alderproxy/internal/testserver"
+	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 const first = "[class lookup]\naim = 1s\ngive_up = 2s\n"
@@ -29,13 +29,15 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, raftnode.Begin(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
-	n, err := raftnode.Open(raftnode.Config{Name: "n1", Folder: folder, Listener: l, Address: l.Addr().String(), Bound: time.Second, Speed: 5,
+	n, err := raftnode.Open(raftnode.Config{
+		Name: "n1", Folder: folder, Listener: l, Address: l.Addr().String(), Bound: time.Second, Speed: 5,
 		Log: testserver.Log(), Use: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
 			}
 			return nil
-		}})
+		},
+	})
 	require.NoError(t, err)
 	t.Cleanup(func() { n.Close() })
 	l, err = net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/alderproxy/members.go
+++ b/cmd/alderproxy/members.go
@@ -74,7 +74,8 @@
 
 func (o *operator) watchMembers() *cobra.Command {
 	var times int
-	c := &cobra.Command{Use: "watch", Short: "Print what changes, until it is interrupted", Args: args(cobra.NoArgs),
+	c := &cobra.Command{
+		Use: "watch", Short: "Print what changes, until it is interrupted", Args: args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := o.fleet(0)
 			if err != nil {
@@ -100,7 +101,8 @@
 				s = next
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&times, "changes", 0, "end after so many changes (default: go on)")
 	return c
 }
@@ -135,7 +137,8 @@
 }
 
 func (o *operator) explainMember() *cobra.Command {
-	return &cobra.Command{Use: "explain NAME", Short: "Tell all that is known of a member", Args: args(cobra.ExactArgs(1)),
+	return &cobra.Command{
+		Use: "explain NAME", Short: "Tell all that is known of a member", Args: args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			s, err := o.fleet(0)
 			if err != nil {
@@ -159,11 +162,13 @@
 				}
 				fmt.Fprintf(w, "told by %s, whose view is %s\n", s.Name, trust(s))
 			})
-		}}
+		},
+	}
 }
 
 func (o *operator) facts() *cobra.Command {
-	return &cobra.Command{Use: "facts", Short: "List what the members tell of themselves", Args: args(cobra.NoArgs),
+	return &cobra.Command{
+		Use: "facts", Short: "List what the members tell of themselves", Args: args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := o.fleet(0)
 			if err != nil {
@@ -187,5 +192,6 @@
 				}
 				t.Flush()
 			})
-		}}
+		},
+	}
 }
--- a/cmd/alderproxy/operate.go
+++ b/cmd/alderproxy/operate.go
@@ -17,9 +17,9 @@
 
 	"alderproxy"
 	"alderproxy/admin"
-	"alderproxy/sharedconfig"
 	"alderproxy/config"
 	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 // operator is what all commands that talk to an instance have.
@@ -99,7 +99,8 @@
 
 func initialize() *cobra.Command {
 	var path, shared, by string
-	c := &cobra.Command{Use: "init --config FILE", Short: "Make this instance's folder the first of a new group",
+	c := &cobra.Command{
+		Use: "init --config FILE", Short: "Make this instance's folder the first of a new group",
 		Long: "The shared sections of the file become version 1 of the agreed document. Other instances start with empty folders\n" +
 			"and are added by \"alderproxy instances add\".",
 		Args: args(cobra.NoArgs), RunE: func(c *cobra.Command, _ []string) error {
@@ -118,7 +119,8 @@
 				fmt.Fprintf(c.OutOrStdout(), "a new group begins with %s and version 1 (%s)\n", file.ID, digest)
 			}
 			return err
-		}}
+		},
+	}
 	c.Flags().StringVar(&path, "config", "", "the instance's file")
 	c.MarkFlagFilename("config", "ini")
 	c.Flags().StringVar(&shared, "shared", "", "a file with the first document, in place of the shared sections of the instance's file")
@@ -137,7 +139,8 @@
 func (o *operator) show() *cobra.Command {
 	var version uint64
 	var local bool
-	c := &cobra.Command{Use: "show", Short: "Print the active version, or another one", Args: args(cobra.NoArgs),
+	c := &cobra.Command{
+		Use: "show", Short: "Print the active version, or another one", Args: args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -148,14 +151,16 @@
 				return err
 			}
 			return o.print(c.OutOrStdout(), v, func(w io.Writer) { io.WriteString(w, v.Text) })
-		}}
+		},
+	}
 	c.Flags().Uint64Var(&version, "version", 0, "the version (default: the active one)")
 	c.Flags().BoolVar(&local, "local", false, "as this instance has it, without asking the others")
 	return c
 }
 
 func (o *operator) diff() *cobra.Command {
-	return &cobra.Command{Use: "diff FILE", Short: "Print what putting a file would change", Args: args(cobra.ExactArgs(1)),
+	return &cobra.Command{
+		Use: "diff FILE", Short: "Print what putting a file would change", Args: args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, files []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -169,8 +174,10 @@
 			if err != nil {
 				return err
 			}
-			d, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{A: difflib.SplitLines(v.Text), B: difflib.SplitLines(text),
-				FromFile: fmt.Sprintf("version %d", v.Number), ToFile: files[0], Context: 3})
+			d, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
+				A: difflib.SplitLines(v.Text), B: difflib.SplitLines(text),
+				FromFile: fmt.Sprintf("version %d", v.Number), ToFile: files[0], Context: 3,
+			})
 			if err != nil {
 				return err
 			}
@@ -178,7 +185,8 @@
 				Version uint64 `json:"version"`
 				Diff    string `json:"diff"`
 			}{v.Number, d}, func(w io.Writer) { io.WriteString(w, d) })
-		}}
+		},
+	}
 }
 
 // changeFlags are those of commands that change the document.
@@ -219,21 +227,24 @@
 
 func (o *operator) put() *cobra.Command {
 	var f changeFlags
-	c := &cobra.Command{Use: "put FILE", Short: "Replace the agreed document: everywhere or nowhere", Args: args(cobra.ExactArgs(1)),
+	c := &cobra.Command{
+		Use: "put FILE", Short: "Replace the agreed document: everywhere or nowhere", Args: args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, files []string) error {
 			text, err := readText(files[0])
 			if err != nil {
 				return err
 			}
 			return o.change(c, f, admin.Put{Text: text})
-		}}
+		},
+	}
 	f.flags(c)
 	return c
 }
 
 func (o *operator) rollback() *cobra.Command {
 	var f changeFlags
-	c := &cobra.Command{Use: "rollback VERSION", Short: "Bring back a version that is kept, as a new one", Args: args(cobra.ExactArgs(1)),
+	c := &cobra.Command{
+		Use: "rollback VERSION", Short: "Bring back a version that is kept, as a new one", Args: args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			n, err := strconv.ParseUint(given[0], 10, 64)
 			if err != nil || n == 0 {
@@ -243,14 +254,16 @@
 				f.reason = fmt.Sprintf("back to version %d", n)
 			}
 			return o.change(c, f, admin.Put{Restores: n})
-		}}
+		},
+	}
 	f.flags(c)
 	return c
 }
 
 func (o *operator) history() *cobra.Command {
 	var local bool
-	c := &cobra.Command{Use: "history", Short: "List the versions that are kept", Args: args(cobra.NoArgs),
+	c := &cobra.Command{
+		Use: "history", Short: "List the versions that are kept", Args: args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -268,7 +281,8 @@
 				}
 				t.Flush()
 			})
-		}}
+		},
+	}
 	c.Flags().BoolVar(&local, "local", false, "as this instance has it, without asking the others")
 	return c
 }
@@ -300,7 +314,8 @@
 }
 
 func (o *operator) list() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List the instances, as the one that is asked sees them", Args: args(cobra.NoArgs),
+	return &cobra.Command{
+		Use: "list", Short: "List the instances, as the one that is asked sees them", Args: args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -323,7 +338,8 @@
 				}
 				fmt.Fprintln(w)
 			})
-		}}
+		},
+	}
 }
 
 func yes(is bool) string {
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -14,7 +14,8 @@
 func recovery() *cobra.Command {
 	var path string
 	var sure bool
-	c := &cobra.Command{Use: "recover --config FILE", Short: "Go on from this instance's folder alone, when a majority is gone for good",
+	c := &cobra.Command{
+		Use: "recover --config FILE", Short: "Go on from this instance's folder alone, when a majority is gone for good",
 		Long: "The instance must not run. It becomes the only member of a new group with what its folder holds. Without\n" +
 			"--i-may-lose-changes it only tells what that is.",
 		Args: args(cobra.NoArgs), RunE: func(c *cobra.Command, _ []string) error {
@@ -51,7 +52,8 @@
 			}
 			fmt.Fprintf(out, "%s is the only member of a new group; start it, and add the others\n", r.Name)
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&path, "config", "", "the instance's file")
 	c.MarkFlagFilename("config", "ini")
 	c.Flags().BoolVar(&sure, "i-may-lose-changes", false, "do it")
--- a/cmd/alderproxy/root.go
+++ b/cmd/alderproxy/root.go
@@ -46,10 +46,12 @@
 func root() *cobra.Command {
 	var path string
 	serve := func(*cobra.Command, []string) error { return alderproxy.Serve(path) }
-	root := &cobra.Command{Use: "alderproxy", Short: "A broker between the services of many teams",
+	root := &cobra.Command{
+		Use: "alderproxy", Short: "A broker between the services of many teams",
 		Long: "alderproxy takes queries, fans each one out over sharded, replicated stores, and gives every query exactly one\n" +
 			"final answer in time. Without a command it serves.",
-		Args: args(cobra.NoArgs), RunE: serve, SilenceErrors: true, SilenceUsage: true, Version: version()}
+		Args: args(cobra.NoArgs), RunE: serve, SilenceErrors: true, SilenceUsage: true, Version: version(),
+	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
 	cmd := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM", Args: args(cobra.NoArgs), RunE: serve}
 	for _, c := range []*cobra.Command{root, cmd} {
@@ -87,7 +89,8 @@
 
 func check() *cobra.Command {
 	var shared bool
-	c := &cobra.Command{Use: "check FILE...", Short: "Tell all that is wrong with instances' files or documents",
+	c := &cobra.Command{
+		Use: "check FILE...", Short: "Tell all that is wrong with instances' files or documents",
 		Args: args(cobra.MinimumNArgs(1)), RunE: func(c *cobra.Command, files []string) error {
 			faults := 0
 			for _, path := range files {
@@ -108,7 +111,8 @@
 				return fmt.Errorf("faults found: %d", faults)
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().BoolVar(&shared, "shared", false, "the files hold shared sections only, as the agreed document does")
 	return c
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -50,8 +50,10 @@
 }
 
 func TestBadTurns(t *testing.T) {
-	for name, what := range map[string]any{"never started": policy.Timer{}, "unusable settings": simcodec.Hello{Facts: "tick_us=5"},
-		"no number": simcodec.Hello{Facts: "tick_us=five"}} {
+	for name, what := range map[string]any{
+		"never started": policy.Timer{}, "unusable settings": simcodec.Hello{Facts: "tick_us=5"},
+		"no number": simcodec.Hello{Facts: "tick_us=five"},
+	} {
 		h := host{instances: map[uint16]*instance{}}
 		if _, err := h.turn(batch(what)); err == nil {
 			t.Errorf("%s: taken", name)
--- a/config/config.go
+++ b/config/config.go
@@ -57,8 +57,10 @@
 	Member  membership.Config
 }
 
-var kinds = map[string]bool{"instance": false, "log": false, "gatherer": false, "opensearch": false, "store": true,
-	"agreement": false, "membership": false}
+var kinds = map[string]bool{
+	"instance": false, "log": false, "gatherer": false, "opensearch": false, "store": true,
+	"agreement": false, "membership": false,
+}
 
 // Load reads a file.
 func Load(path string) (*Config, error) {
@@ -128,10 +130,14 @@
 }
 
 func search(s *inifile.Section, number, fleet int) *opensearch.Config {
-	o := &opensearch.Config{Listen: s.Addr("listen"), MaxConns: s.Int("max_conns", 256, 1, 1<<20), Number: number, Fleet: fleet,
-		Limits: storepool.Limits{Streams: 1, Conns: s.Int("conns_per_store", 16, 1, 4096),
+	o := &opensearch.Config{
+		Listen: s.Addr("listen"), MaxConns: s.Int("max_conns", 256, 1, 1<<20), Number: number, Fleet: fleet,
+		Limits: storepool.Limits{
+			Streams: 1, Conns: s.Int("conns_per_store", 16, 1, 4096),
 			ConnectTimeout: s.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute).Microseconds(),
-			ConnIdle:       s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds()}}
+			ConnIdle:       s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds(),
+		},
+	}
 	s.Done()
 	if o.Listen == "" {
 		return nil
@@ -142,8 +148,10 @@
 func (c *Config) stores(f *inifile.File) {
 	seen := map[string]string{}
 	for i, s := range f.Of("store") {
-		st := storepool.Store{Server: policy.Server{ID: uint32(i + 1), Presence: policy.Ready, Cell: s.Int("cell", 0, 0, 4095),
-			Size: s.Float("size", 1, 0.001, 1e6)}, Name: s.Name}
+		st := storepool.Store{Server: policy.Server{
+			ID: uint32(i + 1), Presence: policy.Ready, Cell: s.Int("cell", 0, 0, 4095),
+			Size: s.Float("size", 1, 0.001, 1e6),
+		}, Name: s.Name}
 		s.Need("addr")
 		st.Addr = s.Addr("addr")
 		if other := seen[st.Addr]; other != "" && st.Addr != "" {
@@ -164,11 +172,13 @@
 	if !s.There() {
 		return
 	}
-	a := &Agreement{Listen: s.Addr("listen"), Address: s.Addr("address"), KeyFile: s.Text("key_file", ""),
+	a := &Agreement{
+		Listen: s.Addr("listen"), Address: s.Addr("address"), KeyFile: s.Text("key_file", ""),
 		StaleAfter: s.Duration("stale_after", 5*time.Second, 200*time.Millisecond, time.Hour),
 		ServeStale: s.Choice("when_stale", "refuse", "refuse", "serve") == "serve",
 		Speed:      s.Int("speed", 1, 1, 20), Keep: s.Int("keep", 1000, 2, 100_000),
-		SnapshotAfter: s.Int("snapshot_after", 200, 8, 100_000)}
+		SnapshotAfter: s.Int("snapshot_after", 200, 8, 100_000),
+	}
 	for _, v := range s.Places("follow") {
 		a.Follow = append(a.Follow, v.String())
 	}
@@ -197,10 +207,12 @@
 	s.Need("listen")
 	at := cmp.Or(s.Addr("address"), m.Listen)
 	period := s.Duration("period", time.Second, 50*time.Millisecond, time.Minute)
-	m.Member = membership.Config{Name: c.ID, Zone: s.Text("zone", ""), Seeds: s.Places("seeds"), Period: period.Microseconds(),
+	m.Member = membership.Config{
+		Name: c.ID, Zone: s.Text("zone", ""), Seeds: s.Places("seeds"), Period: period.Microseconds(),
 		Hold:   s.Duration("hold", 8*period, period, time.Hour).Microseconds(),
 		Budget: s.Int("datagrams_per_s", 30, 4, 10_000),
-		Forget: s.Duration("forget", 24*time.Hour, time.Minute, 30*24*time.Hour).Microseconds()}
+		Forget: s.Duration("forget", 24*time.Hour, time.Minute, 30*24*time.Hour).Microseconds(),
+	}
 	s.Done()
 	if s.Has("listen") {
 		addr, err := netip.ParseAddrPort(at)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -40,8 +40,10 @@
 	c, err := Parse("n1.ini", good)
 	require.NoError(t, err)
 	assert.Equal(t, "json", c.Log.Format)
-	assert.Equal(t, Agreement{Listen: "127.0.0.1:7401", Address: "127.0.0.1:7401", StaleAfter: 2 * time.Second, Speed: 1,
-		Keep: 1000, SnapshotAfter: 200}, *c.Agreement)
+	assert.Equal(t, Agreement{
+		Listen: "127.0.0.1:7401", Address: "127.0.0.1:7401", StaleAfter: 2 * time.Second, Speed: 1,
+		Keep: 1000, SnapshotAfter: 200,
+	}, *c.Agreement)
 	require.Len(t, c.OpenSearch.Stores, 2)
 	assert.Equal(t, 1, c.OpenSearch.Stores[1].Cell)
 	assert.Len(t, c.Own.Indices, 1)
--- a/document/document.go
+++ b/document/document.go
@@ -132,8 +132,10 @@
 }
 
 func (d *Document) layout(s *inifile.Section) {
-	d.Layout = Layout{Slices: s.Int("slices", 1, 1, maxSlices), Cells: s.Int("cells", 1, 1, maxSlices),
-		Reach: s.Int("reach", 1, 1, maxSlices)}
+	d.Layout = Layout{
+		Slices: s.Int("slices", 1, 1, maxSlices), Cells: s.Int("cells", 1, 1, maxSlices),
+		Reach: s.Int("reach", 1, 1, maxSlices),
+	}
 	if d.Layout.Reach > d.Layout.Cells {
 		s.Fault("reach", "%d cells hold a slice, but there are %d", d.Layout.Reach, d.Layout.Cells)
 	}
@@ -141,14 +143,16 @@
 }
 
 func (d *Document) limits(s *inifile.Section) {
-	d.Limits = Limits{MaxOpen: s.Int("max_open", 1000, 1, 1<<20), MaxAttempts: s.Int("max_attempts", 4, 1, 100),
+	d.Limits = Limits{
+		MaxOpen: s.Int("max_open", 1000, 1, 1<<20), MaxAttempts: s.Int("max_attempts", 4, 1, 100),
 		SecondCopies: s.Bool("second_copies", true), Cancel: s.Bool("cancel", true),
 		Advice:       s.Duration("advice", 2*time.Second, 0, longest),
 		FurtherShare: s.Float("further_share", 0, 0, 100), FurtherFree: s.Float("further_free", 10, 0, 1e6),
 		FurtherSpan: s.Duration("further_span", 10*time.Second, time.Second, longest),
 		ColdFor:     s.Duration("cold_for", 0, 0, longest), ColdShare: s.Float("cold_share", 0.1, 0.001, 1),
 		FallMultiple: s.Float("fall_multiple", 2, 0.01, 1000),
-		FallAfter:    s.Duration("fall_after", time.Second, 10*time.Millisecond, longest)}
+		FallAfter:    s.Duration("fall_after", time.Second, 10*time.Millisecond, longest),
+	}
 	s.Done()
 }
 
@@ -178,9 +182,11 @@
 	give := s.Duration("give_up", longest, time.Millisecond, longest)
 	effect := effects[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
 	window := s.Duration("window", 0, 0, longest)
-	c := policy.Class{Name: s.Name, Aim: micros(aim), GiveUp: micros(give), Worth: s.Float("worth", 1, 1e-6, 1e6),
+	c := policy.Class{
+		Name: s.Name, Aim: micros(aim), GiveUp: micros(give), Worth: s.Float("worth", 1, 1e-6, 1e6),
 		LateWorth: s.Float("late_worth", 0, 0, 1), Effect: effect, Window: micros(window),
-		Need: s.Float("need", 1, 0.001, 1), PartialEarns: s.Float("partial_earns", 1, 0, 1)}
+		Need: s.Float("need", 1, 0.001, 1), PartialEarns: s.Float("partial_earns", 1, 0, 1),
+	}
 	c.Least = s.Float("least", c.Need, 0.001, 1)
 	switch {
 	case give < aim:
@@ -248,10 +254,12 @@
 // Settings are the document's terms for the decisions of one of some instances that share the load.
 func (d *Document) Settings(number, fleet int) policy.Settings {
 	l := d.Limits
-	s := policy.Settings{Number: number, Fleet: fleet, Tick: micros(tick), Classes: d.Classes,
+	s := policy.Settings{
+		Number: number, Fleet: fleet, Tick: micros(tick), Classes: d.Classes,
 		Shards: d.Layout.Slices, Cells: d.Layout.Cells, Reach: d.Layout.Reach, CallParts: 1,
 		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, SecondCopies: l.SecondCopies, MayCancel: l.Cancel,
-		MayAdvise: l.Advice > 0, MaxAdvice: micros(l.Advice), AnswerSlack: micros(4 * tick), DrainGrace: micros(500 * time.Millisecond)}
+		MayAdvise: l.Advice > 0, MaxAdvice: micros(l.Advice), AnswerSlack: micros(4 * tick), DrainGrace: micros(500 * time.Millisecond),
+	}
 	if l.ColdFor > 0 {
 		s.ColdFor, s.ColdShare, s.FallMultiple, s.FallAfter = micros(l.ColdFor), l.ColdShare, l.FallMultiple, micros(l.FallAfter)
 	}
@@ -280,8 +288,10 @@
 	for i, c := range base.Classes {
 		own, ok := d.Class(c.Name)
 		if ok && own.Effect != c.Effect {
-			return base, inifile.Fault{File: "agreed document", At: "class " + c.Name + ".effect",
-				What: "the platform's front runs this class with another effect"}
+			return base, inifile.Fault{
+				File: "agreed document", At: "class " + c.Name + ".effect",
+				What: "the platform's front runs this class with another effect",
+			}
 		}
 		if ok {
 			own.FetchParts = c.FetchParts
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -53,8 +53,11 @@
 	require.NoError(t, s.Check())
 	assert.Equal(t, []policy.Class{
 		{Name: "sales/lookup", Aim: 1_500_000, GiveUp: 4_000_000, Worth: 1, LateWorth: 0.3, Need: 1, Least: 1, PartialEarns: 1},
-		{Name: "quote-save", Aim: 1_000_000, GiveUp: 2_000_000, Worth: 5, Effect: policy.Keyed, Window: 3_000_000, Need: 0.9,
-			Least: 0.5, PartialEarns: 1}}, s.Classes)
+		{
+			Name: "quote-save", Aim: 1_000_000, GiveUp: 2_000_000, Worth: 5, Effect: policy.Keyed, Window: 3_000_000, Need: 0.9,
+			Least: 0.5, PartialEarns: 1,
+		},
+	}, s.Classes)
 	assert.Equal(t, []policy.Tenant{{Name: "sales", AllowancePer: 20}}, s.Tenants)
 	assert.Equal(t, [8]int{4, 2, 2, 1, 3, 1, 150, 4}, [8]int{s.Shards, s.Cells, s.Reach, s.Number, s.Fleet, s.CallParts, s.MaxOpen, s.MaxAttempts})
 	assert.Equal(t, [3]float64{0.2, 5, 10e6}, [3]float64{s.BudgetShare, s.BudgetFree, float64(s.BudgetSpan)})
--- a/drain_test.go
+++ b/drain_test.go
@@ -161,8 +161,10 @@
 }
 
 func lookup(id string) []byte {
-	return httpwire.AppendRequest(nil, "POST", "/lookup", "test", httpwire.Header{{Name: "Request-Id", Value: id},
-		{Name: "Request-Timeout", Value: "2"}}, []byte(`{"slices":[{"slice":0,"mass":1}],"filter":"x"}`))
+	return httpwire.AppendRequest(nil, "POST", "/lookup", "test", httpwire.Header{
+		{Name: "Request-Id", Value: id},
+		{Name: "Request-Timeout", Value: "2"},
+	}, []byte(`{"slices":[{"slice":0,"mass":1}],"filter":"x"}`))
 }
 
 // drainLog reads a log to its end: a process whose log nobody reads comes to a stop.
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/admin"
-	"alderproxy/sharedconfig"
 	"alderproxy/gossip"
 	"alderproxy/internal/faultnet"
 	"alderproxy/membership"
+	"alderproxy/sharedconfig"
 )
 
 func (r *trio) names() (all []string) {
--- a/gossip/fleet.go
+++ b/gossip/fleet.go
@@ -93,8 +93,10 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{config: c, codec: membership.NewCodec(c.Group, c.Key), group: g, inbox: make(chan membership.Event, maxWaiting),
-		orders: make(chan membership.Event, 64), looks: make(chan chan membership.View), stop: make(chan struct{}), changed: make(chan struct{})}
+	n := &Node{
+		config: c, codec: membership.NewCodec(c.Group, c.Key), group: g, inbox: make(chan membership.Event, maxWaiting),
+		orders: make(chan membership.Event, 64), looks: make(chan chan membership.View), stop: make(chan struct{}), changed: make(chan struct{}),
+	}
 	if n.raw, err = c.Conn.SyscallConn(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
@@ -262,8 +264,10 @@
 		n.counts.Store(&counts)
 		if counts.drops != told && time.Since(reported) >= reportGap {
 			told, reported = counts.drops, time.Now()
-			n.config.Log.WithFields(logrus.Fields{"malformed": told.Malformed, "foreign": told.Foreign, "unproven": told.Unproven,
-				"unknown_form": told.Form, "flooded": told.Flooded, "last_from": from.String()}).WithError(latest).Warn("datagrams dropped")
+			n.config.Log.WithFields(logrus.Fields{
+				"malformed": told.Malformed, "foreign": told.Foreign, "unproven": told.Unproven,
+				"unknown_form": told.Form, "flooded": told.Flooded, "last_from": from.String(),
+			}).WithError(latest).Warn("datagrams dropped")
 		}
 	}
 }
@@ -322,8 +326,10 @@
 	for _, what := range []string{"came", membership.Dead.String(), membership.Left.String()} {
 		if all := names[what]; len(all) > 0 {
 			slices.Sort(all)
-			n.config.Log.WithFields(logrus.Fields{"what": what, "members": all[:min(len(all), 20)], "count": len(all), "alive": now.Alive(),
-				"view": now.Version}).Info("fleet changed")
+			n.config.Log.WithFields(logrus.Fields{
+				"what": what, "members": all[:min(len(all), 20)], "count": len(all), "alive": now.Alive(),
+				"view": now.Version,
+			}).Info("fleet changed")
 		}
 	}
 }
--- a/gossip/fleet_test.go
+++ b/gossip/fleet_test.go
@@ -44,8 +44,10 @@
 	addr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	log, out := logrus.New(), &lines{}
 	log.SetOutput(out)
-	n, err := Open(Config{Member: membership.Config{Name: name, Addr: addr, Seeds: seeds, Period: 200_000, Hold: 1_600_000, Budget: 100, Forget: 60_000_000},
-		Group: "test", Key: []byte(key), Conn: conn, Log: logrus.NewEntry(log)})
+	n, err := Open(Config{
+		Member: membership.Config{Name: name, Addr: addr, Seeds: seeds, Period: 200_000, Hold: 1_600_000, Budget: 100, Forget: 60_000_000},
+		Group:  "test", Key: []byte(key), Conn: conn, Log: logrus.NewEntry(log),
+	})
 	require.NoError(t, err)
 	return n, addr, out
 }
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -47,14 +47,18 @@
 func (n *Node) Status() Status {
 	v, at := n.look(), n.config.Now()
 	ago := func(t membership.Micros) int64 { return (at - t) / int64(time.Millisecond/time.Microsecond) }
-	s := Status{Name: n.config.Member.Name, Group: n.config.Group, View: v.Version, Digest: fmt.Sprintf("%08x", v.Digest),
-		Trusted: v.Trusted, Alive: v.Alive(), Counts: *n.counts.Load()}
+	s := Status{
+		Name: n.config.Member.Name, Group: n.config.Group, View: v.Version, Digest: fmt.Sprintf("%08x", v.Digest),
+		Trusted: v.Trusted, Alive: v.Alive(), Counts: *n.counts.Load(),
+	}
 	if by := n.taken.Load(); by != nil {
 		s.Taken = by.String()
 	}
 	for _, m := range v.Members {
-		line := Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), State: m.Standing.String(), Reach: m.Reach.String(),
-			Since: ago(m.Since), Why: m.Why, SeenBy: m.SeenBy, Heard: -1, Started: born(m.Birth).UnixMilli(), Doubted: m.Doubted}
+		line := Member{
+			Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), State: m.Standing.String(), Reach: m.Reach.String(),
+			Since: ago(m.Since), Why: m.Why, SeenBy: m.SeenBy, Heard: -1, Started: born(m.Birth).UnixMilli(), Doubted: m.Doubted,
+		}
 		switch {
 		case m.Name == s.Name:
 			line.Heard = 0
--- a/httpwire/httpwire.go
+++ b/httpwire/httpwire.go
@@ -319,10 +319,12 @@
 	return second
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasons = map[int]string{
+	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict",
 	413: "Content Too Large", 429: "Too Many Requests", 500: "Internal Server Error", 502: "Bad Gateway",
-	503: "Service Unavailable", 504: "Gateway Timeout"}
+	503: "Service Unavailable", 504: "Gateway Timeout",
+}
 
 // AppendResponse appends a response with a JSON body. closing says that the connection ends with it.
 func AppendResponse(to []byte, status int, extra Header, body []byte, closing bool) []byte {
--- a/inifile/inifile.go
+++ b/inifile/inifile.go
@@ -94,8 +94,10 @@
 	}
 	// Only what was scanned without fault is read: the library's looser forms (continued lines, quotes, keys and
 	// sections that come twice) are not in there.
-	read, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, SpaceBeforeInlineComment: true,
-		KeyValueDelimiters: "="}, []byte(text))
+	read, err := ini.LoadSources(ini.LoadOptions{
+		IgnoreContinuation: true, SpaceBeforeInlineComment: true,
+		KeyValueDelimiters: "=",
+	}, []byte(text))
 	if err != nil {
 		f.fault(0, "", "%v", strings.ReplaceAll(err.Error(), "\n", " "))
 		return
--- a/internal/jsonscan/jsonscan_test.go
+++ b/internal/jsonscan/jsonscan_test.go
@@ -13,10 +13,29 @@
 		text string
 		ok   bool
 	}{
-		{`{}`, true}, {` [ 1 , "a" ] `, true}, {`-0.5e+3`, true}, {`"\u00e9\n\/"`, true}, {`null`, true}, {`{"a":{"b":[]}}`, true},
-		{``, false}, {`{`, false}, {`{"a"}`, false}, {`{"a":1,}`, false}, {`[1 2]`, false}, {`01`, false}, {`1.`, false}, {`1e`, false},
-		{`-`, false}, {`"a`, false}, {`"\x"`, false}, {`"\u12"`, false}, {"\"\n\"", false}, {`tru`, false}, {`{} {}`, false},
-		{`{a:1}`, false}, {strings.Repeat("[", 100) + strings.Repeat("]", 100), false},
+		{`{}`, true},
+		{` [ 1 , "a" ] `, true},
+		{`-0.5e+3`, true},
+		{`"\u00e9\n\/"`, true},
+		{`null`, true},
+		{`{"a":{"b":[]}}`, true},
+		{``, false},
+		{`{`, false},
+		{`{"a"}`, false},
+		{`{"a":1,}`, false},
+		{`[1 2]`, false},
+		{`01`, false},
+		{`1.`, false},
+		{`1e`, false},
+		{`-`, false},
+		{`"a`, false},
+		{`"\x"`, false},
+		{`"\u12"`, false},
+		{"\"\n\"", false},
+		{`tru`, false},
+		{`{} {}`, false},
+		{`{a:1}`, false},
+		{strings.Repeat("[", 100) + strings.Repeat("]", 100), false},
 	} {
 		assert.Equal(t, c.ok, Valid([]byte(c.text)) == nil, c.text)
 	}
--- a/internal/simcodec/settings.go
+++ b/internal/simcodec/settings.go
@@ -90,8 +90,10 @@
 	return n
 }
 
-var effects = map[string]policy.Effect{"read_like": policy.Safe, "idempotency_key": policy.Keyed,
-	"non_idempotent": policy.Unsafe}
+var effects = map[string]policy.Effect{
+	"read_like": policy.Safe, "idempotency_key": policy.Keyed,
+	"non_idempotent": policy.Unsafe,
+}
 
 func (f *Facts) class(i int) policy.Class {
 	p := fmt.Sprintf("grades.%d.", i)
@@ -99,10 +101,12 @@
 	if !ok {
 		f.fail(p+"effect", fmt.Errorf("unknown effect"))
 	}
-	return policy.Class{Name: f.values[p+"name"], Aim: f.micros(p + "promise_us"), GiveUp: f.micros(p + "give_up_us"),
+	return policy.Class{
+		Name: f.values[p+"name"], Aim: f.micros(p + "promise_us"), GiveUp: f.micros(p + "give_up_us"),
 		Worth: f.num(p + "gain"), LateWorth: f.num(p + "late_worth"), Effect: effect, Window: f.micros(p + "window_us"),
 		Least: f.at("family_info.least_share", i, 1), Need: f.at("family_info.need_by_class", i, 1),
-		PartialEarns: f.at("family_info.partial_earns", i, 0), FetchParts: int(f.at("family_info.fetch_parts", i, 0))}
+		PartialEarns: f.at("family_info.partial_earns", i, 0), FetchParts: int(f.at("family_info.fetch_parts", i, 0)),
+	}
 }
 
 // Settings translates the facts. A missing one means what the protocol says of it: none.
@@ -151,8 +155,10 @@
 
 func (f *Facts) Report(figures []float32) policy.Report {
 	r := policy.NoReport
-	tell := map[string]*float64{"active": &r.Inflight, "waiting": &r.Queue, "cpu": &r.Util, "rps": &r.Rate,
-		"err_rps": &r.Errors}
+	tell := map[string]*float64{
+		"active": &r.Inflight, "waiting": &r.Queue, "cpu": &r.Util, "rps": &r.Rate,
+		"err_rps": &r.Errors,
+	}
 	for i, v := range figures[:min(len(figures), len(f.columns))] {
 		if v64 := float64(v); v64 >= 0 && v64 < 1e9 {
 			if to := tell[f.columns[i]]; to != nil {
--- a/internal/simcodec/wire.go
+++ b/internal/simcodec/wire.go
@@ -206,8 +206,10 @@
 		return rec.request(), nil
 	case evOutcome:
 		figures, err := rec.figures(21)
-		return Answered{Outcome: policy.Outcome{Part: rec.u64(1), Try: int(rec.u16(9)), Server: rec.u32(11),
-				Status: status(rec[15]), Elapsed: policy.Micros(rec.u32(16))}, Figures: figures, Over: rec[20] != 0},
+		return Answered{Outcome: policy.Outcome{
+				Part: rec.u64(1), Try: int(rec.u16(9)), Server: rec.u32(11),
+				Status: status(rec[15]), Elapsed: policy.Micros(rec.u32(16)),
+			}, Figures: figures, Over: rec[20] != 0},
 			firstError(err, checkStatus(rec[15]))
 	case evStreaming:
 		return Streaming{Part: rec.u64(1), Try: int(rec.u16(13)), Server: rec.u32(15)}, nil
@@ -217,8 +219,10 @@
 		return policy.Timer{}, nil
 	case evProbeResult:
 		figures, err := rec.figures(10)
-		return Probed{ProbeResult: policy.ProbeResult{Server: rec.u32(5), Status: status(rec[9]),
-			Elapsed: policy.Micros(rec.u32(1))}, Figures: figures}, firstError(err, checkStatus(rec[9]))
+		return Probed{ProbeResult: policy.ProbeResult{
+			Server: rec.u32(5), Status: status(rec[9]),
+			Elapsed: policy.Micros(rec.u32(1)),
+		}, Figures: figures}, firstError(err, checkStatus(rec[9]))
 	case evMessage:
 		data, err := slice(tail, rec.u32(3), rec.u32(7), 1)
 		return Message{From: rec.u16(1), Data: data}, err
@@ -257,8 +261,10 @@
 		if e[9] > 2 {
 			return malformed("list %d: availability %d", number, e[9])
 		}
-		list = append(list, policy.Server{ID: e.u32(5), Presence: presence[e[9]], Cell: int(e.u16(18)),
-			Zone: int(e[0]), Size: float64(e.f32(1)), Started: policy.Micros(e.u64(10))})
+		list = append(list, policy.Server{
+			ID: e.u32(5), Presence: presence[e[9]], Cell: int(e.u16(18)),
+			Zone: int(e[0]), Size: float64(e.f32(1)), Started: policy.Micros(e.u64(10)),
+		})
 	}
 	d.lists[number], d.known[number] = list, true
 	return nil
@@ -298,16 +304,20 @@
 func (r record) request() any {
 	number := uint64(r.u32(33)) // the bits of the f32: it is only ever compared
 	if shard := r.f32(37); shard >= 0 {
-		part := policy.Part{ID: r.u64(1), Number: number, Shard: whole(shard), Key: r.u64(13),
-			Weight: float64(r.f32(41))}
+		part := policy.Part{
+			ID: r.u64(1), Number: number, Shard: whole(shard), Key: r.u64(13),
+			Weight: float64(r.f32(41)),
+		}
 		if r.u16(45)&bitHint != 0 {
 			part.Hint = policy.Micros(r.u32(29))
 		}
 		return part
 	}
-	return policy.Query{ID: r.u64(1), Number: number, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
+	return policy.Query{
+		ID: r.u64(1), Number: number, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
 		Key: r.u64(13), Deadline: policy.Micros(r.u64(21)), Parts: whole(r.f32(41)),
-		Retry: r.u16(45)&bitRetry != 0}
+		Retry: r.u16(45)&bitRetry != 0,
+	}
 }
 
 // whole reads a count sent as f32; what is no such count becomes -1.
@@ -330,8 +340,10 @@
 	return out, nil
 }
 
-var statuses = [...]policy.Status{1: policy.OK, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
-	5: policy.Unconnected, 6: policy.Broken, 7: policy.Cancelled, 8: policy.Moot}
+var statuses = [...]policy.Status{
+	1: policy.OK, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
+	5: policy.Unconnected, 6: policy.Broken, 7: policy.Cancelled, 8: policy.Moot,
+}
 
 func checkStatus(code byte) error {
 	if code == 0 || int(code) >= len(statuses) {
--- a/internal/simcodec/wire_test.go
+++ b/internal/simcodec/wire_test.go
@@ -58,20 +58,34 @@
 		tail   []byte
 		want   any
 	}{
-		{"query", "10 c4913a5dbb660100 0100 0200 640ad2557c3bf091 da05840000000000 00000000 00005643 000080bf 00008040 0200", nil,
-			policy.Query{ID: 0x166bb5d3a91c4, Number: 0x43560000, Class: 1, Tenant: 2, Key: 0x91f03b7c55d20a64,
-				Deadline: 0x8405da, Parts: 4, Retry: true}},
-		{"part", "10 c4913a5dbb660100 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 00005643 00000000 0000003e 0100", nil,
-			policy.Part{ID: 0x166bb5d3a91c4, Number: 0x43560000, Key: 0x91f03b7c55d20a64, Weight: 0.125, Hint: 12_000}},
+		{
+			"query", "10 c4913a5dbb660100 0100 0200 640ad2557c3bf091 da05840000000000 00000000 00005643 000080bf 00008040 0200", nil,
+			policy.Query{
+				ID: 0x166bb5d3a91c4, Number: 0x43560000, Class: 1, Tenant: 2, Key: 0x91f03b7c55d20a64,
+				Deadline: 0x8405da, Parts: 4, Retry: true,
+			},
+		},
+		{
+			"part", "10 c4913a5dbb660100 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 00005643 00000000 0000003e 0100", nil,
+			policy.Part{ID: 0x166bb5d3a91c4, Number: 0x43560000, Key: 0x91f03b7c55d20a64, Weight: 0.125, Hint: 12_000},
+		},
 		{"timer", "15 4d000000", nil, policy.Timer{}},
 		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{Query: 0x35a0f0e6f2b19}},
-		{"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
-			Answered{Outcome: policy.Outcome{Part: 0x166bb5d3a91c4, Try: 1, Server: 0x03124a07, Status: policy.Unconnected,
-				Elapsed: 0x4844}, Figures: []float32{1, 2}, Over: true}},
-		{"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
-			Probed{ProbeResult: policy.ProbeResult{Server: 0x2c9011f2, Elapsed: 0x578}, Figures: []float32{14.5, 7, 140}}},
-		{"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
-			Streaming{Part: 0x166bb5d3a91c4, Try: 2, Server: 0x03124a07}},
+		{
+			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
+			Answered{Outcome: policy.Outcome{
+				Part: 0x166bb5d3a91c4, Try: 1, Server: 0x03124a07, Status: policy.Unconnected,
+				Elapsed: 0x4844,
+			}, Figures: []float32{1, 2}, Over: true},
+		},
+		{
+			"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
+			Probed{ProbeResult: policy.ProbeResult{Server: 0x2c9011f2, Elapsed: 0x578}, Figures: []float32{14.5, 7, 140}},
+		},
+		{
+			"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
+			Streaming{Part: 0x166bb5d3a91c4, Try: 2, Server: 0x03124a07},
+		},
 		{"message", "17 0200 00000000 04000000", []byte("hi 7"), Message{From: 2, Data: []byte("hi 7")}},
 		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Hello{Salt: 7, Facts: "a=b"}},
 		{"down", "1b", nil, Down{}},
--- a/internal/simnet/simfleet/days.go
+++ b/internal/simnet/simfleet/days.go
@@ -12,7 +12,8 @@
 func Large(seed uint64, gatherers, cells int, load float64) Plan {
 	const aim, replicas, perCell = 380_000, 2, 2
 	shards := cells * perCell
-	set := policy.Settings{Tick: 1000, Shards: shards, Cells: cells, Reach: 1, CallParts: 1, MaxAttempts: 4,
+	set := policy.Settings{
+		Tick: 1000, Shards: shards, Cells: cells, Reach: 1, CallParts: 1, MaxAttempts: 4,
 		MaxOpen: 1000, SecondCopies: true, MayCancel: true, MayProbe: true, MayAdvise: true, MaxAdvice: 2_000_000,
 		AnswerSlack: 5000, DrainGrace: 500_000, ColdShare: 0.18, ColdFor: 17_000_000, FallMultiple: 2.5,
 		FallAfter: 2_000_000, PriceProbe: 0.08, PriceCrossZone: 0.009,
@@ -20,28 +21,35 @@
 			{Name: "report", Aim: 2 * aim, GiveUp: 3_340_000, Worth: 5, Least: 1, Need: 1},
 			{Name: "lookup", Aim: aim, GiveUp: 1_340_000, Worth: 1, LateWorth: 0.3, Least: 1, Need: 1},
 			{Name: "save", Aim: aim, GiveUp: 1_000_000, Worth: 1, Effect: policy.Keyed, Window: 3_000_000, Least: 1, Need: 1},
-		}}
-	mix := []Kind{{Share: 0.12, Spread: 0.5, Least: shards / 2, Most: shards / 2, Work: 48_000},
+		},
+	}
+	mix := []Kind{
+		{Share: 0.12, Spread: 0.5, Least: shards / 2, Most: shards / 2, Work: 48_000},
 		{Share: 0.62, Spread: 0.5, Least: max(3, shards/10), Most: max(5, shards/10), Work: 36_000},
-		{Share: 0.26, Spread: 0.5, Least: 1, Most: 1, Work: 36_000}}
+		{Share: 0.26, Spread: 0.5, Least: 1, Most: 1, Work: 36_000},
+	}
 	work := 0.0 // of a query, in microseconds
 	for _, k := range mix {
 		work += k.Share * float64(k.Least+k.Most) / 2 * float64(k.Work)
 	}
 	const cores, speed = 2, 0.93
 	full := float64(cells*replicas) * cores * speed * 1e6 / work
-	return Plan{Seed: seed, Settings: set, Gatherers: gatherers, Replicas: replicas, Mix: mix, Skew: 0.2, Uneven: 0.5,
+	return Plan{
+		Seed: seed, Settings: set, Gatherers: gatherers, Replicas: replicas, Mix: mix, Skew: 0.2, Uneven: 0.5,
 		Link: simnet.Link{Least: 200, Most: 1200},
 		Rate: func(Micros) float64 { return load * full },
 		Machines: func(_ int, rng *rand.Rand) Machine {
-			m := Machine{Cores: cores, Slots: 3 * cores, Queue: 12 * cores, Speed: 0.92 + 0.18*rng.Float64(),
+			m := Machine{
+				Cores: cores, Slots: 3 * cores, Queue: 12 * cores, Speed: 0.92 + 0.18*rng.Float64(),
 				PauseEvery: 1_800_000, Pause: 16_000 + rng.Int64N(56_000), Report: 37_000 + rng.Int64N(90_000),
-				Handshake: 1200, ProbeWork: 300, Errors: 0.001}
+				Handshake: 1200, ProbeWork: 300, Errors: 0.001,
+			}
 			if rng.Float64() < 0.3 {
 				m.Speed = 0.69 + 0.12*rng.Float64()
 			}
 			return m
-		}}
+		},
+	}
 }
 
 // Burst is a load that grows by half for a while.
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -147,8 +147,10 @@
 func (f *Fleet) AddStore(cell int, started Micros) *Store {
 	i := len(f.Stores)
 	rng := rand.New(rand.NewPCG(f.plan.Seed, uint64(i)+7))
-	s := &Store{Machine: f.plan.Machines(i, rng), net: f.Net, me: storesFrom + simnet.Party(i), rng: rng,
-		set: &f.plan.Settings, conns: map[simnet.Party]bool{}, mean: f.plan.meanWork()}
+	s := &Store{
+		Machine: f.plan.Machines(i, rng), net: f.Net, me: storesFrom + simnet.Party(i), rng: rng,
+		set: &f.plan.Settings, conns: map[simnet.Party]bool{}, mean: f.plan.meanWork(),
+	}
 	s.Stats.Excess = math.Inf(-1)
 	s.Server = policy.Server{ID: uint32(1000 + 7919*i), Presence: policy.Ready, Cell: cell, Size: 1, Started: started}
 	f.Stores = append(f.Stores, s)
@@ -451,6 +453,8 @@
 	}
 	t.over = true
 	n.settle(p)
-	n.later(policy.Outcome{Part: p.id, Try: no, Server: t.server, Status: st,
-		Elapsed: n.fleet.Net.Now() - t.at, Report: r})
+	n.later(policy.Outcome{
+		Part: p.id, Try: no, Server: t.server, Status: st,
+		Elapsed: n.fleet.Net.Now() - t.at, Report: r,
+	})
 }
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -83,8 +83,10 @@
 
 // New returns a network on which every link is as given until Use says otherwise.
 func New(seed uint64, link Link) *Net {
-	return &Net{now: Start, rng: rand.New(rand.NewPCG(seed, 0x51313e7)), link: link, links: map[[2]Party]Link{},
-		cuts: map[[2]Party]int{}, parties: map[Party]*party{}, streams: map[[2]Party]Micros{}, sum: fnv.New64a()}
+	return &Net{
+		now: Start, rng: rand.New(rand.NewPCG(seed, 0x51313e7)), link: link, links: map[[2]Party]Link{},
+		cuts: map[[2]Party]int{}, parties: map[Party]*party{}, streams: map[[2]Party]Micros{}, sum: fnv.New64a(),
+	}
 }
 
 // Now is the present moment.
--- a/internal/testserver/standin.go
+++ b/internal/testserver/standin.go
@@ -156,8 +156,10 @@
 func newStore(t *testing.T, speak func(*Store, net.Conn)) *Store {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &Store{Addr: l.Addr().String(), l: l, Parts: make(chan string, 256), conns: map[net.Conn]bool{},
-		Closed: make(chan struct{}, 256), ended: make(chan struct{})}
+	s := &Store{
+		Addr: l.Addr().String(), l: l, Parts: make(chan string, 256), conns: map[net.Conn]bool{},
+		Closed: make(chan struct{}, 256), ended: make(chan struct{}),
+	}
 	t.Cleanup(func() { s.SetFault(Down) })
 	go func() {
 		defer close(s.ended)
@@ -315,8 +317,10 @@
 
 // NewDiscovery starts discovery with a full list of entries.
 func NewDiscovery(t *testing.T, entries ...string) *Discovery {
-	d := &Discovery{Addr: "127.0.0.1:0", Targets: make(chan string, 256), changed: make(chan struct{}),
-		conns: map[net.Conn]chan bool{}}
+	d := &Discovery{
+		Addr: "127.0.0.1:0", Targets: make(chan string, 256), changed: make(chan struct{}),
+		conns: map[net.Conn]chan bool{},
+	}
 	require.NoError(t, d.Up())
 	t.Cleanup(d.Down)
 	d.Tell(true, entries...)
--- a/maintenance/layout.go
+++ b/maintenance/layout.go
@@ -118,8 +118,10 @@
 
 // Check tells what is wrong with rules, by themselves.
 func (r Rules) Check() error {
-	for name, part := range map[string]float64{"most_stores": r.MostStores, "most_weight": r.MostWeight, "most_zone": r.MostZone,
-		"most_fleet": r.MostFleet, "room": r.Room} {
+	for name, part := range map[string]float64{
+		"most_stores": r.MostStores, "most_weight": r.MostWeight, "most_zone": r.MostZone,
+		"most_fleet": r.MostFleet, "room": r.Room,
+	} {
 		if !(part >= 0 && part <= 1) {
 			return fmt.Errorf("rules: %s is %v and no part", name, part)
 		}
@@ -198,8 +200,10 @@
 }
 
 func newLedger(l *Layout, r Rules, load float64) *ledger {
-	g := &ledger{l: l, r: r, load: load, out: map[string]bool{}, sound: make([]int, l.Cells), zone: map[string]int{},
-		allZone: map[string]int{}, pairs: map[string]int{}, began: map[string]Micros{}}
+	g := &ledger{
+		l: l, r: r, load: load, out: map[string]bool{}, sound: make([]int, l.Cells), zone: map[string]int{},
+		allZone: map[string]int{}, pairs: map[string]int{}, began: map[string]Micros{},
+	}
 	for i := range l.Machines {
 		m := &l.Machines[i]
 		for _, s := range m.Stores {
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -110,8 +110,10 @@
 
 func rules(rng *rand.Rand) Rules {
 	part := func() float64 { return []float64{0, 0.2, 0.4, 1}[rng.IntN(4)] }
-	return Rules{KeepSound: rng.IntN(3), MostStores: part(), MostZone: part(), MostFleet: part(), Room: part(),
-		Spacing: Micros(rng.IntN(3)) * minute, Warm: minute, Drain: minute, Unheard: minute}
+	return Rules{
+		KeepSound: rng.IntN(3), MostStores: part(), MostZone: part(), MostFleet: part(), Room: part(),
+		Spacing: Micros(rng.IntN(3)) * minute, Warm: minute, Drain: minute, Unheard: minute,
+	}
 }
 
 // schedule plays one random run: leaders that see states of long ago propose, some of what they propose is lost, comes
@@ -123,7 +125,7 @@
 	var s State
 	var seen []State // what leaders of now and before may go by
 	var late []Entry
-	var touched = map[string]Step{}
+	touched := map[string]Step{}
 	apply := func(e Entry) error {
 		before := s
 		next, o := s.Apply(e)
@@ -265,8 +267,10 @@
 	for c := range cells {
 		for r := range replicas {
 			name := fmt.Sprintf("m-%04d", c*replicas+r)
-			l.Machines = append(l.Machines, Machine{Name: name, Zone: fmt.Sprint("z", r%3), Kind: "std",
-				Stores: []Store{{Name: "s" + name, Cell: c, Weight: 1}}})
+			l.Machines = append(l.Machines, Machine{
+				Name: name, Zone: fmt.Sprint("z", r%3), Kind: "std",
+				Stores: []Store{{Name: "s" + name, Cell: c, Weight: 1}},
+			})
 		}
 	}
 	return l
@@ -356,8 +360,11 @@
 		"the last replica": {Rules{}, 0, lone, RuleReplicas, "another replica of its shards first"},
 		"one of two":       {Rules{KeepSound: 2}, 0, even(2, 2), RuleReplicas, "keep_sound = 1, or another replica first"},
 		"no room":          {Rules{Room: 0.5}, 0.6, even(2, 2), RuleRoom, "room = 0.80, or less load"},
-		"the only voter": {Rules{}, 0, &Layout{Cells: 1, Reach: 1, Shards: 1, Machines: []Machine{{Name: "v", Voter: true}}}, RuleVoters,
-			"another voter first"},
+		"the only voter": {
+			Rules{},
+			0, &Layout{Cells: 1, Reach: 1, Shards: 1, Machines: []Machine{{Name: "v", Voter: true}}}, RuleVoters,
+			"another voter first",
+		},
 	} {
 		s := asked(t, c.layout, c.rules, c.load)
 		plan := s.Plan()
@@ -438,14 +445,24 @@
 	before, _ := json.Marshal(s)
 	inf := 1e300
 	for _, e := range []Entry{
-		{Ask: &Ask{Request: "x", Machines: []string{"nobody"}, Need: 1}}, {Ask: &Ask{Request: "x", Machines: []string{"m-0000"}, Need: 1}},
-		{Ask: &Ask{Request: "x", Machines: []string{"m-0001", "m-0001"}, Need: 1}}, {Ask: &Ask{Request: "x", Machines: []string{"m-0001"}, Need: -1}},
-		{Ask: &Ask{Request: "x", Machines: []string{"m-0001"}, Need: 1 << 60}}, {Ask: &Ask{Machines: []string{"m-0001"}, Need: 1}},
-		{Ask: &Ask{Request: "x", Need: 1}}, {Ask: &Ask{Request: "x", Machines: []string{"m-0001"}, Need: 1, After: 9 * day, Until: day}},
-		{Move: &Move{Request: "r", Machine: "m-0001", From: Asked, To: Draining}}, {Move: &Move{Request: "r", Machine: "m-0000", From: Asked, To: Out}},
-		{Rules: &Rules{MostStores: 2}}, {Rules: &Rules{KeepSound: -1}}, {Rules: &Rules{Spacing: -1}}, {Rules: &Rules{Closed: []Window{{From: 5, To: 5}}}},
-		{Rules: &Rules{Closed: []Window{{0, day / 2}, {day / 2, day}}}}, {Load: &inf},
-		{Layout: &Layout{}}, {Layout: &Layout{Cells: 1, Reach: 1, Shards: 1, Machines: []Machine{{Name: "b"}, {Name: "a"}}}},
+		{Ask: &Ask{Request: "x", Machines: []string{"nobody"}, Need: 1}},
+		{Ask: &Ask{Request: "x", Machines: []string{"m-0000"}, Need: 1}},
+		{Ask: &Ask{Request: "x", Machines: []string{"m-0001", "m-0001"}, Need: 1}},
+		{Ask: &Ask{Request: "x", Machines: []string{"m-0001"}, Need: -1}},
+		{Ask: &Ask{Request: "x", Machines: []string{"m-0001"}, Need: 1 << 60}},
+		{Ask: &Ask{Machines: []string{"m-0001"}, Need: 1}},
+		{Ask: &Ask{Request: "x", Need: 1}},
+		{Ask: &Ask{Request: "x", Machines: []string{"m-0001"}, Need: 1, After: 9 * day, Until: day}},
+		{Move: &Move{Request: "r", Machine: "m-0001", From: Asked, To: Draining}},
+		{Move: &Move{Request: "r", Machine: "m-0000", From: Asked, To: Out}},
+		{Rules: &Rules{MostStores: 2}},
+		{Rules: &Rules{KeepSound: -1}},
+		{Rules: &Rules{Spacing: -1}},
+		{Rules: &Rules{Closed: []Window{{From: 5, To: 5}}}},
+		{Rules: &Rules{Closed: []Window{{0, day / 2}, {day / 2, day}}}},
+		{Load: &inf},
+		{Layout: &Layout{}},
+		{Layout: &Layout{Cells: 1, Reach: 1, Shards: 1, Machines: []Machine{{Name: "b"}, {Name: "a"}}}},
 		{Layout: &Layout{Cells: 1, Reach: 1, Shards: 1, Machines: []Machine{{Name: "a", Stores: []Store{{Name: "s", Cell: 1}}}}}},
 	} {
 		next, o := s.Apply(e)
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -210,8 +210,10 @@
 			return s, refused("", "machine %s is asked for by %s", name, busy[name])
 		}
 		busy[name] = a.Request
-		permits = append(permits, Permit{Request: a.Request, Machine: name, By: a.By, Reason: a.Reason, Urgency: a.Urgency,
-			Need: a.Need, After: a.After, Until: a.Until, At: s.Now, Step: Asked, Since: s.Now})
+		permits = append(permits, Permit{
+			Request: a.Request, Machine: name, By: a.By, Reason: a.Reason, Urgency: a.Urgency,
+			Need: a.Need, After: a.After, Until: a.Until, At: s.Now, Step: Asked, Since: s.Now,
+		})
 	}
 	s.Permits = permits
 	return s, Outcome{Done: true}
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -107,8 +107,11 @@
 		waiting = slices.DeleteFunc(waiting, func(p Permit) bool {
 			m := s.Layout.Machine(p.Machine)
 			if p.Until > 0 && now > p.Until {
-				plan.Never = append(plan.Never, Never{p.Request, p.Machine, Broken{RuleClosed, "its turn would come after its window"},
-					"a window that ends later, or a higher urgency"})
+				plan.Never = append(plan.Never, Never{
+					p.Request, p.Machine,
+					Broken{RuleClosed, "its turn would come after its window"},
+					"a window that ends later, or a higher urgency",
+				})
 				return true
 			}
 			if p.After > now {
--- a/measure_test.go
+++ b/measure_test.go
@@ -20,11 +20,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/config"
 	"alderproxy/document"
-	"alderproxy/raftnode"
 	"alderproxy/internal/testserver"
+	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
 )
 
 func quantiles(t *testing.T, all []time.Duration) (median, p99, most time.Duration) {
@@ -195,9 +195,11 @@
 		open := func() *raftnode.Node {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			n, err := raftnode.Open(raftnode.Config{Name: "n1", Folder: lone, Listener: l, Address: l.Addr().String(), Bound: 5 * time.Second, Speed: 4,
+			n, err := raftnode.Open(raftnode.Config{
+				Name: "n1", Folder: lone, Listener: l, Address: l.Addr().String(), Bound: 5 * time.Second, Speed: 4,
 				SnapshotAfter: after, Log: logger(config.Log{Level: "error"}).WithField("measure", true),
-				Check: func(string) error { return nil }, Use: func(sharedconfig.Version) error { return nil }})
+				Check: func(string) error { return nil }, Use: func(sharedconfig.Version) error { return nil },
+			})
 			require.NoError(t, err)
 			return n
 		}
--- a/members.go
+++ b/members.go
@@ -18,8 +18,10 @@
 func tier(edge *platform.Config) *config.Members {
 	own := edge.Peers.All[edge.Settings.Number]
 	period := time.Second
-	return &config.Members{Listen: edge.Peers.Listen, Group: "tier", Member: membership.Config{Name: edge.Name, Addr: own,
-		Seeds: edge.Peers.All, Period: period.Microseconds(), Hold: 8 * period.Microseconds(), Budget: 30, Forget: time.Hour.Microseconds()}}
+	return &config.Members{Listen: edge.Peers.Listen, Group: "tier", Member: membership.Config{
+		Name: edge.Name, Addr: own,
+		Seeds: edge.Peers.All, Period: period.Microseconds(), Hold: 8 * period.Microseconds(), Budget: 30, Forget: time.Hour.Microseconds(),
+	}}
 }
 
 // join starts this instance's part in the membership of its fleet. The platform has the program read the time through
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -275,8 +275,10 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	g := &Group{Config: c, now: now, last: now, rng: rand.New(rand.NewPCG(c.Seed, uint64(NameID(c.Name)))),
-		members: map[ID]*member{}, relays: map[uint32]relay{}, rumors: rumors{}, tokens: float64(c.Budget)}
+	g := &Group{
+		Config: c, now: now, last: now, rng: rand.New(rand.NewPCG(c.Seed, uint64(NameID(c.Name)))),
+		members: map[ID]*member{}, relays: map[uint32]relay{}, rumors: rumors{}, tokens: float64(c.Budget),
+	}
 	g.self = g.add(Member{ID: NameID(c.Name), Name: c.Name, Zone: c.Zone, Addr: c.Addr, Birth: c.Birth, Inc: 1, Reach: Reachable})
 	for i := range g.rounds {
 		g.rounds[i] = true
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -222,8 +222,10 @@
 		}
 		// Who asks for another wants to know as well whether that one's own question came.
 		about := g.members[m.About]
-		g.send(r.From, Message{Kind: Ack, Seq: m.Seq, Target: m.From, Heard: true,
-			HeardAbout: about != nil && about.heard > 0 && g.now-about.heard < 2*g.Period}, s)
+		g.send(r.From, Message{
+			Kind: Ack, Seq: m.Seq, Target: m.From, Heard: true,
+			HeardAbout: about != nil && about.heard > 0 && g.now-about.heard < 2*g.Period,
+		}, s)
 	case Ack:
 		g.acked(s, m)
 	case Ask:
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -65,8 +65,10 @@
 func name(i int) string { return fmt.Sprintf("n%d", i) }
 
 func testConfig(i int, seeds ...netip.AddrPort) Config {
-	return Config{Name: name(i), Zone: fmt.Sprintf("z%d", i%3), Addr: address(i), Seeds: seeds, Birth: 1, Seed: uint64(i),
-		Period: second, Hold: 8 * second, Budget: 30, Forget: 3600 * second}
+	return Config{
+		Name: name(i), Zone: fmt.Sprintf("z%d", i%3), Addr: address(i), Seeds: seeds, Birth: 1, Seed: uint64(i),
+		Period: second, Hold: 8 * second, Budget: 30, Forget: 3600 * second,
+	}
 }
 
 // found starts so many members that all know the first one's address and one that nobody has.
@@ -448,7 +450,7 @@
 			}
 		}
 	}
-	assert.Greater(t, doubted, 0)
+	assert.Positive(t, doubted)
 }
 
 func TestLeavingIsNoDeath(t *testing.T) {
@@ -483,7 +485,7 @@
 		w.run(second/2 + Micros(round))
 	}
 	w.until(0, 15, 30*second)
-	assert.Zero(t, len(w.falls), "it was never gone for long")
+	assert.Empty(t, w.falls, "it was never gone for long")
 }
 
 func TestANameIsTakenOnce(t *testing.T) {
--- a/membership/wire_test.go
+++ b/membership/wire_test.go
@@ -9,11 +9,15 @@
 )
 
 func fullMessage() Message {
-	m := Message{Kind: Ack, From: 7, Birth: 1, Inc: 2, Count: 3, Seq: 4, Target: 5, About: 6, Digest: 7, Heard: true, HeardAbout: true,
-		Facts: []Fact{{Owner: 7, Name: "list", Value: "v", Version: 9, Left: 5000}}}
+	m := Message{
+		Kind: Ack, From: 7, Birth: 1, Inc: 2, Count: 3, Seq: 4, Target: 5, About: 6, Digest: 7, Heard: true, HeardAbout: true,
+		Facts: []Fact{{Owner: 7, Name: "list", Value: "v", Version: 9, Left: 5000}},
+	}
 	for i := range 4 {
-		m.Updates = append(m.Updates, Update{ID: ID(i + 1), Birth: 2, Inc: 3, Standing: Standing(i), By: 9,
-			Addr: netip.MustParseAddrPort("10.0.0.1:7946"), Name: "n1", Zone: "petaling"})
+		m.Updates = append(m.Updates, Update{
+			ID: ID(i + 1), Birth: 2, Inc: 3, Standing: Standing(i), By: 9,
+			Addr: netip.MustParseAddrPort("10.0.0.1:7946"), Name: "n1", Zone: "petaling",
+		})
 	}
 	return m
 }
@@ -23,7 +27,7 @@
 		c := NewCodec("g", []byte(key))
 		m := fullMessage()
 		b := c.Append(nil, m)
-		assert.Equal(t, MostBytes-m.room(), len(b))
+		assert.Len(t, b, MostBytes-m.room())
 		got, err := c.Read(b)
 		require.NoError(t, err)
 		assert.Equal(t, m, got)
--- a/opensearch/front.go
+++ b/opensearch/front.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"math"
+	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -103,14 +104,14 @@
 	words := strings.Split(strings.Trim(path, "/"), "/")
 	last := words[len(words)-1]
 	switch {
-	case path == "/healthz" && x.Method == "GET":
+	case path == "/healthz" && x.Method == http.MethodGet:
 		if !f.ready() {
 			return (&failure{503, "not_ready", errors.New("not ready"), 0}).reply()
 		}
 		return &httpwire.Reply{Status: 200, Body: []byte(`{"ready":true}`)}
 	case last != "_search" && last != "_msearch" || len(words) > 2:
 		return illegal(fmt.Errorf("no handler found for uri [%s] and method [%s]", path, x.Method)).reply()
-	case x.Method != "GET" && x.Method != "POST":
+	case x.Method != http.MethodGet && x.Method != http.MethodPost:
 		return (&failure{405, "method_not_allowed", fmt.Errorf("method [%s] is not allowed", x.Method), 0}).reply()
 	}
 	name := ""
@@ -182,8 +183,10 @@
 	if it.timeout > 0 {
 		wait = min(wait, it.timeout)
 	}
-	it.query = &broker.Query{ID: f.prefix + strconv.FormatUint(f.seq.Add(1), 10), Class: ix.class, Text: it.body,
-		Deadline: x.Start.Add(wait), Meta: &target{name}, Sink: it, Terms: t}
+	it.query = &broker.Query{
+		ID: f.prefix + strconv.FormatUint(f.seq.Add(1), 10), Class: ix.class, Text: it.body,
+		Deadline: x.Start.Add(wait), Meta: &target{name}, Sink: it, Terms: t,
+	}
 	for _, s := range ix.slices {
 		it.query.Parts = append(it.query.Parts, broker.Part{Slice: s, Weight: 1 / float64(len(ix.slices))})
 	}
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -56,12 +56,16 @@
 `
 
 func start(t *testing.T, maxOpen int) *rig {
-	r := &rig{config: &Config{Listen: "127.0.0.1:0", MaxConns: 256, Fleet: 1,
-		Limits: storepool.Limits{Streams: 1, Conns: 16, ConnectTimeout: 250_000, ConnIdle: 15_000_000}}}
+	r := &rig{config: &Config{
+		Listen: "127.0.0.1:0", MaxConns: 256, Fleet: 1,
+		Limits: storepool.Limits{Streams: 1, Conns: 16, ConnectTimeout: 250_000, ConnIdle: 15_000_000},
+	}}
 	for i := range r.stores {
 		r.stores[i] = testserver.NewSearchStore(t, docs)
-		r.config.Stores = append(r.config.Stores, storepool.Store{Name: fmt.Sprint("s-", i), Addr: r.stores[i].Addr,
-			Server: policy.Server{ID: uint32(i + 1), Presence: policy.Ready, Size: 1}})
+		r.config.Stores = append(r.config.Stores, storepool.Store{
+			Name: fmt.Sprint("s-", i), Addr: r.stores[i].Addr,
+			Server: policy.Server{ID: uint32(i + 1), Presence: policy.Ready, Size: 1},
+		})
 	}
 	var err error
 	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(terms, maxOpen)), nil, testserver.Log())
@@ -206,7 +210,8 @@
 		`{"index":"families"}`, `{"sort":"price"}`,
 		`{"index":"catalogue"}`, `{"aggs":{}}`,
 		`{"index":["families"]}`, `{"from":20000}`,
-		`{"index":"families","routing":"x"}`, `{}`}, "\n")+"\n").Read()
+		`{"index":"families","routing":"x"}`, `{}`,
+	}, "\n")+"\n").Read()
 	require.Equal(t, 200, resp.Status)
 	a := read(t, resp.Body)
 	require.Len(t, a.Responses, 6)
@@ -306,8 +311,10 @@
 func TestClosedGate(t *testing.T) {
 	r := &rig{}
 	s := testserver.NewSearchStore(t, docs)
-	r.config = &Config{Listen: "127.0.0.1:0", Fleet: 1, Limits: storepool.Limits{Streams: 1, Conns: 16, ConnectTimeout: 250_000,
-		ConnIdle: 15_000_000}, Stores: []storepool.Store{{Addr: s.Addr, Server: policy.Server{ID: 1, Presence: policy.Ready}}}}
+	r.config = &Config{Listen: "127.0.0.1:0", Fleet: 1, Limits: storepool.Limits{
+		Streams: 1, Conns: 16, ConnectTimeout: 250_000,
+		ConnIdle: 15_000_000,
+	}, Stores: []storepool.Store{{Addr: s.Addr, Server: policy.Server{ID: 1, Presence: policy.Ready}}}}
 	var open atomic.Bool
 	open.Store(true)
 	var err error
--- a/opensearch/search.go
+++ b/opensearch/search.go
@@ -34,10 +34,12 @@
 
 // passed names the parts of a search body that are safe to hand to every store and merge. What is not named here
 // would need a merge of its own, so it is refused rather than merged wrongly.
-var passed = map[string]bool{"query": true, "_source": true, "fields": true, "stored_fields": true,
+var passed = map[string]bool{
+	"query": true, "_source": true, "fields": true, "stored_fields": true,
 	"docvalue_fields": true, "script_fields": true, "highlight": true, "post_filter": true, "min_score": true,
 	"version": true, "seq_no_primary_term": true, "explain": true, "track_total_hits": true,
-	"track_scores": true}
+	"track_scores": true,
+}
 
 // parseSearch reads a search body and the parameters of its URL, which win.
 func parseSearch(body []byte, params map[string]string) (*search, error) {
@@ -122,8 +124,15 @@
 var units = []struct {
 	name string
 	span time.Duration
-}{{"nanos", time.Nanosecond}, {"micros", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second},
-	{"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour}}
+}{
+	{"nanos", time.Nanosecond},
+	{"micros", time.Microsecond},
+	{"ms", time.Millisecond},
+	{"s", time.Second},
+	{"m", time.Minute},
+	{"h", time.Hour},
+	{"d", 24 * time.Hour},
+}
 
 // parseTime reads a time value such as 500ms.
 func parseTime(text string) (time.Duration, error) {
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -102,8 +102,10 @@
 		}
 		return open && !s.leave.Load()
 	}}
-	s.server = &httpwire.Server{Handle: f.handle, Log: log, MaxConns: c.MaxConns,
-		Refuse: func(status int, err error) []byte { return appendError(nil, status, "parse_exception", err.Error()) }}
+	s.server = &httpwire.Server{
+		Handle: f.handle, Log: log, MaxConns: c.MaxConns,
+		Refuse: func(status int, err error) []byte { return appendError(nil, status, "parse_exception", err.Error()) },
+	}
 	go func() {
 		if err := s.server.Serve(s.listen); err != nil {
 			log.WithError(err).Error("opensearch front stopped serving")
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -144,9 +144,12 @@
 func TestThousandFollowersLeaveRoomForTheFew(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	n := Listen(Config{ID: "v", Group: func() string { return "g" }, Log: testserver.Log(),
-		Guest: func(id string) bool { return strings.HasPrefix(id, "f") }}, l, map[byte]Handler{
-		kindEcho: func(string, []byte, io.Reader) ([]byte, error) { return nil, nil }})
+	n := Listen(Config{
+		ID: "v", Group: func() string { return "g" }, Log: testserver.Log(),
+		Guest: func(id string) bool { return strings.HasPrefix(id, "f") },
+	}, l, map[byte]Handler{
+		kindEcho: func(string, []byte, io.Reader) ([]byte, error) { return nil, nil },
+	})
 	t.Cleanup(n.Close)
 	to := Target{"v", n.Addr()}
 	ask := func(id string) error {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -31,8 +31,10 @@
 			switch act := action.(type) {
 			case policy.Send:
 				fmt.Printf("part %d to server %d\n", act.Part, act.Server)
-				events = append(events, policy.Outcome{Part: act.Part, Server: act.Server, Status: policy.OK,
-					Elapsed: 20_000, Report: policy.NoReport})
+				events = append(events, policy.Outcome{
+					Part: act.Part, Server: act.Server, Status: policy.OK,
+					Elapsed: 20_000, Report: policy.NoReport,
+				})
 			case policy.Answer:
 				fmt.Printf("query %d answered, whole: %v\n", act.Query, act.Whole)
 			}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -155,9 +155,11 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	a := &Aggregator{servers: map[uint32]*server{}, queries: map[uint64]*query{},
+	a := &Aggregator{
+		servers: map[uint32]*server{}, queries: map[uint64]*query{},
 		numbers: map[uint64]*query{}, parts: map[uint64]*part{},
-		bears: 1, util: 1, cured: 0.5, idleMost: math.MaxInt64}
+		bears: 1, util: 1, cured: 0.5, idleMost: math.MaxInt64,
+	}
 	a.use(set)
 	return a, nil
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -53,8 +53,10 @@
 	c := h.a.set.Classes[class]
 	events := []Event{Query{ID: h.id, Number: h.id, Class: class, Deadline: h.now + c.GiveUp, Parts: parts}}
 	for i := range parts {
-		events = append(events, Part{ID: h.id + uint64(i) + 1, Number: h.id, Shard: i % h.a.set.Shards,
-			Weight: 1 / float64(parts)})
+		events = append(events, Part{
+			ID: h.id + uint64(i) + 1, Number: h.id, Shard: i % h.a.set.Shards,
+			Weight: 1 / float64(parts),
+		})
 	}
 	return h.id, events
 }
@@ -121,9 +123,15 @@
 		after  Micros
 		again  bool
 	}{
-		{2, Errored, 10_000, false}, {2, TimedOut, 10_000, false}, {2, Broken, 10_000, false}, {2, Cancelled, 10_000, false},
-		{2, Rejected, 10_000, true}, {2, Unconnected, 10_000, true},
-		{3, Errored, 10_000, true}, {3, Errored, 1_100_000, false}, {3, Rejected, 1_100_000, true},
+		{2, Errored, 10_000, false},
+		{2, TimedOut, 10_000, false},
+		{2, Broken, 10_000, false},
+		{2, Cancelled, 10_000, false},
+		{2, Rejected, 10_000, true},
+		{2, Unconnected, 10_000, true},
+		{3, Errored, 10_000, true},
+		{3, Errored, 1_100_000, false},
+		{3, Rejected, 1_100_000, true},
 		{0, Errored, 1_100_000, true},
 	}
 	for _, c := range cases {
@@ -751,8 +759,10 @@
 				n++
 				status, after = TimedOut, 400_000
 			}
-			queue = append(queue, pick[Send](h.step(after, Outcome{Part: sent.Part, Try: h.a.parts[sent.Part].tries - 1,
-				Server: sent.Server, Status: status, Report: NoReport}))...)
+			queue = append(queue, pick[Send](h.step(after, Outcome{
+				Part: sent.Part, Try: h.a.parts[sent.Part].tries - 1,
+				Server: sent.Server, Status: status, Report: NoReport,
+			}))...)
 		}
 	}
 	return n
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -94,9 +94,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), now: 50_000_000, agg: agg, nextID: 100,
+	w := &world{
+		t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), now: 50_000_000, agg: agg, nextID: 100,
 		servers: map[uint32]Server{}, told: map[uint32]Micros{}, queries: map[uint64]*wquery{},
-		parts: map[uint64]*wpart{}, cold: map[uint32][]wspend{}}
+		parts: map[uint64]*wpart{}, cold: map[uint32][]wspend{},
+	}
 	for i := range 8 {
 		w.servers[uint32(i+1)] = Server{ID: uint32(i + 1), Presence: Ready, Cell: i % set.Cells, Size: 1}
 	}
@@ -165,8 +167,10 @@
 	id := w.id()
 	q := &wquery{cls: cls, step: 1, deadline: w.now + cls.GiveUp*Micros(60+w.rng.IntN(41))/100}
 	w.queries[id] = q
-	w.events = append(w.events, Query{ID: id, Number: w.number, Class: c, Tenant: w.rng.IntN(2), Deadline: q.deadline,
-		Parts: n, Retry: w.rng.IntN(5) == 0, Key: uint64(w.rng.IntN(4))})
+	w.events = append(w.events, Query{
+		ID: id, Number: w.number, Class: c, Tenant: w.rng.IntN(2), Deadline: q.deadline,
+		Parts: n, Retry: w.rng.IntN(5) == 0, Key: uint64(w.rng.IntN(4)),
+	})
 	w.taken = append(w.taken, w.now)
 	w.addParts(q, w.number, n)
 }
@@ -179,8 +183,10 @@
 		p := &wpart{q: q, shard: (start + i) % w.set.Shards, weight: 1 / float64(n), live: map[int]bool{}}
 		w.parts[id] = p
 		q.parts = append(q.parts, p)
-		w.events = append(w.events, Part{ID: id, Number: number, Shard: p.shard, Weight: p.weight,
-			Hint: Micros(w.rng.IntN(3)-1) * 40_000})
+		w.events = append(w.events, Part{
+			ID: id, Number: number, Shard: p.shard, Weight: p.weight,
+			Hint: Micros(w.rng.IntN(3)-1) * 40_000,
+		})
 		w.taken = append(w.taken, w.now)
 	}
 }
@@ -232,8 +238,10 @@
 		if w.rng.IntN(2) == 0 {
 			r.Inflight = float64(w.rng.IntN(6))
 		}
-		w.events = append(w.events, Outcome{Part: a.id, Try: a.try, Server: a.server, Status: a.status,
-			Elapsed: w.now - a.sent, Report: r})
+		w.events = append(w.events, Outcome{
+			Part: a.id, Try: a.try, Server: a.server, Status: a.status,
+			Elapsed: w.now - a.sent, Report: r,
+		})
 	}
 	w.pending = rest
 	for _, s := range w.probing {
@@ -483,8 +491,11 @@
 		t.Fatal(err)
 	}
 	servers := []Server{{ID: 1, Presence: Ready, Cell: 0}, {ID: 2, Presence: Ready, Cell: 1}}
-	a.Step(1_000_000, []Event{Members{servers}, Query{ID: 7, Number: 7, Deadline: 7_000_000, Parts: 1},
-		Part{ID: 8, Number: 7, Shard: 1, Weight: 1}})
+	a.Step(1_000_000, []Event{
+		Members{servers},
+		Query{ID: 7, Number: 7, Deadline: 7_000_000, Parts: 1},
+		Part{ID: 8, Number: 7, Shard: 1, Weight: 1},
+	})
 	short := set
 	short.Classes = []Class{set.Classes[1]} // "safe" is gone, and what was number 1 is now number 0
 	acts := a.Step(1_010_000, []Event{Reconfigure{short}})
@@ -495,8 +506,10 @@
 			t.Fatalf("the open query was ended by the change: %#v", act)
 		}
 	}
-	acts = a.Step(2_600_000, []Event{Outcome{Part: 8, Server: 1, Status: OK, Report: NoReport},
-		Outcome{Part: 8, Server: 2, Status: OK, Report: NoReport}})
+	acts = a.Step(2_600_000, []Event{
+		Outcome{Part: 8, Server: 1, Status: OK, Report: NoReport},
+		Outcome{Part: 8, Server: 2, Status: OK, Report: NoReport},
+	})
 	if !slices.Contains(acts, Action(Answer{Query: 7, Whole: true})) {
 		t.Fatalf("the open query was not answered as it was taken: %#v", acts)
 	}
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -1,7 +1,6 @@
 package raftnode
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -15,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/internal/faultnet"
+	"alderproxy/sharedconfig"
 )
 
 // call is a put or a read, as the checker of linearizability takes it.
@@ -242,7 +241,9 @@
 			other = n
 		}
 	}
-	go func() { answer <- other.Do(Order{Add: &sharedconfig.Member{Name: "n4", Addr: c.Address}}, 20*time.Second) }()
+	go func() {
+		answer <- other.Do(Order{Add: &sharedconfig.Member{Name: "n4", Addr: c.Address}}, 20*time.Second)
+	}()
 	require.Eventually(t, func() bool { return len(lead.Roster()) == 4 }, 10*time.Second, time.Millisecond)
 	require.NoError(t, lead.Close())
 	delete(r.nodes, lead.Name)
@@ -323,7 +324,7 @@
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), "is spoilt")
 	assert.NotContains(t, err.Error(), "\n")
-	assert.False(t, errors.Is(err, os.ErrNotExist))
+	assert.NotErrorIs(t, err, os.ErrNotExist)
 }
 
 // inspected are the names of the snapshots in the folder, the newest first.
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -13,9 +13,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/peer"
+	"alderproxy/sharedconfig"
 )
 
 // followCalled answers an instance without a vote.
@@ -170,8 +170,10 @@
 // Status tells how this instance sees its group.
 func (f *Follower) Status() Status {
 	v, used := f.active.Load(), f.used.Load()
-	st := Status{Name: f.Name, Group: *f.group.Load(), Version: v.Number, Serving: used, Digest: v.Digest,
-		Why: f.lease.Load().Reason(clock.Now(), used), Lease: f.leaseLeft()}
+	st := Status{
+		Name: f.Name, Group: *f.group.Load(), Version: v.Number, Serving: used, Digest: v.Digest,
+		Why: f.lease.Load().Reason(clock.Now(), used), Lease: f.leaseLeft(),
+	}
 	for _, m := range *f.voters.Load() {
 		if m.Name != "" {
 			st.Members = append(st.Members, m)
--- a/raftnode/group.go
+++ b/raftnode/group.go
@@ -20,10 +20,10 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/peer"
 	"alderproxy/raftstore"
+	"alderproxy/sharedconfig"
 )
 
 // Config is what an instance is told of its group.
@@ -109,7 +109,8 @@
 	// The log as a leader of the first term would have begun it.
 	if err := s.StoreLogs([]*raft.Log{
 		{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(members)},
-		{Index: 2, Term: 1, Type: raft.LogCommand, Data: entry}}); err != nil {
+		{Index: 2, Term: 1, Type: raft.LogCommand, Data: entry},
+	}); err != nil {
 		return err
 	}
 	if err := s.SetUint64([]byte("CurrentTerm"), 1); err != nil {
--- a/raftnode/group_test.go
+++ b/raftnode/group_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/internal/faultnet"
 	"alderproxy/internal/testserver"
+	"alderproxy/sharedconfig"
 )
 
 // rig is a group whose instances reach each other over a faulty network only.
@@ -48,14 +48,16 @@
 func (r *rig) config(name string) Config {
 	front, own := listen(r.t), listen(r.t)
 	r.faults.Front(name, front).Behind(own.Addr().String())
-	c := Config{Name: name, Folder: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), Bound: r.bound,
+	c := Config{
+		Name: name, Folder: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), Bound: r.bound,
 		Speed: 5, SnapshotAfter: 8, Log: testserver.Log(), Use: func(sharedconfig.Version) error { return nil },
 		Check: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
 				return fmt.Errorf("%s has no such index", name)
 			}
 			return nil
-		}}
+		},
+	}
 	r.configs[name] = c
 	return c
 }
--- a/raftnode/operate.go
+++ b/raftnode/operate.go
@@ -9,17 +9,17 @@
 
 	"github.com/hashicorp/raft"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/peer"
+	"alderproxy/sharedconfig"
 )
 
 // Order is what an operator asks of the group. Exactly one field is set.
 type Order struct {
 	Change   *sharedconfig.Change `json:"change,omitempty"`
 	Add      *sharedconfig.Member `json:"add,omitempty"` // its name and address; the folder is asked for there
-	Remove   string         `json:"remove,omitempty"`
-	HandOver *string        `json:"hand_over,omitempty"` // to whom; empty: to any
+	Remove   string               `json:"remove,omitempty"`
+	HandOver *string              `json:"hand_over,omitempty"` // to whom; empty: to any
 }
 
 // forwardPause lies between two tries to find the leader.
@@ -176,20 +176,20 @@
 
 // Status is how an instance sees its group.
 type Status struct {
-	Name     string          `json:"name"`
-	Group    string          `json:"group"`
-	Leader   string          `json:"leader"` // empty: none is known
-	Term     uint64          `json:"term"`
-	Version  uint64          `json:"version"` // the active one, by this instance's log
-	Serving  uint64          `json:"serving"` // the one that it serves by
-	Digest   string          `json:"digest"`
-	Pending  string          `json:"pending,omitempty"` // request of the change under way
-	Lease    int64           `json:"lease_ms"`          // how much longer it may serve by it; 0: it may not
-	Why      string          `json:"why,omitempty"`     // it does not serve as agreed
+	Name     string                `json:"name"`
+	Group    string                `json:"group"`
+	Leader   string                `json:"leader"` // empty: none is known
+	Term     uint64                `json:"term"`
+	Version  uint64                `json:"version"` // the active one, by this instance's log
+	Serving  uint64                `json:"serving"` // the one that it serves by
+	Digest   string                `json:"digest"`
+	Pending  string                `json:"pending,omitempty"` // request of the change under way
+	Lease    int64                 `json:"lease_ms"`          // how much longer it may serve by it; 0: it may not
+	Why      string                `json:"why,omitempty"`     // it does not serve as agreed
 	Members  []sharedconfig.Member `json:"members"`
-	Follows  []string        `json:"follows,omitempty"` // voters that it asks, in turn: it has no vote itself
-	LogFirst uint64          `json:"log_first"`
-	LogLast  uint64          `json:"log_last"`
+	Follows  []string              `json:"follows,omitempty"` // voters that it asks, in turn: it has no vote itself
+	LogFirst uint64                `json:"log_first"`
+	LogLast  uint64                `json:"log_last"`
 }
 
 // Status tells it.
@@ -199,8 +199,10 @@
 	name, _, _ := splitID(string(leader))
 	lease, used := n.lease.Load(), n.used.Load()
 	first, _ := n.store.FirstIndex()
-	st := Status{Name: n.Name, Group: s.Group, Leader: name, Term: n.raft.CurrentTerm(), Version: s.Active().Number, Serving: used,
-		Digest: s.Active().Digest, Why: lease.Reason(at, used), Members: n.Roster(), LogFirst: first, LogLast: n.raft.LastIndex()}
+	st := Status{
+		Name: n.Name, Group: s.Group, Leader: name, Term: n.raft.CurrentTerm(), Version: s.Active().Number, Serving: used,
+		Digest: s.Active().Digest, Why: lease.Reason(at, used), Members: n.Roster(), LogFirst: first, LogLast: n.raft.LastIndex(),
+	}
 	if s.Pending != nil {
 		st.Pending = s.Pending.Request
 	}
--- a/raftnode/serving.go
+++ b/raftnode/serving.go
@@ -10,9 +10,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"alderproxy/sharedconfig"
 	"alderproxy/internal/clock"
 	"alderproxy/raftstore"
+	"alderproxy/sharedconfig"
 )
 
 // serving is what instances with and without a vote have in common: they serve by a version under a lease.
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -59,7 +59,8 @@
 }
 
 func (t *transport) EncodePeer(_ raft.ServerID, addr raft.ServerAddress) []byte { return []byte(addr) }
-func (t *transport) DecodePeer(text []byte) raft.ServerAddress                  { return raft.ServerAddress(text) }
+
+func (t *transport) DecodePeer(text []byte) raft.ServerAddress { return raft.ServerAddress(text) }
 
 func (t *transport) SetHeartbeatHandler(h func(raft.RPC)) {
 	t.mu.Lock()
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -22,8 +22,10 @@
 
 // Defaults are settings for a bound.
 func Defaults(folder string, bound Micros, serveOn bool) Settings {
-	return Settings{Folder: folder, Bound: bound, ServeOn: serveOn, AskEvery: min(max(bound/10, 20_000), 500_000),
-		CheckFor: 1_000_000, CatchUp: 10_000_000, HeardFor: max(2*bound/5, 200_000), ChangeFor: 5_000_000}
+	return Settings{
+		Folder: folder, Bound: bound, ServeOn: serveOn, AskEvery: min(max(bound/10, 20_000), 500_000),
+		CheckFor: 1_000_000, CatchUp: 10_000_000, HeardFor: max(2*bound/5, 200_000), ChangeFor: 5_000_000,
+	}
 }
 
 // clockSlack is the share of the bound given up for clocks that run at different speeds: 1 %.
@@ -257,8 +259,10 @@
 
 // New returns the core of an instance that has state and knows nobody.
 func New(set Settings, state State) *Core {
-	return &Core{set: set, state: state, lease: Lease{Serve: set.ServeOn, Removed: set.Removed}, asks: map[uint64]Micros{},
-		askedAt: -set.AskEvery, heard: map[string]Micros{}, awaited: map[string]Micros{}}
+	return &Core{
+		set: set, state: state, lease: Lease{Serve: set.ServeOn, Removed: set.Removed}, asks: map[uint64]Micros{},
+		askedAt: -set.AskEvery, heard: map[string]Micros{}, awaited: map[string]Micros{},
+	}
 }
 
 // State is what the log has made so far, as far as the core was told.
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -85,8 +85,10 @@
 	assert.False(t, Lease{Serve: true, Removed: true}.Allows(1, 3))
 	assert.False(t, Lease{Grants: []Grant{{1, 10}}}.Allows(10, 1))
 	assert.True(t, Lease{Grants: []Grant{{1, 10}}}.Allows(9, 1))
-	for reason, l := range map[string]Lease{"": {Grants: []Grant{{1, 10}}}, "this instance was removed from its group": {Removed: true},
-		"nobody has confirmed that version 2 is still the active one": {}} {
+	for reason, l := range map[string]Lease{
+		"": {Grants: []Grant{{1, 10}}}, "this instance was removed from its group": {Removed: true},
+		"nobody has confirmed that version 2 is still the active one": {},
+	} {
 		assert.Equal(t, reason, l.Reason(9, 2))
 	}
 }
@@ -122,8 +124,12 @@
 func leader(t *testing.T) *Core {
 	s, _ := State{}.Apply(Entry{Found: &Found{Group: "g", Keep: 9, First: Change{Request: "first", Text: "0"}}})
 	c := New(Defaults("f1", 1_000_000, false), State{})
-	c.Step(0, []Event{Roster{[]Member{{"n1", "f1", "a1", true}, {"n2", "f2", "a2", true}, {"n3", "f3", "a3", false}}},
-		Applied{State: s}, Role{true, 4}, Ready{4}})
+	c.Step(0, []Event{
+		Roster{[]Member{{"n1", "f1", "a1", true}, {"n2", "f2", "a2", true}, {"n3", "f3", "a3", false}}},
+		Applied{State: s},
+		Role{true, 4},
+		Ready{4},
+	})
 	return c
 }
 
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -89,8 +89,10 @@
 // NewFollower returns the decisions of an instance that served by a version last (Number 0: by none) and knows these
 // addresses of voters.
 func NewFollower(set Settings, voters []string, last Version) *Follower {
-	f := &Follower{set: set, active: last, lease: Lease{Serve: set.ServeOn}, asks: map[uint64]asked{}, askedAt: -set.AskEvery,
-		failed: map[string]Micros{}}
+	f := &Follower{
+		set: set, active: last, lease: Lease{Serve: set.ServeOn}, asks: map[uint64]asked{}, askedAt: -set.AskEvery,
+		failed: map[string]Micros{},
+	}
 	for _, a := range voters {
 		f.seeds = append(f.seeds, Member{Addr: a, Voter: true})
 	}
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -46,8 +46,10 @@
 // followers adds instances that follow the first voter's address, and hear of the others from it.
 func (m *model) followers(n int) {
 	for i := range n {
-		m.follow = append(m.follow, &mfollower{Follower: NewFollower(Defaults(fmt.Sprint("w", i), bound, false), []string{"a0", "nowhere"}, Version{}),
-			skew: Micros(m.rng.IntN(1 << 40))})
+		m.follow = append(m.follow, &mfollower{
+			Follower: NewFollower(Defaults(fmt.Sprint("w", i), bound, false), []string{"a0", "nowhere"}, Version{}),
+			skew:     Micros(m.rng.IntN(1 << 40)),
+		})
 	}
 }
 
@@ -118,14 +120,18 @@
 const bound = 1_000_000
 
 func newModel(t *testing.T, seed uint64, n int) *model {
-	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), leader: -1, calls: map[uint64]Change{}, replies: map[uint64]Outcome{},
-		seqs: map[uint64]uint64{}}
+	m := &model{
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), leader: -1, calls: map[uint64]Change{}, replies: map[uint64]Outcome{},
+		seqs: map[uint64]uint64{},
+	}
 	m.append(Entry{Found: &Found{Group: "g", Keep: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
 	for i := range n {
 		folder := fmt.Sprint("f", i)
 		m.roster = append(m.roster, Member{Name: fmt.Sprint("n", i), Folder: folder, Addr: fmt.Sprint("a", i), Voter: true})
-		m.nodes = append(m.nodes, &mnode{Core: New(Defaults(folder, bound, false), State{}), name: fmt.Sprint("n", i), folder: folder,
-			skew: Micros(m.rng.IntN(1 << 40))})
+		m.nodes = append(m.nodes, &mnode{
+			Core: New(Defaults(folder, bound, false), State{}), name: fmt.Sprint("n", i), folder: folder,
+			skew: Micros(m.rng.IntN(1 << 40)),
+		})
 	}
 	return m
 }
@@ -209,8 +215,10 @@
 
 func (m *model) change() {
 	m.nextID++
-	c := Change{Request: fmt.Sprint("r", m.nextID), Text: fmt.Sprint(m.nextID), Digest: fmt.Sprint(m.nextID),
-		Expect: uint64(m.state(len(m.log)).Active().Number)}
+	c := Change{
+		Request: fmt.Sprint("r", m.nextID), Text: fmt.Sprint(m.nextID), Digest: fmt.Sprint(m.nextID),
+		Expect: uint64(m.state(len(m.log)).Active().Number),
+	}
 	if m.rng.IntN(4) == 0 && m.nextID > 3 { // an earlier one asked for again
 		c = m.calls[uint64(m.rng.IntN(int(m.nextID-2))+1)]
 		if c.Request == "" {
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -192,8 +192,10 @@
 }
 
 func (s State) activate(c Change) (State, Outcome) {
-	v := Version{Number: s.Active().Number + 1, Digest: c.Digest, Author: c.Author, Reason: c.Reason, At: c.At,
-		Request: c.Request, Restores: c.Restores, Text: c.Text}
+	v := Version{
+		Number: s.Active().Number + 1, Digest: c.Digest, Author: c.Author, Reason: c.Reason, At: c.At,
+		Request: c.Request, Restores: c.Restores, Text: c.Text,
+	}
 	s.Versions = append(slices.Clip(s.Versions), v)
 	if len(s.Versions) > s.Keep {
 		s.Versions = slices.Clone(s.Versions[len(s.Versions)-s.Keep:])
--- a/storepool/conn.go
+++ b/storepool/conn.go
@@ -94,8 +94,10 @@
 
 func newConn(p *Pool, to Store) *conn {
 	now := time.Now()
-	return &conn{pool: p, to: to, opened: now, used: now, wake: make(chan struct{}, 1),
-		gone: make(chan struct{}), calls: map[string]*sent{}, stale: map[string]bool{}}
+	return &conn{
+		pool: p, to: to, opened: now, used: now, wake: make(chan struct{}, 1),
+		gone: make(chan struct{}), calls: map[string]*sent{}, stale: map[string]bool{},
+	}
 }
 
 // silent tells that an answer is due on the connection and nothing has come for long. A way that leads nowhere any
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -15,8 +15,8 @@
 
 	"alderproxy/broker"
 	"alderproxy/internal/ratelog"
-	"alderproxy/internal/testserver"
 	"alderproxy/internal/simcodec"
+	"alderproxy/internal/testserver"
 	"alderproxy/policy"
 )
 
@@ -43,8 +43,10 @@
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}, {ID: 2, Presence: policy.Ready}})
-	b.Submit(&broker.Query{ID: "q", Deadline: time.Now().Add(2 * time.Second), Sink: answers,
-		Parts: []broker.Part{{Weight: 1}}})
+	b.Submit(&broker.Query{
+		ID: "q", Deadline: time.Now().Add(2 * time.Second), Sink: answers,
+		Parts: []broker.Part{{Weight: 1}},
+	})
 	return to, answers
 }
 
@@ -64,7 +66,7 @@
 	}
 	most := 1 + int(time.Since(began)/ratelog.Every)
 	assert.LessOrEqual(t, len(lines.AllEntries()), most)
-	assert.Positive(t, len(lines.AllEntries()))
+	assert.NotEmpty(t, lines.AllEntries())
 }
 
 // The rule on drains counts when a frame is sent: what still waits for its connection must not go out. It has not
@@ -254,6 +256,7 @@
 	text := "1" + PartID(call[0]) + " 0 d=1 0\n"
 	return append(binary.BigEndian.AppendUint32(to, uint32(len(text))), text...)
 }
+
 func (frames) AppendCancel(to []byte, id string) []byte {
 	return append(binary.BigEndian.AppendUint32(to, uint32(len(id)+1)), "2"+id...)
 }
