--- a/broker/broker.go
+++ b/broker/broker.go
@@ -438,8 +438,8 @@
 	if spec.Class >= 0 && spec.Class < len(b.set.Classes) {
 		q.cls = b.set.Classes[spec.Class]
 		// Where an answer past the aim earns nothing, the decisions stop there.
-		if c := q.cls; c.LateWorth <= 0 && now.Add(span(c.Aim)).Before(q.last) {
-			q.last = now.Add(span(c.Aim))
+		if c := q.cls; c.LateWeight <= 0 && now.Add(span(c.LatencyObjective)).Before(q.last) {
+			q.last = now.Add(span(c.LatencyObjective))
 		}
 	}
 	b.queries[q.id], b.byQuery[spec] = q, q
@@ -467,7 +467,7 @@
 	ending := Refused
 	for _, p := range q.parts {
 		for _, a := range p.tries {
-			if a.state.Load() == begun && q.cls.Effect != policy.Safe {
+			if a.state.Load() == begun && q.cls.Idempotency != policy.Idempotent {
 				ending = Failed
 			}
 		}
@@ -632,7 +632,7 @@
 // repeatBy is when a further attempt must have been written, where what may have run is dropped by stores for a while
 // only; zero: at no time. It waits for connections meanwhile, so the decisions' own look at the window is not enough.
 func (p *part) repeatBy() (at time.Time) {
-	if p.q.cls.Effect != policy.Keyed {
+	if p.q.cls.Idempotency != policy.IdempotentByKey {
 		return at
 	}
 	for _, a := range p.tries {
@@ -642,7 +642,7 @@
 		}
 	}
 	if !at.IsZero() {
-		at = at.Add(span(p.q.cls.Window))
+		at = at.Add(span(p.q.cls.DeduplicationWindow))
 	}
 	return at
 }
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -40,12 +40,12 @@
 
 func (s sink) Final(a Answer) { s <- a }
 
-func settings(effect policy.Effect) policy.Settings {
+func settings(effect policy.Idempotency) policy.Settings {
 	return policy.Settings{
 		Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, MaxAttempts: 2, MayCancel: true,
 		MayAdvise: true, MaxAdvice: 1_000_000, Classes: []policy.Class{{
-			Name: "c", Aim: 300_000, GiveUp: 900_000, Worth: 1,
-			Need: 1, Least: 1, Effect: effect, Window: 900_000,
+			Name: "c", LatencyObjective: 300_000, Timeout: 900_000, PriorityWeight: 1,
+			RequiredCoverage: 1, MinCoverage: 1, Idempotency: effect, DeduplicationWindow: 900_000,
 		}},
 	}
 }
@@ -88,7 +88,7 @@
 }
 
 func TestOneFinalAnswerHoweverOftenAnAttemptEnds(t *testing.T) {
-	b, to := start(t, settings(policy.Safe))
+	b, to := start(t, settings(policy.Idempotent))
 	_, s := submit(b, time.Second)
 	a := <-to.sent
 	require.True(t, a.Begin())
@@ -105,7 +105,7 @@
 // What was not begun has never run, and so a keyed query may be refused; one that was begun may not.
 // What is over must not be held up to its deadline: a long one would keep every query and its values in memory.
 func TestNothingIsKeptOfAQueryThatIsOver(t *testing.T) {
-	b, to := start(t, settings(policy.Safe))
+	b, to := start(t, settings(policy.Idempotent))
 	learn(t, b, to, 50)
 	b.Close()
 	assert.Less(t, len(b.timers), 10) // the decisions' own
@@ -115,7 +115,7 @@
 
 func TestTimeOutTellsWhetherItMayHaveRun(t *testing.T) {
 	for begin, want := range map[bool]Ending{true: Failed, false: Refused} {
-		b, to := start(t, settings(policy.Keyed))
+		b, to := start(t, settings(policy.IdempotentByKey))
 		_, s := submit(b, 150*time.Millisecond)
 		a := <-to.sent
 		if begin {
@@ -131,7 +131,7 @@
 }
 
 func TestAnswersComeBeforeTheClientsTimeIsUp(t *testing.T) {
-	b, _ := start(t, settings(policy.Safe))
+	b, _ := start(t, settings(policy.Idempotent))
 	q, s := submit(b, 100*time.Millisecond)
 	assert.Equal(t, Refused, (<-s).Ending)
 	assert.True(t, time.Now().Before(q.Deadline.Add(20*time.Millisecond)))
@@ -140,7 +140,7 @@
 }
 
 func TestClientThatLeftHasItsAttemptsCanceled(t *testing.T) {
-	b, to := start(t, settings(policy.Safe))
+	b, to := start(t, settings(policy.Idempotent))
 	q, s := submit(b, time.Second)
 	a := <-to.sent
 	b.Cancel(q)
@@ -149,7 +149,7 @@
 }
 
 func TestAttemptThatCannotBeSentIsTriedAgain(t *testing.T) {
-	set := settings(policy.Keyed)
+	set := settings(policy.IdempotentByKey)
 	b, to := start(t, set)
 	to.refuse = errors.New("no way")
 	_, s := submit(b, time.Second)
@@ -160,7 +160,7 @@
 }
 
 func TestMaxOpenIsRefusedAtOnceAndFreedAgain(t *testing.T) {
-	set := settings(policy.Safe)
+	set := settings(policy.Idempotent)
 	set.MaxOpen = 2
 	b, to := start(t, set)
 	_, first := submit(b, time.Second)
@@ -175,7 +175,7 @@
 }
 
 func TestDrainEndsWhatIsOpenByItsCutoff(t *testing.T) {
-	b, to := start(t, settings(policy.Keyed))
+	b, to := start(t, settings(policy.IdempotentByKey))
 	_, s := submit(b, 10*time.Second)
 	require.True(t, (<-to.sent).Begin())
 	idle := b.Drain(time.Now().Add(50 * time.Millisecond))
@@ -186,7 +186,7 @@
 }
 
 func TestTwoStepsAreRefused(t *testing.T) {
-	set := settings(policy.Safe)
+	set := settings(policy.Idempotent)
 	set.Classes[0].FetchParts = 1
 	_, err := New(Config{Settings: set})
 	assert.ErrorIs(t, err, ErrTwoSteps)
@@ -195,7 +195,7 @@
 // A change of terms under an open query: it is answered as it was taken, what was read by the old terms and comes
 // behind is sent back to be read again, and new queries are taken by the new ones.
 func TestTermsChangeUnderOpenQueries(t *testing.T) {
-	b, to := start(t, settings(policy.Safe))
+	b, to := start(t, settings(policy.Idempotent))
 	old := b.Terms()
 	ask := func(terms *Terms) sink {
 		s := make(sink, 8)
@@ -204,8 +204,8 @@
 	}
 	open := ask(old)
 	a := <-to.sent
-	next := &Terms{Version: 2, Settings: settings(policy.Safe)}
-	next.Settings.Classes = []policy.Class{{Name: "other", Aim: 50_000, GiveUp: 50_000, Worth: 1, Need: 1, Least: 1}}
+	next := &Terms{Version: 2, Settings: settings(policy.Idempotent)}
+	next.Settings.Classes = []policy.Class{{Name: "other", LatencyObjective: 50_000, Timeout: 50_000, PriorityWeight: 1, RequiredCoverage: 1, MinCoverage: 1}}
 	require.NoError(t, b.Use(next))
 	assert.Equal(t, Answer{Ending: Refused, Moved: true}, <-ask(old))
 	assert.Same(t, next, b.Terms())
@@ -222,9 +222,9 @@
 }
 
 func TestTermsThatCannotBeUsedChangeNothing(t *testing.T) {
-	b, _ := start(t, settings(policy.Safe))
+	b, _ := start(t, settings(policy.Idempotent))
 	old := b.Terms()
-	two := &Terms{Version: 2, Settings: settings(policy.Safe)}
+	two := &Terms{Version: 2, Settings: settings(policy.Idempotent)}
 	two.Settings.Classes[0].FetchParts = 1
 	assert.ErrorIs(t, b.Use(two), ErrTwoSteps)
 	assert.Error(t, b.Use(&Terms{Version: 3}))
@@ -239,7 +239,7 @@
 	to := &transport{sent: make(chan *Attempt, 64), given: make(chan *Attempt, 64)}
 	closed := make(chan bool, 1)
 	b, err := New(Config{
-		Terms: &Terms{Version: 7, Settings: settings(policy.Safe)}, Transport: to,
+		Terms: &Terms{Version: 7, Settings: settings(policy.Idempotent)}, Transport: to,
 		Log: logrus.NewEntry(logrus.New()), Gate: func(t *Terms) (bool, time.Duration) {
 			select {
 			case <-closed:
@@ -266,9 +266,9 @@
 // waits to be written is taken back at once, whether the settings let attempts be cancelled at stores or not.
 func TestNothingIsBegunForAClientThatLeft(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		set := settings(policy.Safe)
+		set := settings(policy.Idempotent)
 		set.MayCancel = may
-		set.Classes[0].Aim, set.Classes[0].GiveUp = time.Hour.Microseconds(), time.Hour.Microseconds()
+		set.Classes[0].LatencyObjective, set.Classes[0].Timeout = time.Hour.Microseconds(), time.Hour.Microseconds()
 		b, to := start(t, set)
 		var q *Query
 		to.sending = func(a *Attempt) {
@@ -308,7 +308,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	b, err := New(Config{Settings: settings(policy.Safe), Transport: to, Log: logrus.NewEntry(log), Queue: 1})
+	b, err := New(Config{Settings: settings(policy.Idempotent), Transport: to, Log: logrus.NewEntry(log), Queue: 1})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}, {ID: 2, Presence: policy.Ready}})
@@ -333,7 +333,7 @@
 
 // An attempt for which nobody waits any longer is not begun, though the owner has yet to come to its timer.
 func TestNothingIsBegunAfterItsTime(t *testing.T) {
-	b, to := start(t, settings(policy.Safe))
+	b, to := start(t, settings(policy.Idempotent))
 	began := make(chan bool, 1)
 	to.sending = func(a *Attempt) {
 		time.Sleep(time.Until(a.Until)) // the rule is about time
@@ -345,7 +345,7 @@
 
 // A second copy is due, and its client leaves between the decision to send it and the write.
 func TestNoSecondCopyIsBegunForAClientThatLeft(t *testing.T) {
-	set := settings(policy.Safe)
+	set := settings(policy.Idempotent)
 	set.SecondCopies = true
 	b, to := start(t, set)
 	learn(t, b, to, 20)
@@ -377,8 +377,8 @@
 		status policy.Status
 		late   bool // it may not be begun after the window
 	}{{true, policy.Broken, true}, {true, policy.Errored, true}, {true, policy.Rejected, false}, {false, policy.Unconnected, false}} {
-		set := settings(policy.Keyed)
-		set.Classes[0].Window = 100_000
+		set := settings(policy.IdempotentByKey)
+		set.Classes[0].DeduplicationWindow = 100_000
 		b, to := start(t, set)
 		submit(b, 5*time.Second)
 		first := <-to.sent
--- a/document/document.go
+++ b/document/document.go
@@ -164,7 +164,7 @@
 	s.Done()
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 
 func micros(d time.Duration) policy.Micros { return d.Microseconds() }
 
@@ -183,20 +183,20 @@
 	effect := effects[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
 	window := s.Duration("window", 0, 0, longest)
 	c := policy.Class{
-		Name: s.Name, Aim: micros(aim), GiveUp: micros(give), Worth: s.Float("worth", 1, 1e-6, 1e6),
-		LateWorth: s.Float("late_worth", 0, 0, 1), Effect: effect, Window: micros(window),
-		Need: s.Float("need", 1, 0.001, 1), PartialEarns: s.Float("partial_earns", 1, 0, 1),
+		Name: s.Name, LatencyObjective: micros(aim), Timeout: micros(give), PriorityWeight: s.Float("worth", 1, 1e-6, 1e6),
+		LateWeight: s.Float("late_worth", 0, 0, 1), Idempotency: effect, DeduplicationWindow: micros(window),
+		RequiredCoverage: s.Float("need", 1, 0.001, 1), PartialWeight: s.Float("partial_earns", 1, 0, 1),
 	}
-	c.Least = s.Float("least", c.Need, 0.001, 1)
+	c.MinCoverage = s.Float("least", c.RequiredCoverage, 0.001, 1)
 	switch {
 	case give < aim:
 		s.Fault("give_up", "%v is under the aim of %v", give, aim)
-	case effect == policy.Keyed && window == 0:
+	case effect == policy.IdempotentByKey && window == 0:
 		s.Fault("window", "a keyed class needs the time in which stores drop repeats")
-	case effect != policy.Keyed && window != 0:
+	case effect != policy.IdempotentByKey && window != 0:
 		s.Fault("window", "only a keyed class has one")
-	case c.Least > c.Need:
-		s.Fault("least", "%v is over the need of %v", c.Least, c.Need)
+	case c.MinCoverage > c.RequiredCoverage:
+		s.Fault("least", "%v is over the need of %v", c.MinCoverage, c.RequiredCoverage)
 	}
 	d.Classes = append(d.Classes, c)
 	s.Done()
@@ -211,7 +211,7 @@
 		if ix.Class != "" {
 			s.Fault("class", "there is no [class %s]", ix.Class)
 		}
-	} else if c.Effect != policy.Safe {
+	} else if c.Idempotency != policy.Idempotent {
 		s.Fault("class", "a search is always safe to repeat, and so must be its class")
 	}
 	d.Indices = append(d.Indices, ix)
@@ -287,7 +287,7 @@
 	classes := make([]policy.Class, len(base.Classes))
 	for i, c := range base.Classes {
 		own, ok := d.Class(c.Name)
-		if ok && own.Effect != c.Effect {
+		if ok && own.Idempotency != c.Idempotency {
 			return base, inifile.Fault{
 				File: "agreed document", At: "class " + c.Name + ".effect",
 				What: "the platform's front runs this class with another effect",
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -52,10 +52,10 @@
 	s := d.Settings(1, 3)
 	require.NoError(t, s.Check())
 	assert.Equal(t, []policy.Class{
-		{Name: "sales/lookup", Aim: 1_500_000, GiveUp: 4_000_000, Worth: 1, LateWorth: 0.3, Need: 1, Least: 1, PartialEarns: 1},
+		{Name: "sales/lookup", LatencyObjective: 1_500_000, Timeout: 4_000_000, PriorityWeight: 1, LateWeight: 0.3, RequiredCoverage: 1, MinCoverage: 1, PartialWeight: 1},
 		{
-			Name: "quote-save", Aim: 1_000_000, GiveUp: 2_000_000, Worth: 5, Effect: policy.Keyed, Window: 3_000_000, Need: 0.9,
-			Least: 0.5, PartialEarns: 1,
+			Name: "quote-save", LatencyObjective: 1_000_000, Timeout: 2_000_000, PriorityWeight: 5, Idempotency: policy.IdempotentByKey, DeduplicationWindow: 3_000_000, RequiredCoverage: 0.9,
+			MinCoverage: 0.5, PartialWeight: 1,
 		},
 	}, s.Classes)
 	assert.Equal(t, []policy.Tenant{{Name: "sales", AllowancePer: 20}}, s.Tenants)
@@ -109,14 +109,14 @@
 func TestOverlay(t *testing.T) {
 	d, err := Parse("doc", good)
 	require.NoError(t, err)
-	base := policy.Settings{Shards: 9, Classes: []policy.Class{{Name: "other", Aim: 7}, {Name: "quote-save", Aim: 9, Effect: policy.Keyed}}}
+	base := policy.Settings{Shards: 9, Classes: []policy.Class{{Name: "other", LatencyObjective: 7}, {Name: "quote-save", LatencyObjective: 9, Idempotency: policy.IdempotentByKey}}}
 	s, err := d.Overlay(base)
 	require.NoError(t, err)
 	assert.Equal(t, 9, s.Shards)
 	assert.Equal(t, base.Classes[0], s.Classes[0])
-	assert.Equal(t, policy.Micros(1_000_000), s.Classes[1].Aim)
-	assert.Equal(t, policy.Micros(9), base.Classes[1].Aim, "the platform's own settings were changed")
-	base.Classes[1].Effect = policy.Unsafe
+	assert.Equal(t, policy.Micros(1_000_000), s.Classes[1].LatencyObjective)
+	assert.Equal(t, policy.Micros(9), base.Classes[1].LatencyObjective, "the platform's own settings were changed")
+	base.Classes[1].Idempotency = policy.NonIdempotent
 	_, err = d.Overlay(base)
 	assert.ErrorContains(t, err, "class quote-save.effect")
 }
--- a/internal/simcodec/settings.go
+++ b/internal/simcodec/settings.go
@@ -90,9 +90,9 @@
 	return n
 }
 
-var effects = map[string]policy.Effect{
-	"read_like": policy.Safe, "idempotency_key": policy.Keyed,
-	"non_idempotent": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentByKey,
+	"non_idempotent": policy.NonIdempotent,
 }
 
 func (f *Facts) class(i int) policy.Class {
@@ -102,10 +102,10 @@
 		f.fail(p+"effect", fmt.Errorf("unknown effect"))
 	}
 	return policy.Class{
-		Name: f.values[p+"name"], Aim: f.micros(p + "promise_us"), GiveUp: f.micros(p + "give_up_us"),
-		Worth: f.num(p + "gain"), LateWorth: f.num(p + "late_worth"), Effect: effect, Window: f.micros(p + "window_us"),
-		Least: f.at("family_info.least_share", i, 1), Need: f.at("family_info.need_by_class", i, 1),
-		PartialEarns: f.at("family_info.partial_earns", i, 0), FetchParts: int(f.at("family_info.fetch_parts", i, 0)),
+		Name: f.values[p+"name"], LatencyObjective: f.micros(p + "promise_us"), Timeout: f.micros(p + "give_up_us"),
+		PriorityWeight: f.num(p + "gain"), LateWeight: f.num(p + "late_worth"), Idempotency: effect, DeduplicationWindow: f.micros(p + "window_us"),
+		MinCoverage: f.at("family_info.least_share", i, 1), RequiredCoverage: f.at("family_info.need_by_class", i, 1),
+		PartialWeight: f.at("family_info.partial_earns", i, 0), FetchParts: int(f.at("family_info.fetch_parts", i, 0)),
 	}
 }
 
--- a/internal/simcodec/wire_test.go
+++ b/internal/simcodec/wire_test.go
@@ -224,8 +224,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[0].Effect != policy.Unsafe || s.Classes[0].Least != 0.8 ||
-		s.Classes[1].Least != 1 || s.BudgetSpan != 0 || s.MayProbe {
+	if len(s.Classes) != 2 || s.Classes[0].Idempotency != policy.NonIdempotent || s.Classes[0].MinCoverage != 0.8 ||
+		s.Classes[1].MinCoverage != 1 || s.BudgetSpan != 0 || s.MayProbe {
 		t.Fatalf("got %+v", s)
 	}
 	r := f.Report([]float32{3, 1.5})
--- a/internal/simnet/simfleet/days.go
+++ b/internal/simnet/simfleet/days.go
@@ -18,9 +18,9 @@
 		AnswerSlack: 5000, DrainGrace: 500_000, ColdShare: 0.18, ColdFor: 17_000_000, FallMultiple: 2.5,
 		FallAfter: 2_000_000, PriceProbe: 0.08, PriceCrossZone: 0.009,
 		Classes: []policy.Class{
-			{Name: "report", Aim: 2 * aim, GiveUp: 3_340_000, Worth: 5, Least: 1, Need: 1},
-			{Name: "lookup", Aim: aim, GiveUp: 1_340_000, Worth: 1, LateWorth: 0.3, Least: 1, Need: 1},
-			{Name: "save", Aim: aim, GiveUp: 1_000_000, Worth: 1, Effect: policy.Keyed, Window: 3_000_000, Least: 1, Need: 1},
+			{Name: "report", LatencyObjective: 2 * aim, Timeout: 3_340_000, PriorityWeight: 5, MinCoverage: 1, RequiredCoverage: 1},
+			{Name: "lookup", LatencyObjective: aim, Timeout: 1_340_000, PriorityWeight: 1, LateWeight: 0.3, MinCoverage: 1, RequiredCoverage: 1},
+			{Name: "save", LatencyObjective: aim, Timeout: 1_000_000, PriorityWeight: 1, Idempotency: policy.IdempotentByKey, DeduplicationWindow: 3_000_000, MinCoverage: 1, RequiredCoverage: 1},
 		},
 	}
 	mix := []Kind{
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -232,7 +232,7 @@
 		class++
 	}
 	kind, c := f.plan.Mix[class], f.plan.Settings.Classes[class]
-	q := &query{class: class, began: f.Net.Now(), end: f.Net.Now() + c.GiveUp}
+	q := &query{class: class, began: f.Net.Now(), end: f.Net.Now() + c.Timeout}
 	used := map[int]bool{}
 	for range min(kind.Least+rng.IntN(kind.Most-kind.Least+1), len(f.shards)) {
 		shard := draw(f.shards, rng)
@@ -247,9 +247,9 @@
 	}
 	f.result.Queries++
 	f.result.Parts += len(q.parts)
-	f.result.Asked += c.Worth
-	f.asked[class] += c.Worth
-	f.second(q.began).Asked += c.Worth
+	f.result.Asked += c.PriorityWeight
+	f.asked[class] += c.PriorityWeight
+	f.second(q.began).Asked += c.PriorityWeight
 	if f.Net.Alive(n.me) {
 		n.take(q)
 	}
@@ -363,10 +363,10 @@
 	delete(n.open, q.id)
 	f, c := n.fleet, n.fleet.plan.Settings.Classes[q.class]
 	r, s, took := &f.result, f.second(q.began), f.Net.Now()-q.began
-	worth := c.Worth
-	if served && took > c.Aim {
+	worth := c.PriorityWeight
+	if served && took > c.LatencyObjective {
 		r.Late += worth
-		worth *= c.LateWorth
+		worth *= c.LateWeight
 	}
 	switch {
 	case served:
--- a/opensearch/front.go
+++ b/opensearch/front.go
@@ -179,7 +179,7 @@
 		it.bad = &failure{400, kind, err, 0}
 		return it
 	}
-	wait := time.Duration(t.Settings.Classes[ix.class].GiveUp) * time.Microsecond
+	wait := time.Duration(t.Settings.Classes[ix.class].Timeout) * time.Microsecond
 	if it.timeout > 0 {
 		wait = min(wait, it.timeout)
 	}
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -61,7 +61,7 @@
 
 // Unknown are the terms of an instance that does not know the agreed document yet: it refuses all.
 func Unknown() *broker.Terms {
-	set := policy.Settings{Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, Classes: []policy.Class{{Aim: 1, GiveUp: 1, Need: 1, Least: 1}}}
+	set := policy.Settings{Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, Classes: []policy.Class{{LatencyObjective: 1, Timeout: 1, RequiredCoverage: 1, MinCoverage: 1}}}
 	return &broker.Terms{Settings: set, Front: indices{}}
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -16,28 +16,28 @@
 // Micros is a span or a moment in microseconds.
 type Micros = int64
 
-// Effect says what repeating a part of a class does.
-type Effect uint8
+// Idempotency says what repeating a part of a class does.
+type Idempotency uint8
 
 // The kinds of effect.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped by the servers for Class.Window
-	Unsafe               // must not run twice
+	Idempotent   Idempotency = iota // may be repeated freely
+	IdempotentByKey                // repeats are dropped by the servers for Class.Window
+	NonIdempotent               // must not run twice
 )
 
 // Class describes one class of query.
 type Class struct {
 	Name         string
-	Aim          Micros  // answers within it earn the full worth
-	GiveUp       Micros  // the client's whole patience, over all its tries
-	Worth        float64 // of a whole answer
-	LateWorth    float64 // share of the worth that an answer past the aim earns
-	Effect       Effect
-	Window       Micros  // Keyed: how long repeats are dropped, from the first attempt that may have run
-	Least        float64 // least share of the parts' weight for any answer
-	Need         float64 // share of the weight that makes an answer whole
-	PartialEarns float64 // an answer not whole earns this x share / Need
+	LatencyObjective          Micros  // answers within it earn the full worth
+	Timeout       Micros  // the client's whole patience, over all its tries
+	PriorityWeight        float64 // of a whole answer
+	LateWeight    float64 // share of the worth that an answer past the aim earns
+	Idempotency       Idempotency
+	DeduplicationWindow       Micros  // Keyed: how long repeats are dropped, from the first attempt that may have run
+	MinCoverage        float64 // least share of the parts' weight for any answer
+	RequiredCoverage         float64 // share of the weight that makes an answer whole
+	PartialWeight float64 // an answer not whole earns this x share / Need
 	FetchParts   int     // parts of a second step after the first answer; 0: none
 }
 
@@ -104,11 +104,11 @@
 		return fmt.Errorf("settings: Number is %d in a Fleet of %d", s.Number, s.Fleet)
 	}
 	for i, c := range s.Classes {
-		if c.Aim <= 0 || c.GiveUp < c.Aim {
-			return fmt.Errorf("settings: Classes[%d].Aim is %d and GiveUp %d", i, c.Aim, c.GiveUp)
+		if c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective {
+			return fmt.Errorf("settings: Classes[%d].Aim is %d and GiveUp %d", i, c.LatencyObjective, c.Timeout)
 		}
-		if !(c.Need > 0 && c.Need <= 1 && c.Least > 0 && c.Least <= c.Need) {
-			return fmt.Errorf("settings: Classes[%d].Need is %v and Least %v", i, c.Need, c.Least)
+		if !(c.RequiredCoverage > 0 && c.RequiredCoverage <= 1 && c.MinCoverage > 0 && c.MinCoverage <= c.RequiredCoverage) {
+			return fmt.Errorf("settings: Classes[%d].Need is %v and Least %v", i, c.RequiredCoverage, c.MinCoverage)
 		}
 	}
 	return nil
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -36,7 +36,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 2 * s.Tick
-		events := []Event{Query{ID: id, Number: id, Deadline: now + s.Classes[0].GiveUp, Parts: parts}}
+		events := []Event{Query{ID: id, Number: id, Deadline: now + s.Classes[0].Timeout, Parts: parts}}
 		for i := range uint64(parts) {
 			events = append(events, Part{ID: id + 1 + i, Number: id, Shard: int(id*7+i*11) % servers, Weight: 1.0 / parts})
 		}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -51,7 +51,7 @@
 					}
 					for i := range p.Settings.Classes {
 						c := &p.Settings.Classes[i]
-						c.Aim, c.GiveUp = c.Aim*heavy, c.GiveUp*heavy
+						c.LatencyObjective, c.Timeout = c.LatencyObjective*heavy, c.Timeout*heavy
 					}
 					f := simfleet.New(p)
 					for i := range f.Stores { // all replicas of each third cell: nobody else has their shards
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -11,7 +11,7 @@
 func Example() {
 	agg, err := policy.New(policy.Settings{
 		Fleet: 1, Tick: 5_000, Shards: 2, Cells: 2, Reach: 2, MaxAttempts: 3,
-		Classes: []policy.Class{{Name: "lookup", Aim: 1_000_000, GiveUp: 3_000_000, Worth: 1, Least: 1, Need: 1}},
+		Classes: []policy.Class{{Name: "lookup", LatencyObjective: 1_000_000, Timeout: 3_000_000, PriorityWeight: 1, MinCoverage: 1, RequiredCoverage: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println("start aggregator:", err)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -175,10 +175,10 @@
 	for _, c := range set.Classes {
 		l := cmp.Or(known[c.Name], &lore{width: 1})
 		if l.n == 0 { // nothing is known yet but the aim
-			l.ref = float64(c.Aim)
+			l.ref = float64(c.LatencyObjective)
 		}
 		a.classes = append(a.classes, &class{c, l})
-		a.beat += float64(c.Aim) / float64(len(set.Classes))
+		a.beat += float64(c.LatencyObjective) / float64(len(set.Classes))
 	}
 	if a.n == 0 {
 		a.refAll, a.work = a.beat, a.beat
@@ -312,12 +312,12 @@
 		return
 	}
 	c := a.classes[e.Class]
-	q := &query{Query: e, cls: c, began: a.now, aim: a.now + c.Aim, step: 1, new: true}
+	q := &query{Query: e, cls: c, began: a.now, aim: a.now + c.LatencyObjective, step: 1, new: true}
 	left := e.Deadline - a.now
 	if !e.Retry {
 		c.patience = max(c.patience, left)
 	} else if left < c.patience*98/100 { // cut short by its whole patience: the first try's start shows
-		q.aim = min(q.aim, e.Deadline-c.GiveUp+c.Aim)
+		q.aim = min(q.aim, e.Deadline-c.Timeout+c.LatencyObjective)
 	}
 	a.queries[e.ID], a.numbers[e.Number] = q, q
 	a.open = append(a.open, q)
@@ -358,13 +358,13 @@
 	c := q.cls
 	c.width += 0.1 * (float64(len(q.parts)) - c.width)
 	worth := a.density(c)
-	q.turn = q.began - Micros(headStart*worth*float64(c.Aim))
+	q.turn = q.began - Micros(headStart*worth*float64(c.LatencyObjective))
 	waits := make([]float64, 0, len(q.parts))
 	for _, p := range q.parts {
 		waits = append(waits, a.shardWait(p))
 	}
 	slices.Sort(waits)
-	if n := int(math.Ceil(c.Need*float64(len(waits)) - weightSlack)); n > 0 {
+	if n := int(math.Ceil(c.RequiredCoverage*float64(len(waits)) - weightSlack)); n > 0 {
 		q.wait = waits[n-1]
 	}
 	left := float64(min(q.aim, q.Deadline) - a.now)
@@ -411,7 +411,7 @@
 
 // density is a class's worth for the work it needs, against the best class's.
 func (a *Aggregator) density(c *class) float64 {
-	value := func(c *class) float64 { return c.Worth / (c.ref * c.width * c.Need) }
+	value := func(c *class) float64 { return c.PriorityWeight / (c.ref * c.width * c.RequiredCoverage) }
 	top := 0.0
 	for _, o := range a.classes {
 		top = max(top, value(o))
@@ -439,7 +439,7 @@
 		return
 	}
 	asked := 0.0
-	partial := q.cls.Least < q.cls.Need
+	partial := q.cls.MinCoverage < q.cls.RequiredCoverage
 	var left []*part
 	for _, p := range q.parts {
 		if p.state == held {
@@ -453,9 +453,9 @@
 	})
 	busy := a.util > halfBusy || a.refAll > lateAt*a.work
 	for _, p := range left {
-		ample := partial && asked >= q.cls.Least-weightSlack
+		ample := partial && asked >= q.cls.MinCoverage-weightSlack
 		light := left[len(left)-1].Weight*float64(len(q.parts)) < 1-weightSlack
-		if asked >= q.cls.Need-weightSlack || ample && light && busy && q.more <= 0 {
+		if asked >= q.cls.RequiredCoverage-weightSlack || ample && light && busy && q.more <= 0 {
 			return
 		}
 		p.state = waiting
@@ -619,7 +619,7 @@
 		return false
 	case sound && a.isOutlier(s): // one trial now and then, of a part that can be asked again
 		rested := float64(a.now-s.touched) > healSpans*a.beat && len(s.out) == 0
-		return rested && p.q.cls.Effect == Safe && p.tries == 0
+		return rested && p.q.cls.Idempotency == Idempotent && p.tries == 0
 	}
 	return true
 }
@@ -627,14 +627,14 @@
 // mayRepeat holds the effect rule: no repeat of what may have run, but for safe parts and keyed ones in time.
 func (a *Aggregator) mayRepeat(p *part) bool {
 	if a.set.MaxAttempts > 0 && p.tries >= a.set.MaxAttempts ||
-		len(p.live) > 0 && (!a.set.SecondCopies || p.q.cls.Effect == Unsafe) {
+		len(p.live) > 0 && (!a.set.SecondCopies || p.q.cls.Idempotency == NonIdempotent) {
 		return false
 	}
-	switch p.q.cls.Effect {
-	case Unsafe:
+	switch p.q.cls.Idempotency {
+	case NonIdempotent:
 		return !p.ran
-	case Keyed:
-		return !(p.ran || len(p.live) > 0) || a.now < p.first+p.q.cls.Window
+	case IdempotentByKey:
+		return !(p.ran || len(p.live) > 0) || a.now < p.first+p.q.cls.DeduplicationWindow
 	}
 	return true
 }
@@ -857,7 +857,7 @@
 	case Rejected: // a full queue: further parts back off, ever longer, and wait here
 		t.part.q.full = true
 		s.fulls = min(s.fulls+1, mostJams)
-		s.fullTill = a.now + min(Micros(c.ref)<<s.fulls/2, c.Aim)
+		s.fullTill = a.now + min(Micros(c.ref)<<s.fulls/2, c.LatencyObjective)
 		a.sample(s, max(y/c.ref, 2))
 	case Errored, Broken: // it can be reached: what is lost is this attempt
 		s.fails += gainFail * (1 - s.fails)
@@ -952,7 +952,7 @@
 		}
 	}
 	q.got = got
-	need, least := q.cls.Need-weightSlack, q.cls.Least-weightSlack
+	need, least := q.cls.RequiredCoverage-weightSlack, q.cls.MinCoverage-weightSlack
 	if q.step == 2 {
 		need = 1 - weightSlack
 	}
@@ -960,7 +960,7 @@
 	case got >= need:
 		a.answer(q, true)
 	case can < least, a.now >= a.lastMoment(q), can < need && got >= can-weightSlack,
-		q.cls.Least < q.cls.Need && got >= least && a.now >= a.settleAt(q):
+		q.cls.MinCoverage < q.cls.RequiredCoverage && got >= least && a.now >= a.settleAt(q):
 		if got >= least && got > 0 {
 			a.answer(q, false)
 		} else {
@@ -982,7 +982,7 @@
 // lastMoment is when a query must be over: before the client leaves, at its aim if nothing is earned later.
 func (a *Aggregator) lastMoment(q *query) Micros {
 	end := q.Deadline - 2*a.set.Tick
-	if q.cls.LateWorth <= 0 {
+	if q.cls.LateWeight <= 0 {
 		end = min(end, q.aim)
 	}
 	return end
@@ -1005,8 +1005,8 @@
 	}
 	t := p.live[len(p.live)-1]
 	age, left := float64(a.now-t.at), float64(p.q.aim-a.now)
-	last := p.q.got >= mostIn*p.q.cls.Need && age > p.q.cls.ref && left < multiple*p.q.cls.ref
-	return last && a.set.SecondCopies && p.q.cls.Least == p.q.cls.Need || age > multiple*t.pred
+	last := p.q.got >= mostIn*p.q.cls.RequiredCoverage && age > p.q.cls.ref && left < multiple*p.q.cls.ref
+	return last && a.set.SecondCopies && p.q.cls.MinCoverage == p.q.cls.RequiredCoverage || age > multiple*t.pred
 }
 
 // move asks a better replica, if any, for a late part: as a second copy if permitted, else in its place.
@@ -1016,11 +1016,11 @@
 	t := p.live[len(p.live)-1]
 	a.judge(t, TimedOut)
 	spent := a.set.MaxAttempts > 0 && p.tries >= a.set.MaxAttempts || !a.budgetLeft()
-	if p.q.cls.Effect != Safe || spent || a.queued > mostWait {
+	if p.q.cls.Idempotency != Idempotent || spent || a.queued > mostWait {
 		return
 	}
 	for _, c := range a.rank(p) {
-		inTime := a.now+Micros(c.pred) <= p.q.aim || p.q.cls.LateWorth > 0
+		inTime := a.now+Micros(c.pred) <= p.q.aim || p.q.cls.LateWeight > 0
 		better := c.srv != t.srv && !a.isOutlier(c.srv) && !a.isBusy(c.srv) && c.pred <= float64(a.now-t.at)
 		if better && inTime && a.set.SecondCopies && len(p.live) == 1 {
 			a.send(p, c.srv)
@@ -1056,7 +1056,7 @@
 
 // end is the one place where a query is given up: refused, with word when to come back, if that is harmless.
 func (a *Aggregator) end(q *query) {
-	mayRan := func(p *part) bool { return q.cls.Effect != Safe && (p.ran || len(p.live) > 0) }
+	mayRan := func(p *part) bool { return q.cls.Idempotency != Idempotent && (p.ran || len(p.live) > 0) }
 	if q.step == 2 || slices.ContainsFunc(q.parts, mayRan) {
 		a.do(Fail{Query: q.ID})
 	} else {
@@ -1067,7 +1067,7 @@
 
 func (a *Aggregator) close(q *query) {
 	q.over = true
-	if a.now <= q.aim && q.got >= q.cls.Least-weightSlack {
+	if a.now <= q.aim && q.got >= q.cls.MinCoverage-weightSlack {
 		q.cls.jams /= 2
 	} else if q.full { // late or lost
 		q.cls.jams++
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -51,7 +51,7 @@
 func (h *hand) query(class, parts int) (uint64, []Event) {
 	h.id += 100
 	c := h.a.set.Classes[class]
-	events := []Event{Query{ID: h.id, Number: h.id, Class: class, Deadline: h.now + c.GiveUp, Parts: parts}}
+	events := []Event{Query{ID: h.id, Number: h.id, Class: class, Deadline: h.now + c.Timeout, Parts: parts}}
 	for i := range parts {
 		events = append(events, Part{
 			ID: h.id + uint64(i) + 1, Number: h.id, Shard: i % h.a.set.Shards,
@@ -107,7 +107,7 @@
 		h := newHand(t, handSettings())
 		id, events := h.query(class, 3)
 		h.step(0, events...)
-		for end := h.now + h.a.set.Classes[class].GiveUp; h.now < end-h.a.set.Tick; {
+		for end := h.now + h.a.set.Classes[class].Timeout; h.now < end-h.a.set.Tick; {
 			h.step(h.a.set.Tick, Timer{})
 		}
 		if h.finals(id) != 1 {
@@ -339,7 +339,7 @@
 	if after := h.a.predict(h.a.servers[2], p); after < 2*before {
 		t.Errorf("a report of eight in hand moved the prediction from %v to %v only", before, after)
 	}
-	h.now += h.a.classes[0].Aim * 2
+	h.now += h.a.classes[0].LatencyObjective * 2
 	h.step(0)
 	if old := h.a.predict(h.a.servers[2], p); math.Abs(old-before) > 0.2*before {
 		t.Errorf("an old report still counts: %v against %v", old, before)
@@ -413,7 +413,7 @@
 // Resets cost a shard's only replica its rank, not its queries: they end at once, and what they hit is asked again.
 func TestOnlyReplicaThatResetsIsNotHeldToBeSlow(t *testing.T) {
 	h := newHand(t, handSettings(), ready(1)...)
-	aim := h.a.set.Classes[0].Aim
+	aim := h.a.set.Classes[0].LatencyObjective
 	h.a.set.BudgetSpan = 0
 	h.teach(0, 20, aim/10)
 	for range 8 { // each first attempt breaks
@@ -786,8 +786,8 @@
 	for field, spoil := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Shards": func(s *Settings) { s.Shards = 0 },
 		"Reach": func(s *Settings) { s.Reach = 9 }, "Tick": func(s *Settings) { s.Tick = 0 },
-		"Number": func(s *Settings) { s.Number = s.Fleet }, "Fleet": func(s *Settings) { s.Fleet = 0 }, "Aim": func(s *Settings) { s.Classes[0].Aim = 0 },
-		"Least": func(s *Settings) { s.Classes[0].Least = math.NaN() },
+		"Number": func(s *Settings) { s.Number = s.Fleet }, "Fleet": func(s *Settings) { s.Fleet = 0 }, "Aim": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"Least": func(s *Settings) { s.Classes[0].MinCoverage = math.NaN() },
 	} {
 		s := testSettings()
 		spoil(&s)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -18,11 +18,11 @@
 		FallAfter: 1_000_000, BudgetSpan: 10_000_000, BudgetFree: 3, BudgetShare: 0.1, PriceProbe: 0.01,
 		Tenants: []Tenant{{"a", 5}, {"b", 5}},
 		Classes: []Class{
-			{Name: "safe", Aim: 2_000_000, GiveUp: 6_000_000, Worth: 1, Least: 1, Need: 1},
-			{Name: "some", Aim: 2_000_000, GiveUp: 6_000_000, Worth: 2, Least: 0.6, Need: 0.6, LateWorth: 0.1},
-			{Name: "once", Aim: 2_000_000, GiveUp: 4_000_000, Worth: 1, LateWorth: 0.3, Effect: Unsafe, Least: 1, Need: 1},
-			{Name: "keyed", Aim: 2_000_000, GiveUp: 6_000_000, Worth: 1, Effect: Keyed, Window: 1_000_000, Least: 1, Need: 1},
-			{Name: "two", Aim: 2_000_000, GiveUp: 5_000_000, Worth: 2, LateWorth: 0.1, Least: 0.8, Need: 1, PartialEarns: 0.9, FetchParts: 3},
+			{Name: "safe", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1, MinCoverage: 1, RequiredCoverage: 1},
+			{Name: "some", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 2, MinCoverage: 0.6, RequiredCoverage: 0.6, LateWeight: 0.1},
+			{Name: "once", LatencyObjective: 2_000_000, Timeout: 4_000_000, PriorityWeight: 1, LateWeight: 0.3, Idempotency: NonIdempotent, MinCoverage: 1, RequiredCoverage: 1},
+			{Name: "keyed", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1, Idempotency: IdempotentByKey, DeduplicationWindow: 1_000_000, MinCoverage: 1, RequiredCoverage: 1},
+			{Name: "two", LatencyObjective: 2_000_000, Timeout: 5_000_000, PriorityWeight: 2, LateWeight: 0.1, MinCoverage: 0.8, RequiredCoverage: 1, PartialWeight: 0.9, FetchParts: 3},
 		},
 	}
 }
@@ -145,7 +145,7 @@
 	set.Classes = nil
 	for _, i := range w.rng.Perm(len(all))[:1+w.rng.IntN(len(all))] {
 		c := all[i]
-		c.Aim, c.GiveUp = c.Aim*Micros(5+w.rng.IntN(10))/10, c.GiveUp*Micros(15+w.rng.IntN(10))/10
+		c.LatencyObjective, c.Timeout = c.LatencyObjective*Micros(5+w.rng.IntN(10))/10, c.Timeout*Micros(15+w.rng.IntN(10))/10
 		set.Classes = append(set.Classes, c)
 	}
 	set.Shards, set.Reach, set.MaxAttempts = 4+w.rng.IntN(4), 2+w.rng.IntN(2), 2+w.rng.IntN(3)
@@ -165,7 +165,7 @@
 	n := w.rng.IntN(5) + 1
 	w.number++
 	id := w.id()
-	q := &wquery{cls: cls, step: 1, deadline: w.now + cls.GiveUp*Micros(60+w.rng.IntN(41))/100}
+	q := &wquery{cls: cls, step: 1, deadline: w.now + cls.Timeout*Micros(60+w.rng.IntN(41))/100}
 	w.queries[id] = q
 	w.events = append(w.events, Query{
 		ID: id, Number: w.number, Class: c, Tenant: w.rng.IntN(2), Deadline: q.deadline,
@@ -286,7 +286,7 @@
 	case Refuse:
 		q := w.queries[a.Query]
 		for _, p := range q.parts {
-			if q.cls.Effect == Unsafe && (p.ran || len(p.live) > 0) {
+			if q.cls.Idempotency == NonIdempotent && (p.ran || len(p.live) > 0) {
 				w.t.Fatalf("query %d refused though a part of it may have run", a.Query)
 			}
 		}
@@ -320,12 +320,12 @@
 		}
 	}
 	cls := q.cls
-	need := cls.Need
+	need := cls.RequiredCoverage
 	if q.step == 2 {
 		need = 1
 	}
-	if got < cls.Least-1e-4 {
-		w.t.Fatalf("query %d answered from a share of %v, least is %v", a.Query, got, cls.Least)
+	if got < cls.MinCoverage-1e-4 {
+		w.t.Fatalf("query %d answered from a share of %v, least is %v", a.Query, got, cls.MinCoverage)
 	}
 	if a.Whole && (got < need-1e-4 || q.step == 2 && !q.whole) {
 		w.t.Fatalf("query %d marked whole from a share of %v at step %d", a.Query, got, q.step)
@@ -357,10 +357,10 @@
 	if len(p.live) > 0 && !w.set.SecondCopies {
 		w.t.Fatalf("part %d has two attempts out", a.Part)
 	}
-	if cls.Effect == Unsafe && (p.ran || len(p.live) > 0) {
+	if cls.Idempotency == NonIdempotent && (p.ran || len(p.live) > 0) {
 		w.t.Fatalf("unsafe part %d sent again though it may have run", a.Part)
 	}
-	if cls.Effect == Keyed && (p.ran || len(p.live) > 0) && w.now > p.first+cls.Window {
+	if cls.Idempotency == IdempotentByKey && (p.ran || len(p.live) > 0) && w.now > p.first+cls.DeduplicationWindow {
 		w.t.Fatalf("keyed part %d sent again after its window", a.Part)
 	}
 	if p.tries >= w.set.MaxAttempts {
