--- a/broker/broker.go
+++ b/broker/broker.go
@@ -409,8 +409,8 @@
 		return // nobody waits for an answer
 	}
 	advice := time.Duration(0)
-	if b.set.MayAdvise {
-		advice = span(b.set.MaxAdvice)
+	if b.set.SendRetryAfter {
+		advice = span(b.set.MaxRetryAfter)
 	}
 	// The module leaves the limit on what is held to its owner. Holding on to more would use up the memory.
 	if b.set.MaxOpen > 0 && b.open >= b.set.MaxOpen || !b.cutoff.IsZero() && !now.Before(b.cutoff) {
@@ -597,7 +597,7 @@
 		}
 	}
 	for _, server := range order {
-		for call := range slices.Chunk(calls[server], max(1, b.set.CallParts)) {
+		for call := range slices.Chunk(calls[server], max(1, b.set.MaxBatchSize)) {
 			b.send(server, call, now)
 		}
 	}
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -42,8 +42,8 @@
 
 func settings(effect policy.Idempotency) policy.Settings {
 	return policy.Settings{
-		Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, MaxAttempts: 2, MayCancel: true,
-		MayAdvise: true, MaxAdvice: 1_000_000, Classes: []policy.Class{{
+		InstanceCount: 1, Tick: 5000, Shards: 1, RingSize: 1, ReplicationFactor: 1, MaxAttempts: 2, AllowCancel: true,
+		SendRetryAfter: true, MaxRetryAfter: 1_000_000, Classes: []policy.Class{{
 			Name: "c", LatencyObjective: 300_000, Timeout: 900_000, PriorityWeight: 1,
 			RequiredCoverage: 1, MinCoverage: 1, Idempotency: effect, DeduplicationWindow: 900_000,
 		}},
@@ -267,7 +267,7 @@
 func TestNothingIsBegunForAClientThatLeft(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		set := settings(policy.Idempotent)
-		set.MayCancel = may
+		set.AllowCancel = may
 		set.Classes[0].LatencyObjective, set.Classes[0].Timeout = time.Hour.Microseconds(), time.Hour.Microseconds()
 		b, to := start(t, set)
 		var q *Query
@@ -346,7 +346,7 @@
 // A second copy is due, and its client leaves between the decision to send it and the write.
 func TestNoSecondCopyIsBegunForAClientThatLeft(t *testing.T) {
 	set := settings(policy.Idempotent)
-	set.SecondCopies = true
+	set.AllowHedging = true
 	b, to := start(t, set)
 	learn(t, b, to, 20)
 	var q *Query
--- a/document/document.go
+++ b/document/document.go
@@ -255,17 +255,17 @@
 func (d *Document) Settings(number, fleet int) policy.Settings {
 	l := d.Limits
 	s := policy.Settings{
-		Number: number, Fleet: fleet, Tick: micros(tick), Classes: d.Classes,
-		Shards: d.Layout.Slices, Cells: d.Layout.Cells, Reach: d.Layout.Reach, CallParts: 1,
-		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, SecondCopies: l.SecondCopies, MayCancel: l.Cancel,
-		MayAdvise: l.Advice > 0, MaxAdvice: micros(l.Advice), AnswerSlack: micros(4 * tick), DrainGrace: micros(500 * time.Millisecond),
+		InstanceIndex: number, InstanceCount: fleet, Tick: micros(tick), Classes: d.Classes,
+		Shards: d.Layout.Slices, RingSize: d.Layout.Cells, ReplicationFactor: d.Layout.Reach, MaxBatchSize: 1,
+		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, AllowHedging: l.SecondCopies, AllowCancel: l.Cancel,
+		SendRetryAfter: l.Advice > 0, MaxRetryAfter: micros(l.Advice), AnswerSlack: micros(4 * tick), DrainGrace: micros(500 * time.Millisecond),
 	}
 	if l.ColdFor > 0 {
-		s.ColdFor, s.ColdShare, s.FallMultiple, s.FallAfter = micros(l.ColdFor), l.ColdShare, l.FallMultiple, micros(l.FallAfter)
+		s.SlowStartDuration, s.SlowStartFraction, s.OverloadFactor, s.OverloadDuration = micros(l.ColdFor), l.ColdShare, l.FallMultiple, micros(l.FallAfter)
 	}
 	share, weights := 0.0, 0.0
 	for _, t := range d.Teams {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, AllowancePer: t.QueriesPS})
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, QueriesPerSecond: t.QueriesPS})
 		weight := max(t.QueriesPS, 1)
 		share, weights = share+weight*t.Further, weights+weight
 	}
@@ -276,7 +276,7 @@
 		share = l.FurtherShare
 	}
 	if share > 0 {
-		s.BudgetSpan, s.BudgetShare, s.BudgetFree = micros(l.FurtherSpan), share, l.FurtherFree
+		s.RetryBudgetWindow, s.RetryBudgetRatio, s.RetryBudgetMinimum = micros(l.FurtherSpan), share, l.FurtherFree
 	}
 	return s
 }
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -58,10 +58,10 @@
 			MinCoverage: 0.5, PartialWeight: 1,
 		},
 	}, s.Classes)
-	assert.Equal(t, []policy.Tenant{{Name: "sales", AllowancePer: 20}}, s.Tenants)
-	assert.Equal(t, [8]int{4, 2, 2, 1, 3, 1, 150, 4}, [8]int{s.Shards, s.Cells, s.Reach, s.Number, s.Fleet, s.CallParts, s.MaxOpen, s.MaxAttempts})
-	assert.Equal(t, [3]float64{0.2, 5, 10e6}, [3]float64{s.BudgetShare, s.BudgetFree, float64(s.BudgetSpan)})
-	assert.Equal(t, policy.Micros(10_000_000), s.ColdFor)
+	assert.Equal(t, []policy.Tenant{{Name: "sales", QueriesPerSecond: 20}}, s.Tenants)
+	assert.Equal(t, [8]int{4, 2, 2, 1, 3, 1, 150, 4}, [8]int{s.Shards, s.RingSize, s.ReplicationFactor, s.InstanceIndex, s.InstanceCount, s.MaxBatchSize, s.MaxOpen, s.MaxAttempts})
+	assert.Equal(t, [3]float64{0.2, 5, 10e6}, [3]float64{s.RetryBudgetRatio, s.RetryBudgetMinimum, float64(s.RetryBudgetWindow)})
+	assert.Equal(t, policy.Micros(10_000_000), s.SlowStartDuration)
 	assert.Equal(t, []Index{{"catalogue", "sales/lookup", []int{0, 1, 2}}}, d.Indices)
 }
 
--- a/internal/simcodec/settings.go
+++ b/internal/simcodec/settings.go
@@ -112,33 +112,33 @@
 // Settings translates the facts. A missing one means what the protocol says of it: none.
 func (f *Facts) Settings() (policy.Settings, error) {
 	s := policy.Settings{
-		Number: f.int("my_number"), Fleet: f.int("fleet_size"), Tick: f.micros("tick_us"),
-		OverWorth: f.num("over_share_worth"), Zone: f.int("locality"),
-		Shards: f.int("family_info.slices"), Cells: f.int("family_info.cells"), Reach: f.int("family_info.reach"),
-		CallParts: f.int("family_info.batch"), CallWork: f.micros("family_info.per_call_work_us"),
-		WarmKeys: f.flag("family_info.warm_keys"), MaxAttempts: f.int("permissions.max_attempts"),
-		MaxOpen: f.int("permissions.max_open"), SecondCopies: f.flag("permissions.second_copies"),
-		MayCancel: f.flag("permissions.cancel"), MayProbe: f.flag("permissions.probes"),
-		MayAdvise: f.flag("permissions.retry_after"), MaxAdvice: f.micros("permissions.max_retry_after_us"),
-		ProbeToHear: f.values["feedback.how"] == "on_probe", AskForList: f.values["discovery"] == "subscribe",
-		AskWithin:   f.micros("guarantees.ask_within_us"),
+		InstanceIndex: f.int("my_number"), InstanceCount: f.int("fleet_size"), Tick: f.micros("tick_us"),
+		OverQuotaWeight: f.num("over_share_worth"), Zone: f.int("locality"),
+		Shards: f.int("family_info.slices"), RingSize: f.int("family_info.cells"), ReplicationFactor: f.int("family_info.reach"),
+		MaxBatchSize: f.int("family_info.batch"), BatchOverhead: f.micros("family_info.per_call_work_us"),
+		ServersCacheKeys: f.flag("family_info.warm_keys"), MaxAttempts: f.int("permissions.max_attempts"),
+		MaxOpen: f.int("permissions.max_open"), AllowHedging: f.flag("permissions.second_copies"),
+		AllowCancel: f.flag("permissions.cancel"), AllowHealthChecks: f.flag("permissions.probes"),
+		SendRetryAfter: f.flag("permissions.retry_after"), MaxRetryAfter: f.micros("permissions.max_retry_after_us"),
+		LoadByHealthCheckOnly: f.values["feedback.how"] == "on_probe", PollEndpoints: f.values["discovery"] == "subscribe",
+		PollInterval:   f.micros("guarantees.ask_within_us"),
 		AnswerSlack: f.micros("guarantees.answer_slack_us"), DrainGrace: f.micros("guarantees.drain_grace_us"),
-		ColdShare: f.num("guarantees.cold_share"), ColdFor: f.micros("guarantees.cold_us"),
-		FallMultiple: f.num("guarantees.fall_multiple"), FallAfter: f.micros("guarantees.overload_for_us"),
-		BudgetFree: f.num("guarantees.budget_free"), BudgetShare: f.num("guarantees.further_ratio"),
-		PriceCrossZone: f.num("penalties.cross_zone"), PriceProbe: f.num("penalties.probe"),
+		SlowStartFraction: f.num("guarantees.cold_share"), SlowStartDuration: f.micros("guarantees.cold_us"),
+		OverloadFactor: f.num("guarantees.fall_multiple"), OverloadDuration: f.micros("guarantees.overload_for_us"),
+		RetryBudgetMinimum: f.num("guarantees.budget_free"), RetryBudgetRatio: f.num("guarantees.further_ratio"),
+		PriceCrossZone: f.num("penalties.cross_zone"), PriceHealthCheck: f.num("penalties.probe"),
 	}
 	_, free := f.values["guarantees.budget_free"]
 	_, share := f.values["guarantees.further_ratio"]
 	if free || share {
-		s.BudgetSpan = f.micros("guarantees.budget_span_us")
+		s.RetryBudgetWindow = f.micros("guarantees.budget_span_us")
 	}
 	for i := range f.count("grades.count") {
 		s.Classes = append(s.Classes, f.class(i))
 	}
 	for i := range f.count("realms.count") {
 		p := fmt.Sprintf("realms.%d.", i)
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: f.values[p+"name"], AllowancePer: f.num(p + "allowance_per_s")})
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: f.values[p+"name"], QueriesPerSecond: f.num(p + "allowance_per_s")})
 	}
 	return s, f.err
 }
--- a/internal/simcodec/wire_test.go
+++ b/internal/simcodec/wire_test.go
@@ -225,7 +225,7 @@
 		t.Fatal(err)
 	}
 	if len(s.Classes) != 2 || s.Classes[0].Idempotency != policy.NonIdempotent || s.Classes[0].MinCoverage != 0.8 ||
-		s.Classes[1].MinCoverage != 1 || s.BudgetSpan != 0 || s.MayProbe {
+		s.Classes[1].MinCoverage != 1 || s.RetryBudgetWindow != 0 || s.AllowHealthChecks {
 		t.Fatalf("got %+v", s)
 	}
 	r := f.Report([]float32{3, 1.5})
--- a/internal/simnet/simfleet/days.go
+++ b/internal/simnet/simfleet/days.go
@@ -13,10 +13,10 @@
 	const aim, replicas, perCell = 380_000, 2, 2
 	shards := cells * perCell
 	set := policy.Settings{
-		Tick: 1000, Shards: shards, Cells: cells, Reach: 1, CallParts: 1, MaxAttempts: 4,
-		MaxOpen: 1000, SecondCopies: true, MayCancel: true, MayProbe: true, MayAdvise: true, MaxAdvice: 2_000_000,
-		AnswerSlack: 5000, DrainGrace: 500_000, ColdShare: 0.18, ColdFor: 17_000_000, FallMultiple: 2.5,
-		FallAfter: 2_000_000, PriceProbe: 0.08, PriceCrossZone: 0.009,
+		Tick: 1000, Shards: shards, RingSize: cells, ReplicationFactor: 1, MaxBatchSize: 1, MaxAttempts: 4,
+		MaxOpen: 1000, AllowHedging: true, AllowCancel: true, AllowHealthChecks: true, SendRetryAfter: true, MaxRetryAfter: 2_000_000,
+		AnswerSlack: 5000, DrainGrace: 500_000, SlowStartFraction: 0.18, SlowStartDuration: 17_000_000, OverloadFactor: 2.5,
+		OverloadDuration: 2_000_000, PriceHealthCheck: 0.08, PriceCrossZone: 0.009,
 		Classes: []policy.Class{
 			{Name: "report", LatencyObjective: 2 * aim, Timeout: 3_340_000, PriorityWeight: 5, MinCoverage: 1, RequiredCoverage: 1},
 			{Name: "lookup", LatencyObjective: aim, Timeout: 1_340_000, PriorityWeight: 1, LateWeight: 0.3, MinCoverage: 1, RequiredCoverage: 1},
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -121,15 +121,15 @@
 
 // New sets a plan up. Nothing happens before Run.
 func New(p Plan) *Fleet {
-	p.Settings.Fleet = p.Gatherers
+	p.Settings.InstanceCount = p.Gatherers
 	f := &Fleet{Net: simnet.New(p.Seed, p.Link), plan: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), asked: make([]float64, len(p.Mix)), served: make([]float64, len(p.Mix))}
 	sum := 0.0
 	for i := range p.Settings.Shards {
 		sum += math.Pow(float64(1+i), -p.Skew)
 		f.shards = append(f.shards, sum)
 	}
-	for i := range p.Settings.Cells * p.Replicas {
-		f.AddStore(i%p.Settings.Cells, 0)
+	for i := range p.Settings.RingSize * p.Replicas {
+		f.AddStore(i%p.Settings.RingSize, 0)
 	}
 	sum = 0
 	for i := range p.Gatherers {
@@ -271,7 +271,7 @@
 
 func (n *Node) start() {
 	set := n.fleet.plan.Settings
-	set.Number = int(n.me)
+	set.InstanceIndex = int(n.me)
 	n.life++
 	var err error
 	if n.agg, err = policy.New(set, n.fleet.plan.Seed); err != nil {
@@ -306,7 +306,7 @@
 	set := &n.fleet.plan.Settings
 	var holders []*Store
 	for _, s := range n.fleet.Stores {
-		if s.Server.Presence == policy.Ready && s.Server.Cell == p.shard%set.Cells {
+		if s.Server.Presence == policy.Ready && s.Server.Cell == p.shard%set.RingSize {
 			holders = append(holders, s)
 		}
 	}
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -67,32 +67,32 @@
 
 // share is the part of its capacity that a store has: it warms evenly.
 func (s *Store) share(now Micros) float64 {
-	if s.Server.Started <= 0 || s.set.ColdFor <= 0 {
+	if s.Server.Started <= 0 || s.set.SlowStartDuration <= 0 {
 		return 1
 	}
-	age := float64(now-s.Server.Started) / float64(s.set.ColdFor)
-	return min(1, s.set.ColdShare+(1-s.set.ColdShare)*max(0, age))
+	age := float64(now-s.Server.Started) / float64(s.set.SlowStartDuration)
+	return min(1, s.set.SlowStartFraction+(1-s.set.SlowStartFraction)*max(0, age))
 }
 
 // pressure keeps account of what reaches a store: within any span of the rule's length that is bounded while it is cold.
 func (s *Store) pressure(work float64) {
 	now := s.net.Now()
-	if s.share(now) >= 1 || s.set.FallAfter <= 0 {
+	if s.share(now) >= 1 || s.set.OverloadDuration <= 0 {
 		s.arrived = nil
 		return
 	}
 	s.arrived = append(s.arrived, arrival{now, work})
-	for s.arrived[0].at <= now-s.set.FallAfter {
+	for s.arrived[0].at <= now-s.set.OverloadDuration {
 		s.arrived = s.arrived[1:]
 	}
 	sum := 0.0
 	for _, a := range s.arrived {
 		sum += a.work
 	}
-	bears := s.share(now) * float64(s.Cores) * s.Speed * float64(s.set.FallAfter)
+	bears := s.share(now) * float64(s.Cores) * s.Speed * float64(s.set.OverloadDuration)
 	s.Stats.Peak = max(s.Stats.Peak, sum/bears)
-	s.Stats.Fell = s.Stats.Fell || sum > s.set.FallMultiple*bears*1.05
-	n := s.set.FallMultiple * bears / s.mean
+	s.Stats.Fell = s.Stats.Fell || sum > s.set.OverloadFactor*bears*1.05
+	n := s.set.OverloadFactor * bears / s.mean
 	s.Stats.Excess = max(s.Stats.Excess, sum/s.mean-(n+2*math.Sqrt(n)+2))
 }
 
--- a/members.go
+++ b/members.go
@@ -16,7 +16,7 @@
 
 // tier is the part that a gatherer has in the membership of its platform's tier. The platform has no key.
 func tier(edge *platform.Config) *config.Members {
-	own := edge.Peers.All[edge.Settings.Number]
+	own := edge.Peers.All[edge.Settings.InstanceIndex]
 	period := time.Second
 	return &config.Members{Listen: edge.Peers.Listen, Group: "tier", Member: membership.Config{
 		Name: edge.Name, Addr: own,
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -41,13 +41,13 @@
 	}
 	set, by := t.Settings, indices{}
 	for _, s := range c.Stores {
-		if s.Cell >= set.Cells {
-			return nil, fmt.Errorf("store %s is in cell %d, and the layout has %d", s.Name, s.Cell, set.Cells)
+		if s.Cell >= set.RingSize {
+			return nil, fmt.Errorf("store %s is in cell %d, and the layout has %d", s.Name, s.Cell, set.RingSize)
 		}
 	}
 	for _, ix := range d.Indices {
 		for _, slice := range ix.Slices {
-			held := func(s storepool.Store) bool { return ((s.Cell-slice)%set.Cells+set.Cells)%set.Cells < set.Reach }
+			held := func(s storepool.Store) bool { return ((s.Cell-slice)%set.RingSize+set.RingSize)%set.RingSize < set.ReplicationFactor }
 			if !slices.ContainsFunc(c.Stores, held) {
 				return nil, fmt.Errorf("index %s: no store here holds slice %d", ix.Name, slice)
 			}
@@ -61,7 +61,7 @@
 
 // Unknown are the terms of an instance that does not know the agreed document yet: it refuses all.
 func Unknown() *broker.Terms {
-	set := policy.Settings{Fleet: 1, Tick: 5000, Shards: 1, Cells: 1, Reach: 1, Classes: []policy.Class{{LatencyObjective: 1, Timeout: 1, RequiredCoverage: 1, MinCoverage: 1}}}
+	set := policy.Settings{InstanceCount: 1, Tick: 5000, Shards: 1, RingSize: 1, ReplicationFactor: 1, Classes: []policy.Class{{LatencyObjective: 1, Timeout: 1, RequiredCoverage: 1, MinCoverage: 1}}}
 	return &broker.Terms{Settings: set, Front: indices{}}
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -44,47 +44,47 @@
 // Tenant is one of the customers that share the fleet.
 type Tenant struct {
 	Name         string
-	AllowancePer float64 // queries a second, over all aggregators, that count in full; 0: unlimited
+	QueriesPerSecond float64 // queries a second, over all aggregators, that count in full; 0: unlimited
 }
 
 // Settings is what an aggregator knows from the start. New checks it. The present decisions use neither Tenants,
 // OverWorth, Zone, MaxOpen, WarmKeys, ProbeToHear, AnswerSlack, DrainGrace, MayAdvise nor PriceCrossZone: they
 // keep stricter than the slacks, leave MaxOpen to the owner and take every replica at its measured latency.
 type Settings struct {
-	Number, Fleet int // this aggregator's index and how many there are in all
+	InstanceIndex, InstanceCount int // this aggregator's index and how many there are in all
 	Tick          Micros
 	Classes       []Class
 	Tenants       []Tenant
-	OverWorth     float64 // worth, as a share, of what a tenant sends beyond its allowance
+	OverQuotaWeight     float64 // worth, as a share, of what a tenant sends beyond its allowance
 	Zone          int     // of this aggregator
 
-	Shards, Cells, Reach int    // shard s is held by cells (s+j) mod Cells, j from 0 to Reach-1
-	CallParts            int    // parts that may share one call
-	CallWork             Micros // work that a call costs beside its parts
-	WarmKeys             bool   // a server that met a key lately does less work for it
+	Shards, RingSize, ReplicationFactor int    // shard s is held by cells (s+j) mod Cells, j from 0 to Reach-1
+	MaxBatchSize            int    // parts that may share one call
+	BatchOverhead             Micros // work that a call costs beside its parts
+	ServersCacheKeys             bool   // a server that met a key lately does less work for it
 
 	MaxAttempts  int  // of a part; 0: as many as the rules allow
 	MaxOpen      int  // queries and parts held; the owner turns further queries away by itself; 0: unlimited
-	SecondCopies bool // a part may have two attempts out at once
-	MayCancel    bool
-	MayProbe     bool
-	MayAdvise    bool   // a refusal's come-back time reaches the client
-	MaxAdvice    Micros // longest such time that clients honour
-	ProbeToHear  bool   // servers report their load only when probed
-	AskForList   bool   // the server list comes only after Subscribe
-
-	AskWithin    Micros // AskForList: who has not asked for so long is held to know the list; failed calls count
+	AllowHedging bool // a part may have two attempts out at once
+	AllowCancel    bool
+	AllowHealthChecks     bool
+	SendRetryAfter    bool   // a refusal's come-back time reaches the client
+	MaxRetryAfter    Micros // longest such time that clients honour
+	LoadByHealthCheckOnly  bool   // servers report their load only when probed
+	PollEndpoints   bool   // the server list comes only after Subscribe
+
+	PollInterval    Micros // AskForList: who has not asked for so long is held to know the list; failed calls count
 	AnswerSlack  Micros
 	DrainGrace   Micros
-	ColdShare    float64 // a server starts at no less than this share of its capacity
-	ColdFor      Micros  // and is warm no later than this
-	FallMultiple float64 // more than this multiple of what it can do ...
-	FallAfter    Micros  // ... for this long fells a cold server
-	BudgetSpan   Micros  // further attempts are budgeted over it; 0: no budget
-	BudgetFree   float64
-	BudgetShare  float64 // of queries and parts taken within the span
-
-	PriceCrossZone, PriceProbe float64 // each per part, against a worth of 1
+	SlowStartFraction    float64 // a server starts at no less than this share of its capacity
+	SlowStartDuration      Micros  // and is warm no later than this
+	OverloadFactor float64 // more than this multiple of what it can do ...
+	OverloadDuration    Micros  // ... for this long fells a cold server
+	RetryBudgetWindow   Micros  // further attempts are budgeted over it; 0: no budget
+	RetryBudgetMinimum   float64
+	RetryBudgetRatio  float64 // of queries and parts taken within the span
+
+	PriceCrossZone, PriceHealthCheck float64 // each per part, against a worth of 1
 }
 
 // Check names the first field that no aggregator can work with.
@@ -94,14 +94,14 @@
 		return fmt.Errorf("settings: Classes is empty")
 	case s.Shards <= 0 || s.Shards > 1<<20:
 		return fmt.Errorf("settings: Shards is %d", s.Shards)
-	case s.Cells <= 0 || s.Reach <= 0 || s.Reach > s.Cells:
-		return fmt.Errorf("settings: Cells is %d and Reach %d", s.Cells, s.Reach)
+	case s.RingSize <= 0 || s.ReplicationFactor <= 0 || s.ReplicationFactor > s.RingSize:
+		return fmt.Errorf("settings: Cells is %d and Reach %d", s.RingSize, s.ReplicationFactor)
 	case s.Tick <= 0:
 		return fmt.Errorf("settings: Tick is %d", s.Tick)
-	case s.Fleet <= 0:
-		return fmt.Errorf("settings: Fleet is %d", s.Fleet)
-	case s.Number < 0 || s.Number >= s.Fleet:
-		return fmt.Errorf("settings: Number is %d in a Fleet of %d", s.Number, s.Fleet)
+	case s.InstanceCount <= 0:
+		return fmt.Errorf("settings: Fleet is %d", s.InstanceCount)
+	case s.InstanceIndex < 0 || s.InstanceIndex >= s.InstanceCount:
+		return fmt.Errorf("settings: Number is %d in a Fleet of %d", s.InstanceIndex, s.InstanceCount)
 	}
 	for i, c := range s.Classes {
 		if c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -20,7 +20,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	s := testSettings()
-	s.Fleet, s.Cells, s.Shards, s.Reach, s.FallMultiple, s.ProbeToHear = 32, servers, servers, 3, 2.5, true
+	s.InstanceCount, s.RingSize, s.Shards, s.ReplicationFactor, s.OverloadFactor, s.LoadByHealthCheckOnly = 32, servers, servers, 3, 2.5, true
 	var list []Server
 	for i := range servers {
 		list = append(list, Server{ID: uint32(i + 1), Presence: Ready, Cell: i})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,7 +10,7 @@
 // sends over its network and hands back what really happened.
 func Example() {
 	agg, err := policy.New(policy.Settings{
-		Fleet: 1, Tick: 5_000, Shards: 2, Cells: 2, Reach: 2, MaxAttempts: 3,
+		InstanceCount: 1, Tick: 5_000, Shards: 2, RingSize: 2, ReplicationFactor: 2, MaxAttempts: 3,
 		Classes: []policy.Class{{Name: "lookup", LatencyObjective: 1_000_000, Timeout: 3_000_000, PriorityWeight: 1, MinCoverage: 1, RequiredCoverage: 1}},
 	}, 1)
 	if err != nil {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -52,7 +52,7 @@
 		r := f.Run(16 * second)
 		t.Logf("seed %d: served %.3f, most sent %.2f of what a store can do", seed, r.Share(), r.Peak)
 		assert.Zero(t, r.Fell, "seed %d: cold stores pushed over, one was sent %.2f of what it can do", seed, r.Peak)
-		assert.Less(t, r.Peak, 0.9*p.Settings.FallMultiple, "seed %d", seed)
+		assert.Less(t, r.Peak, 0.9*p.Settings.OverloadFactor, "seed %d", seed)
 		assert.Greater(t, r.Share(), 0.57, "seed %d: cold stores are used", seed)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -183,7 +183,7 @@
 	if a.n == 0 {
 		a.refAll, a.work = a.beat, a.beat
 	}
-	if !set.SecondCopies {
+	if !set.AllowHedging {
 		a.lateAt *= spareAt
 	}
 	for len(a.shards) < set.Shards { // open parts may still be of shards that are no more
@@ -197,7 +197,7 @@
 	a.now = max(now, a.now)
 	a.since = cmp.Or(a.since, a.now)
 	a.acts = nil
-	if a.set.AskForList && a.now >= a.askAt {
+	if a.set.PollEndpoints && a.now >= a.askAt {
 		a.do(Subscribe{})
 		a.askAt = math.MaxInt64 // until word of it comes
 	}
@@ -230,10 +230,10 @@
 			a.use(e.Settings)
 		}
 	case ListFailed: // back off, spread by number: all who ask at once keep one service from answering any
-		if a.set.AskForList {
+		if a.set.PollEndpoints {
 			a.asks = min(a.asks+1, mostJams)
-			spread := 0.5 + float64(a.set.Number)/float64(a.set.Fleet)
-			wait := min(Micros(a.beat*spread)<<a.asks, cmp.Or(a.set.AskWithin, math.MaxInt64))
+			spread := 0.5 + float64(a.set.InstanceIndex)/float64(a.set.InstanceCount)
+			wait := min(Micros(a.beat*spread)<<a.asks, cmp.Or(a.set.PollInterval, math.MaxInt64))
 			a.askAt = a.now + wait
 			a.do(Wake{After: wait})
 		}
@@ -298,8 +298,8 @@
 }
 
 func (a *Aggregator) holds(s *server, shard int) bool {
-	n := a.set.Cells
-	return s.Cell >= 0 && s.Cell < n && ((s.Cell-shard)%n+n)%n < a.set.Reach
+	n := a.set.RingSize
+	return s.Cell >= 0 && s.Cell < n && ((s.Cell-shard)%n+n)%n < a.set.ReplicationFactor
 }
 
 func (a *Aggregator) takeQuery(e Query) {
@@ -332,7 +332,7 @@
 	}
 	p := &part{Part: e, q: q, size: q.cls.size(e.Hint)}
 	old := &a.seen[e.Shard]
-	*old = spend{a.now, 1 + old.work*math.Exp(-float64(a.now-old.at)/float64(max(a.set.ColdFor, 1)))}
+	*old = spend{a.now, 1 + old.work*math.Exp(-float64(a.now-old.at)/float64(max(a.set.SlowStartDuration, 1)))}
 	q.parts = append(q.parts, p)
 	a.parts[e.ID] = p
 	a.scout(p)
@@ -386,7 +386,7 @@
 		q.broke = append(q.broke, s.ID)
 	}
 	if q.step == 1 && q.got == 0 && (len(q.broke) >= 2 || q.suspect) {
-		a.brokeKey, a.brokeTill = q.Key, a.now+a.set.ColdFor
+		a.brokeKey, a.brokeTill = q.Key, a.now+a.set.SlowStartDuration
 		a.end(q)
 	}
 }
@@ -394,7 +394,7 @@
 // crowded tells whether a part finds no room, or so many share the servers that own room says nothing.
 func (a *Aggregator) crowded(q *query) bool {
 	full := func(p *part) bool { return !slices.ContainsFunc(a.shards[p.Shard], a.hasRoom) }
-	return windowOwn*float64(a.set.Fleet) > 2*windowAll || slices.ContainsFunc(q.parts, full)
+	return windowOwn*float64(a.set.InstanceCount) > 2*windowAll || slices.ContainsFunc(q.parts, full)
 }
 
 // hasRoom bounds own attempts at a server: what waits, waits here, where any replica may take it.
@@ -404,10 +404,10 @@
 
 // joins tells whether a part can share a call that costs work and leaves for a server in this turn.
 func (a *Aggregator) joins(s *server) bool {
-	return a.set.CallWork > 0 && s.called == a.now && s.callParts < a.set.CallParts
+	return a.set.BatchOverhead > 0 && s.called == a.now && s.callParts < a.set.MaxBatchSize
 }
 
-func (a *Aggregator) window() float64 { return max(windowOwn, windowAll/float64(a.set.Fleet)) }
+func (a *Aggregator) window() float64 { return max(windowOwn, windowAll/float64(a.set.InstanceCount)) }
 
 // density is a class's worth for the work it needs, against the best class's.
 func (a *Aggregator) density(c *class) float64 {
@@ -428,7 +428,7 @@
 		again := a.predict(s, p) * a.pace(s) / a.slowness(s) / (1 - min(a.failing(s), mostFails))
 		best = min(best, again+full+a.coldWait(s))
 	}
-	return best * (1 + a.waiting[p.Shard]/(a.window()*float64(a.set.Reach)))
+	return best * (1 + a.waiting[p.Shard]/(a.window()*float64(a.set.ReplicationFactor)))
 }
 
 // ask lets enough parts wait: all, or if fewer make a whole, those whose shards answer soonest. Where busy,
@@ -564,7 +564,7 @@
 // shared finds the replica whose call of this turn a part joins though its query uses the server already: no
 // further behind the best than what that saves, here and there. Where calls cost little, none is.
 func (a *Aggregator) shared(p *part, ranked []choice, sound bool) int {
-	share := min(0.5, float64(a.set.CallWork)/a.work)
+	share := min(0.5, float64(a.set.BatchOverhead)/a.work)
 	return slices.IndexFunc(ranked, func(c choice) bool {
 		worth := (1-share)*(1+loadWeight) <= 1 && c.pred*(1-share) <= ranked[0].pred*(1+share)
 		return worth && a.joins(c.srv) && a.mayTake(c.srv, p, sound)
@@ -603,7 +603,7 @@
 
 // scouted tells whether a part waits a moment for word of its replicas.
 func (a *Aggregator) scouted(p *part) bool {
-	probing := func(s *server) bool { return s.probing || a.set.CallWork > 0 } // parts leave in one turn
+	probing := func(s *server) bool { return s.probing || a.set.BatchOverhead > 0 } // parts leave in one turn
 	return a.now < p.after && slices.ContainsFunc(a.shards[p.Shard], probing)
 }
 
@@ -627,7 +627,7 @@
 // mayRepeat holds the effect rule: no repeat of what may have run, but for safe parts and keyed ones in time.
 func (a *Aggregator) mayRepeat(p *part) bool {
 	if a.set.MaxAttempts > 0 && p.tries >= a.set.MaxAttempts ||
-		len(p.live) > 0 && (!a.set.SecondCopies || p.q.cls.Idempotency == NonIdempotent) {
+		len(p.live) > 0 && (!a.set.AllowHedging || p.q.cls.Idempotency == NonIdempotent) {
 		return false
 	}
 	switch p.q.cls.Idempotency {
@@ -641,19 +641,19 @@
 
 // budgetLeft counts over the rule's span, own tick's width to the careful side.
 func (a *Aggregator) budgetLeft() bool {
-	if a.set.BudgetSpan <= 0 {
+	if a.set.RetryBudgetWindow <= 0 {
 		return true
 	}
-	old := a.now - a.set.BudgetSpan
+	old := a.now - a.set.RetryBudgetWindow
 	a.taken = dropOld(a.taken, old+a.set.Tick)
 	a.further = dropOld(a.further, old-a.set.Tick)
-	return float64(len(a.further)+1) <= a.set.BudgetFree+a.set.BudgetShare*float64(len(a.taken))
+	return float64(len(a.further)+1) <= a.set.RetryBudgetMinimum+a.set.RetryBudgetRatio*float64(len(a.taken))
 }
 
 // count notes one for the budget. Without a budget nothing would ever cut the list.
 func (a *Aggregator) count(list *[]spend) {
-	if a.set.BudgetSpan > 0 {
-		*list = append(dropOld(*list, a.now-a.set.BudgetSpan-a.set.Tick), spend{a.now, 1})
+	if a.set.RetryBudgetWindow > 0 {
+		*list = append(dropOld(*list, a.now-a.set.RetryBudgetWindow-a.set.Tick), spend{a.now, 1})
 	}
 }
 
@@ -673,12 +673,12 @@
 
 // coldShare is the work that this aggregator may send a server within the rule's span: an equal part.
 func (a *Aggregator) coldShare(s *server) float64 {
-	if s.Started <= 0 || a.set.FallMultiple <= 0 || a.now >= s.Started+a.set.ColdFor+a.set.FallAfter {
+	if s.Started <= 0 || a.set.OverloadFactor <= 0 || a.now >= s.Started+a.set.SlowStartDuration+a.set.OverloadDuration {
 		return math.Inf(1)
 	}
-	age := max(0, float64(a.now-a.set.FallAfter-s.Started)/float64(a.set.ColdFor))
-	share := min(1, a.set.ColdShare+(1-a.set.ColdShare)*age)
-	return a.set.FallMultiple * share * a.bears * float64(a.set.FallAfter) / float64(a.set.Fleet)
+	age := max(0, float64(a.now-a.set.OverloadDuration-s.Started)/float64(a.set.SlowStartDuration))
+	share := min(1, a.set.SlowStartFraction+(1-a.set.SlowStartFraction)*age)
+	return a.set.OverloadFactor * share * a.bears * float64(a.set.OverloadDuration) / float64(a.set.InstanceCount)
 }
 
 // coldWait is how long a part waits for its turn at a cold server.
@@ -687,7 +687,7 @@
 	if own < a.work {
 		return float64(max(0, a.coldTurn(s, own)-a.now))
 	}
-	return float64(a.set.FallAfter) * a.work / own / 2
+	return float64(a.set.OverloadDuration) * a.work / own / 2
 }
 
 // coldRoom keeps a cold server from being pushed over by all: each keeps to its share, or to its turns.
@@ -697,7 +697,7 @@
 		return a.now >= a.coldTurn(s, own)
 	}
 	sum := p.q.cls.ref
-	for _, e := range dropOld(s.ledger, a.now-a.set.FallAfter-a.set.Tick) {
+	for _, e := range dropOld(s.ledger, a.now-a.set.OverloadDuration-a.set.Tick) {
 		sum += e.work
 	}
 	return sum <= own
@@ -707,24 +707,24 @@
 // one. Many that see little traffic seldom have one for it, and fixed turns would mostly lapse: the pause
 // after the newest one and the time until there is a next make up the interval that is due to each.
 func (a *Aggregator) coldTurn(s *server, own float64) Micros {
-	due, fleet := a.work/own/coldUse*float64(a.set.FallAfter), uint64(a.set.Fleet)
+	due, fleet := a.work/own/coldUse*float64(a.set.OverloadDuration), uint64(a.set.InstanceCount)
 	pause := Micros(due - a.lull(s))
 	if len(s.ledger) > 0 {
-		return s.ledger[len(s.ledger)-1].at + max(pause, a.set.FallAfter+a.set.Tick)
+		return s.ledger[len(s.ledger)-1].at + max(pause, a.set.OverloadDuration+a.set.Tick)
 	}
-	return s.Started + pause - Micros(due*float64((uint64(a.set.Number)+uint64(s.ID))%fleet)/float64(fleet))
+	return s.Started + pause - Micros(due*float64((uint64(a.set.InstanceIndex)+uint64(s.ID))%fleet)/float64(fleet))
 }
 
 // lull is the mean time between two parts that this aggregator takes for a server's shards: so little has
 // been seen of these that one part more than came is counted.
 func (a *Aggregator) lull(s *server) float64 {
 	n := 1.0
-	for j := range a.set.Reach {
-		for i := (s.Cell - j + a.set.Cells) % a.set.Cells; i < a.set.Shards; i += a.set.Cells {
-			n += a.seen[i].work * math.Exp(-float64(a.now-a.seen[i].at)/float64(a.set.ColdFor))
+	for j := range a.set.ReplicationFactor {
+		for i := (s.Cell - j + a.set.RingSize) % a.set.RingSize; i < a.set.Shards; i += a.set.RingSize {
+			n += a.seen[i].work * math.Exp(-float64(a.now-a.seen[i].at)/float64(a.set.SlowStartDuration))
 		}
 	}
-	return float64(a.set.ColdFor) * (1 - math.Exp(-float64(a.now-a.since)/float64(a.set.ColdFor))) / n
+	return float64(a.set.SlowStartDuration) * (1 - math.Exp(-float64(a.now-a.since)/float64(a.set.SlowStartDuration))) / n
 }
 
 // send is the one place from which attempts leave.
@@ -748,8 +748,8 @@
 	if len(p.live) == 0 && !p.ran {
 		p.first = a.now
 	}
-	if a.now < s.Started+a.set.ColdFor+a.set.FallAfter {
-		s.ledger = append(dropOld(s.ledger, a.now-a.set.FallAfter-a.set.Tick), spend{a.now, q.cls.ref})
+	if a.now < s.Started+a.set.SlowStartDuration+a.set.OverloadDuration {
+		s.ledger = append(dropOld(s.ledger, a.now-a.set.OverloadDuration-a.set.Tick), spend{a.now, q.cls.ref})
 	} else {
 		s.ledger = nil
 	}
@@ -887,7 +887,7 @@
 	if r.Queue >= 0 {
 		a.queued += gainRef * (min(r.Queue, 1) - a.queued)
 	}
-	if r.Rate > 0 && a.now > s.Started+a.set.ColdFor {
+	if r.Rate > 0 && a.now > s.Started+a.set.SlowStartDuration {
 		s.bears += gainDown * (r.Rate*a.refAll/1e6 - s.bears)
 		a.bears = max(a.bears, s.bears)
 	}
@@ -895,10 +895,10 @@
 
 // scout probes a part's replicas that were not heard of lately, before it is dealt. Parts pay for it.
 func (a *Aggregator) scout(p *part) {
-	earn := probeSpend / max(a.set.PriceProbe, probeSpend/float64(a.set.Reach))
+	earn := probeSpend / max(a.set.PriceHealthCheck, probeSpend/float64(a.set.ReplicationFactor))
 	a.probes = min(a.probes+earn, float64(len(a.order)))
 	for _, s := range a.shards[p.Shard] {
-		if a.set.MayProbe && a.probes >= 1 && !s.probing && s.toldAt <= a.now-Micros(reportAims*a.beat/2) {
+		if a.set.AllowHealthChecks && a.probes >= 1 && !s.probing && s.toldAt <= a.now-Micros(reportAims*a.beat/2) {
 			s.probing, s.asked = true, a.now
 			a.probes--
 			a.do(Probe{Server: s.ID})
@@ -1006,7 +1006,7 @@
 	t := p.live[len(p.live)-1]
 	age, left := float64(a.now-t.at), float64(p.q.aim-a.now)
 	last := p.q.got >= mostIn*p.q.cls.RequiredCoverage && age > p.q.cls.ref && left < multiple*p.q.cls.ref
-	return last && a.set.SecondCopies && p.q.cls.MinCoverage == p.q.cls.RequiredCoverage || age > multiple*t.pred
+	return last && a.set.AllowHedging && p.q.cls.MinCoverage == p.q.cls.RequiredCoverage || age > multiple*t.pred
 }
 
 // move asks a better replica, if any, for a late part: as a second copy if permitted, else in its place.
@@ -1022,7 +1022,7 @@
 	for _, c := range a.rank(p) {
 		inTime := a.now+Micros(c.pred) <= p.q.aim || p.q.cls.LateWeight > 0
 		better := c.srv != t.srv && !a.isOutlier(c.srv) && !a.isBusy(c.srv) && c.pred <= float64(a.now-t.at)
-		if better && inTime && a.set.SecondCopies && len(p.live) == 1 {
+		if better && inTime && a.set.AllowHedging && len(p.live) == 1 {
 			a.send(p, c.srv)
 			return
 		} else if better && inTime {
@@ -1033,7 +1033,7 @@
 }
 
 func (a *Aggregator) cancel(t *attempt) {
-	if a.set.MayCancel && !t.recalled {
+	if a.set.AllowCancel && !t.recalled {
 		t.recalled = true
 		a.do(Cancel{Part: t.part.ID, Try: t.try})
 	}
@@ -1060,7 +1060,7 @@
 	if q.step == 2 || slices.ContainsFunc(q.parts, mayRan) {
 		a.do(Fail{Query: q.ID})
 	} else {
-		a.do(Refuse{Query: q.ID, ComeBack: a.set.MaxAdvice})
+		a.do(Refuse{Query: q.ID, ComeBack: a.set.MaxRetryAfter})
 	}
 	a.close(q)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,7 +16,7 @@
 
 func handSettings() Settings {
 	s := testSettings()
-	s.Cells, s.Shards, s.Reach, s.MayProbe, s.MaxOpen, s.FallMultiple = 3, 3, 3, false, 0, 0
+	s.RingSize, s.Shards, s.ReplicationFactor, s.AllowHealthChecks, s.MaxOpen, s.OverloadFactor = 3, 3, 3, false, 0, 0
 	return s
 }
 
@@ -179,11 +179,11 @@
 // holds their shard. It returns the most work within a span against what the rule allows, and work a second.
 func coldFleet(t *testing.T, fleet int, report Report) (most, rate float64) {
 	s := handSettings()
-	s.FallMultiple, s.ColdShare, s.Fleet = 2, 0.25, fleet
+	s.OverloadFactor, s.SlowStartFraction, s.InstanceCount = 2, 0.25, fleet
 	const work = 100_000
 	var hands []*hand
 	for i := range fleet {
-		s.Number = i
+		s.InstanceIndex = i
 		h := newHand(t, s)
 		h.teach(0, 60, work)
 		for range 40 {
@@ -193,7 +193,7 @@
 	}
 	start := hands[0].now
 	var sent []Micros
-	for now := start; now < start+s.ColdFor; now += 4 * s.Tick {
+	for now := start; now < start+s.SlowStartDuration; now += 4 * s.Tick {
 		for _, h := range hands {
 			h.now = now
 			for _, q := range h.a.open { // what waits is as good as gone
@@ -209,14 +209,14 @@
 		}
 		in := 0.0
 		for _, at := range sent {
-			if at > now-s.FallAfter {
+			if at > now-s.OverloadDuration {
 				in += work
 			}
 		}
-		share := s.ColdShare + (1-s.ColdShare)*float64(now-start)/float64(s.ColdFor)
-		most = max(most, in/(s.FallMultiple*share*float64(s.FallAfter)*hands[0].a.bears))
+		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-start)/float64(s.SlowStartDuration)
+		most = max(most, in/(s.OverloadFactor*share*float64(s.OverloadDuration)*hands[0].a.bears))
 	}
-	return most, work * float64(len(sent)) / float64(s.ColdFor)
+	return most, work * float64(len(sent)) / float64(s.SlowStartDuration)
 }
 
 // All aggregators together keep a cold server below its limit, and yet use it, whatever their number.
@@ -282,7 +282,7 @@
 		further += btoi(tries[s.Part] > 0)
 		tries[s.Part]++
 	}
-	if limit := int(h.a.set.BudgetFree + h.a.set.BudgetShare*float64(taken)); further == 0 || further > limit {
+	if limit := int(h.a.set.RetryBudgetMinimum + h.a.set.RetryBudgetRatio*float64(taken)); further == 0 || further > limit {
 		t.Fatalf("%d further attempts, want some and at most %d", further, limit)
 	}
 }
@@ -389,7 +389,7 @@
 // Where no budget is set nothing cuts what it counts: it must not be counted.
 func TestNothingIsCountedWithoutABudget(t *testing.T) {
 	set := handSettings()
-	set.BudgetSpan = 0
+	set.RetryBudgetWindow = 0
 	h := newHand(t, set)
 	h.teach(0, 50, 1000)
 	if n := len(h.a.taken) + len(h.a.further); n > 0 {
@@ -414,7 +414,7 @@
 func TestOnlyReplicaThatResetsIsNotHeldToBeSlow(t *testing.T) {
 	h := newHand(t, handSettings(), ready(1)...)
 	aim := h.a.set.Classes[0].LatencyObjective
-	h.a.set.BudgetSpan = 0
+	h.a.set.RetryBudgetWindow = 0
 	h.teach(0, 20, aim/10)
 	for range 8 { // each first attempt breaks
 		_, events := h.query(0, 1)
@@ -448,7 +448,7 @@
 func TestWindowScalesWithTheFleet(t *testing.T) {
 	for fleet, want := range map[int]int{1: 6, 2: 3, 3: 2, 32: 2} {
 		s := handSettings()
-		s.Fleet = fleet
+		s.InstanceCount = fleet
 		h := newHand(t, s, ready(1)...)
 		for range 9 {
 			_, events := h.query(0, 1)
@@ -478,7 +478,7 @@
 // probing are settings under which each part may pay for probes of all its replicas.
 func probing() Settings {
 	s := handSettings()
-	s.MayProbe, s.ProbeToHear, s.PriceProbe = true, true, 0.001
+	s.AllowHealthChecks, s.LoadByHealthCheckOnly, s.PriceHealthCheck = true, true, 0.001
 	return s
 }
 
@@ -533,7 +533,7 @@
 func TestStragglerGetsALastChance(t *testing.T) {
 	for _, in := range []int{0, 4, -4} { // below 0: without second copies, where a last chance would cost the first
 		set := handSettings()
-		set.SecondCopies = in >= 0
+		set.AllowHedging = in >= 0
 		h := newHand(t, set, append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 		h.teach(0, 40, 200_000)
 		_, events := h.query(0, 5)
@@ -643,7 +643,7 @@
 func TestTryThatLeavesTooEarlyDrawsNoWork(t *testing.T) {
 	for _, patience := range []Micros{50_000, 1_500_000} {
 		s := handSettings()
-		s.Fleet = 32 // own room says nothing
+		s.InstanceCount = 32 // own room says nothing
 		h := newHand(t, s)
 		h.teach(0, 30, 200_000)
 		h.log = nil
@@ -661,7 +661,7 @@
 // The slowest of a query's parts takes longer than the mean of one: what fits by prediction only is refused.
 func TestAdmissionLearnsWhatQueriesTake(t *testing.T) {
 	s := handSettings()
-	s.Fleet = 32
+	s.InstanceCount = 32
 	h := newHand(t, s)
 	h.teach(0, 30, 200_000)
 	h.a.classes[0].stretch = 20
@@ -674,7 +674,7 @@
 // A class locked out by a jam's figures is let in once in a mean aim, so that these can be unlearned.
 func TestRefusedClassIsTriedAgain(t *testing.T) {
 	s := handSettings()
-	s.Fleet = 32
+	s.InstanceCount = 32
 	h := newHand(t, s)
 	h.teach(0, 30, 200_000)
 	h.a.classes[0].stretch = 20
@@ -708,21 +708,21 @@
 
 func TestShardThatNobodyHoldsDrawsNoWork(t *testing.T) {
 	s := handSettings()
-	s.Reach = 1
+	s.ReplicationFactor = 1
 	h := newHand(t, s, ready(1, 2)...)
 	id, events := h.query(0, 3)
 	acts := h.step(0, events...)
 	if len(pick[Send](acts)) > 0 || h.finals(id) != 1 {
 		t.Fatalf("got %+v, want the query refused at once", acts)
 	}
-	if r := pick[Refuse](acts); len(r) != 1 || r[0].ComeBack != s.MaxAdvice {
+	if r := pick[Refuse](acts); len(r) != 1 || r[0].ComeBack != s.MaxRetryAfter {
 		t.Fatalf("refusal %+v without word when to come back", r)
 	}
 }
 
 func TestSpareReplacesWhatIsLateWithoutBudget(t *testing.T) {
 	s := handSettings()
-	s.BudgetFree, s.BudgetShare = 0, 0
+	s.RetryBudgetMinimum, s.RetryBudgetRatio = 0, 0
 	h := newHand(t, s, append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 	h.teach(1, 30, 200_000)
 	h.log = nil
@@ -772,7 +772,7 @@
 func TestTrialsInVainGrowRare(t *testing.T) {
 	s := handSettings()
 	plain := trials(t, s, OK)
-	s.MayProbe, s.ProbeToHear, s.PriceProbe = true, true, 0.001
+	s.AllowHealthChecks, s.LoadByHealthCheckOnly, s.PriceHealthCheck = true, true, 0.001
 	muted := trials(t, s, TimedOut)
 	if plain < 2 || plain > 10 {
 		t.Errorf("%d parts risked at a silent server in twenty aims, want a few", plain)
@@ -785,8 +785,8 @@
 func TestUnusableSettingsNameTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Shards": func(s *Settings) { s.Shards = 0 },
-		"Reach": func(s *Settings) { s.Reach = 9 }, "Tick": func(s *Settings) { s.Tick = 0 },
-		"Number": func(s *Settings) { s.Number = s.Fleet }, "Fleet": func(s *Settings) { s.Fleet = 0 }, "Aim": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"Reach": func(s *Settings) { s.ReplicationFactor = 9 }, "Tick": func(s *Settings) { s.Tick = 0 },
+		"Number": func(s *Settings) { s.InstanceIndex = s.InstanceCount }, "Fleet": func(s *Settings) { s.InstanceCount = 0 }, "Aim": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"Least": func(s *Settings) { s.Classes[0].MinCoverage = math.NaN() },
 	} {
 		s := testSettings()
@@ -831,7 +831,7 @@
 func TestCallsAreSharedWhereTheyCost(t *testing.T) {
 	for _, work := range []Micros{0, 100_000} {
 		s := handSettings()
-		s.CallWork, s.CallParts = work, 8
+		s.BatchOverhead, s.MaxBatchSize = work, 8
 		h := newHand(t, s, append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 		h.teach(0, 60, 200_000)
 		_, events := h.query(0, 4)
@@ -892,7 +892,7 @@
 	h.a.queries[q.ID] = q
 	h.a.end(q)
 	h.a.end(q)
-	h.a.set.Fleet = 11 // own room says nothing at size
+	h.a.set.InstanceCount = 11 // own room says nothing at size
 	if n := refused(); n < 10 || n > 90 || h.a.classes[0].jams != 0 {
 		t.Errorf("%d of 100 refused after two jammed queries, %d jams left", n, h.a.classes[0].jams)
 	}
@@ -955,7 +955,7 @@
 	if h.finals(id) != 0 {
 		t.Error("a query with an answered part was given up for two resets")
 	}
-	h.now += h.a.set.ColdFor
+	h.now += h.a.set.SlowStartDuration
 	if _, sent = next(7); len(sent) != 3 {
 		t.Errorf("the key is never forgiven: %d parts sent", len(sent))
 	}
@@ -990,7 +990,7 @@
 	first := map[Micros]bool{}
 	for number := range 8 {
 		s := handSettings()
-		s.Fleet, s.Number, s.AskForList, s.AskWithin = 8, number, true, 10_000_000
+		s.InstanceCount, s.InstanceIndex, s.PollEndpoints, s.PollInterval = 8, number, true, 10_000_000
 		h := newHand(t, s)
 		calls, waits := len(pick[Subscribe](h.log)), []Micros{}
 		if calls != 1 {
@@ -1005,7 +1005,7 @@
 			waits = append(waits, h.now-from)
 		}
 		first[waits[0]] = true
-		if waits[0] < Micros(h.a.beat)/2 || waits[1] < waits[0]*3/2 || waits[4] > s.AskWithin+2*s.Tick {
+		if waits[0] < Micros(h.a.beat)/2 || waits[1] < waits[0]*3/2 || waits[4] > s.PollInterval+2*s.Tick {
 			t.Errorf("aggregator %d called again after %v", number, waits)
 		}
 		h.step(s.Tick, Members{ready(1, 2, 3)})
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -12,10 +12,10 @@
 // and cold servers.
 func testSettings() Settings {
 	return Settings{
-		Fleet: 2, Tick: 5000, Shards: 6, Cells: 6, Reach: 3, CallParts: 1, MaxAttempts: 3, MaxOpen: 200,
-		MayCancel: true, MayProbe: true, MayAdvise: true, MaxAdvice: 400_000, OverWorth: 0.1,
-		AnswerSlack: 20_000, DrainGrace: 250_000, ColdShare: 0.2, ColdFor: 10_000_000, FallMultiple: 2,
-		FallAfter: 1_000_000, BudgetSpan: 10_000_000, BudgetFree: 3, BudgetShare: 0.1, PriceProbe: 0.01,
+		InstanceCount: 2, Tick: 5000, Shards: 6, RingSize: 6, ReplicationFactor: 3, MaxBatchSize: 1, MaxAttempts: 3, MaxOpen: 200,
+		AllowCancel: true, AllowHealthChecks: true, SendRetryAfter: true, MaxRetryAfter: 400_000, OverQuotaWeight: 0.1,
+		AnswerSlack: 20_000, DrainGrace: 250_000, SlowStartFraction: 0.2, SlowStartDuration: 10_000_000, OverloadFactor: 2,
+		OverloadDuration: 1_000_000, RetryBudgetWindow: 10_000_000, RetryBudgetMinimum: 3, RetryBudgetRatio: 0.1, PriceHealthCheck: 0.01,
 		Tenants: []Tenant{{"a", 5}, {"b", 5}},
 		Classes: []Class{
 			{Name: "safe", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1, MinCoverage: 1, RequiredCoverage: 1},
@@ -100,7 +100,7 @@
 		parts: map[uint64]*wpart{}, cold: map[uint32][]wspend{},
 	}
 	for i := range 8 {
-		w.servers[uint32(i+1)] = Server{ID: uint32(i + 1), Presence: Ready, Cell: i % set.Cells, Size: 1}
+		w.servers[uint32(i+1)] = Server{ID: uint32(i + 1), Presence: Ready, Cell: i % set.RingSize, Size: 1}
 	}
 	w.list()
 	return w
@@ -148,8 +148,8 @@
 		c.LatencyObjective, c.Timeout = c.LatencyObjective*Micros(5+w.rng.IntN(10))/10, c.Timeout*Micros(15+w.rng.IntN(10))/10
 		set.Classes = append(set.Classes, c)
 	}
-	set.Shards, set.Reach, set.MaxAttempts = 4+w.rng.IntN(4), 2+w.rng.IntN(2), 2+w.rng.IntN(3)
-	set.SecondCopies, set.BudgetShare = w.rng.IntN(2) == 0, 0.05*float64(1+w.rng.IntN(3))
+	set.Shards, set.ReplicationFactor, set.MaxAttempts = 4+w.rng.IntN(4), 2+w.rng.IntN(2), 2+w.rng.IntN(3)
+	set.AllowHedging, set.RetryBudgetRatio = w.rng.IntN(2) == 0, 0.05*float64(1+w.rng.IntN(3))
 	w.events = append(w.events, Reconfigure{set})
 	if w.rng.IntN(4) == 0 { // one that cannot be used must change nothing
 		bad := set
@@ -202,7 +202,7 @@
 		}
 		if w.rng.IntN(120) == 0 {
 			w.churn()
-		} else if w.set.AskForList && w.rng.IntN(40) == 0 { // a failed call, then the same list once more
+		} else if w.set.PollEndpoints && w.rng.IntN(40) == 0 { // a failed call, then the same list once more
 			w.events = append(w.events, ListFailed{})
 			w.list()
 		}
@@ -350,11 +350,11 @@
 	if at, ok := w.told[a.Server]; ok && w.now > at+w.set.DrainGrace {
 		w.t.Fatalf("part %d sent to server %d that drains or is gone", a.Part, a.Server)
 	}
-	if s := w.servers[a.Server]; (s.Cell-p.shard+2*w.set.Cells)%w.set.Cells >= w.set.Reach {
+	if s := w.servers[a.Server]; (s.Cell-p.shard+2*w.set.RingSize)%w.set.RingSize >= w.set.ReplicationFactor {
 		w.t.Fatalf("part %d of shard %d sent to a server without it", a.Part, p.shard)
 	}
 	w.chill(a.Server, w.agg.parts[a.Part].q.cls.ref)
-	if len(p.live) > 0 && !w.set.SecondCopies {
+	if len(p.live) > 0 && !w.set.AllowHedging {
 		w.t.Fatalf("part %d has two attempts out", a.Part)
 	}
 	if cls.Idempotency == NonIdempotent && (p.ran || len(p.live) > 0) {
@@ -368,8 +368,8 @@
 	}
 	if p.tries > 0 {
 		w.further = append(w.further, w.now)
-		n, m := since(w.further, w.now-w.set.BudgetSpan), since(w.taken, w.now-w.set.BudgetSpan)
-		if float64(n) > w.set.BudgetFree+w.set.BudgetShare*float64(m) {
+		n, m := since(w.further, w.now-w.set.RetryBudgetWindow), since(w.taken, w.now-w.set.RetryBudgetWindow)
+		if float64(n) > w.set.RetryBudgetMinimum+w.set.RetryBudgetRatio*float64(m) {
 			w.t.Fatalf("%d further attempts for %d taken", n, m)
 		}
 	}
@@ -395,19 +395,19 @@
 // within a span; TestRuleColdServersAreNotPushedOver holds the sum over all aggregators.
 func (w *world) chill(id uint32, work float64) {
 	s := w.servers[id]
-	if s.Started <= 0 || w.now >= s.Started+w.set.ColdFor {
+	if s.Started <= 0 || w.now >= s.Started+w.set.SlowStartDuration {
 		return
 	}
 	w.cold[id] = append(w.cold[id], wspend{w.now, s.Started, work})
 	sum, n := 0.0, 0
 	for _, e := range w.cold[id] {
-		if e.started == s.Started && e.at > w.now-w.set.FallAfter {
+		if e.started == s.Started && e.at > w.now-w.set.OverloadDuration {
 			sum += e.work
 			n++
 		}
 	}
-	share := w.set.ColdShare + (1-w.set.ColdShare)*float64(w.now-s.Started)/float64(w.set.ColdFor)
-	limit := w.set.FallMultiple * share * float64(w.set.FallAfter) / float64(w.set.Fleet)
+	share := w.set.SlowStartFraction + (1-w.set.SlowStartFraction)*float64(w.now-s.Started)/float64(w.set.SlowStartDuration)
+	limit := w.set.OverloadFactor * share * float64(w.set.OverloadDuration) / float64(w.set.InstanceCount)
 	if sum > limit*1.001 && n > 2 {
 		w.t.Fatalf("cold server %d was sent %d parts of work %v within the span, its part is %v", id, n, sum, limit)
 	}
@@ -430,17 +430,17 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			set := testSettings()
-			set.SecondCopies = seed%2 == 0
-			set.MayCancel = seed%3 != 0
-			set.Fleet = []int{2, 11, 32, 90}[seed%4]
-			set.AskForList, set.AskWithin = seed%2 == 1, 10_000_000
+			set.AllowHedging = seed%2 == 0
+			set.AllowCancel = seed%3 != 0
+			set.InstanceCount = []int{2, 11, 32, 90}[seed%4]
+			set.PollEndpoints, set.PollInterval = seed%2 == 1, 10_000_000
 			if seed%5 == 0 {
 				set.Tenants = nil
 			}
 			if seed%4 < 2 {
-				set.CallParts, set.CallWork = 4, 100_000
+				set.MaxBatchSize, set.BatchOverhead = 4, 100_000
 			}
-			set.Number = int(seed) % set.Fleet
+			set.InstanceIndex = int(seed) % set.InstanceCount
 			var first []Action
 			for round := range 2 {
 				w := newWorld(t, set, seed)
@@ -469,7 +469,7 @@
 func TestTheSameSettingsAgainChangeNothing(t *testing.T) {
 	for seed := range uint64(4) {
 		set := testSettings()
-		set.SecondCopies, set.Number = seed%2 == 0, int(seed%2)
+		set.AllowHedging, set.InstanceIndex = seed%2 == 0, int(seed%2)
 		run := func(same bool) []Action {
 			w := newWorld(t, set, seed)
 			w.changes, w.same = -1, same
