--- a/broker/broker.go
+++ b/broker/broker.go
@@ -90,7 +90,7 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome struct {
 	Status policy.Status
-	Report policy.Report
+	Report policy.LoadReport
 	Value  []byte
 }
 
@@ -223,7 +223,7 @@
 		o      Outcome
 	}
 	cancel  struct{ q *Query }
-	members struct{ servers []policy.Server }
+	members struct{ servers []policy.Endpoint }
 	change  struct{ terms *Terms }
 	drain   struct{ cutoff time.Time }
 )
@@ -306,7 +306,7 @@
 }
 
 // Members hands in the whole server list as it now is.
-func (b *Broker) Members(servers []policy.Server) { b.post(members{servers}) }
+func (b *Broker) Members(servers []policy.Endpoint) { b.post(members{servers}) }
 
 // Drain makes the broker end every query by cutoff and returns a channel that closes once nothing is open.
 func (b *Broker) Drain(cutoff time.Time) <-chan struct{} {
@@ -391,7 +391,7 @@
 			Report: it.o.Report,
 		})
 	case members:
-		b.emit(policy.Members{Servers: it.servers})
+		b.emit(policy.EndpointList{Endpoints: it.servers})
 	case change:
 		b.set = it.terms.Settings
 		b.terms.Store(it.terms)
@@ -544,7 +544,7 @@
 		status = policy.Unconnected // it was never written: it waited for a connection all the time
 	}
 	b.to.Cancel(a)
-	b.outcome(a, Outcome{Status: status, Report: policy.NoReport}, now)
+	b.outcome(a, Outcome{Status: status, Report: policy.NoLoadReport}, now)
 }
 
 // step hands the decisions what has happened and carries out what they return. A panic there must not take
@@ -622,7 +622,7 @@
 	p.tries = append(p.tries, a)
 	if b.queries[p.q.id] != p.q || !until.After(now) || b.set.MaxAttempts > 0 && a.try >= b.set.MaxAttempts {
 		a.Revoke()
-		b.outcome(a, Outcome{Status: policy.Moot, Report: policy.NoReport}, now)
+		b.outcome(a, Outcome{Status: policy.Moot, Report: policy.NoLoadReport}, now)
 		return nil
 	}
 	a.timer = b.timers.add(until, func(now time.Time) { b.abandon(a, policy.TimedOut, now) })
@@ -657,7 +657,7 @@
 	}
 	for _, a := range call {
 		a.Revoke()
-		b.outcome(a, Outcome{Status: policy.Unconnected, Report: policy.NoReport}, now)
+		b.outcome(a, Outcome{Status: policy.Unconnected, Report: policy.NoLoadReport}, now)
 	}
 }
 
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -34,7 +34,7 @@
 }
 func (f *transport) Cancel(a *Attempt)                  { f.given <- a }
 func (f *transport) CloseIdle(uint32)                   {}
-func (f *transport) Probe(_ uint32, done func(Outcome)) { go done(Outcome{Report: policy.NoReport}) }
+func (f *transport) Probe(_ uint32, done func(Outcome)) { go done(Outcome{Report: policy.NoLoadReport}) }
 
 type sink chan Answer
 
@@ -57,7 +57,7 @@
 	b, err := New(Config{Settings: set, Transport: to, Log: logrus.NewEntry(log)})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}, {ID: 2, Presence: policy.Ready}})
+	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
 	return b, to
 }
 
@@ -84,7 +84,7 @@
 }
 
 func served(a *Attempt) {
-	a.Finish(Outcome{Status: policy.OK, Report: policy.NoReport, Value: []byte("v")})
+	a.Finish(Outcome{Status: policy.OK, Report: policy.NoLoadReport, Value: []byte("v")})
 }
 
 func TestOneFinalAnswerHoweverOftenAnAttemptEnds(t *testing.T) {
@@ -210,7 +210,7 @@
 	assert.Equal(t, Answer{Ending: Refused, Moved: true}, <-ask(old))
 	assert.Same(t, next, b.Terms())
 	by := ask(next)
-	(<-to.sent).Finish(Outcome{Status: policy.OK, Report: policy.NoReport})
+	(<-to.sent).Finish(Outcome{Status: policy.OK, Report: policy.NoLoadReport})
 	answer := <-by
 	assert.Equal(t, Served, answer.Ending)
 	assert.Equal(t, uint64(2), answer.Version)
@@ -252,7 +252,7 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}})
+	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}})
 	_, open := submit(b, 5*time.Second)
 	a := <-to.sent
 	closed <- true
@@ -311,7 +311,7 @@
 	b, err := New(Config{Settings: settings(policy.Idempotent), Transport: to, Log: logrus.NewEntry(log), Queue: 1})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}, {ID: 2, Presence: policy.Ready}})
+	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
 	first, _ := submit(b, time.Second)
 	waits := <-to.sent
 	second, _ := submit(b, time.Second)
@@ -385,7 +385,7 @@
 		if c.begun {
 			require.True(t, first.Begin())
 		}
-		first.Finish(Outcome{Status: c.status, Report: policy.NoReport})
+		first.Finish(Outcome{Status: c.status, Report: policy.NoLoadReport})
 		second := <-to.sent
 		time.Sleep(time.Until(first.sent.Add(110 * time.Millisecond))) // the rule is about time
 		assert.Equal(t, !c.late, second.Begin(), c.status)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -49,7 +49,7 @@
 type instance struct {
 	facts   *simcodec.Facts
 	policy  *policy.Aggregator
-	servers []policy.Server
+	servers []policy.Endpoint
 	events  []policy.Event
 	queued  bool
 }
@@ -136,10 +136,10 @@
 	switch e := what.(type) {
 	case simcodec.List:
 		if e.Mode == simcodec.Failed {
-			return policy.ListFailed{}
+			return policy.EndpointListFailed{}
 		}
 		it.servers = e.Apply(it.servers)
-		return policy.Members{Servers: it.servers}
+		return policy.EndpointList{Endpoints: it.servers}
 	case simcodec.Answered:
 		e.Outcome.Report = it.facts.Report(e.Figures)
 		return e.Outcome
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -25,7 +25,7 @@
 func TestRestartWithinOneBatch(t *testing.T) {
 	h := host{instances: map[uint16]*instance{}}
 	start := simcodec.Hello{Salt: 1, Facts: facts}
-	list := simcodec.List{Mode: simcodec.Cached, Entries: []policy.Server{{ID: 5, Presence: policy.Ready}}}
+	list := simcodec.List{Mode: simcodec.Cached, Entries: []policy.Endpoint{{ID: 5, State: policy.Ready}}}
 	if _, err := h.turn(batch(start, list)); err != nil {
 		t.Fatal(err)
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -148,9 +148,9 @@
 func (c *Config) stores(f *inifile.File) {
 	seen := map[string]string{}
 	for i, s := range f.Of("store") {
-		st := storepool.Store{Server: policy.Server{
-			ID: uint32(i + 1), Presence: policy.Ready, Cell: s.Int("cell", 0, 0, 4095),
-			Size: s.Float("size", 1, 0.001, 1e6),
+		st := storepool.Store{Endpoint: policy.Endpoint{
+			ID: uint32(i + 1), State: policy.Ready, RingPosition: s.Int("cell", 0, 0, 4095),
+			Capacity: s.Float("size", 1, 0.001, 1e6),
 		}, Name: s.Name}
 		s.Need("addr")
 		st.Addr = s.Addr("addr")
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -45,7 +45,7 @@
 		Keep: 1000, SnapshotAfter: 200,
 	}, *c.Agreement)
 	require.Len(t, c.OpenSearch.Stores, 2)
-	assert.Equal(t, 1, c.OpenSearch.Stores[1].Cell)
+	assert.Equal(t, 1, c.OpenSearch.Stores[1].RingPosition)
 	assert.Len(t, c.Own.Indices, 1)
 	assert.NotEmpty(t, c.Shared)
 	alone, err := Parse("f", "[log]\n")
--- a/internal/simcodec/settings.go
+++ b/internal/simcodec/settings.go
@@ -153,10 +153,10 @@
 // List is a list of plain values by its path.
 func (f *Facts) List(path string) []string { return f.list(path) }
 
-func (f *Facts) Report(figures []float32) policy.Report {
-	r := policy.NoReport
+func (f *Facts) Report(figures []float32) policy.LoadReport {
+	r := policy.NoLoadReport
 	tell := map[string]*float64{
-		"active": &r.Inflight, "waiting": &r.Queue, "cpu": &r.Util, "rps": &r.Rate,
+		"active": &r.Inflight, "waiting": &r.Queue, "cpu": &r.Utilization, "rps": &r.Rate,
 		"err_rps": &r.Errors,
 	}
 	for i, v := range figures[:min(len(figures), len(f.columns))] {
@@ -173,8 +173,8 @@
 
 // Apply brings a list up to date with the news of l and returns it sorted by id: a delta changes
 // the entries it names, any other mode replaces all.
-func (l List) Apply(now []policy.Server) []policy.Server {
-	by := map[uint32]policy.Server{}
+func (l List) Apply(now []policy.Endpoint) []policy.Endpoint {
+	by := map[uint32]policy.Endpoint{}
 	if l.Mode == Delta {
 		for _, s := range now {
 			by[s.ID] = s
@@ -183,13 +183,13 @@
 	for _, s := range l.Entries {
 		by[s.ID] = s
 	}
-	out := make([]policy.Server, 0, len(by))
+	out := make([]policy.Endpoint, 0, len(by))
 	for _, s := range by {
-		if s.Presence != policy.Gone {
+		if s.State != policy.Removed {
 			out = append(out, s)
 		}
 	}
-	slices.SortFunc(out, func(a, b policy.Server) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(out, func(a, b policy.Endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
 	return out
 }
 
--- a/internal/simcodec/wire.go
+++ b/internal/simcodec/wire.go
@@ -82,7 +82,7 @@
 type List struct {
 	Version uint64
 	Mode    Mode
-	Entries []policy.Server
+	Entries []policy.Endpoint
 }
 
 // Streaming says that a streamed answer has begun.
@@ -127,7 +127,7 @@
 // one sent earlier.
 type Decoder struct {
 	in    io.Reader
-	lists [maxLists][]policy.Server
+	lists [maxLists][]policy.Endpoint
 	known [maxLists]bool
 	frame int
 }
@@ -255,22 +255,22 @@
 	if err != nil {
 		return fmt.Errorf("list %d: %w", number, err)
 	}
-	list := make([]policy.Server, 0, len(raw)/entrySize)
+	list := make([]policy.Endpoint, 0, len(raw)/entrySize)
 	for ; len(raw) > 0; raw = raw[entrySize:] {
 		e := record(raw[:entrySize])
 		if e[9] > 2 {
 			return malformed("list %d: availability %d", number, e[9])
 		}
-		list = append(list, policy.Server{
-			ID: e.u32(5), Presence: presence[e[9]], Cell: int(e.u16(18)),
-			Zone: int(e[0]), Size: float64(e.f32(1)), Started: policy.Micros(e.u64(10)),
+		list = append(list, policy.Endpoint{
+			ID: e.u32(5), State: presence[e[9]], RingPosition: int(e.u16(18)),
+			Zone: int(e[0]), Capacity: float64(e.f32(1)), StartedAt: policy.Micros(e.u64(10)),
 		})
 	}
 	d.lists[number], d.known[number] = list, true
 	return nil
 }
 
-var presence = [3]policy.Presence{policy.Gone, policy.Ready, policy.Draining}
+var presence = [3]policy.EndpointState{policy.Removed, policy.Ready, policy.Draining}
 
 func (d *Decoder) membership(rec record) (any, error) {
 	number, mode := rec.u16(1), Mode(rec[11])
--- a/internal/simcodec/wire_test.go
+++ b/internal/simcodec/wire_test.go
@@ -45,9 +45,9 @@
 var entries = unhex("00 0000803f 074a1203 01 0000000000000000 0000 00" +
 	"00 0000c03f f211902c 02 20145d0000000000 0500 01")
 
-var listed = []policy.Server{
-	{ID: 0x03124a07, Presence: policy.Ready, Size: 1},
-	{ID: 0x2c9011f2, Presence: policy.Draining, Size: 1.5, Started: 0x5d1420, Cell: 5},
+var listed = []policy.Endpoint{
+	{ID: 0x03124a07, State: policy.Ready, Capacity: 1},
+	{ID: 0x2c9011f2, State: policy.Draining, Capacity: 1.5, StartedAt: 0x5d1420, RingPosition: 5},
 }
 
 // TestGoldenEvents decodes frames composed by hand, one for each event.
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range [][]policy.Server{listed, listed[1:], listed[1:]} {
+	for i, want := range [][]policy.Endpoint{listed, listed[1:], listed[1:]} {
 		got := append(a.Events, b.Events...)[i].What.(List)
 		if !reflect.DeepEqual(got.Entries, want) || got.Version != 0x29 || got.Mode != Full {
 			t.Fatalf("use %d: got %+v, want entries %+v", i, got, want)
@@ -134,12 +134,12 @@
 // TestApply brings an instance's own list up to date by deltas and full lists.
 func TestApply(t *testing.T) {
 	gone := listed[0]
-	gone.Presence = policy.Gone
-	now := List{Mode: Cached, Entries: []policy.Server{listed[1], listed[0]}}.Apply(nil)
+	gone.State = policy.Removed
+	now := List{Mode: Cached, Entries: []policy.Endpoint{listed[1], listed[0]}}.Apply(nil)
 	if !reflect.DeepEqual(now, listed) {
 		t.Fatalf("cached: %+v", now)
 	}
-	if now = (List{Mode: Delta, Entries: []policy.Server{gone}}).Apply(now); !reflect.DeepEqual(now, listed[1:]) {
+	if now = (List{Mode: Delta, Entries: []policy.Endpoint{gone}}).Apply(now); !reflect.DeepEqual(now, listed[1:]) {
 		t.Fatalf("delta: %+v", now)
 	}
 	if now = (List{Mode: Full, Entries: listed[:1]}).Apply(now); !reflect.DeepEqual(now, listed[:1]) {
@@ -229,10 +229,10 @@
 		t.Fatalf("got %+v", s)
 	}
 	r := f.Report([]float32{3, 1.5})
-	if r.Inflight != 3 || r.Latency != 1500 || r.Util != -1 {
+	if r.Inflight != 3 || r.Latency != 1500 || r.Utilization != -1 {
 		t.Fatalf("report %+v", r)
 	}
-	if r := f.Report([]float32{float32(math.NaN())}); r != policy.NoReport {
+	if r := f.Report([]float32{float32(math.NaN())}); r != policy.NoLoadReport {
 		t.Fatalf("report of no number %+v", r)
 	}
 	for _, bad := range []string{"tick_us=x", "grades.count=-1", "grades.count=1\ngrades.0.effect=odd", "tick_us=NaN"} {
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -152,7 +152,7 @@
 		set: &f.plan.Settings, conns: map[simnet.Party]bool{}, mean: f.plan.meanWork(),
 	}
 	s.Stats.Excess = math.Inf(-1)
-	s.Server = policy.Server{ID: uint32(1000 + 7919*i), Presence: policy.Ready, Cell: cell, Size: 1, Started: started}
+	s.Server = policy.Endpoint{ID: uint32(1000 + 7919*i), State: policy.Ready, RingPosition: cell, Capacity: 1, StartedAt: started}
 	f.Stores = append(f.Stores, s)
 	s.pauses()
 	return s
@@ -161,20 +161,20 @@
 // Replace has a store drain and a cold one take its place. The caller tells the gatherers by List.
 func (f *Fleet) Replace(i int) {
 	old := f.Stores[i]
-	old.Server.Presence = policy.Draining
-	f.AddStore(old.Server.Cell, f.Net.Now())
+	old.Server.State = policy.Draining
+	f.AddStore(old.Server.RingPosition, f.Net.Now())
 }
 
 // List hands every gatherer the list as it now stands, each after a span drawn up to within.
 func (f *Fleet) List(within Micros) {
 	list := f.list()
 	for _, n := range f.Nodes {
-		f.Net.After(n.me, f.Net.Rand().Int64N(within+1), func() { n.step(policy.Members{Servers: list}) })
+		f.Net.After(n.me, f.Net.Rand().Int64N(within+1), func() { n.step(policy.EndpointList{Endpoints: list}) })
 	}
 }
 
-func (f *Fleet) list() []policy.Server {
-	var list []policy.Server
+func (f *Fleet) list() []policy.Endpoint {
+	var list []policy.Endpoint
 	for _, s := range f.Stores {
 		list = append(list, s.Server)
 	}
@@ -278,7 +278,7 @@
 		panic(err) // the test's own settings
 	}
 	n.conns, n.open, n.parts = map[uint32]Micros{}, map[uint64]*query{}, map[uint64]*part{}
-	n.step(policy.Members{Servers: n.fleet.list()})
+	n.step(policy.EndpointList{Endpoints: n.fleet.list()})
 }
 
 func (n *Node) take(q *query) {
@@ -306,11 +306,11 @@
 	set := &n.fleet.plan.Settings
 	var holders []*Store
 	for _, s := range n.fleet.Stores {
-		if s.Server.Presence == policy.Ready && s.Server.Cell == p.shard%set.RingSize {
+		if s.Server.State == policy.Ready && s.Server.RingPosition == p.shard%set.RingSize {
 			holders = append(holders, s)
 		}
 	}
-	n.send(p, holders[n.fleet.Net.Rand().IntN(len(holders))], func(st policy.Status, _ policy.Report) {
+	n.send(p, holders[n.fleet.Net.Rand().IntN(len(holders))], func(st policy.Status, _ policy.LoadReport) {
 		q := p.q
 		if n.open[q.id] != q {
 			return
@@ -335,7 +335,7 @@
 		case policy.Cancel:
 			f.result.Cancels++
 			if p := n.parts[act.Part]; p != nil {
-				n.finish(p, act.Try, policy.Cancelled, policy.NoReport)
+				n.finish(p, act.Try, policy.Cancelled, policy.NoLoadReport)
 			}
 		case policy.Answer:
 			n.end(n.open[act.Query], true, false)
@@ -408,7 +408,7 @@
 func (n *Node) probe(id uint32) {
 	f, s := n.fleet, n.store(id)
 	at, over := f.Net.Now(), false
-	tell := func(status policy.Status, r policy.Report) {
+	tell := func(status policy.Status, r policy.LoadReport) {
 		if !over {
 			over = true
 			n.step(policy.ProbeResult{Server: id, Status: status, Elapsed: f.Net.Now() - at, Report: r})
@@ -422,31 +422,31 @@
 			f.Net.Stream(s.me, n.me, func() { tell(policy.OK, r) })
 		})
 	})
-	f.Net.After(n.me, 62_500, func() { tell(policy.TimedOut, policy.NoReport) })
+	f.Net.After(n.me, 62_500, func() { tell(policy.TimedOut, policy.NoLoadReport) })
 }
 
 func (n *Node) attempt(act policy.Send) {
 	p := n.parts[act.Part]
 	no := len(p.tries)
-	n.send(p, n.store(act.Server), func(st policy.Status, r policy.Report) { n.finish(p, no, st, r) })
-	n.fleet.Net.After(n.me, act.Timeout, func() { n.finish(p, no, policy.TimedOut, policy.NoReport) })
+	n.send(p, n.store(act.Server), func(st policy.Status, r policy.LoadReport) { n.finish(p, no, st, r) })
+	n.fleet.Net.After(n.me, act.Timeout, func() { n.finish(p, no, policy.TimedOut, policy.NoLoadReport) })
 }
 
 // send has a part reach a store and come back.
-func (n *Node) send(p *part, s *Store, back func(policy.Status, policy.Report)) {
+func (n *Node) send(p *part, s *Store, back func(policy.Status, policy.LoadReport)) {
 	f := n.fleet
 	f.result.Sends++
 	t := &try{server: s.Server.ID, at: f.Net.Now()}
 	p.tries = append(p.tries, t)
 	n.reach(s, func() {
-		s.take(job{work: p.work, counts: float64(f.plan.Mix[p.q.class].Work), done: func(st policy.Status, r policy.Report) bool {
+		s.take(job{work: p.work, counts: float64(f.plan.Mix[p.q.class].Work), done: func(st policy.Status, r policy.LoadReport) bool {
 			f.Net.Stream(s.me, n.me, func() { back(st, r) })
 			return !t.over
 		}})
 	})
 }
 
-func (n *Node) finish(p *part, no int, st policy.Status, r policy.Report) {
+func (n *Node) finish(p *part, no int, st policy.Status, r policy.LoadReport) {
 	t := p.tries[no]
 	if t.over {
 		return
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -23,7 +23,7 @@
 // stop work that nobody waits for any more.
 type Store struct {
 	Machine
-	Server policy.Server
+	Server policy.Endpoint
 
 	net     *simnet.Net
 	me      simnet.Party
@@ -31,7 +31,7 @@
 	set     *policy.Settings
 	running int
 	waiting []job
-	report  policy.Report
+	report  policy.LoadReport
 	told    Micros
 	stuck   Micros // it stands still until then
 	recent  float64
@@ -62,15 +62,15 @@
 type job struct {
 	work   float64
 	counts float64                                 // by its class's mean, as the rule on cold stores has it
-	done   func(policy.Status, policy.Report) bool // tells whether anybody waited
+	done   func(policy.Status, policy.LoadReport) bool // tells whether anybody waited
 }
 
 // share is the part of its capacity that a store has: it warms evenly.
 func (s *Store) share(now Micros) float64 {
-	if s.Server.Started <= 0 || s.set.SlowStartDuration <= 0 {
+	if s.Server.StartedAt <= 0 || s.set.SlowStartDuration <= 0 {
 		return 1
 	}
-	age := float64(now-s.Server.Started) / float64(s.set.SlowStartDuration)
+	age := float64(now-s.Server.StartedAt) / float64(s.set.SlowStartDuration)
 	return min(1, s.set.SlowStartFraction+(1-s.set.SlowStartFraction)*max(0, age))
 }
 
@@ -151,9 +151,9 @@
 }
 
 // load is the report as it was last made.
-func (s *Store) load() policy.Report {
+func (s *Store) load() policy.LoadReport {
 	if now := s.net.Now(); s.told == 0 || now-s.told >= s.Report {
-		s.told, s.report = now, policy.NoReport
+		s.told, s.report = now, policy.NoLoadReport
 		s.report.Queue = float64(len(s.waiting))
 		s.report.Rate = s.recent * math.Exp(-float64(now-s.mark)/1e6)
 	}
@@ -164,7 +164,7 @@
 func (s *Store) connect(from simnet.Party) {
 	s.conns[from] = true
 	s.Stats.Conns++
-	s.take(job{work: float64(s.Handshake), counts: float64(s.Handshake), done: func(policy.Status, policy.Report) bool { return true }})
+	s.take(job{work: float64(s.Handshake), counts: float64(s.Handshake), done: func(policy.Status, policy.LoadReport) bool { return true }})
 }
 
 // Freeze has the store stand still for a span: it takes parts and answers none.
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -64,7 +64,7 @@
 		r.stores[i] = testserver.NewSearchStore(t, docs)
 		r.config.Stores = append(r.config.Stores, storepool.Store{
 			Name: fmt.Sprint("s-", i), Addr: r.stores[i].Addr,
-			Server: policy.Server{ID: uint32(i + 1), Presence: policy.Ready, Size: 1},
+			Endpoint: policy.Endpoint{ID: uint32(i + 1), State: policy.Ready, Capacity: 1},
 		})
 	}
 	var err error
@@ -314,7 +314,7 @@
 	r.config = &Config{Listen: "127.0.0.1:0", Fleet: 1, Limits: storepool.Limits{
 		Streams: 1, Conns: 16, ConnectTimeout: 250_000,
 		ConnIdle: 15_000_000,
-	}, Stores: []storepool.Store{{Addr: s.Addr, Server: policy.Server{ID: 1, Presence: policy.Ready}}}}
+	}, Stores: []storepool.Store{{Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}}}
 	var open atomic.Bool
 	open.Store(true)
 	var err error
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -41,13 +41,13 @@
 	}
 	set, by := t.Settings, indices{}
 	for _, s := range c.Stores {
-		if s.Cell >= set.RingSize {
-			return nil, fmt.Errorf("store %s is in cell %d, and the layout has %d", s.Name, s.Cell, set.RingSize)
+		if s.RingPosition >= set.RingSize {
+			return nil, fmt.Errorf("store %s is in cell %d, and the layout has %d", s.Name, s.RingPosition, set.RingSize)
 		}
 	}
 	for _, ix := range d.Indices {
 		for _, slice := range ix.Slices {
-			held := func(s storepool.Store) bool { return ((s.Cell-slice)%set.RingSize+set.RingSize)%set.RingSize < set.ReplicationFactor }
+			held := func(s storepool.Store) bool { return ((s.RingPosition-slice)%set.RingSize+set.RingSize)%set.RingSize < set.ReplicationFactor }
 			if !slices.ContainsFunc(c.Stores, held) {
 				return nil, fmt.Errorf("index %s: no store here holds slice %d", ix.Name, slice)
 			}
@@ -86,9 +86,9 @@
 	if s.broker, err = broker.New(broker.Config{Terms: terms, Gate: gate, Transport: s.pool, Log: log}); err != nil {
 		return nil, fmt.Errorf("opensearch: %w", err)
 	}
-	servers := make([]policy.Server, len(c.Stores))
+	servers := make([]policy.Endpoint, len(c.Stores))
 	for i, st := range c.Stores {
-		servers[i] = st.Server
+		servers[i] = st.Endpoint
 	}
 	s.broker.Members(servers)
 	if s.listen, err = net.Listen("tcp", c.Listen); err != nil {
--- a/policy/api.go
+++ b/policy/api.go
@@ -114,47 +114,47 @@
 	return nil
 }
 
-// Presence is the state of a server on the list.
-type Presence uint8
+// EndpointState is the state of a server on the list.
+type EndpointState uint8
 
 // The states of a server. Servers missing from a list count as Gone.
 const (
-	Gone Presence = iota
+	Removed EndpointState = iota
 	Ready
 	Draining
 )
 
-// Server is one line of the server list.
-type Server struct {
+// Endpoint is one line of the server list.
+type Endpoint struct {
 	ID       uint32
-	Presence Presence
-	Cell     int
+	State EndpointState
+	RingPosition     int
 	Zone     int
-	Size     float64 // as registered; 0: unknown
-	Started  Micros  // moment of the newest start; 0: long ago
+	Capacity     float64 // as registered; 0: unknown
+	StartedAt  Micros  // moment of the newest start; 0: long ago
 }
 
-// Report is a server's account of its own load. A field below zero was not told.
-type Report struct {
+// LoadReport is a server's account of its own load. A field below zero was not told.
+type LoadReport struct {
 	Inflight float64 // requests it holds
 	Queue    float64 // of these, waiting
-	Util     float64 // how busy its cores are, 0 to 1
+	Utilization     float64 // how busy its cores are, 0 to 1
 	Latency  Micros  // its recent service time
 	Rate     float64 // requests a second
 	Errors   float64 // errors a second
 }
 
-// NoReport is the report of a server that told nothing.
-var NoReport = Report{-1, -1, -1, -1, -1, -1}
+// NoLoadReport is the report of a server that told nothing.
+var NoLoadReport = LoadReport{-1, -1, -1, -1, -1, -1}
 
 // Event is something that happened. It is one of the types below that name themselves so.
 type Event interface{ event() }
 
-// Members is the whole server list as now known; each replaces the one before.
-type Members struct{ Servers []Server }
+// EndpointList is the whole server list as now known; each replaces the one before.
+type EndpointList struct{ Endpoints []Endpoint }
 
-// ListFailed says that the list could not be had or its subscription ended (AskForList only).
-type ListFailed struct{}
+// EndpointListFailed says that the list could not be had or its subscription ended (AskForList only).
+type EndpointListFailed struct{}
 
 // Reconfigure replaces the settings between two turns. Queries taken before keep their classes' terms; what is known
 // of servers, of classes by name, and of what is out stays. Settings that fail Check change nothing and are logged.
@@ -205,7 +205,7 @@
 	Server  uint32
 	Status  Status
 	Elapsed Micros
-	Report  Report
+	Report  LoadReport
 }
 
 // ProbeResult ends one Probe.
@@ -213,7 +213,7 @@
 	Server  uint32
 	Status  Status
 	Elapsed Micros
-	Report  Report
+	Report  LoadReport
 }
 
 // Timer answers a Wake.
@@ -222,9 +222,9 @@
 // ClientCanceled says that the client of a query left: the query is over, no answer is owed.
 type ClientCanceled struct{ Query uint64 }
 
-func (Members) event()        {}
+func (EndpointList) event()        {}
 func (Reconfigure) event()    {}
-func (ListFailed) event()     {}
+func (EndpointListFailed) event()     {}
 func (Query) event()          {}
 func (Part) event()           {}
 func (Outcome) event()        {}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -21,16 +21,16 @@
 	runtime.ReadMemStats(&before)
 	s := testSettings()
 	s.InstanceCount, s.RingSize, s.Shards, s.ReplicationFactor, s.OverloadFactor, s.LoadByHealthCheckOnly = 32, servers, servers, 3, 2.5, true
-	var list []Server
+	var list []Endpoint
 	for i := range servers {
-		list = append(list, Server{ID: uint32(i + 1), Presence: Ready, Cell: i})
+		list = append(list, Endpoint{ID: uint32(i + 1), State: Ready, RingPosition: i})
 	}
 	a, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now, id := Micros(1_000_000), uint64(1)
-	a.Step(now, []Event{Members{list}})
+	a.Step(now, []Event{EndpointList{list}})
 	var due []Event // answers, in the order they come
 	var at []Micros
 	b.ReportAllocs()
@@ -47,10 +47,10 @@
 		for _, act := range a.Step(now, events) {
 			switch act := act.(type) {
 			case Send:
-				due = append(due, Outcome{Part: act.Part, Server: act.Server, Status: OK, Report: NoReport})
+				due = append(due, Outcome{Part: act.Part, Server: act.Server, Status: OK, Report: NoLoadReport})
 				at = append(at, now+200_000)
 			case Probe:
-				due = append(due, ProbeResult{Server: act.Server, Report: NoReport})
+				due = append(due, ProbeResult{Server: act.Server, Report: NoLoadReport})
 				at = append(at, now+s.Tick)
 			}
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -19,7 +19,7 @@
 	}
 	now := policy.Micros(1_000_000)
 	events := []policy.Event{
-		policy.Members{Servers: []policy.Server{{ID: 7, Presence: policy.Ready}, {ID: 8, Presence: policy.Ready, Cell: 1}}},
+		policy.EndpointList{Endpoints: []policy.Endpoint{{ID: 7, State: policy.Ready}, {ID: 8, State: policy.Ready, RingPosition: 1}}},
 		policy.Query{ID: 1, Number: 1, Deadline: now + 3_000_000, Parts: 2},
 		policy.Part{ID: 2, Number: 1, Shard: 0, Weight: 0.5},
 		policy.Part{ID: 3, Number: 1, Shard: 1, Weight: 0.5},
@@ -33,7 +33,7 @@
 				fmt.Printf("part %d to server %d\n", act.Part, act.Server)
 				events = append(events, policy.Outcome{
 					Part: act.Part, Server: act.Server, Status: policy.OK,
-					Elapsed: 20_000, Report: policy.NoReport,
+					Elapsed: 20_000, Report: policy.NoLoadReport,
 				})
 			case policy.Answer:
 				fmt.Printf("query %d answered, whole: %v\n", act.Query, act.Whole)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -43,10 +43,10 @@
 )
 
 type server struct {
-	Server
+	Endpoint
 	factor, bears           float64 // smoothed latency, in references at no load; work a second it reports
 	fails                   float64 // smoothed share of its attempts that failed though it can be reached
-	told                    Report
+	told                    LoadReport
 	touched, heard, toldAt  Micros // of the newest sample; answer or probe result; report
 	ownThen                 int    // own attempts out when the report came
 	out                     []*attempt
@@ -220,16 +220,16 @@
 
 func (a *Aggregator) take(e Event) {
 	switch e := e.(type) {
-	case Members:
+	case EndpointList:
 		a.asks = 0
-		a.follow(e.Servers)
+		a.follow(e.Endpoints)
 	case Reconfigure:
 		if err := e.Settings.Check(); err != nil {
 			a.do(Log{"settings unusable, the last ones stand: " + err.Error()})
 		} else {
 			a.use(e.Settings)
 		}
-	case ListFailed: // back off, spread by number: all who ask at once keep one service from answering any
+	case EndpointListFailed: // back off, spread by number: all who ask at once keep one service from answering any
 		if a.set.PollEndpoints {
 			a.asks = min(a.asks+1, mostJams)
 			spread := 0.5 + float64(a.set.InstanceIndex)/float64(a.set.InstanceCount)
@@ -261,21 +261,21 @@
 }
 
 // follow takes the list as it now is. Servers that left are kept as gone while attempts are out.
-func (a *Aggregator) follow(list []Server) {
+func (a *Aggregator) follow(list []Endpoint) {
 	for _, s := range a.order {
-		s.Presence = Gone
+		s.State = Removed
 	}
 	for _, line := range list {
 		s := a.servers[line.ID]
 		if s == nil {
-			s = &server{factor: 1, told: NoReport, heard: a.now, used: a.now, tally: map[int]float64{}}
+			s = &server{factor: 1, told: NoLoadReport, heard: a.now, used: a.now, tally: map[int]float64{}}
 			a.servers[line.ID] = s
 			a.order = append(a.order, s)
-		} else if line.Started != s.Started { // a fresh process: what was known of the old one is void
-			s.factor, s.fails, s.told, s.outlier = 1, 0, NoReport, false
+		} else if line.StartedAt != s.StartedAt { // a fresh process: what was known of the old one is void
+			s.factor, s.fails, s.told, s.outlier = 1, 0, NoLoadReport, false
 			s.ledger, s.used, s.doubt = nil, a.now, false
 		}
-		s.Server = line
+		s.Endpoint = line
 	}
 	slices.SortFunc(a.order, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	a.layOut()
@@ -283,14 +283,14 @@
 
 // layOut finds each shard's replicas anew, by id.
 func (a *Aggregator) layOut() {
-	left := func(s *server) bool { return s.Presence == Gone && len(s.out) == 0 }
+	left := func(s *server) bool { return s.State == Removed && len(s.out) == 0 }
 	a.order = slices.DeleteFunc(a.order, left)
 	clear(a.servers)
 	clear(a.shards)
 	for _, s := range a.order {
 		a.servers[s.ID] = s
 		for i := range a.shards {
-			if s.Presence == Ready && a.holds(s, i) {
+			if s.State == Ready && a.holds(s, i) {
 				a.shards[i] = append(a.shards[i], s)
 			}
 		}
@@ -299,7 +299,7 @@
 
 func (a *Aggregator) holds(s *server, shard int) bool {
 	n := a.set.RingSize
-	return s.Cell >= 0 && s.Cell < n && ((s.Cell-shard)%n+n)%n < a.set.ReplicationFactor
+	return s.RingPosition >= 0 && s.RingPosition < n && ((s.RingPosition-shard)%n+n)%n < a.set.ReplicationFactor
 }
 
 func (a *Aggregator) takeQuery(e Query) {
@@ -610,7 +610,7 @@
 // mayTake tells whether every rule and guard lets a part go to a server now. send asks it again.
 func (a *Aggregator) mayTake(s *server, p *part, sound bool) bool {
 	switch {
-	case s.Presence != Ready || !a.holds(s, p.Shard), // drains
+	case s.State != Ready || !a.holds(s, p.Shard), // drains
 		p.q.over || a.parts[p.ID] != p || p.state == in,   // queries that are over
 		!a.mayRepeat(p) || p.tries > 0 && !a.budgetLeft(), // effects, budget
 		!a.coldRoom(s, p) || !a.hasRoom(s) || a.now < s.fullTill:
@@ -673,10 +673,10 @@
 
 // coldShare is the work that this aggregator may send a server within the rule's span: an equal part.
 func (a *Aggregator) coldShare(s *server) float64 {
-	if s.Started <= 0 || a.set.OverloadFactor <= 0 || a.now >= s.Started+a.set.SlowStartDuration+a.set.OverloadDuration {
+	if s.StartedAt <= 0 || a.set.OverloadFactor <= 0 || a.now >= s.StartedAt+a.set.SlowStartDuration+a.set.OverloadDuration {
 		return math.Inf(1)
 	}
-	age := max(0, float64(a.now-a.set.OverloadDuration-s.Started)/float64(a.set.SlowStartDuration))
+	age := max(0, float64(a.now-a.set.OverloadDuration-s.StartedAt)/float64(a.set.SlowStartDuration))
 	share := min(1, a.set.SlowStartFraction+(1-a.set.SlowStartFraction)*age)
 	return a.set.OverloadFactor * share * a.bears * float64(a.set.OverloadDuration) / float64(a.set.InstanceCount)
 }
@@ -712,7 +712,7 @@
 	if len(s.ledger) > 0 {
 		return s.ledger[len(s.ledger)-1].at + max(pause, a.set.OverloadDuration+a.set.Tick)
 	}
-	return s.Started + pause - Micros(due*float64((uint64(a.set.InstanceIndex)+uint64(s.ID))%fleet)/float64(fleet))
+	return s.StartedAt + pause - Micros(due*float64((uint64(a.set.InstanceIndex)+uint64(s.ID))%fleet)/float64(fleet))
 }
 
 // lull is the mean time between two parts that this aggregator takes for a server's shards: so little has
@@ -720,7 +720,7 @@
 func (a *Aggregator) lull(s *server) float64 {
 	n := 1.0
 	for j := range a.set.ReplicationFactor {
-		for i := (s.Cell - j + a.set.RingSize) % a.set.RingSize; i < a.set.Shards; i += a.set.RingSize {
+		for i := (s.RingPosition - j + a.set.RingSize) % a.set.RingSize; i < a.set.Shards; i += a.set.RingSize {
 			n += a.seen[i].work * math.Exp(-float64(a.now-a.seen[i].at)/float64(a.set.SlowStartDuration))
 		}
 	}
@@ -748,7 +748,7 @@
 	if len(p.live) == 0 && !p.ran {
 		p.first = a.now
 	}
-	if a.now < s.Started+a.set.SlowStartDuration+a.set.OverloadDuration {
+	if a.now < s.StartedAt+a.set.SlowStartDuration+a.set.OverloadDuration {
 		s.ledger = append(dropOld(s.ledger, a.now-a.set.OverloadDuration-a.set.Tick), spend{a.now, q.cls.ref})
 	} else {
 		s.ledger = nil
@@ -879,15 +879,15 @@
 }
 
 // hear takes a load report.
-func (a *Aggregator) hear(s *server, r Report) {
-	if r == NoReport {
+func (a *Aggregator) hear(s *server, r LoadReport) {
+	if r == NoLoadReport {
 		return
 	}
 	s.told, s.toldAt, s.ownThen = r, a.now, len(s.out)
 	if r.Queue >= 0 {
 		a.queued += gainRef * (min(r.Queue, 1) - a.queued)
 	}
-	if r.Rate > 0 && a.now > s.Started+a.set.SlowStartDuration {
+	if r.Rate > 0 && a.now > s.StartedAt+a.set.SlowStartDuration {
 		s.bears += gainDown * (r.Rate*a.refAll/1e6 - s.bears)
 		a.bears = max(a.bears, s.bears)
 	}
@@ -917,12 +917,12 @@
 	s.probing, s.toldAt, s.waited = false, a.now, a.now-s.asked
 	if e.Status == OK {
 		s.heard = a.now
-		if e.Report.Util >= 0 {
-			a.util += gainRef * (e.Report.Util - a.util)
+		if e.Report.Utilization >= 0 {
+			a.util += gainRef * (e.Report.Utilization - a.util)
 		}
 		a.hear(s, e.Report)
 	} else {
-		s.told = NoReport
+		s.told = NoLoadReport
 		s.waited = max(s.waited, Micros(lateAt*a.refAll))
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-func newHand(t *testing.T, s Settings, servers ...Server) *hand {
+func newHand(t *testing.T, s Settings, servers ...Endpoint) *hand {
 	t.Helper()
 	a, err := New(s, 1)
 	if err != nil {
@@ -30,13 +30,13 @@
 	if len(servers) == 0 {
 		servers = ready(1, 2, 3)
 	}
-	h.step(0, Members{servers})
+	h.step(0, EndpointList{servers})
 	return h
 }
 
-func ready(ids ...uint32) (out []Server) {
+func ready(ids ...uint32) (out []Endpoint) {
 	for _, id := range ids {
-		out = append(out, Server{ID: id, Presence: Ready, Cell: int(id) % 3})
+		out = append(out, Endpoint{ID: id, State: Ready, RingPosition: int(id) % 3})
 	}
 	return out
 }
@@ -76,7 +76,7 @@
 		_, events := h.query(class, 1)
 		sent := pick[Send](h.step(h.a.set.Tick, events...))
 		for _, s := range sent {
-			h.step(latency, Outcome{Part: s.Part, Server: s.Server, Status: OK, Elapsed: latency, Report: NoReport})
+			h.step(latency, Outcome{Part: s.Part, Server: s.Server, Status: OK, Elapsed: latency, Report: NoLoadReport})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		h := newHand(t, handSettings())
 		id, events := h.query(c.class, 1)
 		s := pick[Send](h.step(0, events...))[0]
-		acts := h.step(c.after, Outcome{Part: s.Part, Server: s.Server, Status: c.status, Report: NoReport})
+		acts := h.step(c.after, Outcome{Part: s.Part, Server: s.Server, Status: c.status, Report: NoLoadReport})
 		if got := len(pick[Send](acts)) > 0; got != c.again {
 			t.Errorf("class %d after status %d: sent again %v, want %v", c.class, c.status, got, c.again)
 		}
@@ -150,7 +150,7 @@
 
 func TestRuleDrainsAreKept(t *testing.T) {
 	servers := ready(1, 2, 3)
-	servers[1].Presence = Draining
+	servers[1].State = Draining
 	h := newHand(t, handSettings(), servers[:2]...) // 3 is gone, 2 drains
 	for range 20 {
 		_, events := h.query(0, 3)
@@ -177,7 +177,7 @@
 
 // coldFleet lets a fleet of aggregators, all with more parts than it can take, meet one cold server that alone
 // holds their shard. It returns the most work within a span against what the rule allows, and work a second.
-func coldFleet(t *testing.T, fleet int, report Report) (most, rate float64) {
+func coldFleet(t *testing.T, fleet int, report LoadReport) (most, rate float64) {
 	s := handSettings()
 	s.OverloadFactor, s.SlowStartFraction, s.InstanceCount = 2, 0.25, fleet
 	const work = 100_000
@@ -200,10 +200,10 @@
 				h.a.close(q)
 			}
 			_, query := h.query(0, 1)
-			acts := h.step(0, append(query, Members{[]Server{{ID: 9, Presence: Ready, Started: start}}})...)
+			acts := h.step(0, append(query, EndpointList{[]Endpoint{{ID: 9, State: Ready, StartedAt: start}}})...)
 			for _, p := range pick[Send](acts) {
 				sent = append(sent, now)
-				h.step(0, Outcome{Part: p.Part, Server: 9, Status: OK, Report: NoReport})
+				h.step(0, Outcome{Part: p.Part, Server: 9, Status: OK, Report: NoLoadReport})
 				h.a.classes[0].ref, h.a.refAll, h.a.work = work, work, work // answered at once only for the window's sake
 			}
 		}
@@ -222,7 +222,7 @@
 // All aggregators together keep a cold server below its limit, and yet use it, whatever their number.
 func TestRuleColdServersAreNotPushedOver(t *testing.T) {
 	for _, fleet := range []int{1, 2, 11, 32, 90} {
-		most, rate := coldFleet(t, fleet, NoReport)
+		most, rate := coldFleet(t, fleet, NoLoadReport)
 		if most > 1 {
 			t.Errorf("%d aggregators: a span held %.2f of the limit", fleet, most)
 		}
@@ -230,9 +230,9 @@
 			t.Errorf("%d aggregators: the cold server got work of %.2f a second only", fleet, rate)
 		}
 	}
-	busy := NoReport
+	busy := NoLoadReport
 	busy.Rate = 30
-	_, plain := coldFleet(t, 11, NoReport)
+	_, plain := coldFleet(t, 11, NoLoadReport)
 	if _, more := coldFleet(t, 11, busy); more <= plain {
 		t.Errorf("work of %.2f a second where warm servers bear more, %.2f where they say nothing", more, plain)
 	}
@@ -245,7 +245,7 @@
 		sent := pick[Send](h.step(0, events...))
 		for i := range in { // the lightest parts leave only when others have been answered
 			s := sent[i]
-			sent = append(sent, pick[Send](h.step(1000, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoReport}))...)
+			sent = append(sent, pick[Send](h.step(1000, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport}))...)
 		}
 		for range 360 {
 			h.step(h.a.set.Tick, Timer{})
@@ -271,7 +271,7 @@
 			var outcomes []Event
 			for _, s := range pick[Send](acts) {
 				p := h.a.parts[s.Part]
-				outcomes = append(outcomes, Outcome{Part: s.Part, Try: p.tries - 1, Server: s.Server, Status: Errored, Report: NoReport})
+				outcomes = append(outcomes, Outcome{Part: s.Part, Try: p.tries - 1, Server: s.Server, Status: Errored, Report: NoLoadReport})
 			}
 			acts = h.step(h.a.set.Tick, outcomes...)
 		}
@@ -333,7 +333,7 @@
 	h.teach(0, 30, 200_000)
 	p := &part{q: &query{cls: h.a.classes[0]}, size: 1}
 	before := h.a.predict(h.a.servers[2], p)
-	r := NoReport
+	r := NoLoadReport
 	r.Inflight = 8
 	h.a.hear(h.a.servers[2], r)
 	if after := h.a.predict(h.a.servers[2], p); after < 2*before {
@@ -367,7 +367,7 @@
 	_, events := h.query(0, 3)
 	for _, sent := range pick[Send](h.step(h.a.set.Tick, events...)) {
 		if sent.Server == 2 {
-			h.step(1000, Outcome{Part: sent.Part, Server: 2, Status: Errored, Report: NoReport})
+			h.step(1000, Outcome{Part: sent.Part, Server: 2, Status: Errored, Report: NoLoadReport})
 		}
 	}
 	if f := h.a.slowness(s); f < 2 {
@@ -403,7 +403,7 @@
 	h.teach(0, 20, 100_000)
 	id, events := h.query(0, 2)
 	for _, s := range pick[Send](h.step(h.a.set.Tick, events...)) {
-		h.step(1000, Outcome{Part: s.Part, Server: 1, Status: Broken, Report: NoReport})
+		h.step(1000, Outcome{Part: s.Part, Server: 1, Status: Broken, Report: NoLoadReport})
 	}
 	if h.finals(id) > 0 {
 		t.Error("given up though its other attempts remain")
@@ -419,8 +419,8 @@
 	for range 8 { // each first attempt breaks
 		_, events := h.query(0, 1)
 		sent := pick[Send](h.step(h.a.set.Tick, events...))
-		sent = pick[Send](h.step(aim/100, Outcome{Part: sent[0].Part, Server: 1, Status: Broken, Report: NoReport}))
-		h.step(aim/10, Outcome{Part: sent[0].Part, Try: 1, Server: 1, Status: OK, Report: NoReport})
+		sent = pick[Send](h.step(aim/100, Outcome{Part: sent[0].Part, Server: 1, Status: Broken, Report: NoLoadReport}))
+		h.step(aim/10, Outcome{Part: sent[0].Part, Try: 1, Server: 1, Status: OK, Report: NoLoadReport})
 	}
 	for range int(h.a.window()) + 1 { // one more than finds room
 		_, events := h.query(0, 1)
@@ -495,7 +495,7 @@
 		var back []Event
 		for id := range uint32(3) {
 			if id+1 != slow {
-				back = append(back, ProbeResult{Server: id + 1, Status: OK, Report: NoReport})
+				back = append(back, ProbeResult{Server: id + 1, Status: OK, Report: NoLoadReport})
 			}
 		}
 		h.step(h.a.set.Tick, back...)
@@ -541,7 +541,7 @@
 		for i, s := range sent {
 			h.a.parts[s.Part].live[0].pred = 900_000 // so that no part is late by its own prediction
 			if i < max(in, -in) {
-				h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoReport})
+				h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 			}
 		}
 		for _, s := range h.a.order {
@@ -574,7 +574,7 @@
 		if len(pick[CloseIdle](h.log)) > 0 {
 			status = again
 		}
-		h.step(300_000, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: status, Report: NoReport})
+		h.step(300_000, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: status, Report: NoLoadReport})
 		for _, q := range h.a.open {
 			h.a.close(q)
 		}
@@ -630,7 +630,7 @@
 			for range took / 50_000 {
 				h.step(50_000, Timer{})
 			}
-			h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoReport})
+			h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 		}
 		hung += len(pick[CloseIdle](h.log))
 	}
@@ -700,7 +700,7 @@
 			other.factor, other.touched = 5, h.now
 		}
 	}
-	acts := h.step(10_000, Outcome{Part: s.Part, Server: s.Server, Status: Rejected, Report: NoReport})
+	acts := h.step(10_000, Outcome{Part: s.Part, Server: s.Server, Status: Rejected, Report: NoLoadReport})
 	if len(pick[Send](acts)) != 1 {
 		t.Fatal("the part waits for the server that has just turned it away")
 	}
@@ -751,7 +751,7 @@
 			if p.Server == 1 {
 				status = probe
 			}
-			h.step(0, ProbeResult{Server: p.Server, Status: status, Report: NoReport})
+			h.step(0, ProbeResult{Server: p.Server, Status: status, Report: NoLoadReport})
 		}
 		for queue := pick[Send](acts); len(queue) > 0; queue = queue[1:] { // retries join the queue
 			sent, status, after := queue[0], OK, Micros(100_000)
@@ -761,7 +761,7 @@
 			}
 			queue = append(queue, pick[Send](h.step(after, Outcome{
 				Part: sent.Part, Try: h.a.parts[sent.Part].tries - 1,
-				Server: sent.Server, Status: status, Report: NoReport,
+				Server: sent.Server, Status: status, Report: NoLoadReport,
 			}))...)
 		}
 	}
@@ -809,12 +809,12 @@
 func TestBadInputIsOfNoMatter(t *testing.T) {
 	h := newHand(t, handSettings())
 	h.step(0, Outcome{Part: 1, Server: 1}, Outcome{Server: 77}, ProbeResult{Server: 1}, ProbeResult{Server: 77},
-		ClientCanceled{5}, Part{ID: 3, Number: 99}, ListFailed{}, Timer{})
+		ClientCanceled{5}, Part{ID: 3, Number: 99}, EndpointListFailed{}, Timer{})
 	id, events := h.query(0, 1)
 	events = append(events, events[0], events[1], Part{ID: 4, Number: id, Shard: -1}, Part{ID: 5, Number: id, Shard: 99},
 		Part{ID: 6, Number: id, Weight: math.NaN()})
 	s := pick[Send](h.step(0, events...))[0]
-	ok := Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: Report{math.NaN(), -1, -1, -1, math.Inf(1), -1}}
+	ok := Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: LoadReport{math.NaN(), -1, -1, -1, math.Inf(1), -1}}
 	h.step(-50_000, ok, ok) // twice, and time runs backwards
 	if h.finals(id) != 1 {
 		t.Fatalf("%d final answers, want 1", h.finals(id))
@@ -823,8 +823,8 @@
 	if len(pick[Refuse](acts)) != 1 {
 		t.Fatalf("a query of no known class got %+v", acts)
 	}
-	h.step(0, Members{nil})
-	h.step(0, Members{[]Server{{ID: 1, Presence: Ready, Cell: -3}, {ID: 2, Presence: Ready, Cell: 99}}})
+	h.step(0, EndpointList{nil})
+	h.step(0, EndpointList{[]Endpoint{{ID: 1, State: Ready, RingPosition: -3}, {ID: 2, State: Ready, RingPosition: 99}}})
 }
 
 // Parts of a query join one call where a call costs as much as a part, and none where it costs nothing.
@@ -855,7 +855,7 @@
 	var gaps []Micros
 	for range 2 {
 		at := h.now
-		acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Try: len(gaps), Server: 1, Status: Rejected, Report: NoReport})
+		acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Try: len(gaps), Server: 1, Status: Rejected, Report: NoLoadReport})
 		for sent = pick[Send](acts); len(sent) == 0 && h.now < at+2_000_000; {
 			sent = pick[Send](h.step(h.a.set.Tick, Timer{}))
 		}
@@ -881,7 +881,7 @@
 			acts := h.step(200_000, events...)
 			n += len(pick[Refuse](acts))
 			for _, s := range pick[Send](acts) {
-				h.step(1000, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoReport})
+				h.step(1000, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 			}
 		}
 		return n
@@ -931,7 +931,7 @@
 		t.Fatalf("%d parts sent at first", len(sent))
 	}
 	for _, s := range sent[:2] {
-		h.step(h.a.set.Tick, Outcome{Part: s.Part, Server: s.Server, Status: Broken, Report: NoReport})
+		h.step(h.a.set.Tick, Outcome{Part: s.Part, Server: s.Server, Status: Broken, Report: NoLoadReport})
 	}
 	if h.finals(id) != 1 {
 		t.Fatal("the query goes on after two servers died of it")
@@ -939,7 +939,7 @@
 	if id, sent = next(7); len(sent) != 1 {
 		t.Fatalf("the key's next query sends %d parts ahead, want one", len(sent))
 	}
-	acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoReport})
+	acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
 	if n := len(pick[Send](acts)); n != 2 {
 		t.Errorf("after the first answer %d parts follow, want two", n)
 	}
@@ -948,9 +948,9 @@
 	}
 	// resets that spare some of a query's parts are no evidence against it
 	id, sent = next(9)
-	h.step(h.a.set.Tick, Outcome{Part: sent[2].Part, Server: sent[2].Server, Status: OK, Report: NoReport})
+	h.step(h.a.set.Tick, Outcome{Part: sent[2].Part, Server: sent[2].Server, Status: OK, Report: NoLoadReport})
 	for _, s := range sent[:2] {
-		h.step(h.a.set.Tick, Outcome{Part: s.Part, Server: s.Server, Status: Broken, Report: NoReport})
+		h.step(h.a.set.Tick, Outcome{Part: s.Part, Server: s.Server, Status: Broken, Report: NoLoadReport})
 	}
 	if h.finals(id) != 0 {
 		t.Error("a query with an answered part was given up for two resets")
@@ -977,7 +977,7 @@
 		if want := 2 + 4*btoi(busy < 0.5); len(sent) != want {
 			t.Fatalf("load %.1f: %d parts sent at first, want %d", busy, len(sent), want)
 		}
-		acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoReport})
+		acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
 		if n := len(pick[Send](acts)); n != btoi(busy > 0.5) {
 			t.Errorf("load %.1f: a quick answer brought %d more parts", busy, n)
 		}
@@ -998,7 +998,7 @@
 		}
 		for range 5 {
 			from := h.now
-			acts := h.step(s.Tick, ListFailed{})
+			acts := h.step(s.Tick, EndpointListFailed{})
 			for len(pick[Subscribe](acts)) == 0 && h.now < from+20_000_000 {
 				acts = h.step(s.Tick, Timer{})
 			}
@@ -1008,7 +1008,7 @@
 		if waits[0] < Micros(h.a.beat)/2 || waits[1] < waits[0]*3/2 || waits[4] > s.PollInterval+2*s.Tick {
 			t.Errorf("aggregator %d called again after %v", number, waits)
 		}
-		h.step(s.Tick, Members{ready(1, 2, 3)})
+		h.step(s.Tick, EndpointList{ready(1, 2, 3)})
 		if h.a.asks != 0 {
 			t.Error("a list that came leaves the wait long")
 		}
@@ -1023,17 +1023,17 @@
 func TestWaitingPartsCountAsLoad(t *testing.T) {
 	h := newHand(t, handSettings())
 	h.teach(0, 30, 100_000)
-	busy := NoReport
+	busy := NoLoadReport
 	busy.Queue, busy.Rate = 12, 40
 	for _, s := range h.a.order {
-		h.a.hear(s, NoReport)
+		h.a.hear(s, NoLoadReport)
 	}
 	h.a.hear(h.a.order[0], busy)
 	h.log = nil
 	for range 12 {
 		_, events := h.query(0, 1)
 		for _, s := range pick[Send](h.step(0, events...)) {
-			h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoReport})
+			h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 		}
 	}
 	got := map[uint32]int{}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -36,7 +36,7 @@
 	now     Micros
 	agg     *Aggregator
 	events  []Event
-	servers map[uint32]Server
+	servers map[uint32]Endpoint
 	told    map[uint32]Micros // when a server was first told to drain or be gone
 	queries map[uint64]*wquery
 	parts   map[uint64]*wpart
@@ -96,24 +96,24 @@
 	}
 	w := &world{
 		t: t, set: set, rng: rand.New(rand.NewPCG(seed, 1)), now: 50_000_000, agg: agg, nextID: 100,
-		servers: map[uint32]Server{}, told: map[uint32]Micros{}, queries: map[uint64]*wquery{},
+		servers: map[uint32]Endpoint{}, told: map[uint32]Micros{}, queries: map[uint64]*wquery{},
 		parts: map[uint64]*wpart{}, cold: map[uint32][]wspend{},
 	}
 	for i := range 8 {
-		w.servers[uint32(i+1)] = Server{ID: uint32(i + 1), Presence: Ready, Cell: i % set.RingSize, Size: 1}
+		w.servers[uint32(i+1)] = Endpoint{ID: uint32(i + 1), State: Ready, RingPosition: i % set.RingSize, Capacity: 1}
 	}
 	w.list()
 	return w
 }
 
 func (w *world) list() {
-	var out []Server
+	var out []Endpoint
 	for i := uint32(1); i < 20; i++ {
 		if s, ok := w.servers[i]; ok {
 			out = append(out, s)
 		}
 	}
-	w.events = append(w.events, Members{out})
+	w.events = append(w.events, EndpointList{out})
 }
 
 func (w *world) id() uint64 { w.nextID++; return w.nextID }
@@ -123,13 +123,13 @@
 	s := w.servers[id]
 	switch w.rng.IntN(6) {
 	case 0:
-		s.Presence = Draining
+		s.State = Draining
 	case 1:
-		s.Presence = Gone
+		s.State = Removed
 	default:
-		s.Presence, s.Started = Ready, w.now-Micros(w.rng.IntN(20_000_000))
+		s.State, s.StartedAt = Ready, w.now-Micros(w.rng.IntN(20_000_000))
 	}
-	if s.Presence == Ready {
+	if s.State == Ready {
 		delete(w.told, id)
 	} else if _, ok := w.told[id]; !ok {
 		w.told[id] = w.now
@@ -203,7 +203,7 @@
 		if w.rng.IntN(120) == 0 {
 			w.churn()
 		} else if w.set.PollEndpoints && w.rng.IntN(40) == 0 { // a failed call, then the same list once more
-			w.events = append(w.events, ListFailed{})
+			w.events = append(w.events, EndpointListFailed{})
 			w.list()
 		}
 		w.turn()
@@ -234,7 +234,7 @@
 		if a.status == OK && !p.q.over {
 			p.in = true
 		}
-		r := NoReport
+		r := NoLoadReport
 		if w.rng.IntN(2) == 0 {
 			r.Inflight = float64(w.rng.IntN(6))
 		}
@@ -245,7 +245,7 @@
 	}
 	w.pending = rest
 	for _, s := range w.probing {
-		w.events = append(w.events, ProbeResult{Server: s, Status: Status(w.rng.IntN(2)), Report: NoReport})
+		w.events = append(w.events, ProbeResult{Server: s, Status: Status(w.rng.IntN(2)), Report: NoLoadReport})
 	}
 	w.probing = nil
 	for i, at := range w.wakes {
@@ -350,7 +350,7 @@
 	if at, ok := w.told[a.Server]; ok && w.now > at+w.set.DrainGrace {
 		w.t.Fatalf("part %d sent to server %d that drains or is gone", a.Part, a.Server)
 	}
-	if s := w.servers[a.Server]; (s.Cell-p.shard+2*w.set.RingSize)%w.set.RingSize >= w.set.ReplicationFactor {
+	if s := w.servers[a.Server]; (s.RingPosition-p.shard+2*w.set.RingSize)%w.set.RingSize >= w.set.ReplicationFactor {
 		w.t.Fatalf("part %d of shard %d sent to a server without it", a.Part, p.shard)
 	}
 	w.chill(a.Server, w.agg.parts[a.Part].q.cls.ref)
@@ -395,18 +395,18 @@
 // within a span; TestRuleColdServersAreNotPushedOver holds the sum over all aggregators.
 func (w *world) chill(id uint32, work float64) {
 	s := w.servers[id]
-	if s.Started <= 0 || w.now >= s.Started+w.set.SlowStartDuration {
+	if s.StartedAt <= 0 || w.now >= s.StartedAt+w.set.SlowStartDuration {
 		return
 	}
-	w.cold[id] = append(w.cold[id], wspend{w.now, s.Started, work})
+	w.cold[id] = append(w.cold[id], wspend{w.now, s.StartedAt, work})
 	sum, n := 0.0, 0
 	for _, e := range w.cold[id] {
-		if e.started == s.Started && e.at > w.now-w.set.OverloadDuration {
+		if e.started == s.StartedAt && e.at > w.now-w.set.OverloadDuration {
 			sum += e.work
 			n++
 		}
 	}
-	share := w.set.SlowStartFraction + (1-w.set.SlowStartFraction)*float64(w.now-s.Started)/float64(w.set.SlowStartDuration)
+	share := w.set.SlowStartFraction + (1-w.set.SlowStartFraction)*float64(w.now-s.StartedAt)/float64(w.set.SlowStartDuration)
 	limit := w.set.OverloadFactor * share * float64(w.set.OverloadDuration) / float64(w.set.InstanceCount)
 	if sum > limit*1.001 && n > 2 {
 		w.t.Fatalf("cold server %d was sent %d parts of work %v within the span, its part is %v", id, n, sum, limit)
@@ -490,9 +490,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	servers := []Server{{ID: 1, Presence: Ready, Cell: 0}, {ID: 2, Presence: Ready, Cell: 1}}
+	servers := []Endpoint{{ID: 1, State: Ready, RingPosition: 0}, {ID: 2, State: Ready, RingPosition: 1}}
 	a.Step(1_000_000, []Event{
-		Members{servers},
+		EndpointList{servers},
 		Query{ID: 7, Number: 7, Deadline: 7_000_000, Parts: 1},
 		Part{ID: 8, Number: 7, Shard: 1, Weight: 1},
 	})
@@ -507,8 +507,8 @@
 		}
 	}
 	acts = a.Step(2_600_000, []Event{
-		Outcome{Part: 8, Server: 1, Status: OK, Report: NoReport},
-		Outcome{Part: 8, Server: 2, Status: OK, Report: NoReport},
+		Outcome{Part: 8, Server: 1, Status: OK, Report: NoLoadReport},
+		Outcome{Part: 8, Server: 2, Status: OK, Report: NoLoadReport},
 	})
 	if !slices.Contains(acts, Action(Answer{Query: 7, Whole: true})) {
 		t.Fatalf("the open query was not answered as it was taken: %#v", acts)
--- a/storepool/conn.go
+++ b/storepool/conn.go
@@ -189,7 +189,7 @@
 	}
 	c.mu.Unlock()
 	for _, a := range never {
-		a.Finish(broker.Outcome{Status: policy.Moot, Report: policy.NoReport})
+		a.Finish(broker.Outcome{Status: policy.Moot, Report: policy.NoLoadReport})
 	}
 }
 
@@ -292,10 +292,10 @@
 		status = policy.Unconnected
 	}
 	for _, e := range over {
-		e.a.Finish(broker.Outcome{Status: e.s, Report: policy.NoReport})
+		e.a.Finish(broker.Outcome{Status: e.s, Report: policy.NoLoadReport})
 	}
 	for _, p := range probes {
-		p.end(broker.Outcome{Status: status, Report: policy.NoReport})
+		p.end(broker.Outcome{Status: status, Report: policy.NoLoadReport})
 	}
 }
 
@@ -355,7 +355,7 @@
 	}
 	c.mu.Unlock()
 	if ours {
-		a.Finish(broker.Outcome{Status: policy.Moot, Report: policy.NoReport})
+		a.Finish(broker.Outcome{Status: policy.Moot, Report: policy.NoLoadReport})
 	}
 }
 
@@ -370,7 +370,7 @@
 		c.mu.Lock()
 		if c.err != nil || c.fenced {
 			c.mu.Unlock()
-			it.probe.end(broker.Outcome{Status: policy.Unconnected, Report: policy.NoReport})
+			it.probe.end(broker.Outcome{Status: policy.Unconnected, Report: policy.NoLoadReport})
 			return buf, nil
 		}
 		c.probes = append(c.probes, it.probe)
@@ -418,7 +418,7 @@
 		status = policy.Unconnected
 	}
 	for _, a := range over {
-		a.Finish(broker.Outcome{Status: status, Report: policy.NoReport})
+		a.Finish(broker.Outcome{Status: status, Report: policy.NoLoadReport})
 	}
 	return buf, err
 }
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -42,7 +42,7 @@
 	b, err := broker.New(broker.Config{Settings: set, Transport: to, Log: testserver.Log()})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Server{{ID: 1, Presence: policy.Ready}, {ID: 2, Presence: policy.Ready}})
+	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
 	b.Submit(&broker.Query{
 		ID: "q", Deadline: time.Now().Add(2 * time.Second), Sink: answers,
 		Parts: []broker.Part{{Weight: 1}},
@@ -59,10 +59,10 @@
 func TestEndsOfConnectionsAreLoggedSeldom(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	p := New(Limits{ConnectTimeout: 250_000, ConnIdle: 15_000_000, Streams: 1}, nil, log.WithField("test", true))
-	p.Follow([]Store{{Name: "s", Server: policy.Server{ID: 1, Presence: policy.Ready}}})
+	p.Follow([]Store{{Name: "s", Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
 	began := time.Now()
 	for range 200 {
-		newConn(p, Store{Name: "s", Server: policy.Server{ID: 1}}).close(io.ErrUnexpectedEOF)
+		newConn(p, Store{Name: "s", Endpoint: policy.Endpoint{ID: 1}}).close(io.ErrUnexpectedEOF)
 	}
 	most := 1 + int(time.Since(began)/ratelog.Every)
 	assert.LessOrEqual(t, len(lines.AllEntries()), most)
@@ -133,18 +133,18 @@
 // written, dealt before the list came. None of it may go out once the list is in force, whatever the change was. What
 // was begun is on its way: its first byte went out in time.
 func TestNothingThatWaitsReachesAStoreThatTheListTakesAway(t *testing.T) {
-	ready := Store{Name: "s", Addr: "a:1", Server: policy.Server{ID: 1, Presence: policy.Ready, Cell: 2}}
+	ready := Store{Name: "s", Addr: "a:1", Endpoint: policy.Endpoint{ID: 1, State: policy.Ready, RingPosition: 2}}
 	change := func(by func(*Store)) []Store { s := ready; by(&s); return []Store{s} }
 	for name, c := range map[string]struct {
 		list []Store
 		on   bool // and the store gets new calls, on new connections
 	}{
-		"drains":                              {list: change(func(s *Store) { s.Presence = policy.Draining })},
+		"drains":                              {list: change(func(s *Store) { s.State = policy.Draining })},
 		"not listed":                          {},
 		"another address":                     {change(func(s *Store) { s.Addr = "b:1" }), true},
-		"another cell":                        {change(func(s *Store) { s.Cell = 3 }), true},
-		"another process":                     {change(func(s *Store) { s.Started = time.Now().Add(time.Hour).UnixMicro() }), true},
-		"another address, and drains":         {list: change(func(s *Store) { s.Addr, s.Presence = "b:1", policy.Draining })},
+		"another cell":                        {change(func(s *Store) { s.RingPosition = 3 }), true},
+		"another process":                     {change(func(s *Store) { s.StartedAt = time.Now().Add(time.Hour).UnixMicro() }), true},
+		"another address, and drains":         {list: change(func(s *Store) { s.Addr, s.State = "b:1", policy.Draining })},
 		"one with its number takes its place": {change(func(s *Store) { s.Name, s.Addr = "t", "c:1" }), true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -190,7 +190,7 @@
 		defer p.mu.Unlock()
 		return p.open
 	}
-	p.Follow([]Store{{Name: "s", Addr: s.Addr, Server: policy.Server{ID: 1, Presence: policy.Ready}}})
+	p.Follow([]Store{{Name: "s", Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
 	to, _ := attempts(t)
 	require.NoError(t, p.Send(1, []*broker.Attempt{<-to}))
 	<-began
@@ -207,9 +207,9 @@
 	changed := func(by func(*Store)) func(Store) []Store { return func(s Store) []Store { by(&s); return []Store{s} } }
 	for name, list := range map[string]func(Store) []Store{
 		"not listed":      func(Store) []Store { return nil },
-		"drains":          changed(func(s *Store) { s.Presence = policy.Draining }),
+		"drains":          changed(func(s *Store) { s.State = policy.Draining }),
 		"another address": changed(func(s *Store) { s.Addr = "127.0.0.1:1" }),
-		"another process": changed(func(s *Store) { s.Started = time.Now().Add(time.Hour).UnixMicro() }),
+		"another process": changed(func(s *Store) { s.StartedAt = time.Now().Add(time.Hour).UnixMicro() }),
 	} {
 		for _, written := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, written: %v", name, written), func(t *testing.T) {
@@ -223,7 +223,7 @@
 					<-hold
 					return net.DialTimeout("tcp", addr, limit)
 				})
-				ready := Store{Name: "s", Addr: s.Addr, Server: policy.Server{ID: 1, Presence: policy.Ready}}
+				ready := Store{Name: "s", Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}
 				p.Follow([]Store{ready})
 				to, _ := attempts(t)
 				a := <-to
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -23,7 +23,7 @@
 
 // Store is where a server of the decisions can be reached.
 type Store struct {
-	policy.Server
+	policy.Endpoint
 	Name, Addr string
 }
 
@@ -31,7 +31,7 @@
 // out: they may differ between instances.
 func Digest(list []Store) (sum uint64) {
 	for _, s := range list {
-		sum ^= xxhash.Sum64String(fmt.Sprintf("%s %d %d %d", s.Name, s.Cell, s.Zone, s.Presence))
+		sum ^= xxhash.Sum64String(fmt.Sprintf("%s %d %d %d", s.Name, s.RingPosition, s.Zone, s.State))
 	}
 	return sum
 }
@@ -163,12 +163,12 @@
 		if st == nil {
 			st = &store{}
 			p.stores[s.ID] = st
-		} else if st.Addr != s.Addr || st.Started != s.Started || st.Cell != s.Cell {
+		} else if st.Addr != s.Addr || st.StartedAt != s.StartedAt || st.RingPosition != s.RingPosition {
 			// A fresh process knows nothing of connections to the old one, and at a machine that had vanished
 			// these look open until something is written to them.
 			keep := st.conns[:0:0]
 			for _, c := range st.conns {
-				if st.Addr == s.Addr && st.Cell == s.Cell && c.opened.UnixMicro() > s.Started {
+				if st.Addr == s.Addr && st.RingPosition == s.RingPosition && c.opened.UnixMicro() > s.StartedAt {
 					keep = append(keep, c)
 				} else { // nor may what waits there go to the old one
 					drop, retire = append(drop, c), append(retire, c)
@@ -177,7 +177,7 @@
 			st.conns = keep
 		}
 		st.Store = s
-		if s.Presence != policy.Ready {
+		if s.State != policy.Ready {
 			drop = append(drop, st.conns...)
 		}
 	}
@@ -206,7 +206,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	st := p.stores[server]
-	if st == nil || st.Presence != policy.Ready || p.closed {
+	if st == nil || st.State != policy.Ready || p.closed {
 		return fmt.Errorf("store %d takes nothing new", server)
 	}
 	left := 1 // connections that may be opened
@@ -291,16 +291,16 @@
 func (p *Pool) Probe(server uint32, done func(broker.Outcome)) {
 	pr := &probe{done: done}
 	if len(p.codec.AppendProbe(nil)) == 0 {
-		go pr.end(broker.Outcome{Status: policy.Errored, Report: policy.NoReport})
+		go pr.end(broker.Outcome{Status: policy.Errored, Report: policy.NoLoadReport})
 		return
 	}
 	if err := p.queue(server, item{probe: pr}); err != nil {
-		go pr.end(broker.Outcome{Status: policy.Unconnected, Report: policy.NoReport})
+		go pr.end(broker.Outcome{Status: policy.Unconnected, Report: policy.NoLoadReport})
 		return
 	}
 	// The settings name no time-out for probes: the one for connecting says how long silence means silence.
 	time.AfterFunc(p.connectTimeout(), func() {
-		pr.end(broker.Outcome{Status: policy.TimedOut, Report: policy.NoReport})
+		pr.end(broker.Outcome{Status: policy.TimedOut, Report: policy.NoLoadReport})
 	})
 }
 
