--- a/broker/broker.go
+++ b/broker/broker.go
@@ -386,7 +386,7 @@
 	case finished:
 		b.outcome(it.a, it.o, now)
 	case probed:
-		b.emit(policy.ProbeResult{
+		b.emit(policy.HealthCheckResult{
 			Server: it.server, Status: it.o.Status, Elapsed: now.Sub(it.at).Microseconds(),
 			Report: it.o.Report,
 		})
@@ -453,7 +453,7 @@
 		p := &part{id: b.nextID, q: q, spec: s}
 		q.parts = append(q.parts, p)
 		b.parts[p.id] = p
-		b.emit(policy.Part{ID: p.id, Number: q.id, Shard: s.Slice, Key: s.Key, Weight: s.Weight, Hint: s.Hint})
+		b.emit(policy.Part{ID: p.id, Number: q.id, Shard: s.Slice, Key: s.Key, Weight: s.Weight, CostHint: s.Hint})
 	}
 	// The module ends every query in time. Should it ever not, the client still gets its one answer.
 	q.timer = b.timers.add(spec.Deadline.Add(-time.Millisecond), func(now time.Time) { b.cutOff(q, now) })
@@ -503,7 +503,7 @@
 		p.value = nil // an attempt that is still out holds its part
 		for _, a := range p.tries {
 			if !a.over && a.Revoke() {
-				b.abandon(a, policy.Cancelled, now)
+				b.abandon(a, policy.Canceled, now)
 			}
 		}
 		b.settle(p)
@@ -528,8 +528,8 @@
 	if o.Status == policy.OK && b.queries[a.part.q.id] == a.part.q && !a.part.in {
 		a.part.in, a.part.value = true, o.Value
 	}
-	b.emit(policy.Outcome{
-		Part: a.part.id, Try: a.try, Server: a.Server, Status: o.Status,
+	b.emit(policy.AttemptResult{
+		Part: a.part.id, Attempt: a.try, Server: a.Server, Status: o.Status,
 		Elapsed: now.Sub(a.sent).Microseconds(), Report: o.Report,
 	})
 	b.settle(a.part)
@@ -541,7 +541,7 @@
 		return
 	}
 	if a.Revoke() && status == policy.TimedOut {
-		status = policy.Unconnected // it was never written: it waited for a connection all the time
+		status = policy.ConnectFailed // it was never written: it waited for a connection all the time
 	}
 	b.to.Cancel(a)
 	b.outcome(a, Outcome{Status: status, Report: policy.NoLoadReport}, now)
@@ -569,28 +569,28 @@
 	calls := map[uint32][]*Attempt{}
 	for _, act := range acts {
 		switch act := act.(type) {
-		case policy.Send:
+		case policy.SendAttempt:
 			if a := b.attempt(act, now); a != nil {
 				if len(calls[act.Server]) == 0 {
 					order = append(order, act.Server)
 				}
 				calls[act.Server] = append(calls[act.Server], a)
 			}
-		case policy.Cancel:
-			if p := b.parts[act.Part]; p != nil && act.Try >= 0 && act.Try < len(p.tries) {
-				b.abandon(p.tries[act.Try], policy.Cancelled, now)
+		case policy.CancelAttempt:
+			if p := b.parts[act.Part]; p != nil && act.Attempt >= 0 && act.Attempt < len(p.tries) {
+				b.abandon(p.tries[act.Attempt], policy.Canceled, now)
 			}
 		case policy.Answer:
-			b.finish(act.Query, Answer{Ending: Served, Whole: act.Whole}, now)
-		case policy.Refuse:
-			b.finish(act.Query, Answer{Ending: Refused, ComeBack: span(act.ComeBack)}, now)
+			b.finish(act.Query, Answer{Ending: Served, Whole: act.Complete}, now)
+		case policy.Reject:
+			b.finish(act.Query, Answer{Ending: Refused, ComeBack: span(act.RetryAfter)}, now)
 		case policy.Fail:
 			b.finish(act.Query, Answer{Ending: Failed}, now)
-		case policy.CloseIdle:
+		case policy.CloseIdleConnections:
 			b.to.CloseIdle(act.Server)
-		case policy.Probe:
+		case policy.HealthCheck:
 			b.probe(act.Server, now)
-		case policy.Wake:
+		case policy.SetTimer:
 			b.timers.add(now.Add(span(act.After)), func(time.Time) { b.emit(policy.Timer{}) })
 		case policy.Log:
 			b.log.Info(act.Text)
@@ -604,7 +604,7 @@
 }
 
 // attempt books a Send. What may not be sent is told as moot, which proves that it never ran.
-func (b *Broker) attempt(act policy.Send, now time.Time) *Attempt {
+func (b *Broker) attempt(act policy.SendAttempt, now time.Time) *Attempt {
 	p := b.parts[act.Part]
 	if p == nil {
 		b.log.WithField("part", act.Part).Error("decisions sent a part that is over")
@@ -622,7 +622,7 @@
 	p.tries = append(p.tries, a)
 	if b.queries[p.q.id] != p.q || !until.After(now) || b.set.MaxAttempts > 0 && a.try >= b.set.MaxAttempts {
 		a.Revoke()
-		b.outcome(a, Outcome{Status: policy.Moot, Report: policy.NoLoadReport}, now)
+		b.outcome(a, Outcome{Status: policy.Withdrawn, Report: policy.NoLoadReport}, now)
 		return nil
 	}
 	a.timer = b.timers.add(until, func(now time.Time) { b.abandon(a, policy.TimedOut, now) })
@@ -636,7 +636,7 @@
 		return at
 	}
 	for _, a := range p.tries {
-		never := a.state.Load() == revoked || a.over && (a.ended == policy.Rejected || a.ended == policy.Unconnected || a.ended == policy.Moot)
+		never := a.state.Load() == revoked || a.over && (a.ended == policy.Rejected || a.ended == policy.ConnectFailed || a.ended == policy.Withdrawn)
 		if !never && (at.IsZero() || a.sent.Before(at)) {
 			at = a.sent
 		}
@@ -657,7 +657,7 @@
 	}
 	for _, a := range call {
 		a.Revoke()
-		b.outcome(a, Outcome{Status: policy.Unconnected, Report: policy.NoLoadReport}, now)
+		b.outcome(a, Outcome{Status: policy.ConnectFailed, Report: policy.NoLoadReport}, now)
 	}
 }
 
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -376,7 +376,7 @@
 		begun  bool
 		status policy.Status
 		late   bool // it may not be begun after the window
-	}{{true, policy.Broken, true}, {true, policy.Errored, true}, {true, policy.Rejected, false}, {false, policy.Unconnected, false}} {
+	}{{true, policy.ConnectionBroken, true}, {true, policy.ServerError, true}, {true, policy.Rejected, false}, {false, policy.ConnectFailed, false}} {
 		set := settings(policy.IdempotentByKey)
 		set.Classes[0].DeduplicationWindow = 100_000
 		b, to := start(t, set)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -141,11 +141,11 @@
 		it.servers = e.Apply(it.servers)
 		return policy.EndpointList{Endpoints: it.servers}
 	case simcodec.Answered:
-		e.Outcome.Report = it.facts.Report(e.Figures)
-		return e.Outcome
+		e.AttemptResult.Report = it.facts.Report(e.Figures)
+		return e.AttemptResult
 	case simcodec.Probed:
-		e.ProbeResult.Report = it.facts.Report(e.Figures)
-		return e.ProbeResult
+		e.HealthCheckResult.Report = it.facts.Report(e.Figures)
+		return e.HealthCheckResult
 	case policy.Event:
 		return e
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -37,7 +37,7 @@
 	}
 	sent := 0
 	for _, a := range actions {
-		if s, ok := a.What.(policy.Send); ok {
+		if s, ok := a.What.(policy.SendAttempt); ok {
 			sent++
 			if s.Part != 21 || s.Server != 5 {
 				t.Fatalf("sent %+v, which the new instance was never given", s)
--- a/internal/simcodec/reply.go
+++ b/internal/simcodec/reply.go
@@ -74,26 +74,26 @@
 
 func (e *encoder) action(what any) error {
 	switch a := what.(type) {
-	case policy.Send:
+	case policy.SendAttempt:
 		e.begin(acSend)
 		e.u64(1, a.Part)
 		e.u32(9, a.Server)
 		e.u32(13, span(a.Timeout))
-	case policy.Refuse:
+	case policy.Reject:
 		e.begin(acRefuse)
 		e.u64(1, a.Query)
-		e.u32(9, span(a.ComeBack))
+		e.u32(9, span(a.RetryAfter))
 	case policy.Fail:
 		e.begin(acFail)
 		e.u64(1, a.Query)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		e.begin(acCancel)
 		e.u64(1, a.Part)
-		e.u16(9, uint16(a.Try))
-	case policy.Wake:
+		e.u16(9, uint16(a.Attempt))
+	case policy.SetTimer:
 		e.begin(acWake)
 		e.u32(1, span(a.After))
-	case policy.Probe:
+	case policy.HealthCheck:
 		e.begin(acProbe)
 		e.u32(1, a.Server)
 	case policy.Log:
@@ -102,15 +102,15 @@
 	case policy.Answer:
 		e.begin(acAnswer)
 		e.u64(1, a.Query)
-		e.flag(9, a.Whole)
-	case policy.Subscribe:
+		e.flag(9, a.Complete)
+	case policy.PollEndpoints:
 		e.begin(acSubscribe)
 		e.flag(1, true)
 	case Unsubscribe:
 		e.begin(acSubscribe)
 	case Snapshot:
 		e.begin(acSnapshot)
-	case policy.CloseIdle:
+	case policy.CloseIdleConnections:
 		e.begin(acCloseIdle)
 		e.u32(1, a.Server)
 	case Tell:
--- a/internal/simcodec/wire.go
+++ b/internal/simcodec/wire.go
@@ -101,12 +101,12 @@
 // Answered is an attempt's outcome with its report as raw figures; Probed is a probe's.
 type (
 	Answered struct {
-		policy.Outcome
+		policy.AttemptResult
 		Figures []float32
 		Over    bool
 	}
 	Probed struct {
-		policy.ProbeResult
+		policy.HealthCheckResult
 		Figures []float32
 	}
 )
@@ -206,8 +206,8 @@
 		return rec.request(), nil
 	case evOutcome:
 		figures, err := rec.figures(21)
-		return Answered{Outcome: policy.Outcome{
-				Part: rec.u64(1), Try: int(rec.u16(9)), Server: rec.u32(11),
+		return Answered{AttemptResult: policy.AttemptResult{
+				Part: rec.u64(1), Attempt: int(rec.u16(9)), Server: rec.u32(11),
 				Status: status(rec[15]), Elapsed: policy.Micros(rec.u32(16)),
 			}, Figures: figures, Over: rec[20] != 0},
 			firstError(err, checkStatus(rec[15]))
@@ -219,7 +219,7 @@
 		return policy.Timer{}, nil
 	case evProbeResult:
 		figures, err := rec.figures(10)
-		return Probed{ProbeResult: policy.ProbeResult{
+		return Probed{HealthCheckResult: policy.HealthCheckResult{
 			Server: rec.u32(5), Status: status(rec[9]),
 			Elapsed: policy.Micros(rec.u32(1)),
 		}, Figures: figures}, firstError(err, checkStatus(rec[9]))
@@ -309,7 +309,7 @@
 			Weight: float64(r.f32(41)),
 		}
 		if r.u16(45)&bitHint != 0 {
-			part.Hint = policy.Micros(r.u32(29))
+			part.CostHint = policy.Micros(r.u32(29))
 		}
 		return part
 	}
@@ -341,8 +341,8 @@
 }
 
 var statuses = [...]policy.Status{
-	1: policy.OK, 2: policy.Errored, 3: policy.Rejected, 4: policy.TimedOut,
-	5: policy.Unconnected, 6: policy.Broken, 7: policy.Cancelled, 8: policy.Moot,
+	1: policy.OK, 2: policy.ServerError, 3: policy.Rejected, 4: policy.TimedOut,
+	5: policy.ConnectFailed, 6: policy.ConnectionBroken, 7: policy.Canceled, 8: policy.Withdrawn,
 }
 
 func checkStatus(code byte) error {
@@ -354,7 +354,7 @@
 
 func status(code byte) policy.Status {
 	if checkStatus(code) != nil {
-		return policy.Errored
+		return policy.ServerError
 	}
 	return statuses[code]
 }
--- a/internal/simcodec/wire_test.go
+++ b/internal/simcodec/wire_test.go
@@ -67,20 +67,20 @@
 		},
 		{
 			"part", "10 c4913a5dbb660100 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 00005643 00000000 0000003e 0100", nil,
-			policy.Part{ID: 0x166bb5d3a91c4, Number: 0x43560000, Key: 0x91f03b7c55d20a64, Weight: 0.125, Hint: 12_000},
+			policy.Part{ID: 0x166bb5d3a91c4, Number: 0x43560000, Key: 0x91f03b7c55d20a64, Weight: 0.125, CostHint: 12_000},
 		},
 		{"timer", "15 4d000000", nil, policy.Timer{}},
 		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{Query: 0x35a0f0e6f2b19}},
 		{
 			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
-			Answered{Outcome: policy.Outcome{
-				Part: 0x166bb5d3a91c4, Try: 1, Server: 0x03124a07, Status: policy.Unconnected,
+			Answered{AttemptResult: policy.AttemptResult{
+				Part: 0x166bb5d3a91c4, Attempt: 1, Server: 0x03124a07, Status: policy.ConnectFailed,
 				Elapsed: 0x4844,
 			}, Figures: []float32{1, 2}, Over: true},
 		},
 		{
 			"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
-			Probed{ProbeResult: policy.ProbeResult{Server: 0x2c9011f2, Elapsed: 0x578}, Figures: []float32{14.5, 7, 140}},
+			Probed{HealthCheckResult: policy.HealthCheckResult{Server: 0x2c9011f2, Elapsed: 0x578}, Figures: []float32{14.5, 7, 140}},
 		},
 		{
 			"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
@@ -182,20 +182,20 @@
 		what any
 		want string
 	}{
-		{policy.Send{Part: id, Server: 0x03124a07, Timeout: 80000}, "10 c4913a5dbb660100 074a1203 80380100"},
-		{policy.Refuse{Query: id, ComeBack: 250000}, "11 c4913a5dbb660100 90d00300"},
+		{policy.SendAttempt{Part: id, Server: 0x03124a07, Timeout: 80000}, "10 c4913a5dbb660100 074a1203 80380100"},
+		{policy.Reject{Query: id, RetryAfter: 250000}, "11 c4913a5dbb660100 90d00300"},
 		{policy.Fail{Query: id}, "12 c4913a5dbb660100"},
-		{policy.Cancel{Part: id, Try: 1}, "13 c4913a5dbb660100 0100"},
-		{policy.Wake{After: 500000}, "14 20a10700"},
-		{policy.Probe{Server: 0x2c9011f2}, "15 f211902c"},
-		{policy.CloseIdle{Server: 0x2c9011f2}, "16 f211902c"},
+		{policy.CancelAttempt{Part: id, Attempt: 1}, "13 c4913a5dbb660100 0100"},
+		{policy.SetTimer{After: 500000}, "14 20a10700"},
+		{policy.HealthCheck{Server: 0x2c9011f2}, "15 f211902c"},
+		{policy.CloseIdleConnections{Server: 0x2c9011f2}, "16 f211902c"},
 		{Tell{0xffff, []byte("hi")}, "17 ffff 00000000 02000000"},
 		{policy.Log{Text: "ok"}, "18 00000000 02000000"},
 		{Crash{"no"}, "19 00000000 02000000"},
-		{policy.Subscribe{}, "1a 01"},
+		{policy.PollEndpoints{}, "1a 01"},
 		{Unsubscribe{}, "1a 00"},
 		{Snapshot{}, "1b"},
-		{policy.Answer{Query: id, Whole: true}, "1c c4913a5dbb660100 01"},
+		{policy.Answer{Query: id, Complete: true}, "1c c4913a5dbb660100 01"},
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -330,24 +330,24 @@
 	f := n.fleet
 	for _, act := range n.agg.Step(f.Net.Now(), events) {
 		switch act := act.(type) {
-		case policy.Send:
+		case policy.SendAttempt:
 			n.attempt(act)
-		case policy.Cancel:
+		case policy.CancelAttempt:
 			f.result.Cancels++
 			if p := n.parts[act.Part]; p != nil {
-				n.finish(p, act.Try, policy.Cancelled, policy.NoLoadReport)
+				n.finish(p, act.Attempt, policy.Canceled, policy.NoLoadReport)
 			}
 		case policy.Answer:
 			n.end(n.open[act.Query], true, false)
-		case policy.Refuse:
+		case policy.Reject:
 			n.end(n.open[act.Query], false, false)
 		case policy.Fail:
 			n.end(n.open[act.Query], false, true)
-		case policy.Probe:
+		case policy.HealthCheck:
 			n.probe(act.Server)
-		case policy.CloseIdle:
+		case policy.CloseIdleConnections:
 			delete(n.conns, act.Server)
-		case policy.Wake:
+		case policy.SetTimer:
 			f.Net.After(n.me, act.After, func() { n.step(policy.Timer{}) })
 		}
 	}
@@ -411,7 +411,7 @@
 	tell := func(status policy.Status, r policy.LoadReport) {
 		if !over {
 			over = true
-			n.step(policy.ProbeResult{Server: id, Status: status, Elapsed: f.Net.Now() - at, Report: r})
+			n.step(policy.HealthCheckResult{Server: id, Status: status, Elapsed: f.Net.Now() - at, Report: r})
 		}
 	}
 	n.reach(s, func() {
@@ -425,7 +425,7 @@
 	f.Net.After(n.me, 62_500, func() { tell(policy.TimedOut, policy.NoLoadReport) })
 }
 
-func (n *Node) attempt(act policy.Send) {
+func (n *Node) attempt(act policy.SendAttempt) {
 	p := n.parts[act.Part]
 	no := len(p.tries)
 	n.send(p, n.store(act.Server), func(st policy.Status, r policy.LoadReport) { n.finish(p, no, st, r) })
@@ -453,8 +453,8 @@
 	}
 	t.over = true
 	n.settle(p)
-	n.later(policy.Outcome{
-		Part: p.id, Try: no, Server: t.server, Status: st,
+	n.later(policy.AttemptResult{
+		Part: p.id, Attempt: no, Server: t.server, Status: st,
 		Elapsed: n.fleet.Net.Now() - t.at, Report: r,
 	})
 }
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -102,7 +102,7 @@
 	s.rate()
 	switch {
 	case s.rng.Float64() < s.Errors:
-		j.done(policy.Errored, s.load())
+		j.done(policy.ServerError, s.load())
 	case s.running < s.Slots:
 		s.Stats.Taken++
 		s.start(j)
--- a/opensearch/stores.go
+++ b/opensearch/stores.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return storepool.Message{}, err
 	}
-	o := broker.Outcome{Status: policy.Errored, Report: policy.NoLoadReport}
+	o := broker.Outcome{Status: policy.ServerError, Report: policy.NoLoadReport}
 	switch {
 	case resp.Status == 429:
 		o.Status = policy.Rejected
--- a/policy/api.go
+++ b/policy/api.go
@@ -180,7 +180,7 @@
 	Shard  int
 	Key    uint64
 	Weight float64 // a step's weights sum to 1
-	Hint   Micros  // expected work, roughly; 0 or less: not told
+	CostHint   Micros  // expected work, roughly; 0 or less: not told
 }
 
 // Status is the way an attempt or a probe ended.
@@ -189,27 +189,27 @@
 // The ways to end. Rejected, Unconnected and Moot prove that the part never ran.
 const (
 	OK Status = iota
-	Errored
+	ServerError
 	Rejected
 	TimedOut
-	Unconnected
-	Broken
-	Cancelled
-	Moot
+	ConnectFailed
+	ConnectionBroken
+	Canceled
+	Withdrawn
 )
 
-// Outcome ends one attempt. There is exactly one for each Send.
-type Outcome struct {
+// AttemptResult ends one attempt. There is exactly one for each Send.
+type AttemptResult struct {
 	Part    uint64
-	Try     int // attempts of a part count from 0 in the order of their Send
+	Attempt     int // attempts of a part count from 0 in the order of their Send
 	Server  uint32
 	Status  Status
 	Elapsed Micros
 	Report  LoadReport
 }
 
-// ProbeResult ends one Probe.
-type ProbeResult struct {
+// HealthCheckResult ends one Probe.
+type HealthCheckResult struct {
 	Server  uint32
 	Status  Status
 	Elapsed Micros
@@ -227,65 +227,65 @@
 func (EndpointListFailed) event()     {}
 func (Query) event()          {}
 func (Part) event()           {}
-func (Outcome) event()        {}
-func (ProbeResult) event()    {}
+func (AttemptResult) event()        {}
+func (HealthCheckResult) event()    {}
 func (Timer) event()          {}
 func (ClientCanceled) event() {}
 
 // Action is something to do, in the order given. It is one of the types below that name themselves so.
 type Action interface{ action() }
 
-// Send asks a server for a part. An attempt without an outcome after Timeout ends as TimedOut.
-type Send struct {
+// SendAttempt asks a server for a part. An attempt without an outcome after Timeout ends as TimedOut.
+type SendAttempt struct {
 	Part    uint64
 	Server  uint32
 	Timeout Micros
 }
 
-// Cancel ends the wait for an attempt. Its outcome still comes.
-type Cancel struct {
+// CancelAttempt ends the wait for an attempt. Its outcome still comes.
+type CancelAttempt struct {
 	Part uint64
-	Try  int
+	Attempt  int
 }
 
 // Answer answers a query from the parts that are in: finally, or, in a class with FetchParts,
 // first to bring the second step's parts and then finally.
 type Answer struct {
 	Query uint64
-	Whole bool
+	Complete bool
 }
 
-// Refuse turns a query away: nothing of it ran twice or unknown, and it may be tried again.
-type Refuse struct {
+// Reject turns a query away: nothing of it ran twice or unknown, and it may be tried again.
+type Reject struct {
 	Query    uint64
-	ComeBack Micros // how long the client ought to wait; 0: no advice
+	RetryAfter Micros // how long the client ought to wait; 0: no advice
 }
 
 // Fail ends a query without any promise.
 type Fail struct{ Query uint64 }
 
-// CloseIdle closes the idle connections to a server, so that the next Send opens a new one.
-type CloseIdle struct{ Server uint32 }
+// CloseIdleConnections closes the idle connections to a server, so that the next Send opens a new one.
+type CloseIdleConnections struct{ Server uint32 }
 
-// Probe asks a server how it is.
-type Probe struct{ Server uint32 }
+// HealthCheck asks a server how it is.
+type HealthCheck struct{ Server uint32 }
 
-// Wake asks for a Timer after the given time.
-type Wake struct{ After Micros }
+// SetTimer asks for a Timer after the given time.
+type SetTimer struct{ After Micros }
 
-// Subscribe asks for the server list and its changes (AskForList only).
-type Subscribe struct{}
+// PollEndpoints asks for the server list and its changes (AskForList only).
+type PollEndpoints struct{}
 
 // Log is a line for the people on call.
 type Log struct{ Text string }
 
-func (Send) action()      {}
-func (Cancel) action()    {}
+func (SendAttempt) action()      {}
+func (CancelAttempt) action()    {}
 func (Answer) action()    {}
-func (Refuse) action()    {}
+func (Reject) action()    {}
 func (Fail) action()      {}
-func (CloseIdle) action() {}
-func (Probe) action()     {}
-func (Wake) action()      {}
-func (Subscribe) action() {}
+func (CloseIdleConnections) action() {}
+func (HealthCheck) action()     {}
+func (SetTimer) action()      {}
+func (PollEndpoints) action() {}
 func (Log) action()       {}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -46,11 +46,11 @@
 		}
 		for _, act := range a.Step(now, events) {
 			switch act := act.(type) {
-			case Send:
-				due = append(due, Outcome{Part: act.Part, Server: act.Server, Status: OK, Report: NoLoadReport})
+			case SendAttempt:
+				due = append(due, AttemptResult{Part: act.Part, Server: act.Server, Status: OK, Report: NoLoadReport})
 				at = append(at, now+200_000)
-			case Probe:
-				due = append(due, ProbeResult{Server: act.Server, Report: NoLoadReport})
+			case HealthCheck:
+				due = append(due, HealthCheckResult{Server: act.Server, Report: NoLoadReport})
 				at = append(at, now+s.Tick)
 			}
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -29,14 +29,14 @@
 		events = nil
 		for _, action := range actions {
 			switch act := action.(type) {
-			case policy.Send:
+			case policy.SendAttempt:
 				fmt.Printf("part %d to server %d\n", act.Part, act.Server)
-				events = append(events, policy.Outcome{
+				events = append(events, policy.AttemptResult{
 					Part: act.Part, Server: act.Server, Status: policy.OK,
 					Elapsed: 20_000, Report: policy.NoLoadReport,
 				})
 			case policy.Answer:
-				fmt.Printf("query %d answered, whole: %v\n", act.Query, act.Whole)
+				fmt.Printf("query %d answered, whole: %v\n", act.Query, act.Complete)
 			}
 		}
 		now += 20_000
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -198,7 +198,7 @@
 	a.since = cmp.Or(a.since, a.now)
 	a.acts = nil
 	if a.set.PollEndpoints && a.now >= a.askAt {
-		a.do(Subscribe{})
+		a.do(PollEndpoints{})
 		a.askAt = math.MaxInt64 // until word of it comes
 	}
 	for _, e := range events {
@@ -235,15 +235,15 @@
 			spread := 0.5 + float64(a.set.InstanceIndex)/float64(a.set.InstanceCount)
 			wait := min(Micros(a.beat*spread)<<a.asks, cmp.Or(a.set.PollInterval, math.MaxInt64))
 			a.askAt = a.now + wait
-			a.do(Wake{After: wait})
+			a.do(SetTimer{After: wait})
 		}
 	case Query:
 		a.takeQuery(e)
 	case Part:
 		a.takePart(e)
-	case Outcome:
+	case AttemptResult:
 		a.outcome(e)
-	case ProbeResult:
+	case HealthCheckResult:
 		a.probed(e)
 	case ClientCanceled:
 		if q := a.queries[e.Query]; q != nil {
@@ -255,7 +255,7 @@
 // wake keeps one timer out while anything is open. Work is looked at every other tick.
 func (a *Aggregator) wake() {
 	if len(a.open) > 0 && a.wakeAt <= a.now {
-		a.do(Wake{After: 2 * a.set.Tick})
+		a.do(SetTimer{After: 2 * a.set.Tick})
 		a.wakeAt = a.now + 2*a.set.Tick
 	}
 }
@@ -308,7 +308,7 @@
 		return
 	}
 	if e.Class < 0 || e.Class >= len(a.classes) {
-		a.do(Refuse{Query: e.ID})
+		a.do(Reject{Query: e.ID})
 		return
 	}
 	c := a.classes[e.Class]
@@ -330,7 +330,7 @@
 		!(e.Weight >= 0) || math.IsInf(e.Weight, 0) {
 		return
 	}
-	p := &part{Part: e, q: q, size: q.cls.size(e.Hint)}
+	p := &part{Part: e, q: q, size: q.cls.size(e.CostHint)}
 	old := &a.seen[e.Shard]
 	*old = spend{a.now, 1 + old.work*math.Exp(-float64(a.now-old.at)/float64(max(a.set.SlowStartDuration, 1)))}
 	q.parts = append(q.parts, p)
@@ -739,7 +739,7 @@
 	}
 	test := s.doubt && (a.cured >= 0.5 || a.now-a.triedAt > Micros(a.beat))
 	if test || a.cured > curedAt && float64(t.idle) >= a.idleLimit() {
-		a.do(CloseIdle{Server: s.ID})
+		a.do(CloseIdleConnections{Server: s.ID})
 		t.idle, t.cure, s.used, s.doubt, a.triedAt = 0, true, a.now, false, a.now
 	}
 	if p.tries > 0 {
@@ -761,13 +761,13 @@
 	}
 	s.callParts++
 	q.used = append(q.used, s.ID)
-	a.do(Send{Part: p.ID, Server: s.ID, Timeout: max(a.lastMoment(q)-a.now, a.set.Tick)})
+	a.do(SendAttempt{Part: p.ID, Server: s.ID, Timeout: max(a.lastMoment(q)-a.now, a.set.Tick)})
 	return true
 }
 
-func (a *Aggregator) outcome(e Outcome) {
+func (a *Aggregator) outcome(e AttemptResult) {
 	s := a.servers[e.Server]
-	same := func(t *attempt) bool { return t.part.ID == e.Part && t.try == e.Try }
+	same := func(t *attempt) bool { return t.part.ID == e.Part && t.try == e.Attempt }
 	if s == nil || !slices.ContainsFunc(s.out, same) {
 		return
 	}
@@ -775,7 +775,7 @@
 	p := t.part
 	s.out = slices.DeleteFunc(s.out, same)
 	p.live = slices.DeleteFunc(p.live, same)
-	p.ran = p.ran || e.Status != Rejected && e.Status != Unconnected && e.Status != Moot
+	p.ran = p.ran || e.Status != Rejected && e.Status != ConnectFailed && e.Status != Withdrawn
 	a.hear(s, e.Report)
 	a.learn(t, e.Status)
 	if p.q.over || a.parts[p.ID] != p || p.state != out {
@@ -791,7 +791,7 @@
 		}
 		return
 	}
-	if e.Status == Broken {
+	if e.Status == ConnectionBroken {
 		a.broken(p.q, s)
 	}
 	if len(p.live) == 0 && a.mayRepeat(p) {
@@ -817,7 +817,7 @@
 	t.judged = true
 	if t.cure && status == OK {
 		a.cured += gainUp * (1 - a.cured)
-	} else if status == Unconnected { // the way is bad, not the old connections
+	} else if status == ConnectFailed { // the way is bad, not the old connections
 		a.cured = 0
 	}
 	if status == TimedOut && float64(t.idle) > idleAims*a.beat {
@@ -837,7 +837,7 @@
 // learn feeds an attempt's end into the server's latency, the class's reference and the window.
 func (a *Aggregator) learn(t *attempt, status Status) {
 	s, c := t.srv, t.part.q.cls
-	if status != TimedOut && status != Cancelled {
+	if status != TimedOut && status != Canceled {
 		s.used = a.now
 	}
 	a.judge(t, status)
@@ -852,17 +852,17 @@
 		s.heard, s.fulls = a.now, 0
 		s.fails -= gainDown * s.fails
 		a.sample(s, y/c.ref)
-	case Cancelled:
+	case Canceled:
 		a.sample(s, max(y/c.ref, a.slowness(s)))
 	case Rejected: // a full queue: further parts back off, ever longer, and wait here
 		t.part.q.full = true
 		s.fulls = min(s.fulls+1, mostJams)
 		s.fullTill = a.now + min(Micros(c.ref)<<s.fulls/2, c.LatencyObjective)
 		a.sample(s, max(y/c.ref, 2))
-	case Errored, Broken: // it can be reached: what is lost is this attempt
+	case ServerError, ConnectionBroken: // it can be reached: what is lost is this attempt
 		s.fails += gainFail * (1 - s.fails)
 		a.sample(s, max(y/c.ref, s.factor))
-	case TimedOut, Unconnected:
+	case TimedOut, ConnectFailed:
 		a.sample(s, max(y/c.ref, failCharge))
 	}
 }
@@ -901,7 +901,7 @@
 		if a.set.AllowHealthChecks && a.probes >= 1 && !s.probing && s.toldAt <= a.now-Micros(reportAims*a.beat/2) {
 			s.probing, s.asked = true, a.now
 			a.probes--
-			a.do(Probe{Server: s.ID})
+			a.do(HealthCheck{Server: s.ID})
 		}
 		if s.probing {
 			p.after = a.now + 2*a.set.Tick
@@ -909,7 +909,7 @@
 	}
 }
 
-func (a *Aggregator) probed(e ProbeResult) {
+func (a *Aggregator) probed(e HealthCheckResult) {
 	s := a.servers[e.Server]
 	if s == nil || !s.probing {
 		return
@@ -1035,13 +1035,13 @@
 func (a *Aggregator) cancel(t *attempt) {
 	if a.set.AllowCancel && !t.recalled {
 		t.recalled = true
-		a.do(Cancel{Part: t.part.ID, Try: t.try})
+		a.do(CancelAttempt{Part: t.part.ID, Attempt: t.try})
 	}
 }
 
 // answer gives what is in. In a class with a second step the first answer brings its parts.
 func (a *Aggregator) answer(q *query, whole bool) {
-	a.do(Answer{Query: q.ID, Whole: whole && (q.step == 1 || q.whole)})
+	a.do(Answer{Query: q.ID, Complete: whole && (q.step == 1 || q.whole)})
 	if q.step == 1 {
 		q.cls.stretch += gainDown * (float64(a.now-q.began)/max(q.wait, 1) - q.cls.stretch)
 	}
@@ -1060,7 +1060,7 @@
 	if q.step == 2 || slices.ContainsFunc(q.parts, mayRan) {
 		a.do(Fail{Query: q.ID})
 	} else {
-		a.do(Refuse{Query: q.ID, ComeBack: a.set.MaxRetryAfter})
+		a.do(Reject{Query: q.ID, RetryAfter: a.set.MaxRetryAfter})
 	}
 	a.close(q)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -74,9 +74,9 @@
 func (h *hand) teach(class, n int, latency Micros) {
 	for range n {
 		_, events := h.query(class, 1)
-		sent := pick[Send](h.step(h.a.set.Tick, events...))
+		sent := pick[SendAttempt](h.step(h.a.set.Tick, events...))
 		for _, s := range sent {
-			h.step(latency, Outcome{Part: s.Part, Server: s.Server, Status: OK, Elapsed: latency, Report: NoLoadReport})
+			h.step(latency, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Elapsed: latency, Report: NoLoadReport})
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		switch a := act.(type) {
 		case Fail:
 			n += btoi(a.Query == id)
-		case Refuse:
+		case Reject:
 			n += btoi(a.Query == id)
 		case Answer:
 			n += btoi(a.Query == id)
@@ -123,26 +123,26 @@
 		after  Micros
 		again  bool
 	}{
-		{2, Errored, 10_000, false},
+		{2, ServerError, 10_000, false},
 		{2, TimedOut, 10_000, false},
-		{2, Broken, 10_000, false},
-		{2, Cancelled, 10_000, false},
+		{2, ConnectionBroken, 10_000, false},
+		{2, Canceled, 10_000, false},
 		{2, Rejected, 10_000, true},
-		{2, Unconnected, 10_000, true},
-		{3, Errored, 10_000, true},
-		{3, Errored, 1_100_000, false},
+		{2, ConnectFailed, 10_000, true},
+		{3, ServerError, 10_000, true},
+		{3, ServerError, 1_100_000, false},
 		{3, Rejected, 1_100_000, true},
-		{0, Errored, 1_100_000, true},
+		{0, ServerError, 1_100_000, true},
 	}
 	for _, c := range cases {
 		h := newHand(t, handSettings())
 		id, events := h.query(c.class, 1)
-		s := pick[Send](h.step(0, events...))[0]
-		acts := h.step(c.after, Outcome{Part: s.Part, Server: s.Server, Status: c.status, Report: NoLoadReport})
-		if got := len(pick[Send](acts)) > 0; got != c.again {
+		s := pick[SendAttempt](h.step(0, events...))[0]
+		acts := h.step(c.after, AttemptResult{Part: s.Part, Server: s.Server, Status: c.status, Report: NoLoadReport})
+		if got := len(pick[SendAttempt](acts)) > 0; got != c.again {
 			t.Errorf("class %d after status %d: sent again %v, want %v", c.class, c.status, got, c.again)
 		}
-		if refused := len(pick[Refuse](h.log)) > 0; refused && c.class == 2 {
+		if refused := len(pick[Reject](h.log)) > 0; refused && c.class == 2 {
 			t.Errorf("class %d after status %d: query %d refused though it may have run", c.class, c.status, id)
 		}
 	}
@@ -156,7 +156,7 @@
 		_, events := h.query(0, 3)
 		h.step(h.a.set.Tick, events...)
 	}
-	sent := pick[Send](h.log)
+	sent := pick[SendAttempt](h.log)
 	if len(sent) == 0 {
 		t.Fatal("nothing was sent")
 	}
@@ -201,9 +201,9 @@
 			}
 			_, query := h.query(0, 1)
 			acts := h.step(0, append(query, EndpointList{[]Endpoint{{ID: 9, State: Ready, StartedAt: start}}})...)
-			for _, p := range pick[Send](acts) {
+			for _, p := range pick[SendAttempt](acts) {
 				sent = append(sent, now)
-				h.step(0, Outcome{Part: p.Part, Server: 9, Status: OK, Report: NoLoadReport})
+				h.step(0, AttemptResult{Part: p.Part, Server: 9, Status: OK, Report: NoLoadReport})
 				h.a.classes[0].ref, h.a.refAll, h.a.work = work, work, work // answered at once only for the window's sake
 			}
 		}
@@ -242,10 +242,10 @@
 	for _, in := range []int{3, 4, 5} { // of 5 parts; least is 0.8
 		h := newHand(t, handSettings(), append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 		id, events := h.query(4, 5)
-		sent := pick[Send](h.step(0, events...))
+		sent := pick[SendAttempt](h.step(0, events...))
 		for i := range in { // the lightest parts leave only when others have been answered
 			s := sent[i]
-			sent = append(sent, pick[Send](h.step(1000, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport}))...)
+			sent = append(sent, pick[SendAttempt](h.step(1000, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport}))...)
 		}
 		for range 360 {
 			h.step(h.a.set.Tick, Timer{})
@@ -254,7 +254,7 @@
 		if want := btoi(in >= 4); len(answers) != want {
 			t.Fatalf("%d of 5 in: %d answers before the aim, want %d", in, len(answers), want)
 		}
-		if len(answers) > 0 && (answers[0].Whole != (in == 5) || answers[0].Query != id) {
+		if len(answers) > 0 && (answers[0].Complete != (in == 5) || answers[0].Query != id) {
 			t.Errorf("%d of 5 in: answered %+v", in, answers[0])
 		}
 	}
@@ -269,16 +269,16 @@
 		acts := h.step(h.a.set.Tick, events...)
 		for range 3 {
 			var outcomes []Event
-			for _, s := range pick[Send](acts) {
+			for _, s := range pick[SendAttempt](acts) {
 				p := h.a.parts[s.Part]
-				outcomes = append(outcomes, Outcome{Part: s.Part, Try: p.tries - 1, Server: s.Server, Status: Errored, Report: NoLoadReport})
+				outcomes = append(outcomes, AttemptResult{Part: s.Part, Attempt: p.tries - 1, Server: s.Server, Status: ServerError, Report: NoLoadReport})
 			}
 			acts = h.step(h.a.set.Tick, outcomes...)
 		}
 	}
 	tries := map[uint64]int{}
 	further := 0
-	for _, s := range pick[Send](h.log) {
+	for _, s := range pick[SendAttempt](h.log) {
 		further += btoi(tries[s.Part] > 0)
 		tries[s.Part]++
 	}
@@ -316,14 +316,14 @@
 	h := newHand(t, handSettings())
 	_, events := h.query(0, 3)
 	seen := map[uint32]bool{}
-	for _, s := range pick[Send](h.step(0, events...)) {
+	for _, s := range pick[SendAttempt](h.step(0, events...)) {
 		seen[s.Server] = true
 	}
 	if len(seen) != 3 {
 		t.Fatalf("three parts on %d servers", len(seen))
 	}
 	_, events = h.query(0, 5) // more parts than servers: all are sent all the same
-	if sent := pick[Send](h.step(0, events...)); len(sent) < 3 {
+	if sent := pick[SendAttempt](h.step(0, events...)); len(sent) < 3 {
 		t.Fatalf("%d of five parts sent where three servers have room", len(sent))
 	}
 }
@@ -355,7 +355,7 @@
 		_, events := h.query(0, 3)
 		h.step(h.a.set.Tick, events...)
 	}
-	if n := len(pick[Refuse](h.log)); n > 0 {
+	if n := len(pick[Reject](h.log)); n > 0 {
 		t.Fatalf("%d of the first ten queries refused", n)
 	}
 }
@@ -365,9 +365,9 @@
 	h.teach(0, 30, 200_000)
 	s := h.a.servers[2]
 	_, events := h.query(0, 3)
-	for _, sent := range pick[Send](h.step(h.a.set.Tick, events...)) {
+	for _, sent := range pick[SendAttempt](h.step(h.a.set.Tick, events...)) {
 		if sent.Server == 2 {
-			h.step(1000, Outcome{Part: sent.Part, Server: 2, Status: Errored, Report: NoLoadReport})
+			h.step(1000, AttemptResult{Part: sent.Part, Server: 2, Status: ServerError, Report: NoLoadReport})
 		}
 	}
 	if f := h.a.slowness(s); f < 2 {
@@ -402,8 +402,8 @@
 	h := newHand(t, handSettings(), ready(1)...)
 	h.teach(0, 20, 100_000)
 	id, events := h.query(0, 2)
-	for _, s := range pick[Send](h.step(h.a.set.Tick, events...)) {
-		h.step(1000, Outcome{Part: s.Part, Server: 1, Status: Broken, Report: NoLoadReport})
+	for _, s := range pick[SendAttempt](h.step(h.a.set.Tick, events...)) {
+		h.step(1000, AttemptResult{Part: s.Part, Server: 1, Status: ConnectionBroken, Report: NoLoadReport})
 	}
 	if h.finals(id) > 0 {
 		t.Error("given up though its other attempts remain")
@@ -418,13 +418,13 @@
 	h.teach(0, 20, aim/10)
 	for range 8 { // each first attempt breaks
 		_, events := h.query(0, 1)
-		sent := pick[Send](h.step(h.a.set.Tick, events...))
-		sent = pick[Send](h.step(aim/100, Outcome{Part: sent[0].Part, Server: 1, Status: Broken, Report: NoLoadReport}))
-		h.step(aim/10, Outcome{Part: sent[0].Part, Try: 1, Server: 1, Status: OK, Report: NoLoadReport})
+		sent := pick[SendAttempt](h.step(h.a.set.Tick, events...))
+		sent = pick[SendAttempt](h.step(aim/100, AttemptResult{Part: sent[0].Part, Server: 1, Status: ConnectionBroken, Report: NoLoadReport}))
+		h.step(aim/10, AttemptResult{Part: sent[0].Part, Attempt: 1, Server: 1, Status: OK, Report: NoLoadReport})
 	}
 	for range int(h.a.window()) + 1 { // one more than finds room
 		_, events := h.query(0, 1)
-		if got := pick[Refuse](h.step(0, events...)); len(got) > 0 {
+		if got := pick[Reject](h.step(0, events...)); len(got) > 0 {
 			t.Fatalf("refused behind %d of its parts: slowness %.1f", len(h.a.servers[1].out), h.a.slowness(h.a.servers[1]))
 		}
 	}
@@ -454,7 +454,7 @@
 			_, events := h.query(0, 1)
 			h.step(0, events...)
 		}
-		if n := len(pick[Send](h.log)); n != want {
+		if n := len(pick[SendAttempt](h.log)); n != want {
 			t.Errorf("%d aggregators: %d attempts at one server, want %d", fleet, n, want)
 		}
 	}
@@ -470,7 +470,7 @@
 		_, events := h.query(0, 3)
 		all = append(all, events...)
 	}
-	if n := len(pick[Refuse](h.step(0, all...))); n != 0 {
+	if n := len(pick[Reject](h.step(0, all...))); n != 0 {
 		t.Fatalf("%d of four refused though the owner handed them over", n)
 	}
 }
@@ -489,13 +489,13 @@
 		h.step(2_000_000, Timer{}) // nothing heard for long
 		_, events := h.query(0, 1)
 		acts := h.step(0, events...)
-		if n, m := len(pick[Probe](acts)), len(pick[Send](acts)); n != 3 || m != 0 {
+		if n, m := len(pick[HealthCheck](acts)), len(pick[SendAttempt](acts)); n != 3 || m != 0 {
 			t.Fatalf("%d probes and %d parts sent at once, want 3 and 0", n, m)
 		}
 		var back []Event
 		for id := range uint32(3) {
 			if id+1 != slow {
-				back = append(back, ProbeResult{Server: id + 1, Status: OK, Report: NoLoadReport})
+				back = append(back, HealthCheckResult{Server: id + 1, Status: OK, Report: NoLoadReport})
 			}
 		}
 		h.step(h.a.set.Tick, back...)
@@ -505,7 +505,7 @@
 			h.step(0, events...)
 			h.step(2*h.a.set.Tick, Timer{})
 		}
-		sent := pick[Send](h.log)
+		sent := pick[SendAttempt](h.log)
 		for _, s := range sent {
 			if s.Server == slow {
 				t.Errorf("server %d did not answer its probe, sent %+v", slow, sent)
@@ -523,7 +523,7 @@
 	h.step(2_000_000, Timer{})
 	_, events := h.query(0, 1)
 	h.step(0, events...)
-	if n := len(pick[Send](h.step(2*h.a.set.Tick, Timer{}))); n != 1 {
+	if n := len(pick[SendAttempt](h.step(2*h.a.set.Tick, Timer{}))); n != 1 {
 		t.Fatalf("%d parts sent after two ticks of silence, want 1", n)
 	}
 }
@@ -537,11 +537,11 @@
 		h := newHand(t, set, append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 		h.teach(0, 40, 200_000)
 		_, events := h.query(0, 5)
-		sent := pick[Send](h.step(0, events...))
+		sent := pick[SendAttempt](h.step(0, events...))
 		for i, s := range sent {
 			h.a.parts[s.Part].live[0].pred = 900_000 // so that no part is late by its own prediction
 			if i < max(in, -in) {
-				h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
+				h.step(0, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 			}
 		}
 		for _, s := range h.a.order {
@@ -551,7 +551,7 @@
 		for range 380 {
 			h.step(h.a.set.Tick, Timer{})
 		}
-		if n := len(pick[Cancel](h.log)) + len(pick[Send](h.log)); (n > 0) != (in > 0) {
+		if n := len(pick[CancelAttempt](h.log)) + len(pick[SendAttempt](h.log)); (n > 0) != (in > 0) {
 			t.Errorf("%d of 5 parts in: %d cancels and further attempts near the aim", in, n)
 		}
 	}
@@ -566,15 +566,15 @@
 		h.log = nil
 		h.step(2*Micros(h.a.beat), Timer{}) // no connection was in use for long
 		_, events := h.query(0, 1)
-		sent := pick[Send](h.step(0, events...))
+		sent := pick[SendAttempt](h.step(0, events...))
 		if len(sent) != 1 {
 			t.Fatalf("sent %+v, want one attempt", sent)
 		}
 		status := TimedOut
-		if len(pick[CloseIdle](h.log)) > 0 {
+		if len(pick[CloseIdleConnections](h.log)) > 0 {
 			status = again
 		}
-		h.step(300_000, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: status, Report: NoLoadReport})
+		h.step(300_000, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: status, Report: NoLoadReport})
 		for _, q := range h.a.open {
 			h.a.close(q)
 		}
@@ -582,18 +582,18 @@
 	for _, s := range h.a.order {
 		s.doubt = false
 	}
-	if again == Unconnected { // what was proven before falls with the first connection that can't be made
+	if again == ConnectFailed { // what was proven before falls with the first connection that can't be made
 		h.a.cured = 0.9
-		h.a.judge(&attempt{srv: h.a.order[0], cure: true}, Unconnected)
+		h.a.judge(&attempt{srv: h.a.order[0], cure: true}, ConnectFailed)
 	}
 	h.log = nil
 	h.step(2*Micros(h.a.beat), Timer{})
 	_, events := h.query(0, 3)
 	h.step(0, events...)
-	if len(pick[Send](h.log)) == 0 {
+	if len(pick[SendAttempt](h.log)) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	return len(pick[CloseIdle](h.log))
+	return len(pick[CloseIdleConnections](h.log))
 }
 
 // Connections dropped unseen: silence on idle ones that ends on new ones condemns all idle ones. A server bad for
@@ -602,7 +602,7 @@
 	if n := afterSilence(t, OK); n == 0 {
 		t.Error("idle connections are still used though new ones to the same servers were answered")
 	}
-	if n := afterSilence(t, Unconnected); n != 0 {
+	if n := afterSilence(t, ConnectFailed); n != 0 {
 		t.Errorf("%d idle connections closed though new ones can't be made", n)
 	}
 }
@@ -622,7 +622,7 @@
 		h.a.classes[0].ref = 100_000
 		h.step(Micros(h.a.beat), Timer{})
 		_, events := h.query(0, 1)
-		for _, s := range pick[Send](h.step(0, events...)) {
+		for _, s := range pick[SendAttempt](h.step(0, events...)) {
 			took := Micros(100_000)
 			if i%2 == 0 {
 				took = 700_000
@@ -630,9 +630,9 @@
 			for range took / 50_000 {
 				h.step(50_000, Timer{})
 			}
-			h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
+			h.step(0, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 		}
-		hung += len(pick[CloseIdle](h.log))
+		hung += len(pick[CloseIdleConnections](h.log))
 	}
 	if hung > 3 {
 		t.Errorf("%d of 60 idle connections closed, though each was answered on", hung)
@@ -652,7 +652,7 @@
 		q.Deadline = h.now + patience
 		events[0] = q
 		h.step(0, events...)
-		if sent := len(pick[Send](h.log)); (sent > 0) != (patience > 200_000) || h.finals(id) != 1-sent {
+		if sent := len(pick[SendAttempt](h.log)); (sent > 0) != (patience > 200_000) || h.finals(id) != 1-sent {
 			t.Errorf("patience of %d us: %d attempts, %d final answers", patience, sent, h.finals(id))
 		}
 	}
@@ -684,7 +684,7 @@
 		_, events := h.query(0, 1)
 		h.step(Micros(h.a.beat)/mean, events...)
 	}
-	if n := len(pick[Send](h.log)); n < 2 || n > 4 {
+	if n := len(pick[SendAttempt](h.log)); n < 2 || n > 4 {
 		t.Fatalf("%d queries let in within three mean aims, want about one each", n)
 	}
 }
@@ -694,14 +694,14 @@
 	h := newHand(t, handSettings())
 	h.teach(0, 40, 100_000)
 	_, events := h.query(0, 1)
-	s := pick[Send](h.step(0, events...))[0]
+	s := pick[SendAttempt](h.step(0, events...))[0]
 	for _, other := range h.a.order {
 		if other.ID != s.Server {
 			other.factor, other.touched = 5, h.now
 		}
 	}
-	acts := h.step(10_000, Outcome{Part: s.Part, Server: s.Server, Status: Rejected, Report: NoLoadReport})
-	if len(pick[Send](acts)) != 1 {
+	acts := h.step(10_000, AttemptResult{Part: s.Part, Server: s.Server, Status: Rejected, Report: NoLoadReport})
+	if len(pick[SendAttempt](acts)) != 1 {
 		t.Fatal("the part waits for the server that has just turned it away")
 	}
 }
@@ -712,10 +712,10 @@
 	h := newHand(t, s, ready(1, 2)...)
 	id, events := h.query(0, 3)
 	acts := h.step(0, events...)
-	if len(pick[Send](acts)) > 0 || h.finals(id) != 1 {
+	if len(pick[SendAttempt](acts)) > 0 || h.finals(id) != 1 {
 		t.Fatalf("got %+v, want the query refused at once", acts)
 	}
-	if r := pick[Refuse](acts); len(r) != 1 || r[0].ComeBack != s.MaxRetryAfter {
+	if r := pick[Reject](acts); len(r) != 1 || r[0].RetryAfter != s.MaxRetryAfter {
 		t.Fatalf("refusal %+v without word when to come back", r)
 	}
 }
@@ -727,11 +727,11 @@
 	h.teach(1, 30, 200_000)
 	h.log = nil
 	_, events := h.query(1, 5) // three of five make a whole
-	if n := len(pick[Send](h.step(0, events...))); n != 3 {
+	if n := len(pick[SendAttempt](h.step(0, events...))); n != 3 {
 		t.Fatalf("asked for %d parts at first, want the 3 that are needed", n)
 	}
 	h.step(900_000, Timer{})
-	if n := len(pick[Send](h.log)); n != 5 {
+	if n := len(pick[SendAttempt](h.log)); n != 5 {
 		t.Fatalf("%d asked after a long silence, want the two spares too", n)
 	}
 }
@@ -744,23 +744,23 @@
 	for end := h.now + 20*Micros(h.a.beat); h.now < end; {
 		_, events := h.query(0, 1)
 		acts := h.step(100_000, events...)
-		asked := pick[Probe](h.log)
+		asked := pick[HealthCheck](h.log)
 		h.log = nil
 		for _, p := range asked {
 			status := OK
 			if p.Server == 1 {
 				status = probe
 			}
-			h.step(0, ProbeResult{Server: p.Server, Status: status, Report: NoLoadReport})
+			h.step(0, HealthCheckResult{Server: p.Server, Status: status, Report: NoLoadReport})
 		}
-		for queue := pick[Send](acts); len(queue) > 0; queue = queue[1:] { // retries join the queue
+		for queue := pick[SendAttempt](acts); len(queue) > 0; queue = queue[1:] { // retries join the queue
 			sent, status, after := queue[0], OK, Micros(100_000)
 			if sent.Server == 1 {
 				n++
 				status, after = TimedOut, 400_000
 			}
-			queue = append(queue, pick[Send](h.step(after, Outcome{
-				Part: sent.Part, Try: h.a.parts[sent.Part].tries - 1,
+			queue = append(queue, pick[SendAttempt](h.step(after, AttemptResult{
+				Part: sent.Part, Attempt: h.a.parts[sent.Part].tries - 1,
 				Server: sent.Server, Status: status, Report: NoLoadReport,
 			}))...)
 		}
@@ -808,19 +808,19 @@
 
 func TestBadInputIsOfNoMatter(t *testing.T) {
 	h := newHand(t, handSettings())
-	h.step(0, Outcome{Part: 1, Server: 1}, Outcome{Server: 77}, ProbeResult{Server: 1}, ProbeResult{Server: 77},
+	h.step(0, AttemptResult{Part: 1, Server: 1}, AttemptResult{Server: 77}, HealthCheckResult{Server: 1}, HealthCheckResult{Server: 77},
 		ClientCanceled{5}, Part{ID: 3, Number: 99}, EndpointListFailed{}, Timer{})
 	id, events := h.query(0, 1)
 	events = append(events, events[0], events[1], Part{ID: 4, Number: id, Shard: -1}, Part{ID: 5, Number: id, Shard: 99},
 		Part{ID: 6, Number: id, Weight: math.NaN()})
-	s := pick[Send](h.step(0, events...))[0]
-	ok := Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: LoadReport{math.NaN(), -1, -1, -1, math.Inf(1), -1}}
+	s := pick[SendAttempt](h.step(0, events...))[0]
+	ok := AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: LoadReport{math.NaN(), -1, -1, -1, math.Inf(1), -1}}
 	h.step(-50_000, ok, ok) // twice, and time runs backwards
 	if h.finals(id) != 1 {
 		t.Fatalf("%d final answers, want 1", h.finals(id))
 	}
 	acts := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, Parts: 1})
-	if len(pick[Refuse](acts)) != 1 {
+	if len(pick[Reject](acts)) != 1 {
 		t.Fatalf("a query of no known class got %+v", acts)
 	}
 	h.step(0, EndpointList{nil})
@@ -836,7 +836,7 @@
 		h.teach(0, 60, 200_000)
 		_, events := h.query(0, 4)
 		servers := map[uint32]bool{}
-		sends := pick[Send](h.step(0, events...))
+		sends := pick[SendAttempt](h.step(0, events...))
 		for _, p := range sends {
 			servers[p.Server] = true
 		}
@@ -851,13 +851,13 @@
 	h := newHand(t, handSettings(), ready(1)...)
 	h.teach(0, 40, 100_000)
 	_, events := h.query(0, 1)
-	sent := pick[Send](h.step(0, events...))
+	sent := pick[SendAttempt](h.step(0, events...))
 	var gaps []Micros
 	for range 2 {
 		at := h.now
-		acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Try: len(gaps), Server: 1, Status: Rejected, Report: NoLoadReport})
-		for sent = pick[Send](acts); len(sent) == 0 && h.now < at+2_000_000; {
-			sent = pick[Send](h.step(h.a.set.Tick, Timer{}))
+		acts := h.step(h.a.set.Tick, AttemptResult{Part: sent[0].Part, Attempt: len(gaps), Server: 1, Status: Rejected, Report: NoLoadReport})
+		for sent = pick[SendAttempt](acts); len(sent) == 0 && h.now < at+2_000_000; {
+			sent = pick[SendAttempt](h.step(h.a.set.Tick, Timer{}))
 		}
 		if len(sent) == 0 {
 			t.Fatal("the part was never sent again")
@@ -879,9 +879,9 @@
 		for range 100 {
 			_, events := h.query(0, 1)
 			acts := h.step(200_000, events...)
-			n += len(pick[Refuse](acts))
-			for _, s := range pick[Send](acts) {
-				h.step(1000, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
+			n += len(pick[Reject](acts))
+			for _, s := range pick[SendAttempt](acts) {
+				h.step(1000, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 			}
 		}
 		return n
@@ -919,19 +919,19 @@
 func TestQueriesThatFellServers(t *testing.T) {
 	h := newHand(t, handSettings(), append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 	h.teach(0, 40, 100_000)
-	next := func(key uint64) (uint64, []Send) {
+	next := func(key uint64) (uint64, []SendAttempt) {
 		id, events := h.query(0, 3)
 		q := events[0].(Query)
 		q.Key = key
 		events[0] = q
-		return id, pick[Send](h.step(h.a.set.Tick, events...))
+		return id, pick[SendAttempt](h.step(h.a.set.Tick, events...))
 	}
 	id, sent := next(7)
 	if len(sent) != 3 {
 		t.Fatalf("%d parts sent at first", len(sent))
 	}
 	for _, s := range sent[:2] {
-		h.step(h.a.set.Tick, Outcome{Part: s.Part, Server: s.Server, Status: Broken, Report: NoLoadReport})
+		h.step(h.a.set.Tick, AttemptResult{Part: s.Part, Server: s.Server, Status: ConnectionBroken, Report: NoLoadReport})
 	}
 	if h.finals(id) != 1 {
 		t.Fatal("the query goes on after two servers died of it")
@@ -939,8 +939,8 @@
 	if id, sent = next(7); len(sent) != 1 {
 		t.Fatalf("the key's next query sends %d parts ahead, want one", len(sent))
 	}
-	acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
-	if n := len(pick[Send](acts)); n != 2 {
+	acts := h.step(h.a.set.Tick, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
+	if n := len(pick[SendAttempt](acts)); n != 2 {
 		t.Errorf("after the first answer %d parts follow, want two", n)
 	}
 	if _, sent = next(8); len(sent) != 3 {
@@ -948,9 +948,9 @@
 	}
 	// resets that spare some of a query's parts are no evidence against it
 	id, sent = next(9)
-	h.step(h.a.set.Tick, Outcome{Part: sent[2].Part, Server: sent[2].Server, Status: OK, Report: NoLoadReport})
+	h.step(h.a.set.Tick, AttemptResult{Part: sent[2].Part, Server: sent[2].Server, Status: OK, Report: NoLoadReport})
 	for _, s := range sent[:2] {
-		h.step(h.a.set.Tick, Outcome{Part: s.Part, Server: s.Server, Status: Broken, Report: NoLoadReport})
+		h.step(h.a.set.Tick, AttemptResult{Part: s.Part, Server: s.Server, Status: ConnectionBroken, Report: NoLoadReport})
 	}
 	if h.finals(id) != 0 {
 		t.Error("a query with an answered part was given up for two resets")
@@ -973,12 +973,12 @@
 			p.Weight = w
 			events[i+1] = p
 		}
-		sent := pick[Send](h.step(h.a.set.Tick, events...))
+		sent := pick[SendAttempt](h.step(h.a.set.Tick, events...))
 		if want := 2 + 4*btoi(busy < 0.5); len(sent) != want {
 			t.Fatalf("load %.1f: %d parts sent at first, want %d", busy, len(sent), want)
 		}
-		acts := h.step(h.a.set.Tick, Outcome{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
-		if n := len(pick[Send](acts)); n != btoi(busy > 0.5) {
+		acts := h.step(h.a.set.Tick, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
+		if n := len(pick[SendAttempt](acts)); n != btoi(busy > 0.5) {
 			t.Errorf("load %.1f: a quick answer brought %d more parts", busy, n)
 		}
 	}
@@ -992,14 +992,14 @@
 		s := handSettings()
 		s.InstanceCount, s.InstanceIndex, s.PollEndpoints, s.PollInterval = 8, number, true, 10_000_000
 		h := newHand(t, s)
-		calls, waits := len(pick[Subscribe](h.log)), []Micros{}
+		calls, waits := len(pick[PollEndpoints](h.log)), []Micros{}
 		if calls != 1 {
 			t.Fatalf("%d calls at the start, want one", calls)
 		}
 		for range 5 {
 			from := h.now
 			acts := h.step(s.Tick, EndpointListFailed{})
-			for len(pick[Subscribe](acts)) == 0 && h.now < from+20_000_000 {
+			for len(pick[PollEndpoints](acts)) == 0 && h.now < from+20_000_000 {
 				acts = h.step(s.Tick, Timer{})
 			}
 			waits = append(waits, h.now-from)
@@ -1032,12 +1032,12 @@
 	h.log = nil
 	for range 12 {
 		_, events := h.query(0, 1)
-		for _, s := range pick[Send](h.step(0, events...)) {
-			h.step(0, Outcome{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
+		for _, s := range pick[SendAttempt](h.step(0, events...)) {
+			h.step(0, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 		}
 	}
 	got := map[uint32]int{}
-	for _, s := range pick[Send](h.log) {
+	for _, s := range pick[SendAttempt](h.log) {
 		got[s.Server]++
 	}
 	if id := h.a.order[0].ID; 3*got[id] > got[h.a.order[1].ID] {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -185,7 +185,7 @@
 		q.parts = append(q.parts, p)
 		w.events = append(w.events, Part{
 			ID: id, Number: number, Shard: p.shard, Weight: p.weight,
-			Hint: Micros(w.rng.IntN(3)-1) * 40_000,
+			CostHint: Micros(w.rng.IntN(3)-1) * 40_000,
 		})
 		w.taken = append(w.taken, w.now)
 	}
@@ -228,7 +228,7 @@
 		}
 		p := w.parts[a.id]
 		delete(p.live, a.try)
-		if a.status != Rejected && a.status != Unconnected && a.status != Moot {
+		if a.status != Rejected && a.status != ConnectFailed && a.status != Withdrawn {
 			p.ran = true
 		}
 		if a.status == OK && !p.q.over {
@@ -238,14 +238,14 @@
 		if w.rng.IntN(2) == 0 {
 			r.Inflight = float64(w.rng.IntN(6))
 		}
-		w.events = append(w.events, Outcome{
-			Part: a.id, Try: a.try, Server: a.server, Status: a.status,
+		w.events = append(w.events, AttemptResult{
+			Part: a.id, Attempt: a.try, Server: a.server, Status: a.status,
 			Elapsed: w.now - a.sent, Report: r,
 		})
 	}
 	w.pending = rest
 	for _, s := range w.probing {
-		w.events = append(w.events, ProbeResult{Server: s, Status: Status(w.rng.IntN(2)), Report: NoLoadReport})
+		w.events = append(w.events, HealthCheckResult{Server: s, Status: Status(w.rng.IntN(2)), Report: NoLoadReport})
 	}
 	w.probing = nil
 	for i, at := range w.wakes {
@@ -273,17 +273,17 @@
 
 func (w *world) check(act Action) {
 	switch a := act.(type) {
-	case Send:
+	case SendAttempt:
 		w.send(a)
-	case Cancel:
+	case CancelAttempt:
 		for i := range w.pending {
-			if w.pending[i].id == a.Part && w.pending[i].try == a.Try {
-				w.pending[i].due, w.pending[i].status = w.now, Cancelled
+			if w.pending[i].id == a.Part && w.pending[i].try == a.Attempt {
+				w.pending[i].due, w.pending[i].status = w.now, Canceled
 			}
 		}
 	case Answer:
 		w.answer(a)
-	case Refuse:
+	case Reject:
 		q := w.queries[a.Query]
 		for _, p := range q.parts {
 			if q.cls.Idempotency == NonIdempotent && (p.ran || len(p.live) > 0) {
@@ -293,9 +293,9 @@
 		w.end(a.Query)
 	case Fail:
 		w.end(a.Query)
-	case Probe:
+	case HealthCheck:
 		w.probing = append(w.probing, a.Server)
-	case Wake:
+	case SetTimer:
 		w.wakes = append(w.wakes, w.now+a.After)
 	}
 }
@@ -327,11 +327,11 @@
 	if got < cls.MinCoverage-1e-4 {
 		w.t.Fatalf("query %d answered from a share of %v, least is %v", a.Query, got, cls.MinCoverage)
 	}
-	if a.Whole && (got < need-1e-4 || q.step == 2 && !q.whole) {
+	if a.Complete && (got < need-1e-4 || q.step == 2 && !q.whole) {
 		w.t.Fatalf("query %d marked whole from a share of %v at step %d", a.Query, got, q.step)
 	}
 	if q.step == 1 && cls.FetchParts > 0 {
-		q.step, q.whole = 2, a.Whole
+		q.step, q.whole = 2, a.Complete
 		number := w.numberOf(a.Query)
 		w.addParts(q, number, min(n, cls.FetchParts))
 		return
@@ -341,7 +341,7 @@
 
 func (w *world) numberOf(id uint64) uint64 { return w.agg.queries[id].Number }
 
-func (w *world) send(a Send) {
+func (w *world) send(a SendAttempt) {
 	p := w.parts[a.Part]
 	cls := p.q.cls
 	if p.q.over {
@@ -502,19 +502,19 @@
 	acts = append(acts, a.Step(2_500_000, []Event{Timer{}})...)
 	for _, act := range acts {
 		switch act.(type) {
-		case Refuse, Fail, Answer:
+		case Reject, Fail, Answer:
 			t.Fatalf("the open query was ended by the change: %#v", act)
 		}
 	}
 	acts = a.Step(2_600_000, []Event{
-		Outcome{Part: 8, Server: 1, Status: OK, Report: NoLoadReport},
-		Outcome{Part: 8, Server: 2, Status: OK, Report: NoLoadReport},
+		AttemptResult{Part: 8, Server: 1, Status: OK, Report: NoLoadReport},
+		AttemptResult{Part: 8, Server: 2, Status: OK, Report: NoLoadReport},
 	})
-	if !slices.Contains(acts, Action(Answer{Query: 7, Whole: true})) {
+	if !slices.Contains(acts, Action(Answer{Query: 7, Complete: true})) {
 		t.Fatalf("the open query was not answered as it was taken: %#v", acts)
 	}
 	acts = a.Step(2_700_000, []Event{Query{ID: 9, Number: 9, Class: 1, Deadline: 9_000_000, Parts: 1}})
-	if !slices.Contains(acts, Action(Refuse{Query: 9})) {
+	if !slices.Contains(acts, Action(Reject{Query: 9})) {
 		t.Fatalf("a query of a class that is no more was taken: %#v", acts)
 	}
 }
--- a/storepool/conn.go
+++ b/storepool/conn.go
@@ -189,7 +189,7 @@
 	}
 	c.mu.Unlock()
 	for _, a := range never {
-		a.Finish(broker.Outcome{Status: policy.Moot, Report: policy.NoLoadReport})
+		a.Finish(broker.Outcome{Status: policy.Withdrawn, Report: policy.NoLoadReport})
 	}
 }
 
@@ -265,9 +265,9 @@
 	var over []end
 	for id, s := range c.calls {
 		if s.written {
-			over = append(over, end{s.Attempt, policy.Broken})
+			over = append(over, end{s.Attempt, policy.ConnectionBroken})
 		} else if s.Revoke() {
-			over = append(over, end{s.Attempt, policy.Unconnected})
+			over = append(over, end{s.Attempt, policy.ConnectFailed})
 		} else {
 			continue // being written: the writer sees the error and tells which it was
 		}
@@ -287,9 +287,9 @@
 			c.pool.log.WithFields(logrus.Fields{"store": c.to.Name, "out": len(over), "more": more}).WithError(why).Info("store connection ended")
 		}
 	}
-	status := policy.Broken
+	status := policy.ConnectionBroken
 	if c.nc == nil {
-		status = policy.Unconnected
+		status = policy.ConnectFailed
 	}
 	for _, e := range over {
 		e.a.Finish(broker.Outcome{Status: e.s, Report: policy.NoLoadReport})
@@ -355,7 +355,7 @@
 	}
 	c.mu.Unlock()
 	if ours {
-		a.Finish(broker.Outcome{Status: policy.Moot, Report: policy.NoLoadReport})
+		a.Finish(broker.Outcome{Status: policy.Withdrawn, Report: policy.NoLoadReport})
 	}
 }
 
@@ -370,7 +370,7 @@
 		c.mu.Lock()
 		if c.err != nil || c.fenced {
 			c.mu.Unlock()
-			it.probe.end(broker.Outcome{Status: policy.Unconnected, Report: policy.NoLoadReport})
+			it.probe.end(broker.Outcome{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
 			return buf, nil
 		}
 		c.probes = append(c.probes, it.probe)
@@ -413,9 +413,9 @@
 		}
 	}
 	c.mu.Unlock()
-	status := policy.Broken
+	status := policy.ConnectionBroken
 	if !whole {
-		status = policy.Unconnected
+		status = policy.ConnectFailed
 	}
 	for _, a := range over {
 		a.Finish(broker.Outcome{Status: status, Report: policy.NoLoadReport})
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -166,7 +166,7 @@
 				assert.NoError(t, err)
 			}
 			require.NotNil(t, probed, "the probe has no end")
-			assert.Equal(t, policy.Unconnected, probed.Status)
+			assert.Equal(t, policy.ConnectFailed, probed.Status)
 			assert.NotSame(t, a, <-to, "it has not run, and may go elsewhere at once")
 			if !c.on {
 				assert.Error(t, p.Send(1, []*broker.Attempt{a}), "a second copy, or a try dealt before the decisions heard of it")
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -291,11 +291,11 @@
 func (p *Pool) Probe(server uint32, done func(broker.Outcome)) {
 	pr := &probe{done: done}
 	if len(p.codec.AppendProbe(nil)) == 0 {
-		go pr.end(broker.Outcome{Status: policy.Errored, Report: policy.NoLoadReport})
+		go pr.end(broker.Outcome{Status: policy.ServerError, Report: policy.NoLoadReport})
 		return
 	}
 	if err := p.queue(server, item{probe: pr}); err != nil {
-		go pr.end(broker.Outcome{Status: policy.Unconnected, Report: policy.NoLoadReport})
+		go pr.end(broker.Outcome{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
 		return
 	}
 	// The settings name no time-out for probes: the one for connecting says how long silence means silence.
