--- a/broker/broker.go
+++ b/broker/broker.go
@@ -22,23 +22,23 @@
 
 // Part is a piece of a query that one store answers.
 type Part struct {
-	Slice  int
+	Shard  int
 	Weight float64
-	Hint   policy.Micros // expected work; 0: not told
-	Key    uint64        // 0: none
+	CostHint   policy.Micros // expected work; 0: not told
+	AffinityKey    uint64        // 0: none
 }
 
 // Query is a client's query. Once it is submitted, none of it may change.
 type Query struct {
 	ID       string // new with every try of a client
 	Class    int
-	Key      string    // idempotency key, in a keyed class
-	Text     []byte    // what each part has to carry, as it came
+	IdempotencyKey      string    // idempotency key, in a keyed class
+	Payload     []byte    // what each part has to carry, as it came
 	Deadline time.Time // the client leaves then
 	Retry    bool      // the client said that it tries again
 	Parts    []Part
-	Sink     Sink
-	Meta     any    // the front's own, for its transport
+	Responder     Responder
+	FrontData     any    // the front's own, for its transport
 	Terms    *Terms // by which it was read; nil: by whatever stands when it is taken
 
 	canceled atomic.Bool // its client has left: seen wherever an attempt waits, before the owner comes to it
@@ -48,47 +48,47 @@
 type Terms struct {
 	Version  uint64 // 0: of no agreed configuration
 	Settings policy.Settings
-	Front    any // the front's own, for reading queries
+	FrontData    any // the front's own, for reading queries
 }
 
 // Gate says whether new queries may be taken by terms at this moment, and if not, when to come back. The owner calls
 // it, so it must not block.
 type Gate func(*Terms) (open bool, comeBack time.Duration)
 
-// Sink takes the one final answer of a query. The owner calls it, so it must not block.
-type Sink interface{ Final(Answer) }
+// Responder takes the one final answer of a query. The owner calls it, so it must not block.
+type Responder interface{ Respond(Response) }
 
-// Ending says how a query ended.
-type Ending uint8
+// Status says how a query ended.
+type Status uint8
 
 // The ways a query ends.
 const (
-	Served  Ending = iota
-	Refused        // trying again is harmless
+	Served  Status = iota
+	Rejected        // trying again is harmless
 	Failed
 )
 
-// Answer is a query's final answer.
-type Answer struct {
-	Ending   Ending
-	Whole    bool          // Served: nothing that a whole answer needs is missing
-	Values   []Value       // Served: of the parts that are in, in the order of the query's parts
-	ComeBack time.Duration // Refused: how long to wait before another try; 0: no advice
-	Late     bool          // Refused or Failed: the query's time was up
-	Lost     bool          // Refused or Failed: a part was tried in vain, and not only turned away
-	Moved    bool          // Refused: the terms that it was read by stand no more; read it again
-	Closed   bool          // Refused: the gate is closed
+// Response is a query's final answer.
+type Response struct {
+	Status   Status
+	Complete    bool          // Served: nothing that a whole answer needs is missing
+	Parts   []PartResult       // Served: of the parts that are in, in the order of the query's parts
+	RetryAfter time.Duration // Refused: how long to wait before another try; 0: no advice
+	DeadlineExceeded     bool          // Refused or Failed: the query's time was up
+	PartsFailed     bool          // Refused or Failed: a part was tried in vain, and not only turned away
+	StaleTerms    bool          // Refused: the terms that it was read by stand no more; read it again
+	GateClosed   bool          // Refused: the gate is closed
 	Version  uint64        // of the terms that the query was taken by
 }
 
-// Value is what a store gave for a part.
-type Value struct {
-	Slice int
+// PartResult is what a store gave for a part.
+type PartResult struct {
+	Shard int
 	Body  []byte
 }
 
-// Outcome is how an attempt or a probe ended.
-type Outcome struct {
+// AttemptResult is how an attempt or a probe ended.
+type AttemptResult struct {
 	Status policy.Status
 	Report policy.LoadReport
 	Value  []byte
@@ -102,21 +102,21 @@
 	Send(server uint32, call []*Attempt) error
 	// Cancel tells that nobody waits for an attempt any more.
 	Cancel(a *Attempt)
-	// CloseIdle closes the idle connections to a server.
-	CloseIdle(server uint32)
-	// Probe asks a server for its load and calls done once.
-	Probe(server uint32, done func(Outcome))
+	// CloseIdleConnections closes the idle connections to a server.
+	CloseIdleConnections(server uint32)
+	// CheckHealth asks a server for its load and calls done once.
+	CheckHealth(server uint32, done func(AttemptResult))
 }
 
 // Attempt is one sending of a part.
 type Attempt struct {
 	Query  *Query
-	Slice  int
+	Shard  int
 	Server uint32
-	Until  time.Time // nobody waits any longer then
-	// RepeatBy is when the attempt must have been written at the latest: an earlier one of a keyed part may have run, and
+	Deadline  time.Time // nobody waits any longer then
+	// RetryDeadline is when the attempt must have been written at the latest: an earlier one of a keyed part may have run, and
 	// stores drop repeats for a while only. Zero: it is no such repeat.
-	RepeatBy time.Time
+	RetryDeadline time.Time
 
 	broker *Broker
 	part   *part
@@ -134,24 +134,24 @@
 	revoked
 )
 
-// Begin is called before the first byte is written. False means that it must not be written: it was given up, its
+// Start is called before the first byte is written. False means that it must not be written: it was given up, its
 // client has left or waits no longer, or it comes too late to be a repeat that the stores still drop. What was not begun
 // has never run, whatever becomes of it.
-func (a *Attempt) Begin() bool {
+func (a *Attempt) Start() bool {
 	now := time.Now()
-	if a.Query.canceled.Load() || !now.Before(a.Until) || !a.RepeatBy.IsZero() && !now.Before(a.RepeatBy) {
+	if a.Query.canceled.Load() || !now.Before(a.Deadline) || !a.RetryDeadline.IsZero() && !now.Before(a.RetryDeadline) {
 		return false
 	}
 	return a.state.CompareAndSwap(queued, begun)
 }
 
-// Revoke takes an attempt back for good and tells whether it has never run: whether it had not been begun.
-func (a *Attempt) Revoke() (never bool) {
+// Withdraw takes an attempt back for good and tells whether it has never run: whether it had not been begun.
+func (a *Attempt) Withdraw() (never bool) {
 	return a.state.CompareAndSwap(queued, revoked) || a.state.Load() == revoked
 }
 
 // Finish hands in the attempt's outcome. Only the first counts.
-func (a *Attempt) Finish(o Outcome) { a.broker.post(finished{a, o}) }
+func (a *Attempt) Finish(o AttemptResult) { a.broker.post(finished{a, o}) }
 
 // Config is what a broker needs.
 type Config struct {
@@ -215,12 +215,12 @@
 type (
 	finished struct {
 		a *Attempt
-		o Outcome
+		o AttemptResult
 	}
 	probed struct {
 		server uint32
 		at     time.Time
-		o      Outcome
+		o      AttemptResult
 	}
 	cancel  struct{ q *Query }
 	members struct{ servers []policy.Endpoint }
@@ -270,9 +270,9 @@
 // Terms are those by which queries are taken now.
 func (b *Broker) Terms() *Terms { return b.terms.Load() }
 
-// Use has the broker take queries by other terms from now on. What was taken is answered as it was taken, and what
+// SetTerms has the broker take queries by other terms from now on. What was taken is answered as it was taken, and what
 // is known of the stores stays. Terms that fail Check change nothing.
-func (b *Broker) Use(t *Terms) error {
+func (b *Broker) SetTerms(t *Terms) error {
 	if err := t.Check(); err != nil {
 		return err
 	}
@@ -305,8 +305,8 @@
 	}
 }
 
-// Members hands in the whole server list as it now is.
-func (b *Broker) Members(servers []policy.Endpoint) { b.post(members{servers}) }
+// UpdateEndpoints hands in the whole server list as it now is.
+func (b *Broker) UpdateEndpoints(servers []policy.Endpoint) { b.post(members{servers}) }
 
 // Drain makes the broker end every query by cutoff and returns a channel that closes once nothing is open.
 func (b *Broker) Drain(cutoff time.Time) <-chan struct{} {
@@ -414,23 +414,23 @@
 	}
 	// The module leaves the limit on what is held to its owner. Holding on to more would use up the memory.
 	if b.set.MaxOpen > 0 && b.open >= b.set.MaxOpen || !b.cutoff.IsZero() && !now.Before(b.cutoff) {
-		spec.Sink.Final(Answer{Ending: Refused, ComeBack: advice})
+		spec.Responder.Respond(Response{Status: Rejected, RetryAfter: advice})
 		return
 	}
 	if !spec.Deadline.After(now) {
-		spec.Sink.Final(Answer{Ending: Refused, Late: true})
+		spec.Responder.Respond(Response{Status: Rejected, DeadlineExceeded: true})
 		return
 	}
 	// Here, and not where the query was read: whatever held this process up in between, it ends here.
 	terms := b.terms.Load()
 	if b.gate != nil {
 		if open, comeBack := b.gate(terms); !open {
-			spec.Sink.Final(Answer{Ending: Refused, Closed: true, ComeBack: comeBack})
+			spec.Responder.Respond(Response{Status: Rejected, GateClosed: true, RetryAfter: comeBack})
 			return
 		}
 	}
 	if spec.Terms != nil && spec.Terms != terms {
-		spec.Sink.Final(Answer{Ending: Refused, Moved: true})
+		spec.Responder.Respond(Response{Status: Rejected, StaleTerms: true})
 		return
 	}
 	b.nextID++
@@ -453,7 +453,7 @@
 		p := &part{id: b.nextID, q: q, spec: s}
 		q.parts = append(q.parts, p)
 		b.parts[p.id] = p
-		b.emit(policy.Part{ID: p.id, Number: q.id, Shard: s.Slice, Key: s.Key, Weight: s.Weight, CostHint: s.Hint})
+		b.emit(policy.Part{ID: p.id, Number: q.id, Shard: s.Shard, Key: s.AffinityKey, Weight: s.Weight, CostHint: s.CostHint})
 	}
 	// The module ends every query in time. Should it ever not, the client still gets its one answer.
 	q.timer = b.timers.add(spec.Deadline.Add(-time.Millisecond), func(now time.Time) { b.cutOff(q, now) })
@@ -464,7 +464,7 @@
 	if b.queries[q.id] != q {
 		return
 	}
-	ending := Refused
+	ending := Rejected
 	for _, p := range q.parts {
 		for _, a := range p.tries {
 			if a.state.Load() == begun && q.cls.Idempotency != policy.Idempotent {
@@ -473,11 +473,11 @@
 		}
 	}
 	if more, due := b.cutOffs.Due(now); due {
-		b.log.WithFields(logrus.Fields{"query": q.ID, "refused": ending == Refused, "more": more}).Warn("query cut off at its end of time")
+		b.log.WithFields(logrus.Fields{"query": q.ID, "refused": ending == Rejected, "more": more}).Warn("query cut off at its end of time")
 	}
 	b.emit(policy.ClientCanceled{Query: q.id})
 	b.forget(q, now)
-	q.Sink.Final(Answer{Ending: ending, Late: true, Version: q.version})
+	q.Responder.Respond(Response{Status: ending, DeadlineExceeded: true, Version: q.version})
 }
 
 // cut ends what a drain finds open at its cutoff.
@@ -502,7 +502,7 @@
 	for _, p := range q.parts {
 		p.value = nil // an attempt that is still out holds its part
 		for _, a := range p.tries {
-			if !a.over && a.Revoke() {
+			if !a.over && a.Withdraw() {
 				b.abandon(a, policy.Canceled, now)
 			}
 		}
@@ -519,7 +519,7 @@
 }
 
 // outcome tells the end of an attempt. Only the first end counts: a store's answer may cross a time-out.
-func (b *Broker) outcome(a *Attempt, o Outcome, now time.Time) {
+func (b *Broker) outcome(a *Attempt, o AttemptResult, now time.Time) {
 	if a.over {
 		return
 	}
@@ -540,11 +540,11 @@
 	if a.over {
 		return
 	}
-	if a.Revoke() && status == policy.TimedOut {
+	if a.Withdraw() && status == policy.TimedOut {
 		status = policy.ConnectFailed // it was never written: it waited for a connection all the time
 	}
 	b.to.Cancel(a)
-	b.outcome(a, Outcome{Status: status, Report: policy.NoLoadReport}, now)
+	b.outcome(a, AttemptResult{Status: status, Report: policy.NoLoadReport}, now)
 }
 
 // step hands the decisions what has happened and carries out what they return. A panic there must not take
@@ -581,13 +581,13 @@
 				b.abandon(p.tries[act.Attempt], policy.Canceled, now)
 			}
 		case policy.Answer:
-			b.finish(act.Query, Answer{Ending: Served, Whole: act.Complete}, now)
+			b.finish(act.Query, Response{Status: Served, Complete: act.Complete}, now)
 		case policy.Reject:
-			b.finish(act.Query, Answer{Ending: Refused, ComeBack: span(act.RetryAfter)}, now)
+			b.finish(act.Query, Response{Status: Rejected, RetryAfter: span(act.RetryAfter)}, now)
 		case policy.Fail:
-			b.finish(act.Query, Answer{Ending: Failed}, now)
+			b.finish(act.Query, Response{Status: Failed}, now)
 		case policy.CloseIdleConnections:
-			b.to.CloseIdle(act.Server)
+			b.to.CloseIdleConnections(act.Server)
 		case policy.HealthCheck:
 			b.probe(act.Server, now)
 		case policy.SetTimer:
@@ -615,14 +615,14 @@
 		until = p.q.Deadline
 	}
 	a := &Attempt{
-		Query: p.q.Query, Slice: p.spec.Slice, Server: act.Server, Until: until,
+		Query: p.q.Query, Shard: p.spec.Shard, Server: act.Server, Deadline: until,
 		broker: b, part: p, try: len(p.tries), sent: now,
 	}
-	a.RepeatBy = p.repeatBy()
+	a.RetryDeadline = p.repeatBy()
 	p.tries = append(p.tries, a)
 	if b.queries[p.q.id] != p.q || !until.After(now) || b.set.MaxAttempts > 0 && a.try >= b.set.MaxAttempts {
-		a.Revoke()
-		b.outcome(a, Outcome{Status: policy.Withdrawn, Report: policy.NoLoadReport}, now)
+		a.Withdraw()
+		b.outcome(a, AttemptResult{Status: policy.Withdrawn, Report: policy.NoLoadReport}, now)
 		return nil
 	}
 	a.timer = b.timers.add(until, func(now time.Time) { b.abandon(a, policy.TimedOut, now) })
@@ -656,38 +656,38 @@
 		b.log.WithError(err).WithFields(logrus.Fields{"server": server, "more": more}).Warn("attempt not sent")
 	}
 	for _, a := range call {
-		a.Revoke()
-		b.outcome(a, Outcome{Status: policy.ConnectFailed, Report: policy.NoLoadReport}, now)
+		a.Withdraw()
+		b.outcome(a, AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport}, now)
 	}
 }
 
 func (b *Broker) probe(server uint32, now time.Time) {
 	var once sync.Once
-	b.to.Probe(server, func(o Outcome) {
+	b.to.CheckHealth(server, func(o AttemptResult) {
 		once.Do(func() { b.post(probed{server, now, o}) })
 	})
 }
 
 // finish gives a query its final answer.
-func (b *Broker) finish(id uint64, answer Answer, now time.Time) {
+func (b *Broker) finish(id uint64, answer Response, now time.Time) {
 	q := b.queries[id]
 	if q == nil {
 		return
 	}
-	if answer.Ending == Served {
+	if answer.Status == Served {
 		for _, p := range q.parts {
 			if p.in {
-				answer.Values = append(answer.Values, Value{p.spec.Slice, p.value})
+				answer.Parts = append(answer.Parts, PartResult{p.spec.Shard, p.value})
 			}
 		}
 	} else {
-		answer.Late = time.Until(q.last) <= span(3*b.set.Tick)
+		answer.DeadlineExceeded = time.Until(q.last) <= span(3*b.set.Tick)
 		vain := func(p *part) bool {
 			return !p.in && slices.ContainsFunc(p.tries, func(a *Attempt) bool { return a.over && a.ended != policy.Rejected })
 		}
-		answer.Lost = slices.ContainsFunc(q.parts, vain)
+		answer.PartsFailed = slices.ContainsFunc(q.parts, vain)
 	}
 	b.forget(q, now)
 	answer.Version = q.version
-	q.Sink.Final(answer)
+	q.Responder.Respond(answer)
 }
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -33,12 +33,12 @@
 	return nil
 }
 func (f *transport) Cancel(a *Attempt)                  { f.given <- a }
-func (f *transport) CloseIdle(uint32)                   {}
-func (f *transport) Probe(_ uint32, done func(Outcome)) { go done(Outcome{Report: policy.NoLoadReport}) }
+func (f *transport) CloseIdleConnections(uint32)                   {}
+func (f *transport) CheckHealth(_ uint32, done func(AttemptResult)) { go done(AttemptResult{Report: policy.NoLoadReport}) }
 
-type sink chan Answer
+type sink chan Response
 
-func (s sink) Final(a Answer) { s <- a }
+func (s sink) Respond(a Response) { s <- a }
 
 func settings(effect policy.Idempotency) policy.Settings {
 	return policy.Settings{
@@ -57,13 +57,13 @@
 	b, err := New(Config{Settings: set, Transport: to, Log: logrus.NewEntry(log)})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
+	b.UpdateEndpoints([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
 	return b, to
 }
 
 func submit(b *Broker, wait time.Duration) (*Query, sink) {
 	s := make(sink, 8)
-	q := &Query{ID: "q", Deadline: time.Now().Add(wait), Parts: []Part{{Weight: 1}}, Sink: s}
+	q := &Query{ID: "q", Deadline: time.Now().Add(wait), Parts: []Part{{Weight: 1}}, Responder: s}
 	b.Submit(q)
 	return q, s
 }
@@ -72,30 +72,30 @@
 // counts as a store's time.
 func learn(t *testing.T, b *Broker, to *transport, n int) {
 	to.sending = func(a *Attempt) {
-		assert.True(t, a.Begin())
+		assert.True(t, a.Start())
 		served(a) // from within a call of the owner's, whose queue has room
 	}
 	for range n {
 		_, s := submit(b, time.Hour)
 		<-to.sent
-		require.Equal(t, Served, (<-s).Ending)
+		require.Equal(t, Served, (<-s).Status)
 	}
 	to.sending = nil
 }
 
 func served(a *Attempt) {
-	a.Finish(Outcome{Status: policy.OK, Report: policy.NoLoadReport, Value: []byte("v")})
+	a.Finish(AttemptResult{Status: policy.OK, Report: policy.NoLoadReport, Value: []byte("v")})
 }
 
 func TestOneFinalAnswerHoweverOftenAnAttemptEnds(t *testing.T) {
 	b, to := start(t, settings(policy.Idempotent))
 	_, s := submit(b, time.Second)
 	a := <-to.sent
-	require.True(t, a.Begin())
+	require.True(t, a.Start())
 	for range 3 {
 		served(a)
 	}
-	assert.Equal(t, Answer{Ending: Served, Whole: true, Values: []Value{{0, []byte("v")}}}, <-s)
+	assert.Equal(t, Response{Status: Served, Complete: true, Parts: []PartResult{{0, []byte("v")}}}, <-s)
 	_, next := submit(b, time.Second) // its answer shows that all of the above was taken in
 	served(<-to.sent)
 	<-next
@@ -114,29 +114,29 @@
 }
 
 func TestTimeOutTellsWhetherItMayHaveRun(t *testing.T) {
-	for begin, want := range map[bool]Ending{true: Failed, false: Refused} {
+	for begin, want := range map[bool]Status{true: Failed, false: Rejected} {
 		b, to := start(t, settings(policy.IdempotentByKey))
 		_, s := submit(b, 150*time.Millisecond)
 		a := <-to.sent
 		if begin {
-			require.True(t, a.Begin())
+			require.True(t, a.Start())
 		}
 		assert.Same(t, a, <-to.given)
-		assert.Equal(t, !begin, a.Revoke())
-		assert.False(t, a.Begin(), "given up and written all the same")
+		assert.Equal(t, !begin, a.Withdraw())
+		assert.False(t, a.Start(), "given up and written all the same")
 		answer := <-s
-		assert.Equal(t, want, answer.Ending)
-		assert.True(t, answer.Late)
+		assert.Equal(t, want, answer.Status)
+		assert.True(t, answer.DeadlineExceeded)
 	}
 }
 
 func TestAnswersComeBeforeTheClientsTimeIsUp(t *testing.T) {
 	b, _ := start(t, settings(policy.Idempotent))
 	q, s := submit(b, 100*time.Millisecond)
-	assert.Equal(t, Refused, (<-s).Ending)
+	assert.Equal(t, Rejected, (<-s).Status)
 	assert.True(t, time.Now().Before(q.Deadline.Add(20*time.Millisecond)))
 	_, s = submit(b, -time.Millisecond)
-	assert.True(t, (<-s).Late)
+	assert.True(t, (<-s).DeadlineExceeded)
 }
 
 func TestClientThatLeftHasItsAttemptsCanceled(t *testing.T) {
@@ -154,9 +154,9 @@
 	to.refuse = errors.New("no way")
 	_, s := submit(b, time.Second)
 	answer := <-s
-	assert.Equal(t, Refused, answer.Ending)
-	assert.True(t, answer.Lost)
-	assert.Equal(t, time.Second, answer.ComeBack)
+	assert.Equal(t, Rejected, answer.Status)
+	assert.True(t, answer.PartsFailed)
+	assert.Equal(t, time.Second, answer.RetryAfter)
 }
 
 func TestMaxOpenIsRefusedAtOnceAndFreedAgain(t *testing.T) {
@@ -166,23 +166,23 @@
 	_, first := submit(b, time.Second)
 	a := <-to.sent
 	_, second := submit(b, time.Second)
-	assert.Equal(t, Answer{Ending: Refused, ComeBack: time.Second}, <-second)
+	assert.Equal(t, Response{Status: Rejected, RetryAfter: time.Second}, <-second)
 	served(a)
 	<-first
 	_, third := submit(b, time.Second)
 	served(<-to.sent)
-	assert.Equal(t, Served, (<-third).Ending)
+	assert.Equal(t, Served, (<-third).Status)
 }
 
 func TestDrainEndsWhatIsOpenByItsCutoff(t *testing.T) {
 	b, to := start(t, settings(policy.IdempotentByKey))
 	_, s := submit(b, 10*time.Second)
-	require.True(t, (<-to.sent).Begin())
+	require.True(t, (<-to.sent).Start())
 	idle := b.Drain(time.Now().Add(50 * time.Millisecond))
-	assert.Equal(t, Failed, (<-s).Ending)
+	assert.Equal(t, Failed, (<-s).Status)
 	<-idle
 	_, s = submit(b, time.Second)
-	assert.Equal(t, Refused, (<-s).Ending)
+	assert.Equal(t, Rejected, (<-s).Status)
 }
 
 func TestTwoStepsAreRefused(t *testing.T) {
@@ -199,25 +199,25 @@
 	old := b.Terms()
 	ask := func(terms *Terms) sink {
 		s := make(sink, 8)
-		b.Submit(&Query{Deadline: time.Now().Add(5 * time.Second), Parts: []Part{{Weight: 1}}, Sink: s, Terms: terms})
+		b.Submit(&Query{Deadline: time.Now().Add(5 * time.Second), Parts: []Part{{Weight: 1}}, Responder: s, Terms: terms})
 		return s
 	}
 	open := ask(old)
 	a := <-to.sent
 	next := &Terms{Version: 2, Settings: settings(policy.Idempotent)}
 	next.Settings.Classes = []policy.Class{{Name: "other", LatencyObjective: 50_000, Timeout: 50_000, PriorityWeight: 1, RequiredCoverage: 1, MinCoverage: 1}}
-	require.NoError(t, b.Use(next))
-	assert.Equal(t, Answer{Ending: Refused, Moved: true}, <-ask(old))
+	require.NoError(t, b.SetTerms(next))
+	assert.Equal(t, Response{Status: Rejected, StaleTerms: true}, <-ask(old))
 	assert.Same(t, next, b.Terms())
 	by := ask(next)
-	(<-to.sent).Finish(Outcome{Status: policy.OK, Report: policy.NoLoadReport})
+	(<-to.sent).Finish(AttemptResult{Status: policy.OK, Report: policy.NoLoadReport})
 	answer := <-by
-	assert.Equal(t, Served, answer.Ending)
+	assert.Equal(t, Served, answer.Status)
 	assert.Equal(t, uint64(2), answer.Version)
 	time.Sleep(60 * time.Millisecond) // past what the new class waits: the open query must not be cut by it
 	served(a)
 	answer = <-open
-	assert.Equal(t, Served, answer.Ending)
+	assert.Equal(t, Served, answer.Status)
 	assert.Equal(t, uint64(0), answer.Version)
 }
 
@@ -226,8 +226,8 @@
 	old := b.Terms()
 	two := &Terms{Version: 2, Settings: settings(policy.Idempotent)}
 	two.Settings.Classes[0].FetchParts = 1
-	assert.ErrorIs(t, b.Use(two), ErrTwoSteps)
-	assert.Error(t, b.Use(&Terms{Version: 3}))
+	assert.ErrorIs(t, b.SetTerms(two), ErrTwoSteps)
+	assert.Error(t, b.SetTerms(&Terms{Version: 3}))
 	_, s := submit(b, 20*time.Millisecond)
 	<-s
 	assert.Same(t, old, b.Terms())
@@ -252,14 +252,14 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}})
+	b.UpdateEndpoints([]policy.Endpoint{{ID: 1, State: policy.Ready}})
 	_, open := submit(b, 5*time.Second)
 	a := <-to.sent
 	closed <- true
 	_, s := submit(b, 5*time.Second)
-	assert.Equal(t, Answer{Ending: Refused, Closed: true, ComeBack: 3 * time.Second}, <-s)
+	assert.Equal(t, Response{Status: Rejected, GateClosed: true, RetryAfter: 3 * time.Second}, <-s)
 	served(a)
-	assert.Equal(t, Served, (<-open).Ending)
+	assert.Equal(t, Served, (<-open).Status)
 }
 
 // A client leaves between the decision to send and the write, before the owner hears of it: nothing goes out. And what
@@ -273,10 +273,10 @@
 		var q *Query
 		to.sending = func(a *Attempt) {
 			b.Cancel(q)
-			assert.False(t, a.Begin(), "the owner has yet to hear of it")
+			assert.False(t, a.Start(), "the owner has yet to hear of it")
 		}
 		s := make(sink, 8)
-		q = &Query{ID: "q", Deadline: time.Now().Add(time.Hour), Parts: []Part{{Weight: 1}}, Sink: s}
+		q = &Query{ID: "q", Deadline: time.Now().Add(time.Hour), Parts: []Part{{Weight: 1}}, Responder: s}
 		require.True(t, b.Submit(q))
 		a := <-to.sent
 		select {
@@ -311,7 +311,7 @@
 	b, err := New(Config{Settings: settings(policy.Idempotent), Transport: to, Log: logrus.NewEntry(log), Queue: 1})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
+	b.UpdateEndpoints([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
 	first, _ := submit(b, time.Second)
 	waits := <-to.sent
 	second, _ := submit(b, time.Second)
@@ -320,8 +320,8 @@
 	done := make(chan struct{})
 	go func() { b.Cancel(first, second); close(done) }()
 	assert.Eventually(t, second.canceled.Load, 5*time.Second, time.Millisecond)
-	assert.False(t, waits.Begin())
-	assert.False(t, last.Begin())
+	assert.False(t, waits.Start())
+	assert.False(t, last.Start())
 	select {
 	case <-done:
 		assert.Fail(t, "the owner was not held up")
@@ -336,8 +336,8 @@
 	b, to := start(t, settings(policy.Idempotent))
 	began := make(chan bool, 1)
 	to.sending = func(a *Attempt) {
-		time.Sleep(time.Until(a.Until)) // the rule is about time
-		began <- a.Begin()
+		time.Sleep(time.Until(a.Deadline)) // the rule is about time
+		began <- a.Start()
 	}
 	submit(b, 100*time.Millisecond)
 	assert.False(t, <-began)
@@ -353,16 +353,16 @@
 	to.sending = func(a *Attempt) {
 		if a.try == 1 {
 			b.Cancel(q)
-			assert.False(t, a.Begin(), "the owner has yet to hear of it")
+			assert.False(t, a.Start(), "the owner has yet to hear of it")
 		}
 	}
 	s := make(sink, 8)
-	q = &Query{ID: "q", Deadline: time.Now().Add(time.Second), Parts: []Part{{Weight: 1}}, Sink: s}
+	q = &Query{ID: "q", Deadline: time.Now().Add(time.Second), Parts: []Part{{Weight: 1}}, Responder: s}
 	require.True(t, b.Submit(q))
-	require.True(t, (<-to.sent).Begin())
+	require.True(t, (<-to.sent).Start())
 	second := <-to.sent
 	assert.Equal(t, 1, second.try)
-	assert.False(t, second.Begin())
+	assert.False(t, second.Start())
 	for range 2 { // both are given up
 		<-to.given
 	}
@@ -383,11 +383,11 @@
 		submit(b, 5*time.Second)
 		first := <-to.sent
 		if c.begun {
-			require.True(t, first.Begin())
+			require.True(t, first.Start())
 		}
-		first.Finish(Outcome{Status: c.status, Report: policy.NoLoadReport})
+		first.Finish(AttemptResult{Status: c.status, Report: policy.NoLoadReport})
 		second := <-to.sent
 		time.Sleep(time.Until(first.sent.Add(110 * time.Millisecond))) // the rule is about time
-		assert.Equal(t, !c.late, second.Begin(), c.status)
+		assert.Equal(t, !c.late, second.Start(), c.status)
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -133,9 +133,9 @@
 	o := &opensearch.Config{
 		Listen: s.Addr("listen"), MaxConns: s.Int("max_conns", 256, 1, 1<<20), Number: number, Fleet: fleet,
 		Limits: storepool.Limits{
-			Streams: 1, Conns: s.Int("conns_per_store", 16, 1, 4096),
+			MaxInFlight: 1, MaxConnections: s.Int("conns_per_store", 16, 1, 4096),
 			ConnectTimeout: s.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute).Microseconds(),
-			ConnIdle:       s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds(),
+			IdleTimeout:       s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds(),
 		},
 	}
 	s.Done()
--- a/opensearch/front.go
+++ b/opensearch/front.go
@@ -75,7 +75,7 @@
 type item struct {
 	*search
 	query  *broker.Query
-	answer broker.Answer
+	answer broker.Response
 	bad    *failure
 	group  *group
 }
@@ -86,8 +86,8 @@
 	left atomic.Int32
 }
 
-// Final takes an item's answer. It never blocks.
-func (it *item) Final(a broker.Answer) {
+// Respond takes an item's answer. It never blocks.
+func (it *item) Respond(a broker.Response) {
 	it.answer = a
 	if it.group.left.Add(-1) == 0 {
 		it.group.x.Wake()
@@ -165,7 +165,7 @@
 		it.bad = closed(time.Second)
 		return it
 	}
-	ix := t.Front.(indices)[name]
+	ix := t.FrontData.(indices)[name]
 	if len(ix.slices) == 0 {
 		it.bad = &failure{404, "index_not_found_exception", fmt.Errorf("no such index [%s]", name), 0}
 		return it
@@ -184,11 +184,11 @@
 		wait = min(wait, it.timeout)
 	}
 	it.query = &broker.Query{
-		ID: f.prefix + strconv.FormatUint(f.seq.Add(1), 10), Class: ix.class, Text: it.body,
-		Deadline: x.Start.Add(wait), Meta: &target{name}, Sink: it, Terms: t,
+		ID: f.prefix + strconv.FormatUint(f.seq.Add(1), 10), Class: ix.class, Payload: it.body,
+		Deadline: x.Start.Add(wait), FrontData: &target{name}, Responder: it, Terms: t,
 	}
 	for _, s := range ix.slices {
-		it.query.Parts = append(it.query.Parts, broker.Part{Slice: s, Weight: 1 / float64(len(ix.slices))})
+		it.query.Parts = append(it.query.Parts, broker.Part{Shard: s, Weight: 1 / float64(len(ix.slices))})
 	}
 	return it
 }
@@ -202,7 +202,7 @@
 		g := &group{x: x}
 		var out []*item
 		for _, it := range items {
-			if it.bad == nil && (it.group == nil || it.answer.Moved) {
+			if it.bad == nil && (it.group == nil || it.answer.StaleTerms) {
 				it.group = g
 				out = append(out, it)
 			}
@@ -218,20 +218,20 @@
 		for _, it := range out {
 			queries = append(queries, it.query)
 			if !f.broker.Submit(it.query) {
-				it.Final(broker.Answer{Ending: broker.Refused})
+				it.Respond(broker.Response{Status: broker.Rejected})
 			}
 		}
 		if x.Wait() {
 			f.broker.Cancel(queries...)
 			return nil
 		}
-		if !slices.ContainsFunc(out, func(it *item) bool { return it.answer.Moved }) {
+		if !slices.ContainsFunc(out, func(it *item) bool { return it.answer.StaleTerms }) {
 			return items
 		}
 		x.Rearm()
 		again, _ := read(f.broker.Terms())
 		for i, it := range items {
-			if it.bad == nil && it.answer.Moved {
+			if it.bad == nil && it.answer.StaleTerms {
 				items[i] = again[i]
 			}
 		}
@@ -244,20 +244,20 @@
 	switch {
 	case it.bad != nil:
 		return nil, it.bad
-	case a.Ending == broker.Served:
-		body, err := it.merge(a.Values, len(it.query.Parts), time.Since(x.Start).Milliseconds())
+	case a.Status == broker.Served:
+		body, err := it.merge(a.Parts, len(it.query.Parts), time.Since(x.Start).Milliseconds())
 		if err != nil {
 			return nil, &failure{502, "search_phase_execution_exception", err, 0}
 		}
 		return body, nil
-	case a.Closed:
-		return nil, closed(a.ComeBack)
-	case a.Late:
-		return nil, &failure{504, "timeout_exception", errors.New("the query's time was up before all parts were in"), a.ComeBack}
-	case a.Lost:
-		return nil, &failure{503, "search_phase_execution_exception", errors.New("parts of the query are lost"), a.ComeBack}
-	case a.Ending == broker.Refused:
-		return nil, &failure{429, "rejected_execution_exception", errors.New("the broker takes no more queries now"), a.ComeBack}
+	case a.GateClosed:
+		return nil, closed(a.RetryAfter)
+	case a.DeadlineExceeded:
+		return nil, &failure{504, "timeout_exception", errors.New("the query's time was up before all parts were in"), a.RetryAfter}
+	case a.PartsFailed:
+		return nil, &failure{503, "search_phase_execution_exception", errors.New("parts of the query are lost"), a.RetryAfter}
+	case a.Status == broker.Rejected:
+		return nil, &failure{429, "rejected_execution_exception", errors.New("the broker takes no more queries now"), a.RetryAfter}
 	}
 	return nil, &failure{503, "search_phase_execution_exception", errors.New("the query failed"), 0}
 }
--- a/opensearch/merge.go
+++ b/opensearch/merge.go
@@ -196,17 +196,17 @@
 }
 
 // merge makes one answer of the parts that are in. Parts that are missing are counted as failed shards.
-func (s *search) merge(values []broker.Value, parts int, took int64) ([]byte, error) {
+func (s *search) merge(values []broker.PartResult, parts int, took int64) ([]byte, error) {
 	var all []hit
 	var sum result
 	for _, v := range values {
 		r, err := parseResult(v.Body)
 		if err != nil {
-			return nil, fmt.Errorf("slice %d: %w", v.Slice, err)
+			return nil, fmt.Errorf("slice %d: %w", v.Shard, err)
 		}
 		for _, h := range r.hits {
 			if len(h.sort) < len(s.sort) {
-				return nil, fmt.Errorf("slice %d: %w: a hit has no sort values", v.Slice, errPart)
+				return nil, fmt.Errorf("slice %d: %w: a hit has no sort values", v.Shard, errPart)
 			}
 		}
 		all = append(all, r.hits...)
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -58,7 +58,7 @@
 func start(t *testing.T, maxOpen int) *rig {
 	r := &rig{config: &Config{
 		Listen: "127.0.0.1:0", MaxConns: 256, Fleet: 1,
-		Limits: storepool.Limits{Streams: 1, Conns: 16, ConnectTimeout: 250_000, ConnIdle: 15_000_000},
+		Limits: storepool.Limits{MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000, IdleTimeout: 15_000_000},
 	}}
 	for i := range r.stores {
 		r.stores[i] = testserver.NewSearchStore(t, docs)
@@ -312,8 +312,8 @@
 	r := &rig{}
 	s := testserver.NewSearchStore(t, docs)
 	r.config = &Config{Listen: "127.0.0.1:0", Fleet: 1, Limits: storepool.Limits{
-		Streams: 1, Conns: 16, ConnectTimeout: 250_000,
-		ConnIdle: 15_000_000,
+		MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000,
+		IdleTimeout: 15_000_000,
 	}, Stores: []storepool.Store{{Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}}}
 	var open atomic.Bool
 	open.Store(true)
@@ -400,7 +400,7 @@
 func TestSearchesOfAClientThatLeftDoNotGoOutOnALateConnection(t *testing.T) {
 	r := start(t, 1000)
 	began, hold := make(chan struct{}, 64), make(chan struct{})
-	r.pool.DialBy(func(addr string, limit time.Duration) (net.Conn, error) {
+	r.pool.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
 		began <- struct{}{}
 		<-hold
 		return net.DialTimeout("tcp", addr, limit)
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -55,14 +55,14 @@
 		class := slices.IndexFunc(set.Classes, func(k policy.Class) bool { return k.Name == ix.Class })
 		by[ix.Name] = index{class, ix.Slices}
 	}
-	t.Front = by
+	t.FrontData = by
 	return t, nil
 }
 
 // Unknown are the terms of an instance that does not know the agreed document yet: it refuses all.
 func Unknown() *broker.Terms {
 	set := policy.Settings{InstanceCount: 1, Tick: 5000, Shards: 1, RingSize: 1, ReplicationFactor: 1, Classes: []policy.Class{{LatencyObjective: 1, Timeout: 1, RequiredCoverage: 1, MinCoverage: 1}}}
-	return &broker.Terms{Settings: set, Front: indices{}}
+	return &broker.Terms{Settings: set, FrontData: indices{}}
 }
 
 // Service is a running front with its own broker over its own stores.
@@ -81,7 +81,7 @@
 	s := &Service{log: log, pool: storepool.New(c.Limits, codec{}, log)}
 	var seed [8]byte
 	rand.Read(seed[:]) // never fails, as its documentation says
-	s.pool.Follow(c.Stores)
+	s.pool.UpdateEndpoints(c.Stores)
 	var err error
 	if s.broker, err = broker.New(broker.Config{Terms: terms, Gate: gate, Transport: s.pool, Log: log}); err != nil {
 		return nil, fmt.Errorf("opensearch: %w", err)
@@ -90,7 +90,7 @@
 	for i, st := range c.Stores {
 		servers[i] = st.Endpoint
 	}
-	s.broker.Members(servers)
+	s.broker.UpdateEndpoints(servers)
 	if s.listen, err = net.Listen("tcp", c.Listen); err != nil {
 		s.broker.Close()
 		return nil, fmt.Errorf("opensearch: listen: %w", err)
@@ -116,7 +116,7 @@
 }
 
 // Use has the front take queries by other terms from now on. Queries taken before are answered as they were taken.
-func (s *Service) Use(t *broker.Terms) error { return s.broker.Use(t) }
+func (s *Service) Use(t *broker.Terms) error { return s.broker.SetTerms(t) }
 
 // Version is that of the terms in use.
 func (s *Service) Version() uint64 { return s.broker.Terms().Version }
--- a/opensearch/stores.go
+++ b/opensearch/stores.go
@@ -22,16 +22,16 @@
 func (codec) AppendCall(to []byte, store storepool.Store, call []*broker.Attempt, now time.Time) []byte {
 	a := call[0]
 	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false",
-		a.Query.Meta.(*target).index, a.Slice, max(1, a.Until.Sub(now).Milliseconds()))
+		a.Query.FrontData.(*target).index, a.Shard, max(1, a.Deadline.Sub(now).Milliseconds()))
 	extra := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.PartID(a)}}
-	return httpwire.AppendRequest(to, "POST", target, store.Addr, extra, a.Query.Text)
+	return httpwire.AppendRequest(to, "POST", target, store.Addr, extra, a.Query.Payload)
 }
 
 // AppendCancel appends nothing: only closing gives a search up.
 func (codec) AppendCancel(to []byte, _ string) []byte { return to }
 
-// AppendProbe appends nothing: the API has no cheap question for load.
-func (codec) AppendProbe(to []byte) []byte { return to }
+// AppendHealthCheck appends nothing: the API has no cheap question for load.
+func (codec) AppendHealthCheck(to []byte) []byte { return to }
 
 // Read reads a response. A success whose body tells of a failed shard is an error, like any other status but
 // 429, which says that the search was turned away unseen.
@@ -40,7 +40,7 @@
 	if err != nil {
 		return storepool.Message{}, err
 	}
-	o := broker.Outcome{Status: policy.ServerError, Report: policy.NoLoadReport}
+	o := broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport}
 	switch {
 	case resp.Status == 429:
 		o.Status = policy.Rejected
--- a/storepool/conn.go
+++ b/storepool/conn.go
@@ -57,7 +57,7 @@
 }
 
 // mostOut bounds what waits to be written on one connection: its calls, and as many words about given up ones again.
-func (c *conn) mostOut() int { return 4*c.pool.limits.Load().Streams + 16 }
+func (c *conn) mostOut() int { return 4*c.pool.limits.Load().MaxInFlight + 16 }
 
 // put has an item written, unless the other side does not read and too much waits already. The lock is held.
 func (c *conn) put(it item) bool {
@@ -120,7 +120,7 @@
 func (c *conn) push(it item, want fit) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.err != nil || c.last || c.busy >= c.pool.limits.Load().Streams && it.call != nil ||
+	if c.err != nil || c.last || c.busy >= c.pool.limits.Load().MaxInFlight && it.call != nil ||
 		want >= sound && c.silent() || want == apart && c.busy > 0 {
 		return false
 	}
@@ -157,7 +157,7 @@
 	}
 	delete(c.calls, id)
 	c.busy--
-	if a.Revoke() { // never written: the store knows nothing of it
+	if a.Withdraw() { // never written: the store knows nothing of it
 		return true
 	}
 	c.stale[id] = true
@@ -181,7 +181,7 @@
 	c.last, c.fenced = true, true
 	var never []*broker.Attempt
 	for id, s := range c.calls {
-		if !s.written && s.Revoke() { // from here the writer can't begin it any more
+		if !s.written && s.Withdraw() { // from here the writer can't begin it any more
 			never = append(never, s.Attempt)
 			delete(c.calls, id)
 			c.busy--
@@ -189,7 +189,7 @@
 	}
 	c.mu.Unlock()
 	for _, a := range never {
-		a.Finish(broker.Outcome{Status: policy.Withdrawn, Report: policy.NoLoadReport})
+		a.Finish(broker.AttemptResult{Status: policy.Withdrawn, Report: policy.NoLoadReport})
 	}
 }
 
@@ -266,7 +266,7 @@
 	for id, s := range c.calls {
 		if s.written {
 			over = append(over, end{s.Attempt, policy.ConnectionBroken})
-		} else if s.Revoke() {
+		} else if s.Withdraw() {
 			over = append(over, end{s.Attempt, policy.ConnectFailed})
 		} else {
 			continue // being written: the writer sees the error and tells which it was
@@ -292,10 +292,10 @@
 		status = policy.ConnectFailed
 	}
 	for _, e := range over {
-		e.a.Finish(broker.Outcome{Status: e.s, Report: policy.NoLoadReport})
+		e.a.Finish(broker.AttemptResult{Status: e.s, Report: policy.NoLoadReport})
 	}
 	for _, p := range probes {
-		p.end(broker.Outcome{Status: status, Report: policy.NoLoadReport})
+		p.end(broker.AttemptResult{Status: status, Report: policy.NoLoadReport})
 	}
 }
 
@@ -330,7 +330,7 @@
 			}
 			continue
 		}
-		for it.call != nil && c.pool.Stale != nil && c.pool.Stale() {
+		for it.call != nil && c.pool.EndpointsStale != nil && c.pool.EndpointsStale() {
 			select {
 			case <-c.gone:
 				return
@@ -355,7 +355,7 @@
 	}
 	c.mu.Unlock()
 	if ours {
-		a.Finish(broker.Outcome{Status: policy.Withdrawn, Report: policy.NoLoadReport})
+		a.Finish(broker.AttemptResult{Status: policy.Withdrawn, Report: policy.NoLoadReport})
 	}
 }
 
@@ -370,17 +370,17 @@
 		c.mu.Lock()
 		if c.err != nil || c.fenced {
 			c.mu.Unlock()
-			it.probe.end(broker.Outcome{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
+			it.probe.end(broker.AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
 			return buf, nil
 		}
 		c.probes = append(c.probes, it.probe)
 		c.mu.Unlock()
-		buf = c.pool.codec.AppendProbe(buf)
+		buf = c.pool.codec.AppendHealthCheck(buf)
 	default:
 		for _, a := range it.call {
-			if a.Begin() {
+			if a.Start() {
 				begun = append(begun, a)
-			} else if a.Revoke() {
+			} else if a.Withdraw() {
 				c.takeBack(a)
 			}
 		}
@@ -418,7 +418,7 @@
 		status = policy.ConnectFailed
 	}
 	for _, a := range over {
-		a.Finish(broker.Outcome{Status: status, Report: policy.NoLoadReport})
+		a.Finish(broker.AttemptResult{Status: status, Report: policy.NoLoadReport})
 	}
 	return buf, err
 }
@@ -476,7 +476,7 @@
 		known = s != nil || c.stale[m.ID]
 		delete(c.stale, m.ID)
 		c.used = time.Now()
-	case Report:
+	case LoadReport:
 		if len(c.probes) > 0 {
 			p, c.probes = c.probes[0], c.probes[1:]
 		}
@@ -493,7 +493,7 @@
 		s.Finish(m.Outcome)
 	case p != nil:
 		p.end(m.Outcome)
-	case m.Kind == Report:
+	case m.Kind == LoadReport:
 		return fmt.Errorf("%w: a load report that nobody asked for", ErrMalformed)
 	case !known: // a spoilt id: the answer that it stands for will not come
 		return fmt.Errorf("%w: an answer that nobody asked for", ErrMalformed)
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -25,12 +25,12 @@
 
 func (c capture) Send(_ uint32, call []*broker.Attempt) error { c <- call[0]; return nil }
 func (capture) Cancel(*broker.Attempt)                        {}
-func (capture) CloseIdle(uint32)                              {}
-func (capture) Probe(uint32, func(broker.Outcome))            {}
+func (capture) CloseIdleConnections(uint32)                              {}
+func (capture) CheckHealth(uint32, func(broker.AttemptResult))            {}
 
-type sink chan broker.Answer
+type sink chan broker.Response
 
-func (s sink) Final(a broker.Answer) { s <- a }
+func (s sink) Respond(a broker.Response) { s <- a }
 
 // attempts returns where a query's attempts come out, one after the other as each ends, and its final answer.
 func attempts(t *testing.T) (capture, sink) {
@@ -42,9 +42,9 @@
 	b, err := broker.New(broker.Config{Settings: set, Transport: to, Log: testserver.Log()})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
-	b.Members([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
+	b.UpdateEndpoints([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
 	b.Submit(&broker.Query{
-		ID: "q", Deadline: time.Now().Add(2 * time.Second), Sink: answers,
+		ID: "q", Deadline: time.Now().Add(2 * time.Second), Responder: answers,
 		Parts: []broker.Part{{Weight: 1}},
 	})
 	return to, answers
@@ -52,14 +52,14 @@
 
 // waiting is a connection that is not up yet.
 func waiting(streams int) *conn {
-	return newConn(New(Limits{ConnectTimeout: 250_000, ConnIdle: 15_000_000, Streams: streams}, nil, testserver.Log()), Store{})
+	return newConn(New(Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: streams}, nil, testserver.Log()), Store{})
 }
 
 // A store that ends every connection costs one log line a second, which tells how many it stands for.
 func TestEndsOfConnectionsAreLoggedSeldom(t *testing.T) {
 	log, lines := test.NewNullLogger()
-	p := New(Limits{ConnectTimeout: 250_000, ConnIdle: 15_000_000, Streams: 1}, nil, log.WithField("test", true))
-	p.Follow([]Store{{Name: "s", Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
+	p := New(Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: 1}, nil, log.WithField("test", true))
+	p.UpdateEndpoints([]Store{{Name: "s", Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
 	began := time.Now()
 	for range 200 {
 		newConn(p, Store{Name: "s", Endpoint: policy.Endpoint{ID: 1}}).close(io.ErrUnexpectedEOF)
@@ -76,7 +76,7 @@
 	c, a := waiting(32), <-to
 	require.True(t, c.push(item{call: []*broker.Attempt{a}}, anyRoom))
 	c.stopSending()
-	assert.False(t, a.Begin(), "it could still be written")
+	assert.False(t, a.Start(), "it could still be written")
 	assert.False(t, c.push(item{cancel: "x"}, anyRoom), "something new could still go out")
 	assert.NotSame(t, a, <-to)
 }
@@ -87,14 +87,14 @@
 	call := item{call: []*broker.Attempt{a}}
 	require.True(t, c.push(call, anyRoom))
 	assert.False(t, c.push(call, anyRoom), "more than the connection carries")
-	c.pool.Use(Limits{ConnectTimeout: 250_000, ConnIdle: 15_000_000, Streams: 9})
+	c.pool.SetLimits(Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: 9})
 	assert.False(t, c.push(call, anyRoom), "two parts of one name")
 	assert.False(t, c.cancel(&broker.Attempt{Query: a.Query}), "another attempt of that name")
 }
 
 // What a connection carried when it ended has never run if it was not written, and may have if it was.
 func TestEndOfAConnectionTellsWhatMayHaveRun(t *testing.T) {
-	for written, want := range map[bool]broker.Ending{false: broker.Refused, true: broker.Failed} {
+	for written, want := range map[bool]broker.Status{false: broker.Rejected, true: broker.Failed} {
 		to, answers := attempts(t)
 		for ended := false; !ended; {
 			select {
@@ -102,12 +102,12 @@
 				c := waiting(32)
 				require.True(t, c.push(item{call: []*broker.Attempt{a}}, anyRoom))
 				if written {
-					require.True(t, a.Begin())
+					require.True(t, a.Start())
 					c.calls[PartID(a)].written = true
 				}
 				c.close(errClosed)
 			case answer := <-answers:
-				assert.Equal(t, want, answer.Ending)
+				assert.Equal(t, want, answer.Status)
 				ended = true
 			}
 		}
@@ -152,15 +152,15 @@
 			a := <-to
 			w := waiting(32)
 			p := w.pool
-			p.Follow([]Store{ready})
+			p.UpdateEndpoints([]Store{ready})
 			p.stores[1].conns = []*conn{w}
-			var probed *broker.Outcome
-			pr := &probe{done: func(o broker.Outcome) { probed = &o }}
+			var probed *broker.AttemptResult
+			pr := &probe{done: func(o broker.AttemptResult) { probed = &o }}
 			require.True(t, w.push(item{call: []*broker.Attempt{a}}, anyRoom))
 			require.True(t, w.push(item{probe: pr}, anyRoom))
-			p.Follow(c.list)
-			assert.False(t, a.Begin(), "the call can still be written")
-			assert.False(t, w.push(item{call: []*broker.Attempt{{Query: a.Query, Slice: 9}}}, anyRoom))
+			p.UpdateEndpoints(c.list)
+			assert.False(t, a.Start(), "the call can still be written")
+			assert.False(t, w.push(item{call: []*broker.Attempt{{Query: a.Query, Shard: 9}}}, anyRoom))
 			for it, ok := w.pop(); ok; it, ok = w.pop() {
 				_, err := w.write(nil, it, nil) // nothing is written: there is nothing to write to
 				assert.NoError(t, err)
@@ -180,7 +180,7 @@
 	s := testserver.NewFrameStore(t)
 	p := waiting(32).pool
 	began, hold := make(chan struct{}, 1), make(chan struct{})
-	p.DialBy(func(addr string, limit time.Duration) (net.Conn, error) {
+	p.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
 		began <- struct{}{}
 		<-hold
 		return net.DialTimeout("tcp", addr, limit)
@@ -190,7 +190,7 @@
 		defer p.mu.Unlock()
 		return p.open
 	}
-	p.Follow([]Store{{Name: "s", Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
+	p.UpdateEndpoints([]Store{{Name: "s", Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
 	to, _ := attempts(t)
 	require.NoError(t, p.Send(1, []*broker.Attempt{<-to}))
 	<-began
@@ -215,16 +215,16 @@
 			t.Run(fmt.Sprintf("%s, written: %v", name, written), func(t *testing.T) {
 				s := testserver.NewFrameStore(t)
 				s.SetFault(testserver.Silent)
-				p := New(Limits{ConnectTimeout: 5_000_000, ConnIdle: time.Hour.Microseconds(), Streams: 32}, frames{}, testserver.Log())
+				p := New(Limits{ConnectTimeout: 5_000_000, IdleTimeout: time.Hour.Microseconds(), MaxInFlight: 32}, frames{}, testserver.Log())
 				t.Cleanup(p.Close)
 				began, hold := make(chan struct{}, 1), make(chan struct{})
-				p.DialBy(func(addr string, limit time.Duration) (net.Conn, error) {
+				p.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
 					began <- struct{}{}
 					<-hold
 					return net.DialTimeout("tcp", addr, limit)
 				})
 				ready := Store{Name: "s", Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}
-				p.Follow([]Store{ready})
+				p.UpdateEndpoints([]Store{ready})
 				to, _ := attempts(t)
 				a := <-to
 				require.NoError(t, p.Send(1, []*broker.Attempt{a}))
@@ -232,10 +232,10 @@
 				if written {
 					close(hold)
 					testserver.Next(t, s)
-					p.Follow(list(ready))
+					p.UpdateEndpoints(list(ready))
 					p.Cancel(a)
 				} else {
-					p.Follow(list(ready))
+					p.UpdateEndpoints(list(ready))
 					close(hold)
 				}
 				select {
@@ -260,5 +260,5 @@
 func (frames) AppendCancel(to []byte, id string) []byte {
 	return append(binary.BigEndian.AppendUint32(to, uint32(len(id)+1)), "2"+id...)
 }
-func (frames) AppendProbe(to []byte) []byte          { return to }
+func (frames) AppendHealthCheck(to []byte) []byte          { return to }
 func (frames) Read(r *bufio.Reader) (Message, error) { _, err := r.ReadByte(); return Message{}, err }
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -38,9 +38,9 @@
 
 // Limits are settings that concern sockets and not the decisions.
 type Limits struct {
-	ConnectTimeout, ConnIdle policy.Micros
-	Streams                  int // attempts that one connection carries at once
-	Conns                    int // connections to one store; 0: as many as are needed
+	ConnectTimeout, IdleTimeout policy.Micros
+	MaxInFlight                  int // attempts that one connection carries at once
+	MaxConnections                    int // connections to one store; 0: as many as are needed
 }
 
 // Codec words what goes between a gatherer and a store.
@@ -49,8 +49,8 @@
 	AppendCall(to []byte, store Store, call []*broker.Attempt, now time.Time) []byte
 	// AppendCancel appends the word that a part is given up. Where it appends nothing, the connection is closed.
 	AppendCancel(to []byte, id string) []byte
-	// AppendProbe appends a probe for load. Where it appends nothing, stores take none.
-	AppendProbe(to []byte) []byte
+	// AppendHealthCheck appends a probe for load. Where it appends nothing, stores take none.
+	AppendHealthCheck(to []byte) []byte
 	// Read reads one message. Its first byte is known to be there.
 	Read(r *bufio.Reader) (Message, error)
 }
@@ -62,7 +62,7 @@
 const (
 	Other Kind = iota // of no matter
 	Answer
-	Report // answers the oldest probe
+	LoadReport // answers the oldest probe
 )
 
 // Message is one message of a store.
@@ -70,23 +70,23 @@
 	Kind    Kind
 	ID      string // of the part answered; empty: of the only one that is out
 	Last    bool   // the connection takes nothing more
-	Outcome broker.Outcome
+	Outcome broker.AttemptResult
 }
 
 // ErrMalformed is behind the errors about messages that do not follow the protocol. They close the connection.
 var ErrMalformed = errors.New("malformed store message")
 
 // PartID is the name of an attempt's part on the wire.
-func PartID(a *broker.Attempt) string { return a.Query.ID + "." + strconv.Itoa(a.Slice) }
+func PartID(a *broker.Attempt) string { return a.Query.ID + "." + strconv.Itoa(a.Shard) }
 
 // Pool holds, for each store, the connections to it, opened as needed. It is a broker.Transport.
 type Pool struct {
-	// Room tells how many connections there may be now, to all stores together; nil: as many as are needed. Beyond it
+	// ConnectionAllowance tells how many connections there may be now, to all stores together; nil: as many as are needed. Beyond it
 	// the idle ones that were used longest ago make room. It is set before the first Follow.
-	Room func() int
-	// Stale tells that the list may not be gone by now: calls wait, within their time. nil: it always may. It is set
+	ConnectionAllowance func() int
+	// EndpointsStale tells that the list may not be gone by now: calls wait, within their time. nil: it always may. It is set
 	// before the first Follow.
-	Stale func() bool
+	EndpointsStale func() bool
 
 	limits atomic.Pointer[Limits]
 	codec  Codec
@@ -105,8 +105,8 @@
 // Dial opens a connection to an address within a limit.
 type Dial func(addr string, limit time.Duration) (net.Conn, error)
 
-// DialBy has connections that are opened from now on opened in another way than by TCP alone.
-func (p *Pool) DialBy(dial Dial) {
+// SetDialer has connections that are opened from now on opened in another way than by TCP alone.
+func (p *Pool) SetDialer(dial Dial) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dial = dial
@@ -137,8 +137,8 @@
 	return p
 }
 
-// Use has the pool go by other limits from now on.
-func (p *Pool) Use(limits Limits) { p.limits.Store(&limits) }
+// SetLimits has the pool go by other limits from now on.
+func (p *Pool) SetLimits(limits Limits) { p.limits.Store(&limits) }
 
 func (p *Pool) connectTimeout() time.Duration {
 	return time.Duration(p.limits.Load().ConnectTimeout) * time.Microsecond
@@ -147,13 +147,13 @@
 // idleLimit is when we close an idle connection: before the store does, since a request that crosses its close
 // would end as a reset, which may have run.
 func (p *Pool) idleLimit() time.Duration {
-	return time.Duration(p.limits.Load().ConnIdle) * time.Microsecond * 9 / 10
+	return time.Duration(p.limits.Load().IdleTimeout) * time.Microsecond * 9 / 10
 }
 
-// Follow takes the list as it now is. It must be called before the broker hears of it. Calls still waiting to be
+// UpdateEndpoints takes the list as it now is. It must be called before the broker hears of it. Calls still waiting to be
 // written to a store that drains or is gone are dropped at once: the rule counts when a frame is sent, and not
 // when it was queued.
-func (p *Pool) Follow(list []Store) {
+func (p *Pool) UpdateEndpoints(list []Store) {
 	p.mu.Lock()
 	var retire, drop []*conn
 	named := map[uint32]bool{}
@@ -210,8 +210,8 @@
 		return fmt.Errorf("store %d takes nothing new", server)
 	}
 	left := 1 // connections that may be opened
-	if p.Room != nil {
-		left = p.Room() - p.open
+	if p.ConnectionAllowance != nil {
+		left = p.ConnectionAllowance() - p.open
 	}
 	if left < 0 {
 		p.yield(nil)
@@ -223,7 +223,7 @@
 	if p.put(st, it, want) || len(st.conns) >= maxSpread && p.put(st, it, anyRoom) {
 		return nil
 	}
-	if most := p.limits.Load().Conns; most > 0 && len(st.conns) >= most {
+	if most := p.limits.Load().MaxConnections; most > 0 && len(st.conns) >= most {
 		return fmt.Errorf("store %s: all %d connections are busy", st.Name, len(st.conns))
 	}
 	if left <= 0 && !p.yield(st) {
@@ -276,8 +276,8 @@
 	_ = slices.ContainsFunc(own, on) || slices.ContainsFunc(p.leaving, on)
 }
 
-// CloseIdle closes the idle connections to a store.
-func (p *Pool) CloseIdle(server uint32) {
+// CloseIdleConnections closes the idle connections to a store.
+func (p *Pool) CloseIdleConnections(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if st := p.stores[server]; st != nil {
@@ -287,20 +287,20 @@
 	}
 }
 
-// Probe asks a store for its load. The answer, or that none came, is told from another goroutine.
-func (p *Pool) Probe(server uint32, done func(broker.Outcome)) {
+// CheckHealth asks a store for its load. The answer, or that none came, is told from another goroutine.
+func (p *Pool) CheckHealth(server uint32, done func(broker.AttemptResult)) {
 	pr := &probe{done: done}
-	if len(p.codec.AppendProbe(nil)) == 0 {
-		go pr.end(broker.Outcome{Status: policy.ServerError, Report: policy.NoLoadReport})
+	if len(p.codec.AppendHealthCheck(nil)) == 0 {
+		go pr.end(broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport})
 		return
 	}
 	if err := p.queue(server, item{probe: pr}); err != nil {
-		go pr.end(broker.Outcome{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
+		go pr.end(broker.AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
 		return
 	}
 	// The settings name no time-out for probes: the one for connecting says how long silence means silence.
 	time.AfterFunc(p.connectTimeout(), func() {
-		pr.end(broker.Outcome{Status: policy.TimedOut, Report: policy.NoLoadReport})
+		pr.end(broker.AttemptResult{Status: policy.TimedOut, Report: policy.NoLoadReport})
 	})
 }
 
@@ -352,7 +352,7 @@
 // probe is one question for load.
 type probe struct {
 	once sync.Once
-	done func(broker.Outcome)
+	done func(broker.AttemptResult)
 }
 
-func (p *probe) end(o broker.Outcome) { p.once.Do(func() { p.done(o) }) }
+func (p *probe) end(o broker.AttemptResult) { p.once.Do(func() { p.done(o) }) }
