--- a/admin/admin.go
+++ b/admin/admin.go
@@ -49,7 +49,7 @@
 	Status() raftnode.Status
 	State() sharedconfig.State
 	Read(within time.Duration) (sharedconfig.State, error)
-	Do(o raftnode.Order, within time.Duration) sharedconfig.Outcome
+	Execute(o raftnode.Command, within time.Duration) sharedconfig.Outcome
 }
 
 // Server answers operators.
@@ -244,14 +244,14 @@
 		fail(w, 422, err)
 		return
 	}
-	s.order(w, raftnode.Order{Change: &sharedconfig.Change{
+	s.order(w, raftnode.Command{Change: &sharedconfig.Change{
 		Request: p.Request, Expect: p.Expect, Text: p.Text, Digest: document.Digest(p.Text),
 		Author: p.Author, Reason: p.Reason, At: time.Now().UnixMilli(), Restores: p.Restores,
 	}})
 }
 
 func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
-	var o raftnode.Order
+	var o raftnode.Command
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil || o.Change != nil {
 		fail(w, 400, errors.Join(err, errors.New("no order about instances")))
 		return
@@ -262,7 +262,7 @@
 // statuses are those of HTTP for what becomes of an order.
 var statuses = map[sharedconfig.Status]int{sharedconfig.Done: 200, sharedconfig.Conflict: 409, sharedconfig.Busy: 409, sharedconfig.Refused: 422, sharedconfig.Unknown: 503}
 
-func (s *Server) order(w http.ResponseWriter, o raftnode.Order) {
-	out := s.node.Do(o, orderLimit)
+func (s *Server) order(w http.ResponseWriter, o raftnode.Command) {
+	out := s.node.Execute(o, orderLimit)
 	answer(w, statuses[out.Status], out)
 }
--- a/admin/client.go
+++ b/admin/client.go
@@ -117,7 +117,7 @@
 }
 
 // Order asks for a change of the members or of the lead.
-func (c Client) Order(order raftnode.Order) (o sharedconfig.Outcome, err error) {
+func (c Client) Order(order raftnode.Command) (o sharedconfig.Outcome, err error) {
 	_, err = c.call("POST", "/v1/instances", order, &o)
 	return o, err
 }
--- a/agreement.go
+++ b/agreement.go
@@ -35,7 +35,7 @@
 type part interface {
 	admin.Agreement
 	Gate(version uint64) (open bool, comeBack time.Duration)
-	Used() uint64
+	ServedVersion() uint64
 	Close() error
 }
 
@@ -69,9 +69,9 @@
 	a.edge.Store(edge)
 	log := p.log.WithField("instance", p.config.ID)
 	conf := raftnode.Config{
-		Name: p.config.ID, Folder: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
-		Bound: c.StaleAfter, ServeOn: c.ServeStale, Speed: c.Speed, SnapshotAfter: c.SnapshotAfter, Log: log,
-		Check: a.check, Use: a.use, At: atStep,
+		Name: p.config.ID, DataDirectory: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
+		StalenessBound: c.StaleAfter, ServeWhenStale: c.ServeStale, Speed: c.Speed, SnapshotAfter: c.SnapshotAfter, Log: log,
+		Check: a.check, Activate: a.use, OnStep: atStep,
 	}
 	if len(c.Follow) > 0 {
 		f, err := raftnode.Follow(conf)
@@ -100,7 +100,7 @@
 
 func (a *agreement) close() {
 	if n, votes := a.node.(*raftnode.Node); votes {
-		n.HandOverIfLeading(time.Second)
+		n.TransferLeadership(time.Second)
 	}
 	if err := a.node.Close(); err != nil {
 		a.p.log.WithError(err).Warn("agreement not closed cleanly")
@@ -210,5 +210,5 @@
 		}
 	}
 	digest = document.Digest(text)
-	return digest, raftnode.Begin(c.Folder, c.ID, c.Agreement.Address, text, digest, author, c.Agreement.Keep, time.Now())
+	return digest, raftnode.Bootstrap(c.Folder, c.ID, c.Agreement.Address, text, digest, author, c.Agreement.Keep, time.Now())
 }
--- a/agreement_test.go
+++ b/agreement_test.go
@@ -119,7 +119,7 @@
 	r.instances["n1"].start(dieAt)
 	for _, name := range []string{"n2", "n3"} {
 		r.instances[name].start("")
-		o, err := r.instances["n1"].client().Order(raftnode.Order{Add: &sharedconfig.Member{Name: name, Addr: r.instances[name].front.Addr()}})
+		o, err := r.instances["n1"].client().Order(raftnode.Command{Add: &sharedconfig.Member{Name: name, Addr: r.instances[name].front.Addr()}})
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	}
@@ -367,7 +367,7 @@
 // leadBy has an instance lead.
 func (r *trio) leadBy(name string) {
 	require.Eventually(r.t, func() bool {
-		o, err := r.instances["n2"].client().Order(raftnode.Order{HandOver: &name})
+		o, err := r.instances["n2"].client().Order(raftnode.Command{HandOver: &name})
 		s, err2 := r.instances[name].client().Status()
 		return err == nil && err2 == nil && o.Status == sharedconfig.Done && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -28,10 +28,10 @@
 	folder := t.TempDir()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, raftnode.Begin(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
+	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
 	n, err := raftnode.Open(raftnode.Config{
-		Name: "n1", Folder: folder, Listener: l, Address: l.Addr().String(), Bound: time.Second, Speed: 5,
-		Log: testserver.Log(), Use: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
+		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, Speed: 5,
+		Log: testserver.Log(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
 			}
@@ -44,7 +44,7 @@
 	require.NoError(t, err)
 	s := admin.Start(l, admin.Parts{Agreement: n}, token, testserver.Log())
 	t.Cleanup(func() { s.Close() })
-	require.Eventually(t, func() bool { open, _ := n.Gate(n.Used()); return open }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
 	return s.Addr()
 }
 
--- a/cmd/alderproxy/operate.go
+++ b/cmd/alderproxy/operate.go
@@ -291,7 +291,7 @@
 	var o operator
 	c := &cobra.Command{Use: "instances", Short: "Read and change who holds the agreed document"}
 	o.flags(c)
-	order := func(use, short string, n cobra.PositionalArgs, make func(given []string) raftnode.Order) *cobra.Command {
+	order := func(use, short string, n cobra.PositionalArgs, make func(given []string) raftnode.Command) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: args(n), RunE: func(c *cobra.Command, given []string) error {
 			client, err := o.client()
 			if err != nil {
@@ -302,13 +302,13 @@
 		}}
 	}
 	c.AddCommand(o.list(),
-		order("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2), func(given []string) raftnode.Order {
-			return raftnode.Order{Add: &sharedconfig.Member{Name: given[0], Addr: given[1]}}
+		order("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2), func(given []string) raftnode.Command {
+			return raftnode.Command{Add: &sharedconfig.Member{Name: given[0], Addr: given[1]}}
 		}),
-		order("remove ID", "Remove an instance for good", cobra.ExactArgs(1), func(given []string) raftnode.Order { return raftnode.Order{Remove: given[0]} }),
-		order("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1), func(given []string) raftnode.Order {
+		order("remove ID", "Remove an instance for good", cobra.ExactArgs(1), func(given []string) raftnode.Command { return raftnode.Command{Remove: given[0]} }),
+		order("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1), func(given []string) raftnode.Command {
 			to := strings.Join(given, "")
-			return raftnode.Order{HandOver: &to}
+			return raftnode.Command{HandOver: &to}
 		}))
 	return c
 }
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -47,7 +47,7 @@
 			if !sure {
 				return errors.New("nothing was done: give --i-may-lose-changes to go on")
 			}
-			if err := raftnode.Recover(file.Folder, file.ID, file.Agreement.Address); err != nil {
+			if err := raftnode.RecoverUnsafe(file.Folder, file.ID, file.Agreement.Address); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%s is the only member of a new group; start it, and add the others\n", r.Name)
--- a/measure_test.go
+++ b/measure_test.go
@@ -196,9 +196,9 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			n, err := raftnode.Open(raftnode.Config{
-				Name: "n1", Folder: lone, Listener: l, Address: l.Addr().String(), Bound: 5 * time.Second, Speed: 4,
+				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, Speed: 4,
 				SnapshotAfter: after, Log: logger(config.Log{Level: "error"}).WithField("measure", true),
-				Check: func(string) error { return nil }, Use: func(sharedconfig.Version) error { return nil },
+				Check: func(string) error { return nil }, Activate: func(sharedconfig.Version) error { return nil },
 			})
 			require.NoError(t, err)
 			return n
@@ -206,7 +206,7 @@
 		n := open()
 		for v := uint64(1); v < 1000; v++ {
 			text := fmt.Sprintf(sharedText, v+1)
-			o := n.Do(raftnode.Order{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
+			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
 			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
@@ -216,10 +216,10 @@
 		began := time.Now()
 		n = open()
 		opened := time.Since(began)
-		until(t, func() bool { ok, _ := n.Gate(n.Used()); return ok && n.State().Active().Number == 1000 })
+		until(t, func() bool { ok, _ := n.Gate(n.ServedVersion()); return ok && n.State().Active().Number == 1000 })
 		st := n.Status()
 		t.Logf("1,000 versions, snapshot_after %d: folder %d KiB, log entries %d to %d, opened in %v, serving by version %d after %v", after, size>>10,
-			st.LogFirst, st.LogLast, opened, n.Used(), time.Since(began))
+			st.LogFirst, st.LogLast, opened, n.ServedVersion(), time.Since(began))
 		require.NoError(t, n.Close())
 	}
 }
--- a/members.go
+++ b/members.go
@@ -135,7 +135,7 @@
 // servedBy is the version of the agreed document and the digest of all stores that this instance serves by; 0: none.
 func (p *program) servedBy() (by [2]uint64) {
 	if p.agreement != nil {
-		by[0] = p.agreement.node.Used()
+		by[0] = p.agreement.node.ServedVersion()
 	}
 	if c := p.config.OpenSearch; c != nil {
 		by[1] = storepool.Digest(c.Stores)
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -96,7 +96,7 @@
 				return
 			case <-time.After(time.Millisecond):
 			}
-			version := n.Used()
+			version := n.ServedVersion()
 			at := time.Now()
 			if open, _ := n.Gate(version); !open {
 				continue
@@ -155,7 +155,7 @@
 			}
 			c := call{true, v.Number, fmt.Sprint(id, ".", k)}
 			from = time.Now()
-			o := n.Do(change(c.text, c.expect, c.text), 3*time.Second)
+			o := n.Execute(change(c.text, c.expect, c.text), 3*time.Second)
 			note(id, c, from, outcome{status: o.Status, version: o.Version}, o.Status != sharedconfig.Unknown)
 		}
 	}
@@ -227,7 +227,7 @@
 	r.begin()
 	lead := r.leader()
 	for v := uint64(1); v <= 12; v++ {
-		require.Equal(t, sharedconfig.Done, lead.Do(change(fmt.Sprint(v), v, fmt.Sprint(v)), 10*time.Second).Status)
+		require.Equal(t, sharedconfig.Done, lead.Execute(change(fmt.Sprint(v), v, fmt.Sprint(v)), 10*time.Second).Status)
 	}
 	for _, n := range r.nodes { // most of what was agreed on is in the snapshot only
 		require.NoError(t, n.raft.Snapshot().Error())
@@ -242,16 +242,16 @@
 		}
 	}
 	go func() {
-		answer <- other.Do(Order{Add: &sharedconfig.Member{Name: "n4", Addr: c.Address}}, 20*time.Second)
+		answer <- other.Execute(Command{Add: &sharedconfig.Member{Name: "n4", Addr: c.Address}}, 20*time.Second)
 	}()
-	require.Eventually(t, func() bool { return len(lead.Roster()) == 4 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(lead.Members()) == 4 }, 10*time.Second, time.Millisecond)
 	require.NoError(t, lead.Close())
 	delete(r.nodes, lead.Name)
 	o := <-answer
 	assert.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	r.agreed(13)
 	voters := 0
-	for _, m := range n4.Roster() {
+	for _, m := range n4.Members() {
 		if m.Voter {
 			voters++
 		}
@@ -264,33 +264,33 @@
 func TestRecover(t *testing.T) {
 	r := newRig(t, time.Second)
 	r.begin()
-	require.Equal(t, sharedconfig.Done, r.leader().Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, r.leader().Execute(change("a", 1, "two"), 10*time.Second).Status)
 	r.agreed(2)
 	for _, n := range r.nodes {
 		require.NoError(t, n.Close())
 	}
 	clear(r.nodes)
 	c := r.configs["n3"]
-	rem, err := Examine(c.Folder, "n3")
+	rem, err := Examine(c.DataDirectory, "n3")
 	require.NoError(t, err)
 	assert.Equal(t, uint64(2), rem.State.Active().Number)
 	assert.Len(t, rem.Members, 3)
-	require.NoError(t, Recover(c.Folder, "n3", c.Address))
+	require.NoError(t, RecoverUnsafe(c.DataDirectory, "n3", c.Address))
 	c.Listener = listen(t)
 	r.faults = faultnet.New(2)
 	front := listen(t)
 	r.faults.Front("n3", front).Behind(c.Listener.Addr().String())
 	c.Address = front.Addr().String()
-	require.NoError(t, Recover(c.Folder, "n3", c.Address), "at another address")
+	require.NoError(t, RecoverUnsafe(c.DataDirectory, "n3", c.Address), "at another address")
 	n3 := r.open(c)
 	r.agreed(2)
-	require.Equal(t, sharedconfig.Done, n3.Do(change("b", 2, "three"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, n3.Execute(change("b", 2, "three"), 10*time.Second).Status)
 	old := r.configs["n1"]
 	old.Listener = listen(t)
 	n1 := r.open(old)
-	o := n3.Do(Order{Add: &sharedconfig.Member{Name: "n1", Addr: old.Listener.Addr().String()}}, 5*time.Second)
+	o := n3.Execute(Command{Add: &sharedconfig.Member{Name: "n1", Addr: old.Listener.Addr().String()}}, 5*time.Second)
 	assert.Equal(t, sharedconfig.Refused, o.Status, "one of the old group was taken in")
-	open, _ := n1.Gate(n1.Used())
+	open, _ := n1.Gate(n1.ServedVersion())
 	assert.False(t, open)
 	_, err = Examine(t.TempDir(), "n9")
 	assert.ErrorIs(t, err, os.ErrNotExist)
@@ -300,23 +300,23 @@
 func TestSpoiltSnapshotEndsTheStart(t *testing.T) {
 	r := newRig(t, time.Second)
 	c := r.config("n1")
-	require.NoError(t, Begin(c.Folder, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
+	require.NoError(t, Bootstrap(c.DataDirectory, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
 	n := r.open(c)
 	r.agreed(1)
-	require.Equal(t, sharedconfig.Done, n.Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, n.Execute(change("a", 1, "two"), 10*time.Second).Status)
 	require.NoError(t, n.raft.Snapshot().Error())
 	metas, err := n.inspected()
 	require.NoError(t, err)
 	require.Len(t, metas, 1)
 	require.NoError(t, n.Close())
 	delete(r.nodes, "n1")
-	path := c.Folder + "/snapshots/" + metas[0] + "/state.bin"
+	path := c.DataDirectory + "/snapshots/" + metas[0] + "/state.bin"
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	text[len(text)/2] ^= 1
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	c.Listener = listen(t)
-	s, _, err := openFolder(c.Folder, "n1")
+	s, _, err := openFolder(c.DataDirectory, "n1")
 	require.NoError(t, err)
 	require.NoError(t, s.DeleteRange(1, 2)) // as compacting would have
 	require.NoError(t, s.Close())
@@ -329,7 +329,7 @@
 
 // inspected are the names of the snapshots in the folder, the newest first.
 func (n *Node) inspected() (names []string, err error) {
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.Folder, keepSnap, n.hclog())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.DataDirectory, keepSnap, n.hclog())
 	if err != nil {
 		return nil, err
 	}
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -20,18 +20,18 @@
 
 // followCalled answers an instance without a vote.
 func (n *Node) followCalled(_ string, body []byte, _ io.Reader) ([]byte, error) {
-	var a sharedconfig.Ask
+	var a sharedconfig.PollRequest
 	if err := json.Unmarshal(body, &a); err != nil {
 		return nil, err
 	}
 	// The state is read before the lease: what is granted for a later version covers no earlier one.
 	s := n.state.Load()
-	return json.Marshal(sharedconfig.Answer(*s, *n.lease.Load(), clock.Now(), n.Roster(), a))
+	return json.Marshal(sharedconfig.Answer(*s, *n.lease.Load(), clock.Now(), n.Members(), a))
 }
 
 // isGuest tells whether an id is none of the members'.
 func (n *Node) isGuest(id string) bool {
-	for _, m := range n.Roster() {
+	for _, m := range n.Members() {
 		if target(m).ID == id {
 			return false
 		}
@@ -58,7 +58,7 @@
 	f := &Follower{serving: newServing(c)}
 	f.fields = f.log
 	var err error
-	if f.store, f.id, err = openFolder(c.Folder, c.Name); err != nil {
+	if f.store, f.id, err = openFolder(c.DataDirectory, c.Name); err != nil {
 		return nil, err
 	}
 	last, err := f.last()
@@ -66,9 +66,9 @@
 		f.store.Close()
 		return nil, err
 	}
-	set := sharedconfig.Defaults(string(f.id), f.Bound.Microseconds(), f.ServeOn)
+	set := sharedconfig.Defaults(string(f.id), f.StalenessBound.Microseconds(), f.ServeWhenStale)
 	f.core = sharedconfig.NewFollower(set, c.Voters, last)
-	lease, group, none := sharedconfig.Lease{Serve: set.ServeOn}, "", []sharedconfig.Member{}
+	lease, group, none := sharedconfig.Lease{Serve: set.ServeWhenStale}, "", []sharedconfig.Member{}
 	f.lease.Store(&lease)
 	f.group.Store(&group)
 	f.active.Store(&last)
@@ -117,7 +117,7 @@
 		f.mu.Unlock()
 		for _, a := range f.core.Step(clock.Now(), events) {
 			switch a := a.(type) {
-			case sharedconfig.AskVoter:
+			case sharedconfig.PollVoter:
 				go f.ask(a)
 			case sharedconfig.Activate:
 				f.active.Store(&a.Version)
@@ -136,23 +136,23 @@
 }
 
 func (f *Follower) askEvery() time.Duration {
-	return span(sharedconfig.Defaults("", f.Bound.Microseconds(), false).AskEvery)
+	return span(sharedconfig.Defaults("", f.StalenessBound.Microseconds(), false).LeaseInterval)
 }
 
 // ask puts one ask to a voter. An answer that comes after the bound would be worth nothing.
-func (f *Follower) ask(a sharedconfig.AskVoter) {
+func (f *Follower) ask(a sharedconfig.PollVoter) {
 	t, err := f.askOnce(a)
 	if err != nil {
 		f.Log.WithError(err).WithField("voter", a.Voter.Addr).Debug("no answer from a voter")
-		f.tell(sharedconfig.Silent{Seq: a.Seq})
+		f.tell(sharedconfig.CallTimedOut{Seq: a.Seq})
 		return
 	}
 	t.Seq = a.Seq
 	f.tell(t)
 }
 
-func (f *Follower) askOnce(a sharedconfig.AskVoter) (t sharedconfig.Told, err error) {
-	body, err := json.Marshal(a.Ask)
+func (f *Follower) askOnce(a sharedconfig.PollVoter) (t sharedconfig.ReplyReceived, err error) {
+	body, err := json.Marshal(a.Request)
 	if err != nil {
 		return t, err
 	}
@@ -160,7 +160,7 @@
 	if a.Voter.Name != "" {
 		to = target(a.Voter)
 	}
-	body, err = f.net.Call(to, callFollow, body, nil, f.Bound)
+	body, err = f.net.Call(to, callFollow, body, nil, f.StalenessBound)
 	if err == nil {
 		err = json.Unmarshal(body, &t)
 	}
@@ -198,8 +198,8 @@
 	return sharedconfig.State{}, fmt.Errorf("%w: ask one of %s, or for what it has itself (--local)", errNoVote, strings.Join(f.Status().Follows, ", "))
 }
 
-// Do refuses: orders go to instances with a vote.
-func (f *Follower) Do(o Order, _ time.Duration) sharedconfig.Outcome {
+// Execute refuses: orders go to instances with a vote.
+func (f *Follower) Execute(o Command, _ time.Duration) sharedconfig.Outcome {
 	out := sharedconfig.Outcome{Status: sharedconfig.Refused, Why: fmt.Sprintf("%v: give the order to one of %s", errNoVote, strings.Join(f.Status().Follows, ", "))}
 	if o.Change != nil {
 		out.Request = o.Change.Request
--- a/raftnode/group.go
+++ b/raftnode/group.go
@@ -29,13 +29,13 @@
 // Config is what an instance is told of its group.
 type Config struct {
 	Name     string
-	Folder   string       // keeps the log; an instance that lost it is another one
+	DataDirectory   string       // keeps the log; an instance that lost it is another one
 	Listener net.Listener // where the other instances reach it
 	Address  string       // and by which address they know it
 	Key      []byte       // shared by the group; empty: none
-	Bound    time.Duration
+	StalenessBound    time.Duration
 	Voters   []string // where voters are, for an instance that follows; such a one has no listener
-	ServeOn  bool     // serve without a lease rather than refuse
+	ServeWhenStale  bool     // serve without a lease rather than refuse
 	Speed    int      // divides Raft's usual times; 0: 1
 	// SnapshotAfter is how many entries the log may have until it is compacted; 0: Raft's own.
 	SnapshotAfter int
@@ -43,10 +43,10 @@
 	// Check says whether this instance could serve by a document, Use has it serve by one. Use is called for one
 	// version after another, from one goroutine.
 	Check func(text string) error
-	Use   func(sharedconfig.Version) error
-	// At is called before each step that a leader takes with a change ("propose", "check", "decide") and when what was
+	Activate   func(sharedconfig.Version) error
+	// OnStep is called before each step that a leader takes with a change ("propose", "check", "decide") and when what was
 	// appended is agreed on ("proposed", "decided"); nil: not. Tests let an instance die there.
-	At func(step string)
+	OnStep func(step string)
 }
 
 // Node is an instance's part in its group.
@@ -63,7 +63,7 @@
 	mu     sync.Mutex
 	events []sharedconfig.Event
 	calls  map[uint64]chan sharedconfig.Outcome
-	grants map[uint64]chan sharedconfig.GrantTo
+	grants map[uint64]chan sharedconfig.AnswerLeaseRequest
 	lastNo uint64
 	moved  chan struct{} // closed when the state moves on
 }
@@ -85,23 +85,23 @@
 	return hex.EncodeToString(b)
 }
 
-// ErrFounded refuses to begin a group in a folder that has one.
-var ErrFounded = errors.New("the folder belongs to a group already")
+// ErrAlreadyBootstrapped refuses to begin a group in a folder that has one.
+var ErrAlreadyBootstrapped = errors.New("the folder belongs to a group already")
 
-// Begin makes a folder the first of a new group, with a first version of the document. The instance that starts in
+// Bootstrap makes a folder the first of a new group, with a first version of the document. The instance that starts in
 // it is the group's only member until others are added.
-func Begin(folder, name, address, text, digest, author string, keep int, at time.Time) error {
+func Bootstrap(folder, name, address, text, digest, author string, keep int, at time.Time) error {
 	s, id, err := openFolder(folder, name)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	if group, err := s.Self(selfGroup); err != nil || group != "" {
-		return errors.Join(err, fmt.Errorf("%s: %w", folder, ErrFounded))
+		return errors.Join(err, fmt.Errorf("%s: %w", folder, ErrAlreadyBootstrapped))
 	}
 	group := randomHex(8)
 	first := sharedconfig.Change{Request: "first-" + group, Text: text, Digest: digest, Author: author, Reason: "the group begins", At: at.UnixMilli()}
-	entry, err := sharedconfig.Entry{Found: &sharedconfig.Found{Group: group, Keep: keep, First: first}}.Encode()
+	entry, err := sharedconfig.Entry{Found: &sharedconfig.Bootstrap{Group: group, Keep: keep, First: first}}.Encode()
 	if err != nil {
 		return err
 	}
@@ -146,10 +146,10 @@
 
 // Open starts an instance. With an empty folder it waits to be added to a group.
 func Open(c Config) (*Node, error) {
-	n := &Node{serving: newServing(c), calls: map[uint64]chan sharedconfig.Outcome{}, grants: map[uint64]chan sharedconfig.GrantTo{}, moved: make(chan struct{})}
+	n := &Node{serving: newServing(c), calls: map[uint64]chan sharedconfig.Outcome{}, grants: map[uint64]chan sharedconfig.AnswerLeaseRequest{}, moved: make(chan struct{})}
 	n.fields = n.Fields
 	var err error
-	if n.store, n.id, err = openFolder(c.Folder, c.Name); err != nil {
+	if n.store, n.id, err = openFolder(c.DataDirectory, c.Name); err != nil {
 		return nil, err
 	}
 	if err := n.start(); err != nil {
@@ -169,16 +169,16 @@
 		return err
 	}
 	n.group.Store(&group)
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.Folder, keepSnap, n.hclog())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.DataDirectory, keepSnap, n.hclog())
 	if err != nil {
-		return fmt.Errorf("folder %s: %w", n.Folder, err)
+		return fmt.Errorf("folder %s: %w", n.DataDirectory, err)
 	}
 	if err := n.inspect(snapshots); err != nil {
-		return fmt.Errorf("folder %s: %w", n.Folder, err)
+		return fmt.Errorf("folder %s: %w", n.DataDirectory, err)
 	}
 	n.machine = &machine{tell: n.tell}
 	_, folder, _ := splitID(string(n.id))
-	set := sharedconfig.Defaults(folder, n.Bound.Microseconds(), n.ServeOn)
+	set := sharedconfig.Defaults(folder, n.StalenessBound.Microseconds(), n.ServeWhenStale)
 	set.Removed = removed != ""
 	n.core = sharedconfig.New(set, sharedconfig.State{})
 	lease := n.core.Lease()
@@ -232,7 +232,7 @@
 	if n.raft, err = raft.NewRaft(conf, n.machine, n.store, n.store, snapshots, t); err != nil {
 		close(n.stop)
 		n.net.Close()
-		return fmt.Errorf("folder %s: %w", n.Folder, err)
+		return fmt.Errorf("folder %s: %w", n.DataDirectory, err)
 	}
 	close(ready)
 	n.run(n.loop, n.follow, func() { n.watch(leads) })
@@ -259,7 +259,7 @@
 
 // loop owns the core.
 func (n *Node) loop() {
-	every := time.Duration(sharedconfig.Defaults("", n.Bound.Microseconds(), false).AskEvery) * time.Microsecond / 8
+	every := time.Duration(sharedconfig.Defaults("", n.StalenessBound.Microseconds(), false).LeaseInterval) * time.Microsecond / 8
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for {
@@ -273,7 +273,7 @@
 		events := n.events
 		n.events = nil
 		n.mu.Unlock()
-		events = append([]sharedconfig.Event{sharedconfig.Roster{Members: n.Roster()}}, events...)
+		events = append([]sharedconfig.Event{sharedconfig.MemberList{Members: n.Members()}}, events...)
 		for _, a := range n.core.Step(clock.Now(), events) {
 			n.carryOut(a)
 		}
@@ -327,8 +327,8 @@
 	}
 }
 
-// Roster is who is a member, by this instance's newest word of the log.
-func (n *Node) Roster() []sharedconfig.Member {
+// Members is who is a member, by this instance's newest word of the log.
+func (n *Node) Members() []sharedconfig.Member {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
 		return nil
@@ -351,17 +351,17 @@
 
 // carryOut does what the core decided. What may wait is done on a goroutine of its own.
 func (n *Node) carryOut(a sharedconfig.Action) {
-	set := sharedconfig.Defaults("", n.Bound.Microseconds(), false)
+	set := sharedconfig.Defaults("", n.StalenessBound.Microseconds(), false)
 	switch a := a.(type) {
 	case sharedconfig.Append:
 		go n.append(a)
 	case sharedconfig.Check:
 		n.at("check")
-		go n.check(a, span(set.CheckFor))
+		go n.check(a, span(set.CheckTimeout))
 	case sharedconfig.Reply:
 		n.reply(a)
-	case sharedconfig.AskLease:
-		go n.askLease(a.Seq, span(set.AskEvery*4))
+	case sharedconfig.RequestLease:
+		go n.askLease(a.Seq, span(set.LeaseInterval*4))
 	case sharedconfig.Verify:
 		go func() {
 			term := n.raft.CurrentTerm()
@@ -371,7 +371,7 @@
 			}
 			n.tell(sharedconfig.Verified{Seq: a.Seq, OK: err == nil, Term: term})
 		}()
-	case sharedconfig.GrantTo:
+	case sharedconfig.AnswerLeaseRequest:
 		n.mu.Lock()
 		to := n.grants[a.Call]
 		delete(n.grants, a.Call)
@@ -379,10 +379,10 @@
 		if to != nil {
 			to <- a
 		}
-	case sharedconfig.SetRoster:
+	case sharedconfig.ChangeMembership:
 		go n.setRoster(a)
-	case sharedconfig.Await:
-		go n.await(a.Member, span(set.CheckFor))
+	case sharedconfig.WaitForCatchUp:
+		go n.await(a.Member, span(set.CheckTimeout))
 	case sharedconfig.Activate:
 		if a.Version.Number > n.used.Load() { // the log is read again from the start
 			n.activate(a.Version)
@@ -400,8 +400,8 @@
 }
 
 func (n *Node) at(step string) {
-	if n.At != nil {
-		n.At(step)
+	if n.OnStep != nil {
+		n.OnStep(step)
 	}
 }
 
@@ -419,11 +419,11 @@
 		n.at(after)
 	}
 	if err != nil && a.Request != "" {
-		n.tell(sharedconfig.Lost{Request: a.Request})
+		n.tell(sharedconfig.AppendFailed{Request: a.Request})
 	}
 }
 
-func (n *Node) setRoster(a sharedconfig.SetRoster) {
+func (n *Node) setRoster(a sharedconfig.ChangeMembership) {
 	id, addr := idOf(a.Member.Name, a.Member.Folder), raft.ServerAddress(a.Member.Addr)
 	var f raft.IndexFuture
 	switch {
@@ -434,11 +434,11 @@
 	default:
 		f = n.raft.AddNonvoter(id, addr, 0, 5*time.Second)
 	}
-	set := sharedconfig.RosterSet{Seq: a.Seq, OK: true}
+	set := sharedconfig.MembershipChanged{Seq: a.Seq, OK: true}
 	if err := f.Error(); err != nil {
-		set.OK, set.Why = false, err.Error()
+		set.OK, set.Reason = false, err.Error()
 	}
-	n.tell(sharedconfig.Roster{Members: n.Roster()})
+	n.tell(sharedconfig.MemberList{Members: n.Members()})
 	n.tell(set)
 }
 
@@ -466,7 +466,7 @@
 
 // check asks a member, or this instance itself, what it says of a change.
 func (n *Node) check(a sharedconfig.Check, within time.Duration) {
-	v := sharedconfig.Verdict{Request: a.Change.Request, Folder: a.Member.Folder}
+	v := sharedconfig.CheckResult{Request: a.Change.Request, Folder: a.Member.Folder}
 	body, err := json.Marshal(a.Change)
 	if err == nil && target(a.Member).ID == string(n.id) {
 		body, err = n.checkCalled("", body, nil)
@@ -474,10 +474,10 @@
 		body, err = n.net.Call(target(a.Member), callCheck, body, nil, within)
 	}
 	if err != nil {
-		v.Silent, v.Why = true, err.Error()
+		v.TimedOut, v.Reason = true, err.Error()
 	} else {
-		v.Why = string(body)
-		v.Yes = v.Why == ""
+		v.Reason = string(body)
+		v.Accepted = v.Reason == ""
 	}
 	n.tell(v)
 }
@@ -501,10 +501,10 @@
 		n.Log.WithError(err).WithField("ask", seq).Debug("no lease granted")
 		return
 	}
-	n.tell(sharedconfig.Granted{Seq: seq, OK: g.OK, Version: g.Version, Removed: g.Removed})
+	n.tell(sharedconfig.LeaseGranted{Seq: seq, OK: g.OK, Version: g.Version, Removed: g.Removed})
 }
 
-func (n *Node) askOnce(within time.Duration) (g sharedconfig.GrantTo, err error) {
+func (n *Node) askOnce(within time.Duration) (g sharedconfig.AnswerLeaseRequest, err error) {
 	addr, id := n.raft.LeaderWithID()
 	var body []byte
 	switch id {
@@ -523,10 +523,10 @@
 
 // askAround asks all whom this instance knows: one that was removed hears of no leader any more.
 func (n *Node) askAround(within time.Duration) ([]byte, error) {
-	for _, m := range n.Roster() {
+	for _, m := range n.Members() {
 		if to := target(m); to.ID != string(n.id) {
 			body, err := n.net.Call(to, callLease, nil, nil, within/2)
-			var g sharedconfig.GrantTo
+			var g sharedconfig.AnswerLeaseRequest
 			if err == nil && json.Unmarshal(body, &g) == nil && g.OK {
 				return body, nil
 			}
@@ -541,7 +541,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g, ok := answered(n, n.grants, 2*time.Second, func(call uint64) sharedconfig.Event { return sharedconfig.LeaseAsked{Call: call, Folder: folder} })
+	g, ok := answered(n, n.grants, 2*time.Second, func(call uint64) sharedconfig.Event { return sharedconfig.LeaseRequested{Call: call, Folder: folder} })
 	if !ok {
 		return nil, errors.New("not verified in time")
 	}
--- a/raftnode/group_test.go
+++ b/raftnode/group_test.go
@@ -49,8 +49,8 @@
 	front, own := listen(r.t), listen(r.t)
 	r.faults.Front(name, front).Behind(own.Addr().String())
 	c := Config{
-		Name: name, Folder: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), Bound: r.bound,
-		Speed: 5, SnapshotAfter: 8, Log: testserver.Log(), Use: func(sharedconfig.Version) error { return nil },
+		Name: name, DataDirectory: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), StalenessBound: r.bound,
+		Speed: 5, SnapshotAfter: 8, Log: testserver.Log(), Activate: func(sharedconfig.Version) error { return nil },
 		Check: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
 				return fmt.Errorf("%s has no such index", name)
@@ -72,12 +72,12 @@
 // begin starts a group of three that hold version 1.
 func (r *rig) begin() {
 	c := r.config("n1")
-	require.NoError(r.t, Begin(c.Folder, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
+	require.NoError(r.t, Bootstrap(c.DataDirectory, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
 	n1 := r.open(c)
 	for _, name := range []string{"n2", "n3"} {
 		c := r.config(name)
 		r.open(c)
-		o := n1.Do(Order{Add: &sharedconfig.Member{Name: name, Addr: c.Address}}, 15*time.Second)
+		o := n1.Execute(Command{Add: &sharedconfig.Member{Name: name, Addr: c.Address}}, 15*time.Second)
 		require.Equal(r.t, sharedconfig.Done, o.Status, o.Why)
 	}
 	r.agreed(1)
@@ -87,8 +87,8 @@
 func (r *rig) agreed(version uint64) {
 	for name, n := range r.nodes {
 		require.Eventually(r.t, func() bool {
-			open, _ := n.Gate(n.Used())
-			return n.Used() == version && open
+			open, _ := n.Gate(n.ServedVersion())
+			return n.ServedVersion() == version && open
 		}, 15*time.Second, 5*time.Millisecond, "%s: %+v", name, n.Status())
 	}
 }
@@ -106,29 +106,29 @@
 	return n
 }
 
-func change(request string, expect uint64, text string) Order {
-	return Order{Change: &sharedconfig.Change{Request: request, Expect: expect, Text: text, Digest: text, Author: "test"}}
+func change(request string, expect uint64, text string) Command {
+	return Command{Change: &sharedconfig.Change{Request: request, Expect: expect, Text: text, Digest: text, Author: "test"}}
 }
 
 func TestAChangeIsActiveEverywhereAndAskedForTwiceMadeOnce(t *testing.T) {
 	r := newRig(t, time.Second)
 	r.begin()
 	for _, n := range r.nodes { // whoever is asked passes it on
-		o := n.Do(change("a", 1, "two"), 10*time.Second)
+		o := n.Execute(change("a", 1, "two"), 10*time.Second)
 		assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Done, Version: 2}, o)
 	}
 	r.agreed(2)
-	o := r.leader().Do(change("b", 1, "other"), 10*time.Second)
+	o := r.leader().Execute(change("b", 1, "other"), 10*time.Second)
 	assert.Equal(t, sharedconfig.Conflict, o.Status)
 }
 
 func TestOneNoMeansNowhere(t *testing.T) {
 	r := newRig(t, time.Second)
 	r.begin()
-	o := r.nodes["n1"].Do(change("a", 1, "bad for n3"), 10*time.Second)
+	o := r.nodes["n1"].Execute(change("a", 1, "bad for n3"), 10*time.Second)
 	assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Refused, Instance: "n3", Why: "n3 has no such index"}, o)
 	r.agreed(1)
-	assert.Equal(t, sharedconfig.Done, r.nodes["n2"].Do(change("b", 1, "two"), 10*time.Second).Status)
+	assert.Equal(t, sharedconfig.Done, r.nodes["n2"].Execute(change("b", 1, "two"), 10*time.Second).Status)
 	r.agreed(2)
 }
 
@@ -144,12 +144,12 @@
 		}
 	}
 	r.faults.Isolate(cut.Name, others...)
-	o := r.nodes[others[0]].Do(change("a", 1, "two"), 10*time.Second)
+	o := r.nodes[others[0]].Execute(change("a", 1, "two"), 10*time.Second)
 	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	done := time.Now()
-	require.Eventually(t, func() bool { open, _ := cut.Gate(cut.Used()); return !open }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { open, _ := cut.Gate(cut.ServedVersion()); return !open }, 10*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(done), r.bound)
-	assert.Equal(t, uint64(1), cut.Used())
+	assert.Equal(t, uint64(1), cut.ServedVersion())
 	r.faults.Clear()
 	r.agreed(2)
 }
@@ -160,15 +160,15 @@
 	c := r.configs["n2"]
 	require.NoError(t, r.nodes["n2"].Close())
 	delete(r.nodes, "n2")
-	require.Equal(t, sharedconfig.Done, r.leader().Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, r.leader().Execute(change("a", 1, "two"), 10*time.Second).Status)
 	r.faults.Isolate("n2", "n1", "n3")
 	var err error
 	c.Listener, err = net.Listen("tcp", c.Listener.Addr().String())
 	require.NoError(t, err)
 	n2 := r.open(c)
-	require.Eventually(t, func() bool { return n2.Used() == 1 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return n2.ServedVersion() == 1 }, 10*time.Second, 5*time.Millisecond)
 	for range 50 {
-		open, _ := n2.Gate(n2.Used())
+		open, _ := n2.Gate(n2.ServedVersion())
 		require.False(t, open, "it serves by what it was told before it was stopped")
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -189,20 +189,20 @@
 	// Its folder is lost: under the old name it must not come in, and must not vote.
 	c := r.configs[gone]
 	require.NoError(t, r.nodes[gone].Close())
-	c.Folder = filepath.Join(r.dir, "another")
+	c.DataDirectory = filepath.Join(r.dir, "another")
 	c.Listener, _ = net.Listen("tcp", c.Listener.Addr().String())
 	n := r.open(c)
-	o := lead.Do(Order{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
+	o := lead.Execute(Command{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
 	assert.Equal(t, sharedconfig.Refused, o.Status)
 	assert.Contains(t, o.Why, "another folder")
 	assert.Zero(t, n.Status().Term, "it was asked for its vote")
-	require.Equal(t, sharedconfig.Done, lead.Do(Order{Remove: gone}, 10*time.Second).Status)
-	o = lead.Do(Order{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 15*time.Second)
+	require.Equal(t, sharedconfig.Done, lead.Execute(Command{Remove: gone}, 10*time.Second).Status)
+	o = lead.Execute(Command{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 15*time.Second)
 	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	r.agreed(1)
-	require.Equal(t, sharedconfig.Done, lead.Do(Order{Remove: gone}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, lead.Execute(Command{Remove: gone}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return n.Status().Why == "this instance was removed from its group" }, 10*time.Second, 5*time.Millisecond)
-	o = lead.Do(Order{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
+	o = lead.Execute(Command{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
 	assert.Contains(t, o.Why, "removed from this group for good")
 }
 
@@ -210,7 +210,7 @@
 func TestMoveToAnotherAddress(t *testing.T) {
 	r := newRig(t, time.Second)
 	r.begin()
-	r.leader().Do(Order{HandOver: new(string)}, time.Second)
+	r.leader().Execute(Command{HandOver: new(string)}, time.Second)
 	require.NoError(t, r.nodes["n2"].Close())
 	delete(r.nodes, "n2")
 	c := r.configs["n2"]
@@ -220,13 +220,13 @@
 	r.faults.Front("n2", front).Behind(c.Listener.Addr().String())
 	n2 := r.open(c)
 	require.Eventually(t, func() bool {
-		return r.leader().Do(Order{Add: &sharedconfig.Member{Name: "n2", Addr: c.Address}}, 10*time.Second).Status == sharedconfig.Done
+		return r.leader().Execute(Command{Add: &sharedconfig.Member{Name: "n2", Addr: c.Address}}, 10*time.Second).Status == sharedconfig.Done
 	}, 20*time.Second, 50*time.Millisecond)
 	r.agreed(1)
-	for _, m := range n2.Roster() {
+	for _, m := range n2.Members() {
 		assert.True(t, m.Voter, m.Name)
 	}
-	require.Equal(t, sharedconfig.Done, n2.Do(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, n2.Execute(change("a", 1, "two"), 10*time.Second).Status)
 	r.agreed(2)
 }
 
@@ -243,7 +243,7 @@
 		}
 	}
 	c := r.configs[other]
-	c.ServeOn = true
+	c.ServeWhenStale = true
 	reopen := func() *Node {
 		require.NoError(t, r.nodes[other].Close())
 		c.Listener, _ = net.Listen("tcp", c.Listener.Addr().String())
@@ -253,18 +253,18 @@
 	r.agreed(1)
 	r.faults.Isolate(other, "n1", "n2", "n3")
 	require.Eventually(t, func() bool { return n.Status().Lease == 0 }, 10*time.Second, 5*time.Millisecond)
-	open, _ := n.Gate(n.Used())
+	open, _ := n.Gate(n.ServedVersion())
 	assert.True(t, open)
 	n = reopen()
-	open, _ = n.Gate(n.Used())
+	open, _ = n.Gate(n.ServedVersion())
 	assert.True(t, open)
-	assert.Equal(t, uint64(1), n.Used())
+	assert.Equal(t, uint64(1), n.ServedVersion())
 	r.faults.Clear()
 	r.agreed(1)
-	require.Equal(t, sharedconfig.Done, r.nodes[lead].Do(Order{Remove: other}, 10*time.Second).Status)
-	require.Eventually(t, func() bool { open, _ := n.Gate(n.Used()); return !open }, 10*time.Second, 5*time.Millisecond)
+	require.Equal(t, sharedconfig.Done, r.nodes[lead].Execute(Command{Remove: other}, 10*time.Second).Status)
+	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return !open }, 10*time.Second, 5*time.Millisecond)
 	r.faults.Isolate(other, "n1", "n2", "n3")
 	n = reopen()
-	open, _ = n.Gate(n.Used())
+	open, _ = n.Gate(n.ServedVersion())
 	assert.False(t, open, "it was removed and forgot it")
 }
--- a/raftnode/inspect.go
+++ b/raftnode/inspect.go
@@ -8,7 +8,7 @@
 
 // inspect reads what the folder holds before Raft does, and says why the instance must not start from it.
 func (n *Node) inspect(snapshots raft.SnapshotStore) error {
-	var f sharedconfig.Folder
+	var f sharedconfig.DataDirectory
 	var err error
 	if f.First, err = n.store.FirstIndex(); err != nil {
 		return err
@@ -30,5 +30,5 @@
 		found.Err = err
 		f.Snapshots = append(f.Snapshots, found)
 	}
-	return f.Judge()
+	return f.CheckUsable()
 }
--- a/raftnode/operate.go
+++ b/raftnode/operate.go
@@ -14,8 +14,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// Order is what an operator asks of the group. Exactly one field is set.
-type Order struct {
+// Command is what an operator asks of the group. Exactly one field is set.
+type Command struct {
 	Change   *sharedconfig.Change `json:"change,omitempty"`
 	Add      *sharedconfig.Member `json:"add,omitempty"` // its name and address; the folder is asked for there
 	Remove   string               `json:"remove,omitempty"`
@@ -28,10 +28,10 @@
 // changeTry is how long one try to have a change made may take: who leads may be gone without a word.
 const changeTry = 2500 * time.Millisecond
 
-// Do has an order carried out by the leader, wherever that is, and tells what became of it. It tries again for as
+// Execute has an order carried out by the leader, wherever that is, and tells what became of it. It tries again for as
 // long as there is time: every order may be repeated without being carried out twice. An Unknown outcome says that
 // nobody could tell; then the same order may be given again.
-func (n *Node) Do(o Order, within time.Duration) sharedconfig.Outcome {
+func (n *Node) Execute(o Command, within time.Duration) sharedconfig.Outcome {
 	until := time.Now().Add(within)
 	out := sharedconfig.Outcome{Why: "nobody leads"}
 	if o.Change != nil {
@@ -73,7 +73,7 @@
 }
 
 func (n *Node) forwarded(_ string, body []byte, _ io.Reader) ([]byte, error) {
-	var o Order
+	var o Command
 	if err := json.Unmarshal(body, &o); err != nil {
 		return nil, err
 	}
@@ -81,10 +81,10 @@
 }
 
 // order carries an order out here, if this instance leads.
-func (n *Node) order(o Order, within time.Duration) sharedconfig.Outcome {
+func (n *Node) order(o Command, within time.Duration) sharedconfig.Outcome {
 	switch {
 	case o.Change != nil:
-		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.Asked{Call: call, Change: *o.Change} })
+		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.ChangeRequested{Call: call, Change: *o.Change} })
 	case o.Add != nil:
 		h, err := n.net.Identify(o.Add.Addr, 2*time.Second)
 		if err != nil {
@@ -98,9 +98,9 @@
 			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: fmt.Sprintf("%s answers at %s, and not %s", name, o.Add.Addr, o.Add.Name)}
 		}
 		m := sharedconfig.Member{Name: name, Folder: folder, Addr: o.Add.Addr}
-		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.AddAsked{Call: call, Member: m} })
+		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.AddRequested{Call: call, Member: m} })
 	case o.Remove != "":
-		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.RemoveAsked{Call: call, Name: o.Remove} })
+		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.RemoveRequested{Call: call, Name: o.Remove} })
 	case o.HandOver != nil:
 		return n.handOver(*o.HandOver)
 	}
@@ -150,7 +150,7 @@
 	f := n.raft.LeadershipTransfer
 	if to != "" {
 		f = nil
-		for _, m := range n.Roster() {
+		for _, m := range n.Members() {
 			if m.Name == to && m.Voter {
 				f = func() raft.Future {
 					return n.raft.LeadershipTransferToServer(idOf(m.Name, m.Folder), raft.ServerAddress(m.Addr))
@@ -201,7 +201,7 @@
 	first, _ := n.store.FirstIndex()
 	st := Status{
 		Name: n.Name, Group: s.Group, Leader: name, Term: n.raft.CurrentTerm(), Version: s.Active().Number, Serving: used,
-		Digest: s.Active().Digest, Why: lease.Reason(at, used), Members: n.Roster(), LogFirst: first, LogLast: n.raft.LastIndex(),
+		Digest: s.Active().Digest, Why: lease.Reason(at, used), Members: n.Members(), LogFirst: first, LogLast: n.raft.LastIndex(),
 	}
 	if s.Pending != nil {
 		st.Pending = s.Pending.Request
@@ -250,9 +250,9 @@
 	return n.moved
 }
 
-// HandOverIfLeading gives the lead away before a planned stop, so that nobody waits for an election.
-func (n *Node) HandOverIfLeading(within time.Duration) {
-	if n.raft.State() != raft.Leader || len(n.Roster()) < 2 {
+// TransferLeadership gives the lead away before a planned stop, so that nobody waits for an election.
+func (n *Node) TransferLeadership(within time.Duration) {
+	if n.raft.State() != raft.Leader || len(n.Members()) < 2 {
 		return
 	}
 	done := make(chan struct{})
--- a/raftnode/recover.go
+++ b/raftnode/recover.go
@@ -12,8 +12,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// Remains is what a folder holds, for who must decide whether to go on from it alone.
-type Remains struct {
+// RecoveryReport is what a folder holds, for who must decide whether to go on from it alone.
+type RecoveryReport struct {
 	Name    string
 	Members []sharedconfig.Member
 	Last    uint64 // newest entry of the log
@@ -35,9 +35,9 @@
 }
 
 // Examine reads what a folder holds. It changes nothing.
-func Examine(folder, name string) (Remains, error) {
+func Examine(folder, name string) (RecoveryReport, error) {
 	if _, err := os.Stat(filepath.Join(folder, fileName)); err != nil {
-		return Remains{}, fmt.Errorf("folder: %w", err)
+		return RecoveryReport{}, fmt.Errorf("folder: %w", err)
 	}
 	n, _, rem, err := remains(folder, name)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return rem, n.store.Close()
 }
 
-func remains(folder, name string) (n *Node, snaps raft.SnapshotStore, rem Remains, err error) {
-	n = &Node{serving: newServing(Config{Folder: folder, Name: name})}
+func remains(folder, name string) (n *Node, snaps raft.SnapshotStore, rem RecoveryReport, err error) {
+	n = &Node{serving: newServing(Config{DataDirectory: folder, Name: name})}
 	if n.store, n.id, err = openFolder(folder, name); err != nil {
 		return n, nil, rem, err
 	}
@@ -104,9 +104,9 @@
 	return n, snaps, rem, nil
 }
 
-// Recover makes an instance the only member of a new group that goes on from what its folder holds, also from
+// RecoverUnsafe makes an instance the only member of a new group that goes on from what its folder holds, also from
 // entries of which nobody knows whether they were agreed on. It is for when a majority is gone for good.
-func Recover(folder, name, address string) error {
+func RecoverUnsafe(folder, name, address string) error {
 	n, snaps, rem, err := remains(folder, name)
 	if err != nil {
 		return err
--- a/raftnode/serving.go
+++ b/raftnode/serving.go
@@ -50,7 +50,7 @@
 		return v, err
 	}
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
-		return v, fmt.Errorf("folder %s: the version served last: %w", s.Folder, err)
+		return v, fmt.Errorf("folder %s: the version served last: %w", s.DataDirectory, err)
 	}
 	return v, nil
 }
@@ -80,8 +80,8 @@
 	return (lease.Until(used) - at) / 1000
 }
 
-// Used is the version that this instance serves by; 0: none.
-func (s *serving) Used() uint64 { return s.used.Load() }
+// ServedVersion is the version that this instance serves by; 0: none.
+func (s *serving) ServedVersion() uint64 { return s.used.Load() }
 
 // Gate tells whether queries may be taken by a version at this moment, and if not, when to come back.
 func (s *serving) Gate(version uint64) (open bool, comeBack time.Duration) {
@@ -110,7 +110,7 @@
 	switch {
 	case reason == "":
 		log.Info("agreement holds")
-	case s.ServeOn && version > 0 && !s.lease.Load().Removed:
+	case s.ServeWhenStale && version > 0 && !s.lease.Load().Removed:
 		log.WithField("why", reason).Warn("serving without agreement, as the settings say")
 	default:
 		log.WithField("why", reason).Warn("not serving")
@@ -141,7 +141,7 @@
 // serve has the instance serve by a version.
 func (s *serving) serve(v sharedconfig.Version) bool {
 	log := s.fields().WithFields(logrus.Fields{"version": v.Number, "digest": v.Digest, "author": v.Author, "reason": v.Reason})
-	if err := s.Use(v); err != nil {
+	if err := s.Activate(v); err != nil {
 		log.WithError(err).Error("the agreed document cannot be served here: the last one stands until the bound passes")
 		return false
 	}
--- a/raftstore/raftstore.go
+++ b/raftstore/raftstore.go
@@ -21,8 +21,8 @@
 
 var logs, stable, self = []byte("log"), []byte("stable"), []byte("self")
 
-// ErrSpoilt is behind errors about records that are not what was written.
-var ErrSpoilt = errors.New("spoilt")
+// ErrCorrupt is behind errors about records that are not what was written.
+var ErrCorrupt = errors.New("spoilt")
 
 var handle = &codec.MsgpackHandle{}
 
@@ -33,7 +33,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			s, err = nil, fmt.Errorf("%s: %w: %v", path, ErrSpoilt, r)
+			s, err = nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, r)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType})
@@ -68,16 +68,16 @@
 		next := uint64(0)
 		err := tx.Bucket(logs).ForEach(func(k, v []byte) error {
 			if len(k) != 8 {
-				return fmt.Errorf("record %x of the log: %w", k, ErrSpoilt)
+				return fmt.Errorf("record %x of the log: %w", k, ErrCorrupt)
 			}
 			i := binary.BigEndian.Uint64(k)
 			if next != 0 && i != next {
-				return fmt.Errorf("log: %w: entry %d follows %d", ErrSpoilt, i, next-1)
+				return fmt.Errorf("log: %w: entry %d follows %d", ErrCorrupt, i, next-1)
 			}
 			next = i + 1
 			var l raft.Log
 			if err := read(v, &l); err != nil || l.Index != i {
-				return fmt.Errorf("entry %d of the log: %w", i, ErrSpoilt)
+				return fmt.Errorf("entry %d of the log: %w", i, ErrCorrupt)
 			}
 			return nil
 		})
@@ -102,7 +102,7 @@
 
 func open(v []byte) ([]byte, error) {
 	if len(v) < 8 || binary.BigEndian.Uint64(v) != xxhash.Sum64(v[8:]) {
-		return nil, ErrSpoilt
+		return nil, ErrCorrupt
 	}
 	return bytes.Clone(v[8:]), nil
 }
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -9,22 +9,22 @@
 
 // Settings is what a core knows from the start.
 type Settings struct {
-	Folder    string // names this instance's folder, and with it the instance, for as long as it exists
-	Bound     Micros // how long a version may be served after it was replaced
-	ServeOn   bool   // serve without a lease rather than refuse
+	InstanceID    string // names this instance's folder, and with it the instance, for as long as it exists
+	StalenessBound     Micros // how long a version may be served after it was replaced
+	ServeWhenStale   bool   // serve without a lease rather than refuse
 	Removed   bool   // it was told before that it is no member any more
-	AskEvery  Micros // between two asks for a lease
-	CheckFor  Micros // how long instances have to check a change
-	CatchUp   Micros // how long one that joins may take until it has the log
-	HeardFor  Micros // an instance that asked for a lease within it counts as reachable
-	ChangeFor Micros // a caller waits no longer for a change or a membership change
+	LeaseInterval  Micros // between two asks for a lease
+	CheckTimeout  Micros // how long instances have to check a change
+	CatchUpTimeout   Micros // how long one that joins may take until it has the log
+	ReachableFor  Micros // an instance that asked for a lease within it counts as reachable
+	ChangeTimeout Micros // a caller waits no longer for a change or a membership change
 }
 
 // Defaults are settings for a bound.
 func Defaults(folder string, bound Micros, serveOn bool) Settings {
 	return Settings{
-		Folder: folder, Bound: bound, ServeOn: serveOn, AskEvery: min(max(bound/10, 20_000), 500_000),
-		CheckFor: 1_000_000, CatchUp: 10_000_000, HeardFor: max(2*bound/5, 200_000), ChangeFor: 5_000_000,
+		InstanceID: folder, StalenessBound: bound, ServeWhenStale: serveOn, LeaseInterval: min(max(bound/10, 20_000), 500_000),
+		CheckTimeout: 1_000_000, CatchUpTimeout: 10_000_000, ReachableFor: max(2*bound/5, 200_000), ChangeTimeout: 5_000_000,
 	}
 }
 
@@ -58,27 +58,27 @@
 // Ready says that everything that was agreed before this term is applied here. Only then does a leader act.
 type Ready struct{ Term uint64 }
 
-// Roster is who is a member, by the newest word of the log, this instance included if it is one.
-type Roster struct{ Members []Member }
+// MemberList is who is a member, by the newest word of the log, this instance included if it is one.
+type MemberList struct{ Members []Member }
 
-// Asked is a change that a caller wants. It gets one Reply.
-type Asked struct {
+// ChangeRequested is a change that a caller wants. It gets one Reply.
+type ChangeRequested struct {
 	Call   uint64
 	Change Change
 }
 
-// Lost says that an entry could not be appended, or that nobody knows whether it was.
-type Lost struct{ Request string }
+// AppendFailed says that an entry could not be appended, or that nobody knows whether it was.
+type AppendFailed struct{ Request string }
 
-// Verdict is what an instance says of a change that it was asked to check. Silent: it did not answer.
-type Verdict struct {
+// CheckResult is what an instance says of a change that it was asked to check. Silent: it did not answer.
+type CheckResult struct {
 	Request, Folder string
-	Yes, Silent     bool
-	Why             string
+	Accepted, TimedOut     bool
+	Reason             string
 }
 
-// LeaseAsked is a member that asks this one for a lease.
-type LeaseAsked struct {
+// LeaseRequested is a member that asks this one for a lease.
+type LeaseRequested struct {
 	Call   uint64
 	Folder string
 }
@@ -90,31 +90,31 @@
 	Term uint64
 }
 
-// Granted is the leader's answer to AskLease. Where OK is false it tells nothing.
-type Granted struct {
+// LeaseGranted is the leader's answer to AskLease. Where OK is false it tells nothing.
+type LeaseGranted struct {
 	Seq     uint64
 	OK      bool
 	Version uint64
 	Removed bool
 }
 
-// AddAsked is a member to be taken in, or one that has moved to a new address.
-type AddAsked struct {
+// AddRequested is a member to be taken in, or one that has moved to a new address.
+type AddRequested struct {
 	Call   uint64
 	Member Member
 }
 
-// RemoveAsked is a member to be removed.
-type RemoveAsked struct {
+// RemoveRequested is a member to be removed.
+type RemoveRequested struct {
 	Call uint64
 	Name string
 }
 
-// RosterSet says whether SetRoster was agreed on.
-type RosterSet struct {
+// MembershipChanged says whether SetRoster was agreed on.
+type MembershipChanged struct {
 	Seq uint64
 	OK  bool
-	Why string
+	Reason string
 }
 
 // CaughtUp says that an instance without a vote has the whole log, as it was when it was asked.
@@ -126,16 +126,16 @@
 func (Applied) event()     {}
 func (Role) event()        {}
 func (Ready) event()       {}
-func (Roster) event()      {}
-func (Asked) event()       {}
-func (Lost) event()        {}
-func (Verdict) event()     {}
-func (LeaseAsked) event()  {}
+func (MemberList) event()      {}
+func (ChangeRequested) event()       {}
+func (AppendFailed) event()        {}
+func (CheckResult) event()     {}
+func (LeaseRequested) event()  {}
 func (Verified) event()    {}
-func (Granted) event()     {}
-func (AddAsked) event()    {}
-func (RemoveAsked) event() {}
-func (RosterSet) event()   {}
+func (LeaseGranted) event()     {}
+func (AddRequested) event()    {}
+func (RemoveRequested) event() {}
+func (MembershipChanged) event()   {}
 func (CaughtUp) event()    {}
 func (Tick) event()        {}
 
@@ -160,29 +160,29 @@
 	Outcome Outcome
 }
 
-// AskLease asks the leader for a lease: one Granted, if an answer comes.
-type AskLease struct{ Seq uint64 }
+// RequestLease asks the leader for a lease: one Granted, if an answer comes.
+type RequestLease struct{ Seq uint64 }
 
 // Verify asks a majority whether this instance leads: one Verified.
 type Verify struct{ Seq uint64 }
 
-// GrantTo answers LeaseAsked.
-type GrantTo struct {
+// AnswerLeaseRequest answers LeaseAsked.
+type AnswerLeaseRequest struct {
 	Call    uint64
 	OK      bool
 	Version uint64
 	Removed bool
 }
 
-// SetRoster changes the membership by one member: one RosterSet.
-type SetRoster struct {
+// ChangeMembership changes the membership by one member: one RosterSet.
+type ChangeMembership struct {
 	Seq    uint64
 	Member Member
 	Remove bool
 }
 
-// Await asks a member without a vote to tell when it has the log: one CaughtUp, if it comes so far.
-type Await struct{ Member Member }
+// WaitForCatchUp asks a member without a vote to tell when it has the log: one CaughtUp, if it comes so far.
+type WaitForCatchUp struct{ Member Member }
 
 // Activate says that a version is active: what this instance serves has to follow.
 type Activate struct{ Version Version }
@@ -196,11 +196,11 @@
 func (Append) action()    {}
 func (Check) action()     {}
 func (Reply) action()     {}
-func (AskLease) action()  {}
+func (RequestLease) action()  {}
 func (Verify) action()    {}
-func (GrantTo) action()   {}
-func (SetRoster) action() {}
-func (Await) action()     {}
+func (AnswerLeaseRequest) action()   {}
+func (ChangeMembership) action() {}
+func (WaitForCatchUp) action()     {}
 func (Activate) action()  {}
 func (NewLease) action()  {}
 func (Log) action()       {}
@@ -221,10 +221,10 @@
 	// The rest is a leader's.
 	term           uint64
 	leading, ready bool
-	queue          []Asked // changes that wait for the one under way
+	queue          []ChangeRequested // changes that wait for the one under way
 	current        *change
-	waits          []LeaseAsked // for the next verification
-	verifying      []LeaseAsked // for the one that is out
+	waits          []LeaseRequested // for the next verification
+	verifying      []LeaseRequested // for the one that is out
 	verified       uint64       // its version
 	seq            uint64
 	verifyOut      uint64 // 0: none is out
@@ -242,7 +242,7 @@
 	checkTo  Micros
 	waits    map[string]Member // who has not answered yet
 	yes      int
-	no       *Verdict // the first one, and whose it was
+	no       *CheckResult // the first one, and whose it was
 	noFrom   string
 	decided  bool // the second entry is on its way
 	accept   bool
@@ -260,8 +260,8 @@
 // New returns the core of an instance that has state and knows nobody.
 func New(set Settings, state State) *Core {
 	return &Core{
-		set: set, state: state, lease: Lease{Serve: set.ServeOn, Removed: set.Removed}, asks: map[uint64]Micros{},
-		askedAt: -set.AskEvery, heard: map[string]Micros{}, awaited: map[string]Micros{},
+		set: set, state: state, lease: Lease{Serve: set.ServeWhenStale, Removed: set.Removed}, asks: map[uint64]Micros{},
+		askedAt: -set.LeaseInterval, heard: map[string]Micros{}, awaited: map[string]Micros{},
 	}
 }
 
@@ -296,27 +296,27 @@
 		c.role(e)
 	case Ready:
 		c.ready = c.ready || c.leading && e.Term == c.term
-	case Roster:
+	case MemberList:
 		c.roster = e.Members
-	case Asked:
+	case ChangeRequested:
 		c.asked(e)
-	case Lost:
+	case AppendFailed:
 		if c.current != nil && c.current.Request == e.Request {
 			c.unknown("the log did not take it, or nobody knows whether it did")
 		}
-	case Verdict:
+	case CheckResult:
 		c.verdict(e)
-	case LeaseAsked:
+	case LeaseRequested:
 		c.leaseAsked(e)
 	case Verified:
 		c.verifiedNow(e)
-	case Granted:
+	case LeaseGranted:
 		c.granted(e)
-	case AddAsked:
+	case AddRequested:
 		c.add(e)
-	case RemoveAsked:
+	case RemoveRequested:
 		c.remove(e)
-	case RosterSet:
+	case MembershipChanged:
 		c.rosterSet(e)
 	case CaughtUp:
 		c.caughtUp(e)
@@ -350,9 +350,9 @@
 func (c *Core) requeue() {
 	cur := c.current
 	c.current = nil
-	again := make([]Asked, 0, len(cur.calls)+len(c.queue))
+	again := make([]ChangeRequested, 0, len(cur.calls)+len(c.queue))
 	for _, call := range cur.calls {
-		again = append(again, Asked{call, cur.Change})
+		again = append(again, ChangeRequested{call, cur.Change})
 	}
 	c.queue = append(again, c.queue...)
 }
@@ -376,7 +376,7 @@
 		}
 		c.endRoster(Unknown, "this instance no longer leads")
 		for _, w := range append(c.waits, c.verifying...) {
-			c.do(GrantTo{Call: w.Call})
+			c.do(AnswerLeaseRequest{Call: w.Call})
 		}
 	}
 	c.leading, c.term, c.ready = e.Leading, e.Term, false
@@ -394,7 +394,7 @@
 
 // asked takes a change in. One that is known already is answered from what is known of it, and one that is under way
 // gets a further caller.
-func (c *Core) asked(e Asked) {
+func (c *Core) asked(e ChangeRequested) {
 	known := c.state.Outcome(e.Change.Request)
 	switch {
 	case !c.leading:
@@ -438,11 +438,11 @@
 			c.do(Reply{next.Call, known})
 			continue
 		}
-		c.current = &change{Change: next.Change, calls: []uint64{next.Call}, until: c.now + c.set.ChangeFor}
+		c.current = &change{Change: next.Change, calls: []uint64{next.Call}, until: c.now + c.set.ChangeTimeout}
 		c.do(Append{Entry{Propose: &next.Change}, next.Change.Request})
 	}
 	if cur := c.current; cur != nil { // those who ask for the same change wait with it
-		c.queue = slices.DeleteFunc(c.queue, func(a Asked) bool {
+		c.queue = slices.DeleteFunc(c.queue, func(a ChangeRequested) bool {
 			same := a.Change.Request == cur.Request
 			if same {
 				cur.calls = append(cur.calls, a.Call)
@@ -454,7 +454,7 @@
 			cur.calls, cur.until = nil, 0
 		}
 		if cur.proposed && cur.waits == nil {
-			cur.checkTo, cur.waits = c.now+c.set.CheckFor, map[string]Member{}
+			cur.checkTo, cur.waits = c.now+c.set.CheckTimeout, map[string]Member{}
 			for _, m := range c.roster {
 				cur.waits[m.Folder] = m
 				c.do(Check{m, cur.Change})
@@ -463,7 +463,7 @@
 	}
 }
 
-func (c *Core) verdict(e Verdict) {
+func (c *Core) verdict(e CheckResult) {
 	cur := c.current
 	if cur == nil || cur.Request != e.Request || cur.decided {
 		return
@@ -474,9 +474,9 @@
 	}
 	delete(cur.waits, e.Folder)
 	switch {
-	case e.Silent:
-		c.logf("instance %s did not check change %s: %s", m.Name, e.Request, cmp.Or(e.Why, "no answer"))
-	case !e.Yes:
+	case e.TimedOut:
+		c.logf("instance %s did not check change %s: %s", m.Name, e.Request, cmp.Or(e.Reason, "no answer"))
+	case !e.Accepted:
 		if cur.no == nil {
 			cur.no, cur.noFrom = &e, m.Name
 		}
@@ -495,7 +495,7 @@
 	d := Decision{Request: cur.Request}
 	switch {
 	case cur.no != nil:
-		d.Instance, d.Why = cur.noFrom, cur.no.Why
+		d.Instance, d.Why = cur.noFrom, cur.no.Reason
 	case len(cur.waits) > 0 && c.now < cur.checkTo:
 		return
 	case cur.yes <= c.voters()/2:
@@ -527,22 +527,22 @@
 // ask asks for a lease, as often as the settings say: soon enough that several may be lost before the bound passes.
 // Who was not granted its last one asks more often: a leader may be there for a short time only.
 func (c *Core) ask() {
-	every := c.set.AskEvery
+	every := c.set.LeaseInterval
 	if _, out := c.asks[c.lastAsk]; out || c.lastAsk == 0 {
 		every /= 8
 	}
 	if c.lease.Removed || c.now < c.askedAt+every {
 		return
 	}
-	maps.DeleteFunc(c.asks, func(_ uint64, at Micros) bool { return at+c.set.Bound <= c.now })
+	maps.DeleteFunc(c.asks, func(_ uint64, at Micros) bool { return at+c.set.StalenessBound <= c.now })
 	c.lastAsk++
 	c.asks[c.lastAsk], c.askedAt = c.now, c.now
-	c.do(AskLease{c.lastAsk})
+	c.do(RequestLease{c.lastAsk})
 }
 
 // granted counts from when the ask left, on this instance's own clock: however late the answer comes, what it says
 // was true then or later.
-func (c *Core) granted(e Granted) {
+func (c *Core) granted(e LeaseGranted) {
 	at, known := c.asks[e.Seq]
 	if !known || !e.OK {
 		return
@@ -554,16 +554,16 @@
 		c.logf("this instance was removed from its group: it serves nothing any more")
 		return
 	}
-	if until := at + c.set.Bound - c.set.Bound/clockSlack; until > c.now {
+	if until := at + c.set.StalenessBound - c.set.StalenessBound/clockSlack; until > c.now {
 		c.lease = c.lease.with(Grant{e.Version, until}, c.now)
 		c.do(NewLease{c.lease})
 	}
 }
 
 // leaseAsked has the asker wait for the next verification: one that is out already may have begun before the ask.
-func (c *Core) leaseAsked(e LeaseAsked) {
+func (c *Core) leaseAsked(e LeaseRequested) {
 	if !c.leading || !c.ready {
-		c.do(GrantTo{Call: e.Call})
+		c.do(AnswerLeaseRequest{Call: e.Call})
 		return
 	}
 	c.heard[e.Folder] = c.now
@@ -577,7 +577,7 @@
 		return
 	}
 	for _, w := range c.verifying {
-		g := GrantTo{Call: w.Call}
+		g := AnswerLeaseRequest{Call: w.Call}
 		if e.OK && e.Term == c.term && c.verified > 0 {
 			_, in := c.member(func(m Member) bool { return m.Folder == w.Folder })
 			g.Version, g.Removed = c.verified, c.state.IsRetired(w.Folder)
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -16,7 +16,7 @@
 func TestStateHoldsItsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := rapid.IntRange(2, 5).Draw(t, "keep")
-		s, _ := State{}.Apply(Entry{Found: &Found{Group: "g", Keep: keep, First: Change{Request: "first", Text: "0", Digest: "0"}}})
+		s, _ := State{}.Apply(Entry{Found: &Bootstrap{Group: "g", Keep: keep, First: Change{Request: "first", Text: "0", Digest: "0"}}})
 		told := map[string]Outcome{}
 		made := map[string]bool{"first": true}
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
@@ -29,7 +29,7 @@
 			case 2:
 				e.Decide = &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Why: "no"}
 			case 3:
-				e.Found = &Found{Group: "other"}
+				e.Found = &Bootstrap{Group: "other"}
 			}
 			before, copied := s, slices.Clone(s.Versions)
 			next, o := s.Apply(e)
@@ -96,23 +96,23 @@
 func TestWhatAFolderMustHold(t *testing.T) {
 	bad := errors.New("bad")
 	for name, c := range map[string]struct {
-		Folder
+		DataDirectory
 		want string
 	}{
-		"new":                     {Folder{}, ""},
-		"only a log":              {Folder{1, 9, nil}, ""},
-		"only a snapshot":         {Folder{0, 0, []SnapshotFound{{"a", 9, nil}}}, ""},
-		"both":                    {Folder{5, 20, []SnapshotFound{{"a", 9, nil}}}, ""},
-		"right behind it":         {Folder{10, 20, []SnapshotFound{{"a", 9, nil}}}, ""},
-		"a gap":                   {Folder{11, 20, []SnapshotFound{{"a", 9, nil}}}, "the log begins at entry 11 and snapshot a ends at 9"},
-		"no beginning":            {Folder{3, 20, nil}, "the log begins at entry 3 and there is no snapshot before it"},
-		"spoilt, older one fits":  {Folder{5, 20, []SnapshotFound{{"b", 15, bad}, {"a", 9, nil}}}, ""},
-		"spoilt, older one short": {Folder{12, 20, []SnapshotFound{{"b", 15, bad}, {"a", 9, nil}}}, "snapshot b is spoilt: bad; the one before it ends at entry 9 and the log begins at 12"},
-		"spoilt, no log":          {Folder{0, 0, []SnapshotFound{{"b", 15, bad}, {"a", 9, nil}}}, "snapshot b is spoilt: bad"},
-		"spoilt, whole log":       {Folder{1, 20, []SnapshotFound{{"b", 15, bad}}}, ""},
-		"spoilt, rest of a log":   {Folder{5, 20, []SnapshotFound{{"b", 15, bad}}}, "snapshot b is spoilt: bad"},
+		"new":                     {DataDirectory{}, ""},
+		"only a log":              {DataDirectory{1, 9, nil}, ""},
+		"only a snapshot":         {DataDirectory{0, 0, []SnapshotFound{{"a", 9, nil}}}, ""},
+		"both":                    {DataDirectory{5, 20, []SnapshotFound{{"a", 9, nil}}}, ""},
+		"right behind it":         {DataDirectory{10, 20, []SnapshotFound{{"a", 9, nil}}}, ""},
+		"a gap":                   {DataDirectory{11, 20, []SnapshotFound{{"a", 9, nil}}}, "the log begins at entry 11 and snapshot a ends at 9"},
+		"no beginning":            {DataDirectory{3, 20, nil}, "the log begins at entry 3 and there is no snapshot before it"},
+		"spoilt, older one fits":  {DataDirectory{5, 20, []SnapshotFound{{"b", 15, bad}, {"a", 9, nil}}}, ""},
+		"spoilt, older one short": {DataDirectory{12, 20, []SnapshotFound{{"b", 15, bad}, {"a", 9, nil}}}, "snapshot b is spoilt: bad; the one before it ends at entry 9 and the log begins at 12"},
+		"spoilt, no log":          {DataDirectory{0, 0, []SnapshotFound{{"b", 15, bad}, {"a", 9, nil}}}, "snapshot b is spoilt: bad"},
+		"spoilt, whole log":       {DataDirectory{1, 20, []SnapshotFound{{"b", 15, bad}}}, ""},
+		"spoilt, rest of a log":   {DataDirectory{5, 20, []SnapshotFound{{"b", 15, bad}}}, "snapshot b is spoilt: bad"},
 	} {
-		if err := c.Judge(); c.want == "" {
+		if err := c.CheckUsable(); c.want == "" {
 			assert.NoError(t, err, name)
 		} else {
 			assert.EqualError(t, err, c.want, name)
@@ -122,10 +122,10 @@
 
 // leader is a core that leads in term 4, with three members of which the third has no vote.
 func leader(t *testing.T) *Core {
-	s, _ := State{}.Apply(Entry{Found: &Found{Group: "g", Keep: 9, First: Change{Request: "first", Text: "0"}}})
+	s, _ := State{}.Apply(Entry{Found: &Bootstrap{Group: "g", Keep: 9, First: Change{Request: "first", Text: "0"}}})
 	c := New(Defaults("f1", 1_000_000, false), State{})
 	c.Step(0, []Event{
-		Roster{[]Member{{"n1", "f1", "a1", true}, {"n2", "f2", "a2", true}, {"n3", "f3", "a3", false}}},
+		MemberList{[]Member{{"n1", "f1", "a1", true}, {"n2", "f2", "a2", true}, {"n3", "f3", "a3", false}}},
 		Applied{State: s},
 		Role{true, 4},
 		Ready{4},
@@ -146,29 +146,29 @@
 	for name, c := range map[string]struct {
 		verified Verified
 		folder   string
-		want     GrantTo
+		want     AnswerLeaseRequest
 	}{
-		"verified":       {Verified{OK: true, Term: 4}, "f2", GrantTo{Call: 1, OK: true, Version: 1}},
-		"not the lead":   {Verified{Term: 4}, "f2", GrantTo{Call: 1}},
-		"another term":   {Verified{OK: true, Term: 5}, "f2", GrantTo{Call: 1}},
-		"not a member":   {Verified{OK: true, Term: 4}, "f9", GrantTo{Call: 1, Version: 1}},
-		"without a vote": {Verified{OK: true, Term: 4}, "f3", GrantTo{Call: 1, OK: true, Version: 1}},
+		"verified":       {Verified{OK: true, Term: 4}, "f2", AnswerLeaseRequest{Call: 1, OK: true, Version: 1}},
+		"not the lead":   {Verified{Term: 4}, "f2", AnswerLeaseRequest{Call: 1}},
+		"another term":   {Verified{OK: true, Term: 5}, "f2", AnswerLeaseRequest{Call: 1}},
+		"not a member":   {Verified{OK: true, Term: 4}, "f9", AnswerLeaseRequest{Call: 1, Version: 1}},
+		"without a vote": {Verified{OK: true, Term: 4}, "f3", AnswerLeaseRequest{Call: 1, OK: true, Version: 1}},
 	} {
 		core := leader(t)
-		verify := of[Verify](core.Step(1, []Event{LeaseAsked{1, c.folder}}))
+		verify := of[Verify](core.Step(1, []Event{LeaseRequested{1, c.folder}}))
 		require.Len(t, verify, 1, name)
 		// one that asks while a verification is out waits for the next
-		assert.Empty(t, of[Verify](core.Step(2, []Event{LeaseAsked{2, "f2"}})), name)
+		assert.Empty(t, of[Verify](core.Step(2, []Event{LeaseRequested{2, "f2"}})), name)
 		c.verified.Seq = verify[0].Seq
 		acts := core.Step(3, []Event{c.verified})
-		assert.Equal(t, []GrantTo{c.want}, of[GrantTo](acts), name)
+		assert.Equal(t, []AnswerLeaseRequest{c.want}, of[AnswerLeaseRequest](acts), name)
 		assert.Len(t, of[Verify](acts), 1, name)
 	}
 }
 
 func TestMembershipOrders(t *testing.T) {
 	add := func(name, folder, addr string) Event {
-		return AddAsked{1, Member{Name: name, Folder: folder, Addr: addr}}
+		return AddRequested{1, Member{Name: name, Folder: folder, Addr: addr}}
 	}
 	for name, c := range map[string]struct {
 		event Event
@@ -180,15 +180,15 @@
 		"folder lost":     {add("n2", "f9", "a2"), "n2 is a member with another folder: remove it first, so that what it voted for is not forgotten"},
 		"address taken":   {add("n4", "f4", "a2"), "a2 is the address of n2"},
 		"retired":         {add("n4", "f7", "a4"), "the folder of n4 was removed from this group for good: start it with an empty one"},
-		"remove":          {RemoveAsked{1, "n3"}, ""},
-		"remove nobody":   {RemoveAsked{1, "n9"}, "there is no instance n9"},
-		"remove the rest": {RemoveAsked{1, "n1"}, "without n1 no majority would be reachable: 0 of 1"},
+		"remove":          {RemoveRequested{1, "n3"}, ""},
+		"remove nobody":   {RemoveRequested{1, "n9"}, "there is no instance n9"},
+		"remove the rest": {RemoveRequested{1, "n1"}, "without n1 no majority would be reachable: 0 of 1"},
 	} {
 		core := leader(t)
 		s := core.State()
 		s.Retired = []string{"f7"}
 		acts := core.Step(5_000_000, []Event{Applied{State: s}, c.event})
-		set, replies := of[SetRoster](acts), of[Reply](acts)
+		set, replies := of[ChangeMembership](acts), of[Reply](acts)
 		if c.want == "" {
 			assert.Len(t, set, 1, name)
 			assert.Empty(t, replies, name)
@@ -207,12 +207,12 @@
 	core := leader(t)
 	s := core.State()
 	s.Retired = []string{"f2"}
-	set := of[SetRoster](core.Step(5_000_000, []Event{Applied{State: s}}))
+	set := of[ChangeMembership](core.Step(5_000_000, []Event{Applied{State: s}}))
 	require.Len(t, set, 1)
 	assert.True(t, set[0].Remove)
 	core = leader(t)
-	assert.Len(t, of[Await](core.Step(5_000_000, []Event{Tick{}})), 1)
-	set = of[SetRoster](core.Step(5_000_001, []Event{CaughtUp{"f3"}}))
+	assert.Len(t, of[WaitForCatchUp](core.Step(5_000_000, []Event{Tick{}})), 1)
+	set = of[ChangeMembership](core.Step(5_000_001, []Event{CaughtUp{"f3"}}))
 	require.Len(t, set, 1)
 	assert.True(t, set[0].Member.Voter)
 }
@@ -222,12 +222,12 @@
 func TestAsksAgainSoonUntilGranted(t *testing.T) {
 	set := Defaults("f1", 5_000_000, false)
 	c := New(set, State{})
-	asks := of[AskLease](c.Step(0, []Event{Tick{}}))
+	asks := of[RequestLease](c.Step(0, []Event{Tick{}}))
 	require.Len(t, asks, 1)
-	assert.Empty(t, of[AskLease](c.Step(set.AskEvery/8-1, []Event{Tick{}})))
-	asks = of[AskLease](c.Step(set.AskEvery/8, []Event{Tick{}}))
+	assert.Empty(t, of[RequestLease](c.Step(set.LeaseInterval/8-1, []Event{Tick{}})))
+	asks = of[RequestLease](c.Step(set.LeaseInterval/8, []Event{Tick{}}))
 	require.Len(t, asks, 1, "not asked again")
-	c.Step(set.AskEvery/8+1, []Event{Granted{Seq: asks[0].Seq, OK: true, Version: 1}})
-	assert.Empty(t, of[AskLease](c.Step(set.AskEvery, []Event{Tick{}})), "granted, and asked again at once")
-	assert.Len(t, of[AskLease](c.Step(set.AskEvery/8+set.AskEvery, []Event{Tick{}})), 1)
+	c.Step(set.LeaseInterval/8+1, []Event{LeaseGranted{Seq: asks[0].Seq, OK: true, Version: 1}})
+	assert.Empty(t, of[RequestLease](c.Step(set.LeaseInterval, []Event{Tick{}})), "granted, and asked again at once")
+	assert.Len(t, of[RequestLease](c.Step(set.LeaseInterval/8+set.LeaseInterval, []Event{Tick{}})), 1)
 }
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ask is what an instance without a vote asks a voter.
-type Ask struct {
+// PollRequest is what an instance without a vote asks a voter.
+type PollRequest struct {
 	Have   uint64 `json:"have"` // the version that it has; 0: none
 	Digest string `json:"digest"`
 }
 
-// Told is a voter's answer. Where OK is false it tells nothing but Why: this voter has no lease itself.
-type Told struct {
+// ReplyReceived is a voter's answer. Where OK is false it tells nothing but Why: this voter has no lease itself.
+type ReplyReceived struct {
 	Seq     uint64   `json:"-"`
 	OK      bool     `json:"ok"`
 	Why     string   `json:"why,omitempty"`
@@ -27,28 +27,28 @@
 	Voters  []Member `json:"voters,omitempty"`
 }
 
-// Silent says that a voter did not answer an ask, or that the answer could not be used.
-type Silent struct{ Seq uint64 }
+// CallTimedOut says that a voter did not answer an ask, or that the answer could not be used.
+type CallTimedOut struct{ Seq uint64 }
 
-func (Told) event()   {}
-func (Silent) event() {}
+func (ReplyReceived) event()   {}
+func (CallTimedOut) event() {}
 
-// AskVoter asks the voter at an address: one Told or Silent, if any.
-type AskVoter struct {
+// PollVoter asks the voter at an address: one Told or Silent, if any.
+type PollVoter struct {
 	Seq   uint64
 	Voter Member // of one known by the file alone the address is known
-	Ask   Ask
+	Request   PollRequest
 }
 
-func (AskVoter) action() {}
+func (PollVoter) action() {}
 
 // Answer is what a voter with this state and lease tells an instance that follows.
-func Answer(s State, l Lease, now Micros, roster []Member, a Ask) Told {
+func Answer(s State, l Lease, now Micros, roster []Member, a PollRequest) ReplyReceived {
 	v := s.Active()
 	if !l.Holds(now, v.Number) {
-		return Told{Why: cmp.Or(l.Reason(now, v.Number), "no lease")}
+		return ReplyReceived{Why: cmp.Or(l.Reason(now, v.Number), "no lease")}
 	}
-	t := Told{OK: true, Group: s.Group, Version: v.Number, Left: l.Until(v.Number) - now}
+	t := ReplyReceived{OK: true, Group: s.Group, Version: v.Number, Left: l.Until(v.Number) - now}
 	for _, m := range roster {
 		if m.Voter {
 			t.Voters = append(t.Voters, m)
@@ -90,7 +90,7 @@
 // addresses of voters.
 func NewFollower(set Settings, voters []string, last Version) *Follower {
 	f := &Follower{
-		set: set, active: last, lease: Lease{Serve: set.ServeOn}, asks: map[uint64]asked{}, askedAt: -set.AskEvery,
+		set: set, active: last, lease: Lease{Serve: set.ServeWhenStale}, asks: map[uint64]asked{}, askedAt: -set.LeaseInterval,
 		failed: map[string]Micros{},
 	}
 	for _, a := range voters {
@@ -113,9 +113,9 @@
 	f.now, f.acts = max(now, f.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case Told:
+		case ReplyReceived:
 			f.told(e)
-		case Silent:
+		case CallTimedOut:
 			if a, out := f.asks[e.Seq]; out {
 				delete(f.asks, e.Seq)
 				f.fail(a.of)
@@ -133,7 +133,7 @@
 // ask asks for a lease as often as a voter does. A voter that has not answered the last ask by then is passed over
 // for as long as the bound, since there is only so much time.
 func (f *Follower) ask() {
-	every := f.set.AskEvery
+	every := f.set.LeaseInterval
 	if len(f.asks) > 0 || f.lastAsk == 0 || !f.lease.Holds(f.now, f.active.Number) {
 		every /= 4 // there is something to catch up on
 	}
@@ -142,10 +142,10 @@
 	}
 	for _, seq := range slices.Sorted(maps.Keys(f.asks)) {
 		a := f.asks[seq]
-		if f.now-a.at >= f.set.AskEvery/2 {
+		if f.now-a.at >= f.set.LeaseInterval/2 {
 			f.fail(a.of)
 		}
-		if f.now-a.at >= f.set.Bound { // an answer would be worth nothing
+		if f.now-a.at >= f.set.StalenessBound { // an answer would be worth nothing
 			delete(f.asks, seq)
 		}
 	}
@@ -156,11 +156,11 @@
 	f.lastAsk++
 	f.askedAt = f.now
 	f.asks[f.lastAsk] = asked{f.now, all[0]}
-	a := Ask{Have: f.active.Number, Digest: f.active.Digest}
+	a := PollRequest{Have: f.active.Number, Digest: f.active.Digest}
 	if f.group == "" { // what it had may be of a group that was begun anew since
-		a = Ask{}
+		a = PollRequest{}
 	}
-	f.do(AskVoter{f.lastAsk, all[0], a})
+	f.do(PollVoter{f.lastAsk, all[0], a})
 }
 
 // order is the voters in the order in which this instance wants them: its own, drawn from its folder's name, so that
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	weight := func(m Member) uint64 { return xxhash.Sum64String(f.set.Folder + " " + m.Addr) }
+	weight := func(m Member) uint64 { return xxhash.Sum64String(f.set.InstanceID + " " + m.Addr) }
 	slices.SortFunc(all, func(x, y Member) int {
 		if a, b := f.failing(x), f.failing(y); a || b {
 			if a != b {
@@ -191,10 +191,10 @@
 
 func (f *Follower) failing(m Member) bool {
 	at, known := f.failed[m.Addr]
-	return known && f.now-at < f.set.Bound
+	return known && f.now-at < f.set.StalenessBound
 }
 
-func (f *Follower) told(e Told) {
+func (f *Follower) told(e ReplyReceived) {
 	a, out := f.asks[e.Seq]
 	if !out {
 		return // it came twice, or too late
@@ -218,13 +218,13 @@
 	if len(e.Voters) > 0 {
 		f.voters = e.Voters
 	}
-	maps.DeleteFunc(f.failed, func(_ string, at Micros) bool { return f.now-at >= f.set.Bound })
+	maps.DeleteFunc(f.failed, func(_ string, at Micros) bool { return f.now-at >= f.set.StalenessBound })
 	// Versions never go back, but for the first answer: what was kept may be of a group that was begun anew.
 	if v := e.Active; v != nil && (v.Number > f.active.Number || first && (v.Number != f.active.Number || v.Digest != f.active.Digest)) {
 		f.active = *v
 		f.do(Activate{*v})
 	}
-	left := min(e.Left, f.set.Bound)
+	left := min(e.Left, f.set.StalenessBound)
 	if until := a.at + left - left/clockSlack; until > f.now {
 		f.lease = f.lease.with(Grant{e.Version, until}, f.now)
 		f.do(NewLease{f.lease})
--- a/sharedconfig/members.go
+++ b/sharedconfig/members.go
@@ -4,7 +4,7 @@
 
 // add takes a member in, without a vote until it has the log; or gives a member that has moved its new address. One
 // change of the membership is under way at a time.
-func (c *Core) add(e AddAsked) {
+func (c *Core) add(e AddRequested) {
 	m := e.Member
 	named, known := c.member(func(o Member) bool { return o.Name == m.Name })
 	at, taken := c.member(func(o Member) bool { return o.Addr == m.Addr && o.Name != m.Name })
@@ -20,13 +20,13 @@
 		c.do(Reply{e.Call, Outcome{Status: Done, Why: m.Name + " is a member already"}})
 	default:
 		m.Voter = known && named.Voter // one that moves keeps its vote
-		c.joins = &roster{call: e.Call, member: m, until: c.now + c.set.CatchUp}
+		c.joins = &roster{call: e.Call, member: m, until: c.now + c.set.CatchUpTimeout}
 		c.setRoster()
 	}
 }
 
 // remove takes a member out. Its folder is retired first: whatever becomes of the removal itself, it never comes back.
-func (c *Core) remove(e RemoveAsked) {
+func (c *Core) remove(e RemoveRequested) {
 	m, known := c.member(func(o Member) bool { return o.Name == e.Name })
 	switch {
 	case !c.mayChangeRoster(e.Call):
@@ -37,7 +37,7 @@
 	case m.Voter && c.reachable(m.Folder) <= (c.voters()-1)/2:
 		c.no(e.Call, "without %s no majority would be reachable: %d of %d", m.Name, c.reachable(m.Folder), c.voters()-1)
 	default:
-		c.joins = &roster{call: e.Call, member: m, remove: true, until: c.now + c.set.CatchUp}
+		c.joins = &roster{call: e.Call, member: m, remove: true, until: c.now + c.set.CatchUpTimeout}
 		c.do(Append{Entry{Retire: &Retire{m.Folder}}, ""})
 		c.setRoster()
 	}
@@ -47,7 +47,7 @@
 func (c *Core) reachable(but string) (n int) {
 	for _, m := range c.roster {
 		at, heard := c.heard[m.Folder]
-		if m.Voter && m.Folder != but && (m.Folder == c.set.Folder || heard && at+c.set.HeardFor > c.now) {
+		if m.Voter && m.Folder != but && (m.Folder == c.set.InstanceID || heard && at+c.set.ReachableFor > c.now) {
 			n++
 		}
 	}
@@ -73,17 +73,17 @@
 func (c *Core) setRoster() {
 	c.seq++
 	c.joins.seq = c.seq
-	c.do(SetRoster{c.seq, c.joins.member, c.joins.remove})
+	c.do(ChangeMembership{c.seq, c.joins.member, c.joins.remove})
 }
 
-func (c *Core) rosterSet(e RosterSet) {
+func (c *Core) rosterSet(e MembershipChanged) {
 	j := c.joins
 	if j == nil || j.seq != e.Seq {
 		return
 	}
 	switch {
 	case !e.OK: // it may have been agreed on all the same
-		c.endRoster(Unknown, e.Why)
+		c.endRoster(Unknown, e.Reason)
 	case j.remove || j.member.Voter:
 		c.endRoster(Done, "")
 	default:
@@ -102,12 +102,12 @@
 func (c *Core) members() {
 	for _, m := range c.roster {
 		if c.joins == nil && c.state.IsRetired(m.Folder) {
-			c.joins = &roster{member: m, remove: true, until: c.now + c.set.CatchUp}
+			c.joins = &roster{member: m, remove: true, until: c.now + c.set.CatchUpTimeout}
 			c.setRoster()
 		}
-		if at, out := c.awaited[m.Folder]; !m.Voter && !c.state.IsRetired(m.Folder) && (!out || at+c.set.CheckFor <= c.now) {
+		if at, out := c.awaited[m.Folder]; !m.Voter && !c.state.IsRetired(m.Folder) && (!out || at+c.set.CheckTimeout <= c.now) {
 			c.awaited[m.Folder] = c.now
-			c.do(Await{m})
+			c.do(WaitForCatchUp{m})
 		}
 	}
 	if c.joins != nil && c.now >= c.joins.until {
@@ -127,7 +127,7 @@
 	m.Voter = true
 	switch {
 	case c.joins == nil: // an earlier leader took it in
-		c.joins = &roster{member: m, until: c.now + c.set.CatchUp}
+		c.joins = &roster{member: m, until: c.now + c.set.CatchUpTimeout}
 	case c.joins.seq == 0 && c.joins.member.Folder == m.Folder:
 		c.joins.member = m
 	default:
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -71,7 +71,7 @@
 			f.version = a.Version.Number
 		case NewLease:
 			f.lease = a.Lease
-		case AskVoter:
+		case PollVoter:
 			i := slices.IndexFunc(m.roster, func(o Member) bool { return o.Addr == a.Voter.Addr })
 			if i < 0 {
 				continue
@@ -81,7 +81,7 @@
 				if o.cut && m.rng.IntN(2) == 0 { // a voter cut off from the others may still be reached
 					return
 				}
-				t := Answer(o.State(), o.Lease(), m.now+o.skew, m.roster, a.Ask)
+				t := Answer(o.State(), o.Lease(), m.now+o.skew, m.roster, a.Request)
 				t.Seq = a.Seq
 				m.post(i, 0, func(*mnode) {
 					if f.Follower == life {
@@ -124,7 +124,7 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), leader: -1, calls: map[uint64]Change{}, replies: map[uint64]Outcome{},
 		seqs: map[uint64]uint64{},
 	}
-	m.append(Entry{Found: &Found{Group: "g", Keep: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
+	m.append(Entry{Found: &Bootstrap{Group: "g", Keep: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
 	for i := range n {
 		folder := fmt.Sprint("f", i)
 		m.roster = append(m.roster, Member{Name: fmt.Sprint("n", i), Folder: folder, Addr: fmt.Sprint("a", i), Voter: true})
@@ -231,12 +231,12 @@
 	if m.leader >= 0 && m.rng.IntN(10) > 0 {
 		to = m.leader
 	}
-	m.nodes[to].events = append(m.nodes[to].events, Asked{call, c})
+	m.nodes[to].events = append(m.nodes[to].events, ChangeRequested{call, c})
 	if m.rng.IntN(3) == 0 { // another one for the same version at the same time
 		m.nextID++
 		d := Change{Request: fmt.Sprint("r", m.nextID), Text: fmt.Sprint(m.nextID), Digest: fmt.Sprint(m.nextID), Expect: c.Expect}
 		m.calls[m.nextID] = d
-		m.nodes[to].events = append(m.nodes[to].events, Asked{m.nextID, d})
+		m.nodes[to].events = append(m.nodes[to].events, ChangeRequested{m.nextID, d})
 	}
 }
 
@@ -266,7 +266,7 @@
 		for n.applied < len(m.log) && !n.cut && n.lagging <= m.now && m.rng.IntN(3) > 0 {
 			s, o := n.State().Apply(m.log[n.applied])
 			n.applied++
-			n.events = append(n.events, Applied{s, []Outcome{o}}, Roster{m.roster})
+			n.events = append(n.events, Applied{s, []Outcome{o}}, MemberList{m.roster})
 			for _, a := range n.Step(m.now+n.skew, n.events) {
 				m.carryOut(i, a)
 			}
@@ -301,7 +301,7 @@
 			m.append(a.Entry)
 		}
 		if !leads || survives {
-			m.post(i, 0, func(n *mnode) { n.events = append(n.events, Lost{a.Request}, Role{false, m.term}) })
+			m.post(i, 0, func(n *mnode) { n.events = append(n.events, AppendFailed{a.Request}, Role{false, m.term}) })
 			if leads {
 				m.elect()
 			}
@@ -310,12 +310,12 @@
 		for j, o := range m.nodes {
 			if o.folder == a.Member.Folder {
 				m.between(i, j, func(o *mnode) {
-					v := Verdict{Request: a.Change.Request, Folder: o.folder, Yes: !o.no, Why: "no"}
+					v := CheckResult{Request: a.Change.Request, Folder: o.folder, Accepted: !o.no, Reason: "no"}
 					m.between(j, i, func(n *mnode) { n.events = append(n.events, v) })
 				})
 			}
 		}
-	case AskLease:
+	case RequestLease:
 		if m.leader >= 0 { // or who was the leader when it was last heard of
 			to := m.leader
 			if m.rng.IntN(10) == 0 {
@@ -324,14 +324,14 @@
 			m.nextID++
 			call := 1_000_000 + m.nextID*100 + uint64(i)
 			seq := a.Seq
-			m.between(i, to, func(o *mnode) { o.events = append(o.events, LeaseAsked{call, n.folder}) })
+			m.between(i, to, func(o *mnode) { o.events = append(o.events, LeaseRequested{call, n.folder}) })
 			m.seqs[call] = seq
 		}
-	case GrantTo:
+	case AnswerLeaseRequest:
 		j := int(a.Call % 100)
 		seq := m.seqs[a.Call]
 		m.between(i, j, func(o *mnode) {
-			o.events = append(o.events, Granted{Seq: seq, OK: a.OK, Version: a.Version, Removed: a.Removed})
+			o.events = append(o.events, LeaseGranted{Seq: seq, OK: a.OK, Version: a.Version, Removed: a.Removed})
 		})
 	case Verify:
 		ok, term := m.leader == i && m.majority(i), m.term
@@ -372,7 +372,7 @@
 	}
 	for _, f := range m.follow {
 		if f.paused <= m.now && f.lease.Holds(m.now+f.skew, f.version) {
-			serves(f.set.Folder, f.version)
+			serves(f.set.InstanceID, f.version)
 		}
 	}
 }
@@ -453,30 +453,30 @@
 	asked, moved := map[string]int{}, map[string]int{}
 	for i := range 300 {
 		f := NewFollower(Defaults(fmt.Sprint("w", i), bound, false), []string{"a0"}, Version{Number: 7, Digest: "of another group"})
-		one := func(now Micros, events ...Event) (a AskVoter) {
+		one := func(now Micros, events ...Event) (a PollVoter) {
 			for _, act := range f.Step(now, events) {
-				if ask, ok := act.(AskVoter); ok {
+				if ask, ok := act.(PollVoter); ok {
 					a = ask
 				}
 			}
 			return a
 		}
 		first := one(0)
-		require.Equal(t, Ask{}, first.Ask, "it takes the version of the group that is there")
+		require.Equal(t, PollRequest{}, first.Request, "it takes the version of the group that is there")
 		require.Equal(t, "a0", first.Voter.Addr)
-		told := Told{Seq: first.Seq, OK: true, Group: "g", Version: 3, Left: bound, Active: &Version{Number: 3, Digest: "d"}, Voters: voters}
+		told := ReplyReceived{Seq: first.Seq, OK: true, Group: "g", Version: 3, Left: bound, Active: &Version{Number: 3, Digest: "d"}, Voters: voters}
 		a := one(100_000, told)
-		require.Equal(t, Ask{3, "d"}, a.Ask)
+		require.Equal(t, PollRequest{3, "d"}, a.Request)
 		require.Equal(t, uint64(3), f.Active().Number)
 		asked[a.Voter.Addr]++
-		b := one(200_000, Silent{Seq: a.Seq}) // it died
+		b := one(200_000, CallTimedOut{Seq: a.Seq}) // it died
 		require.NotEqual(t, a.Voter.Addr, b.Voter.Addr)
 		moved[b.Voter.Addr]++
-		require.Empty(t, f.Step(201_000, []Event{Told{Seq: a.Seq, OK: true, Group: "g", Version: 3, Left: bound}}), "an ask counts once")
-		one(300_000, Told{Seq: b.Seq, OK: true, Group: "other", Version: 9, Left: bound, Active: &Version{Number: 9}})
+		require.Empty(t, f.Step(201_000, []Event{ReplyReceived{Seq: a.Seq, OK: true, Group: "g", Version: 3, Left: bound}}), "an ask counts once")
+		one(300_000, ReplyReceived{Seq: b.Seq, OK: true, Group: "other", Version: 9, Left: bound, Active: &Version{Number: 9}})
 		require.Equal(t, uint64(3), f.Active().Number, "of another group")
-		c := one(300_000+bound, Told{Seq: 99})
-		one(300_001+bound, Told{Seq: c.Seq, OK: true, Group: "g", Version: 2, Left: bound, Active: &Version{Number: 2}, Voters: voters})
+		c := one(300_000+bound, ReplyReceived{Seq: 99})
+		one(300_001+bound, ReplyReceived{Seq: c.Seq, OK: true, Group: "g", Version: 2, Left: bound, Active: &Version{Number: 2}, Voters: voters})
 		require.Equal(t, uint64(3), f.Active().Number, "versions do not go back")
 	}
 	for _, m := range voters {
--- a/sharedconfig/recovery.go
+++ b/sharedconfig/recovery.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Folder is what an instance's folder holds, as it was read at the start.
-type Folder struct {
+// DataDirectory is what an instance's folder holds, as it was read at the start.
+type DataDirectory struct {
 	First, Last uint64 // entries of the log; 0: none
 	Snapshots   []SnapshotFound
 }
@@ -15,9 +15,9 @@
 	Err   error  // what is wrong with it
 }
 
-// Judge says why an instance must not start from a folder. Older snapshots stand in for a spoilt one only as far as
+// CheckUsable says why an instance must not start from a folder. Older snapshots stand in for a spoilt one only as far as
 // the log goes on behind them: a gap would leave the instance with a state that never was.
-func (f Folder) Judge() error {
+func (f DataDirectory) CheckUsable() error {
 	var spoilt error
 	for _, s := range f.Snapshots {
 		if s.Err != nil {
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -64,14 +64,14 @@
 
 // Entry is an entry of the log. Exactly one field is set.
 type Entry struct {
-	Found   *Found    `json:"found,omitempty"`
+	Found   *Bootstrap    `json:"found,omitempty"`
 	Propose *Change   `json:"propose,omitempty"`
 	Decide  *Decision `json:"decide,omitempty"`
 	Retire  *Retire   `json:"retire,omitempty"`
 }
 
-// Found begins a group with its first version.
-type Found struct {
+// Bootstrap begins a group with its first version.
+type Bootstrap struct {
 	Group string `json:"group"`
 	Keep  int    `json:"keep"` // versions kept in the history
 	First Change `json:"first"`
