--- a/broker/broker.go
+++ b/broker/broker.go
@@ -22,33 +22,33 @@
 
 // Part is a piece of a query that one store answers.
 type Part struct {
-	Shard  int
-	Weight float64
-	CostHint   policy.Micros // expected work; 0: not told
-	AffinityKey    uint64        // 0: none
+	Shard       int
+	Weight      float64
+	CostHint    policy.Micros // expected work; 0: not told
+	AffinityKey uint64        // 0: none
 }
 
 // Query is a client's query. Once it is submitted, none of it may change.
 type Query struct {
-	ID       string // new with every try of a client
-	Class    int
-	IdempotencyKey      string    // idempotency key, in a keyed class
-	Payload     []byte    // what each part has to carry, as it came
-	Deadline time.Time // the client leaves then
-	Retry    bool      // the client said that it tries again
-	Parts    []Part
-	Responder     Responder
-	FrontData     any    // the front's own, for its transport
-	Terms    *Terms // by which it was read; nil: by whatever stands when it is taken
+	ID             string // new with every try of a client
+	Class          int
+	IdempotencyKey string    // idempotency key, in a keyed class
+	Payload        []byte    // what each part has to carry, as it came
+	Deadline       time.Time // the client leaves then
+	Retry          bool      // the client said that it tries again
+	Parts          []Part
+	Responder      Responder
+	FrontData      any    // the front's own, for its transport
+	Terms          *Terms // by which it was read; nil: by whatever stands when it is taken
 
 	canceled atomic.Bool // its client has left: seen wherever an attempt waits, before the owner comes to it
 }
 
 // Terms are what queries are served by. Once they are handed in, none of it may change.
 type Terms struct {
-	Version  uint64 // 0: of no agreed configuration
-	Settings policy.Settings
-	FrontData    any // the front's own, for reading queries
+	Version   uint64 // 0: of no agreed configuration
+	Settings  policy.Settings
+	FrontData any // the front's own, for reading queries
 }
 
 // Gate says whether new queries may be taken by terms at this moment, and if not, when to come back. The owner calls
@@ -63,22 +63,22 @@
 
 // The ways a query ends.
 const (
-	Served  Status = iota
+	Served   Status = iota
 	Rejected        // trying again is harmless
 	Failed
 )
 
 // Response is a query's final answer.
 type Response struct {
-	Status   Status
-	Complete    bool          // Served: nothing that a whole answer needs is missing
-	Parts   []PartResult       // Served: of the parts that are in, in the order of the query's parts
-	RetryAfter time.Duration // Refused: how long to wait before another try; 0: no advice
-	DeadlineExceeded     bool          // Refused or Failed: the query's time was up
-	PartsFailed     bool          // Refused or Failed: a part was tried in vain, and not only turned away
-	StaleTerms    bool          // Refused: the terms that it was read by stand no more; read it again
-	GateClosed   bool          // Refused: the gate is closed
-	Version  uint64        // of the terms that the query was taken by
+	Status           Status
+	Complete         bool          // Served: nothing that a whole answer needs is missing
+	Parts            []PartResult  // Served: of the parts that are in, in the order of the query's parts
+	RetryAfter       time.Duration // Refused: how long to wait before another try; 0: no advice
+	DeadlineExceeded bool          // Refused or Failed: the query's time was up
+	PartsFailed      bool          // Refused or Failed: a part was tried in vain, and not only turned away
+	StaleTerms       bool          // Refused: the terms that it was read by stand no more; read it again
+	GateClosed       bool          // Refused: the gate is closed
+	Version          uint64        // of the terms that the query was taken by
 }
 
 // PartResult is what a store gave for a part.
@@ -110,10 +110,10 @@
 
 // Attempt is one sending of a part.
 type Attempt struct {
-	Query  *Query
-	Shard  int
-	Server uint32
-	Deadline  time.Time // nobody waits any longer then
+	Query    *Query
+	Shard    int
+	Server   uint32
+	Deadline time.Time // nobody waits any longer then
 	// RetryDeadline is when the attempt must have been written at the latest: an earlier one of a keyed part may have run, and
 	// stores drop repeats for a while only. Zero: it is no such repeat.
 	RetryDeadline time.Time
--- a/config/config.go
+++ b/config/config.go
@@ -135,7 +135,7 @@
 		Limits: storepool.Limits{
 			MaxInFlight: 1, MaxConnections: s.Int("conns_per_store", 16, 1, 4096),
 			ConnectTimeout: s.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute).Microseconds(),
-			IdleTimeout:       s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds(),
+			IdleTimeout:    s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds(),
 		},
 	}
 	s.Done()
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -61,7 +61,7 @@
 
 type job struct {
 	work   float64
-	counts float64                                 // by its class's mean, as the rule on cold stores has it
+	counts float64                                     // by its class's mean, as the rule on cold stores has it
 	done   func(policy.Status, policy.LoadReport) bool // tells whether anybody waited
 }
 
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -47,7 +47,9 @@
 	}
 	for _, ix := range d.Indices {
 		for _, slice := range ix.Slices {
-			held := func(s storepool.Store) bool { return ((s.RingPosition-slice)%set.RingSize+set.RingSize)%set.RingSize < set.ReplicationFactor }
+			held := func(s storepool.Store) bool {
+				return ((s.RingPosition-slice)%set.RingSize+set.RingSize)%set.RingSize < set.ReplicationFactor
+			}
 			if !slices.ContainsFunc(c.Stores, held) {
 				return nil, fmt.Errorf("index %s: no store here holds slice %d", ix.Name, slice)
 			}
--- a/policy/api.go
+++ b/policy/api.go
@@ -21,29 +21,29 @@
 
 // The kinds of effect.
 const (
-	Idempotent   Idempotency = iota // may be repeated freely
-	IdempotentByKey                // repeats are dropped by the servers for Class.Window
-	NonIdempotent               // must not run twice
+	Idempotent      Idempotency = iota // may be repeated freely
+	IdempotentByKey                    // repeats are dropped by the servers for Class.Window
+	NonIdempotent                      // must not run twice
 )
 
 // Class describes one class of query.
 type Class struct {
-	Name         string
-	LatencyObjective          Micros  // answers within it earn the full worth
-	Timeout       Micros  // the client's whole patience, over all its tries
-	PriorityWeight        float64 // of a whole answer
-	LateWeight    float64 // share of the worth that an answer past the aim earns
-	Idempotency       Idempotency
-	DeduplicationWindow       Micros  // Keyed: how long repeats are dropped, from the first attempt that may have run
-	MinCoverage        float64 // least share of the parts' weight for any answer
-	RequiredCoverage         float64 // share of the weight that makes an answer whole
-	PartialWeight float64 // an answer not whole earns this x share / Need
-	FetchParts   int     // parts of a second step after the first answer; 0: none
+	Name                string
+	LatencyObjective    Micros  // answers within it earn the full worth
+	Timeout             Micros  // the client's whole patience, over all its tries
+	PriorityWeight      float64 // of a whole answer
+	LateWeight          float64 // share of the worth that an answer past the aim earns
+	Idempotency         Idempotency
+	DeduplicationWindow Micros  // Keyed: how long repeats are dropped, from the first attempt that may have run
+	MinCoverage         float64 // least share of the parts' weight for any answer
+	RequiredCoverage    float64 // share of the weight that makes an answer whole
+	PartialWeight       float64 // an answer not whole earns this x share / Need
+	FetchParts          int     // parts of a second step after the first answer; 0: none
 }
 
 // Tenant is one of the customers that share the fleet.
 type Tenant struct {
-	Name         string
+	Name             string
 	QueriesPerSecond float64 // queries a second, over all aggregators, that count in full; 0: unlimited
 }
 
@@ -52,37 +52,37 @@
 // keep stricter than the slacks, leave MaxOpen to the owner and take every replica at its measured latency.
 type Settings struct {
 	InstanceIndex, InstanceCount int // this aggregator's index and how many there are in all
-	Tick          Micros
-	Classes       []Class
-	Tenants       []Tenant
-	OverQuotaWeight     float64 // worth, as a share, of what a tenant sends beyond its allowance
-	Zone          int     // of this aggregator
+	Tick                         Micros
+	Classes                      []Class
+	Tenants                      []Tenant
+	OverQuotaWeight              float64 // worth, as a share, of what a tenant sends beyond its allowance
+	Zone                         int     // of this aggregator
 
 	Shards, RingSize, ReplicationFactor int    // shard s is held by cells (s+j) mod Cells, j from 0 to Reach-1
-	MaxBatchSize            int    // parts that may share one call
-	BatchOverhead             Micros // work that a call costs beside its parts
-	ServersCacheKeys             bool   // a server that met a key lately does less work for it
-
-	MaxAttempts  int  // of a part; 0: as many as the rules allow
-	MaxOpen      int  // queries and parts held; the owner turns further queries away by itself; 0: unlimited
-	AllowHedging bool // a part may have two attempts out at once
-	AllowCancel    bool
+	MaxBatchSize                        int    // parts that may share one call
+	BatchOverhead                       Micros // work that a call costs beside its parts
+	ServersCacheKeys                    bool   // a server that met a key lately does less work for it
+
+	MaxAttempts           int  // of a part; 0: as many as the rules allow
+	MaxOpen               int  // queries and parts held; the owner turns further queries away by itself; 0: unlimited
+	AllowHedging          bool // a part may have two attempts out at once
+	AllowCancel           bool
 	AllowHealthChecks     bool
-	SendRetryAfter    bool   // a refusal's come-back time reaches the client
-	MaxRetryAfter    Micros // longest such time that clients honour
-	LoadByHealthCheckOnly  bool   // servers report their load only when probed
-	PollEndpoints   bool   // the server list comes only after Subscribe
-
-	PollInterval    Micros // AskForList: who has not asked for so long is held to know the list; failed calls count
-	AnswerSlack  Micros
-	DrainGrace   Micros
-	SlowStartFraction    float64 // a server starts at no less than this share of its capacity
-	SlowStartDuration      Micros  // and is warm no later than this
-	OverloadFactor float64 // more than this multiple of what it can do ...
-	OverloadDuration    Micros  // ... for this long fells a cold server
-	RetryBudgetWindow   Micros  // further attempts are budgeted over it; 0: no budget
-	RetryBudgetMinimum   float64
-	RetryBudgetRatio  float64 // of queries and parts taken within the span
+	SendRetryAfter        bool   // a refusal's come-back time reaches the client
+	MaxRetryAfter         Micros // longest such time that clients honour
+	LoadByHealthCheckOnly bool   // servers report their load only when probed
+	PollEndpoints         bool   // the server list comes only after Subscribe
+
+	PollInterval       Micros // AskForList: who has not asked for so long is held to know the list; failed calls count
+	AnswerSlack        Micros
+	DrainGrace         Micros
+	SlowStartFraction  float64 // a server starts at no less than this share of its capacity
+	SlowStartDuration  Micros  // and is warm no later than this
+	OverloadFactor     float64 // more than this multiple of what it can do ...
+	OverloadDuration   Micros  // ... for this long fells a cold server
+	RetryBudgetWindow  Micros  // further attempts are budgeted over it; 0: no budget
+	RetryBudgetMinimum float64
+	RetryBudgetRatio   float64 // of queries and parts taken within the span
 
 	PriceCrossZone, PriceHealthCheck float64 // each per part, against a worth of 1
 }
@@ -126,22 +126,22 @@
 
 // Endpoint is one line of the server list.
 type Endpoint struct {
-	ID       uint32
-	State EndpointState
-	RingPosition     int
-	Zone     int
+	ID           uint32
+	State        EndpointState
+	RingPosition int
+	Zone         int
 	Capacity     float64 // as registered; 0: unknown
-	StartedAt  Micros  // moment of the newest start; 0: long ago
+	StartedAt    Micros  // moment of the newest start; 0: long ago
 }
 
 // LoadReport is a server's account of its own load. A field below zero was not told.
 type LoadReport struct {
-	Inflight float64 // requests it holds
-	Queue    float64 // of these, waiting
-	Utilization     float64 // how busy its cores are, 0 to 1
-	Latency  Micros  // its recent service time
-	Rate     float64 // requests a second
-	Errors   float64 // errors a second
+	Inflight    float64 // requests it holds
+	Queue       float64 // of these, waiting
+	Utilization float64 // how busy its cores are, 0 to 1
+	Latency     Micros  // its recent service time
+	Rate        float64 // requests a second
+	Errors      float64 // errors a second
 }
 
 // NoLoadReport is the report of a server that told nothing.
@@ -175,12 +175,12 @@
 
 // Part is a part of a query, of its first step or, after a first Answer, of the second.
 type Part struct {
-	ID     uint64
-	Number uint64 // of the query it belongs to
-	Shard  int
-	Key    uint64
-	Weight float64 // a step's weights sum to 1
-	CostHint   Micros  // expected work, roughly; 0 or less: not told
+	ID       uint64
+	Number   uint64 // of the query it belongs to
+	Shard    int
+	Key      uint64
+	Weight   float64 // a step's weights sum to 1
+	CostHint Micros  // expected work, roughly; 0 or less: not told
 }
 
 // Status is the way an attempt or a probe ended.
@@ -201,7 +201,7 @@
 // AttemptResult ends one attempt. There is exactly one for each Send.
 type AttemptResult struct {
 	Part    uint64
-	Attempt     int // attempts of a part count from 0 in the order of their Send
+	Attempt int // attempts of a part count from 0 in the order of their Send
 	Server  uint32
 	Status  Status
 	Elapsed Micros
@@ -222,15 +222,15 @@
 // ClientCanceled says that the client of a query left: the query is over, no answer is owed.
 type ClientCanceled struct{ Query uint64 }
 
-func (EndpointList) event()        {}
-func (Reconfigure) event()    {}
-func (EndpointListFailed) event()     {}
-func (Query) event()          {}
-func (Part) event()           {}
-func (AttemptResult) event()        {}
-func (HealthCheckResult) event()    {}
-func (Timer) event()          {}
-func (ClientCanceled) event() {}
+func (EndpointList) event()       {}
+func (Reconfigure) event()        {}
+func (EndpointListFailed) event() {}
+func (Query) event()              {}
+func (Part) event()               {}
+func (AttemptResult) event()      {}
+func (HealthCheckResult) event()  {}
+func (Timer) event()              {}
+func (ClientCanceled) event()     {}
 
 // Action is something to do, in the order given. It is one of the types below that name themselves so.
 type Action interface{ action() }
@@ -244,20 +244,20 @@
 
 // CancelAttempt ends the wait for an attempt. Its outcome still comes.
 type CancelAttempt struct {
-	Part uint64
-	Attempt  int
+	Part    uint64
+	Attempt int
 }
 
 // Answer answers a query from the parts that are in: finally, or, in a class with FetchParts,
 // first to bring the second step's parts and then finally.
 type Answer struct {
-	Query uint64
+	Query    uint64
 	Complete bool
 }
 
 // Reject turns a query away: nothing of it ran twice or unknown, and it may be tried again.
 type Reject struct {
-	Query    uint64
+	Query      uint64
 	RetryAfter Micros // how long the client ought to wait; 0: no advice
 }
 
@@ -279,13 +279,13 @@
 // Log is a line for the people on call.
 type Log struct{ Text string }
 
-func (SendAttempt) action()      {}
-func (CancelAttempt) action()    {}
-func (Answer) action()    {}
-func (Reject) action()    {}
-func (Fail) action()      {}
+func (SendAttempt) action()          {}
+func (CancelAttempt) action()        {}
+func (Answer) action()               {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
 func (CloseIdleConnections) action() {}
-func (HealthCheck) action()     {}
-func (SetTimer) action()      {}
-func (PollEndpoints) action() {}
-func (Log) action()       {}
+func (HealthCheck) action()          {}
+func (SetTimer) action()             {}
+func (PollEndpoints) action()        {}
+func (Log) action()                  {}
--- a/raftnode/group.go
+++ b/raftnode/group.go
@@ -28,22 +28,22 @@
 
 // Config is what an instance is told of its group.
 type Config struct {
-	Name     string
-	DataDirectory   string       // keeps the log; an instance that lost it is another one
-	Listener net.Listener // where the other instances reach it
-	Address  string       // and by which address they know it
-	Key      []byte       // shared by the group; empty: none
-	StalenessBound    time.Duration
-	Voters   []string // where voters are, for an instance that follows; such a one has no listener
-	ServeWhenStale  bool     // serve without a lease rather than refuse
-	Speed    int      // divides Raft's usual times; 0: 1
+	Name           string
+	DataDirectory  string       // keeps the log; an instance that lost it is another one
+	Listener       net.Listener // where the other instances reach it
+	Address        string       // and by which address they know it
+	Key            []byte       // shared by the group; empty: none
+	StalenessBound time.Duration
+	Voters         []string // where voters are, for an instance that follows; such a one has no listener
+	ServeWhenStale bool     // serve without a lease rather than refuse
+	Speed          int      // divides Raft's usual times; 0: 1
 	// SnapshotAfter is how many entries the log may have until it is compacted; 0: Raft's own.
 	SnapshotAfter int
 	Log           *logrus.Entry
 	// Check says whether this instance could serve by a document, Use has it serve by one. Use is called for one
 	// version after another, from one goroutine.
-	Check func(text string) error
-	Activate   func(sharedconfig.Version) error
+	Check    func(text string) error
+	Activate func(sharedconfig.Version) error
 	// OnStep is called before each step that a leader takes with a change ("propose", "check", "decide") and when what was
 	// appended is agreed on ("proposed", "decided"); nil: not. Tests let an instance die there.
 	OnStep func(step string)
--- a/raftnode/operate.go
+++ b/raftnode/operate.go
@@ -84,7 +84,9 @@
 func (n *Node) order(o Command, within time.Duration) sharedconfig.Outcome {
 	switch {
 	case o.Change != nil:
-		return n.wait(within, func(call uint64) sharedconfig.Event { return sharedconfig.ChangeRequested{Call: call, Change: *o.Change} })
+		return n.wait(within, func(call uint64) sharedconfig.Event {
+			return sharedconfig.ChangeRequested{Call: call, Change: *o.Change}
+		})
 	case o.Add != nil:
 		h, err := n.net.Identify(o.Add.Addr, 2*time.Second)
 		if err != nil {
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -9,15 +9,15 @@
 
 // Settings is what a core knows from the start.
 type Settings struct {
-	InstanceID    string // names this instance's folder, and with it the instance, for as long as it exists
-	StalenessBound     Micros // how long a version may be served after it was replaced
-	ServeWhenStale   bool   // serve without a lease rather than refuse
-	Removed   bool   // it was told before that it is no member any more
+	InstanceID     string // names this instance's folder, and with it the instance, for as long as it exists
+	StalenessBound Micros // how long a version may be served after it was replaced
+	ServeWhenStale bool   // serve without a lease rather than refuse
+	Removed        bool   // it was told before that it is no member any more
 	LeaseInterval  Micros // between two asks for a lease
-	CheckTimeout  Micros // how long instances have to check a change
-	CatchUpTimeout   Micros // how long one that joins may take until it has the log
-	ReachableFor  Micros // an instance that asked for a lease within it counts as reachable
-	ChangeTimeout Micros // a caller waits no longer for a change or a membership change
+	CheckTimeout   Micros // how long instances have to check a change
+	CatchUpTimeout Micros // how long one that joins may take until it has the log
+	ReachableFor   Micros // an instance that asked for a lease within it counts as reachable
+	ChangeTimeout  Micros // a caller waits no longer for a change or a membership change
 }
 
 // Defaults are settings for a bound.
@@ -72,8 +72,8 @@
 
 // CheckResult is what an instance says of a change that it was asked to check. Silent: it did not answer.
 type CheckResult struct {
-	Request, Folder string
-	Accepted, TimedOut     bool
+	Request, Folder    string
+	Accepted, TimedOut bool
 	Reason             string
 }
 
@@ -112,8 +112,8 @@
 
 // MembershipChanged says whether SetRoster was agreed on.
 type MembershipChanged struct {
-	Seq uint64
-	OK  bool
+	Seq    uint64
+	OK     bool
 	Reason string
 }
 
@@ -123,21 +123,21 @@
 // Tick is only time that passes.
 type Tick struct{}
 
-func (Applied) event()     {}
-func (Role) event()        {}
-func (Ready) event()       {}
-func (MemberList) event()      {}
-func (ChangeRequested) event()       {}
-func (AppendFailed) event()        {}
-func (CheckResult) event()     {}
-func (LeaseRequested) event()  {}
-func (Verified) event()    {}
-func (LeaseGranted) event()     {}
-func (AddRequested) event()    {}
-func (RemoveRequested) event() {}
-func (MembershipChanged) event()   {}
-func (CaughtUp) event()    {}
-func (Tick) event()        {}
+func (Applied) event()           {}
+func (Role) event()              {}
+func (Ready) event()             {}
+func (MemberList) event()        {}
+func (ChangeRequested) event()   {}
+func (AppendFailed) event()      {}
+func (CheckResult) event()       {}
+func (LeaseRequested) event()    {}
+func (Verified) event()          {}
+func (LeaseGranted) event()      {}
+func (AddRequested) event()      {}
+func (RemoveRequested) event()   {}
+func (MembershipChanged) event() {}
+func (CaughtUp) event()          {}
+func (Tick) event()              {}
 
 // Action is something to do, in the order given. It is one of the types below that name themselves so.
 type Action interface{ action() }
@@ -193,17 +193,17 @@
 // Log is a line for the people on call.
 type Log struct{ Text string }
 
-func (Append) action()    {}
-func (Check) action()     {}
-func (Reply) action()     {}
-func (RequestLease) action()  {}
-func (Verify) action()    {}
-func (AnswerLeaseRequest) action()   {}
-func (ChangeMembership) action() {}
+func (Append) action()             {}
+func (Check) action()              {}
+func (Reply) action()              {}
+func (RequestLease) action()       {}
+func (Verify) action()             {}
+func (AnswerLeaseRequest) action() {}
+func (ChangeMembership) action()   {}
 func (WaitForCatchUp) action()     {}
-func (Activate) action()  {}
-func (NewLease) action()  {}
-func (Log) action()       {}
+func (Activate) action()           {}
+func (NewLease) action()           {}
+func (Log) action()                {}
 
 // Core decides for one instance. Its calls must not overlap.
 type Core struct {
@@ -225,7 +225,7 @@
 	current        *change
 	waits          []LeaseRequested // for the next verification
 	verifying      []LeaseRequested // for the one that is out
-	verified       uint64       // its version
+	verified       uint64           // its version
 	seq            uint64
 	verifyOut      uint64 // 0: none is out
 	heard          map[string]Micros
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -30,14 +30,14 @@
 // CallTimedOut says that a voter did not answer an ask, or that the answer could not be used.
 type CallTimedOut struct{ Seq uint64 }
 
-func (ReplyReceived) event()   {}
-func (CallTimedOut) event() {}
+func (ReplyReceived) event() {}
+func (CallTimedOut) event()  {}
 
 // PollVoter asks the voter at an address: one Told or Silent, if any.
 type PollVoter struct {
-	Seq   uint64
-	Voter Member // of one known by the file alone the address is known
-	Request   PollRequest
+	Seq     uint64
+	Voter   Member // of one known by the file alone the address is known
+	Request PollRequest
 }
 
 func (PollVoter) action() {}
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -64,10 +64,10 @@
 
 // Entry is an entry of the log. Exactly one field is set.
 type Entry struct {
-	Found   *Bootstrap    `json:"found,omitempty"`
-	Propose *Change   `json:"propose,omitempty"`
-	Decide  *Decision `json:"decide,omitempty"`
-	Retire  *Retire   `json:"retire,omitempty"`
+	Found   *Bootstrap `json:"found,omitempty"`
+	Propose *Change    `json:"propose,omitempty"`
+	Decide  *Decision  `json:"decide,omitempty"`
+	Retire  *Retire    `json:"retire,omitempty"`
 }
 
 // Bootstrap begins a group with its first version.
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -23,10 +23,10 @@
 // capture is a transport that hands over what it is given.
 type capture chan *broker.Attempt
 
-func (c capture) Send(_ uint32, call []*broker.Attempt) error { c <- call[0]; return nil }
-func (capture) Cancel(*broker.Attempt)                        {}
-func (capture) CloseIdleConnections(uint32)                              {}
-func (capture) CheckHealth(uint32, func(broker.AttemptResult))            {}
+func (c capture) Send(_ uint32, call []*broker.Attempt) error  { c <- call[0]; return nil }
+func (capture) Cancel(*broker.Attempt)                         {}
+func (capture) CloseIdleConnections(uint32)                    {}
+func (capture) CheckHealth(uint32, func(broker.AttemptResult)) {}
 
 type sink chan broker.Response
 
@@ -260,5 +260,5 @@
 func (frames) AppendCancel(to []byte, id string) []byte {
 	return append(binary.BigEndian.AppendUint32(to, uint32(len(id)+1)), "2"+id...)
 }
-func (frames) AppendHealthCheck(to []byte) []byte          { return to }
+func (frames) AppendHealthCheck(to []byte) []byte    { return to }
 func (frames) Read(r *bufio.Reader) (Message, error) { _, err := r.ReadByte(); return Message{}, err }
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -39,8 +39,8 @@
 // Limits are settings that concern sockets and not the decisions.
 type Limits struct {
 	ConnectTimeout, IdleTimeout policy.Micros
-	MaxInFlight                  int // attempts that one connection carries at once
-	MaxConnections                    int // connections to one store; 0: as many as are needed
+	MaxInFlight                 int // attempts that one connection carries at once
+	MaxConnections              int // connections to one store; 0: as many as are needed
 }
 
 // Codec words what goes between a gatherer and a store.
