--- a/cmd/alderproxy/root.go
+++ b/cmd/alderproxy/root.go
@@ -45,7 +45,7 @@
 
 func root() *cobra.Command {
 	var path string
-	serve := func(*cobra.Command, []string) error { return alderproxy.Serve(path) }
+	serve := func(*cobra.Command, []string) error { return alderproxy.Serve(alderproxy.Options{ConfigPath: path}) }
 	root := &cobra.Command{
 		Use: "alderproxy", Short: "A broker between the services of many teams",
 		Long: "alderproxy takes queries, fans each one out over sharded, replicated stores, and gives every query exactly one\n" +
--- a/members.go
+++ b/membership.go
@@ -14,8 +14,8 @@
 	"alderproxy/storepool"
 )
 
-// tier is the part that a gatherer has in the membership of its platform's tier. The platform has no key.
-func tier(edge *platform.Config) *config.Members {
+// platformMembers is the part that a gatherer has in the membership of its platform's tier. The platform has no key.
+func platformMembers(edge *platform.Config) *config.Members {
 	own := edge.Peers.All[edge.Settings.InstanceIndex]
 	period := time.Second
 	return &config.Members{Listen: edge.Peers.Listen, Group: "tier", Member: membership.Config{
@@ -24,15 +24,15 @@
 	}}
 }
 
-// join starts this instance's part in the membership of its fleet. The platform has the program read the time through
+// startGossip starts this instance's part in the membership of its fleet. The platform has the program read the time through
 // the standard library, which stands still while a machine sleeps; machines there do not.
-func (p *program) join(c *config.Members, onPlatform bool) error {
+func (p *program) startGossip(c *config.Members, onPlatform bool) error {
 	var now func() membership.Micros
 	if onPlatform {
 		began := time.Now()
 		now = func() membership.Micros { return time.Since(began).Microseconds() + 1 }
 	}
-	key, err := secret(c.KeyFile)
+	key, err := readSecret(c.KeyFile)
 	if err != nil {
 		return fmt.Errorf("membership.key_file: %w", err)
 	}
@@ -45,29 +45,29 @@
 		return fmt.Errorf("membership: %w", err)
 	}
 	log := p.log.WithField("instance", c.Member.Name)
-	if p.fleet, err = gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Now: now}); err != nil {
+	if p.gossip, err = gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Now: now}); err != nil {
 		conn.Close()
 		return err
 	}
 	log.WithField("listen", conn.LocalAddr().String()).WithField("address", c.Member.Addr.String()).Info("reachable for members")
 	if o := p.config.OpenSearch; o != nil {
 		self := membership.NameID(c.Member.Name)
-		o.Share = func() (int, int) { return p.fleet.View().Share(self, o.Number, o.Fleet) }
+		o.Share = func() (int, int) { return p.gossip.View().Share(self, o.Number, o.Fleet) }
 	}
 	return nil
 }
 
-// followShare has the OpenSearch front go by its share of what the stores bear, as the view of the fleet changes. The
+// followQuota has the OpenSearch front go by its share of what the stores bear, as the view of the fleet changes. The
 // platform tells its gatherers how many they are.
-func (p *program) followShare() {
-	defer close(p.sharing.done)
+func (p *program) followQuota() {
+	defer close(p.quotaFollower.done)
 	was := [2]int{}
 	for {
-		changed := p.fleet.Changed()
+		changed := p.gossip.Changed()
 		number, fleet := p.config.OpenSearch.Share()
 		if now := [2]int{number, fleet}; now != was {
 			was = now
-			if err := p.reshare(); err != nil {
+			if err := p.applyQuota(); err != nil {
 				p.log.WithError(err).Error("the share of the stores could not be changed")
 			} else {
 				p.log.WithFields(logrus.Fields{"number": number, "fleet": fleet}).Info("share of the stores")
@@ -75,88 +75,88 @@
 		}
 		select {
 		case <-changed:
-		case <-p.sharing.stop:
+		case <-p.quotaFollower.stop:
 			return
 		}
 	}
 }
 
-func (p *program) reshare() error {
-	if a := p.agreement; a != nil {
+func (p *program) applyQuota() error {
+	if a := p.sharedConfig; a != nil {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if a.doc == nil {
+		if a.document == nil {
 			return nil // what it begins with will be drawn anew
 		}
-		search, _, err := a.terms(a.version, a.doc)
+		search, _, err := a.terms(a.version, a.document)
 		if err != nil {
 			return err
 		}
-		return p.search.Use(search)
+		return p.openSearch.Use(search)
 	}
 	terms, err := p.config.OpenSearch.Terms(0, p.config.Own)
 	if err != nil {
 		return err
 	}
-	return p.search.Use(terms)
+	return p.openSearch.Use(terms)
 }
 
-// factEvery is how often this instance's own facts are looked at, and factFor how long one counts that is not told
+// factInterval is how often this instance's own facts are looked at, and factFor how long one counts that is not told
 // anew: beyond the time that it takes to find an instance dead.
 const (
-	factEvery = 2 * time.Second
-	factFor   = 60 * time.Second
+	factInterval = 2 * time.Second
+	factLifetime = 60 * time.Second
 )
 
-// tellFacts tells the fleet what this instance serves by, as it changes, and anew before it expires.
-func (p *program) tellFacts() {
-	defer close(p.telling.done)
-	ticker := time.NewTicker(factEvery)
+// publishFacts tells the fleet what this instance serves by, as it changes, and anew before it expires.
+func (p *program) publishFacts() {
+	defer close(p.factPublisher.done)
+	ticker := time.NewTicker(factInterval)
 	defer ticker.Stop()
 	var told [2]uint64
 	var at time.Time
 	for {
-		if now := p.servedBy(); now != told || time.Since(at) > factFor/3 {
+		if now := p.servedState(); now != told || time.Since(at) > factLifetime/3 {
 			told, at = now, time.Now()
 			for i, key := range []membership.Key[uint64]{membership.Document, membership.Stores} {
 				if now[i] > 0 {
-					p.fleet.Tell(key.Publish(now[i], factFor.Microseconds()))
+					p.gossip.Tell(key.Publish(now[i], factLifetime.Microseconds()))
 				}
 			}
 		}
 		select {
 		case <-ticker.C:
-		case <-p.telling.stop:
+		case <-p.factPublisher.stop:
 			return
 		}
 	}
 }
 
-// servedBy is the version of the agreed document and the digest of all stores that this instance serves by; 0: none.
-func (p *program) servedBy() (by [2]uint64) {
-	if p.agreement != nil {
-		by[0] = p.agreement.node.ServedVersion()
+// servedState is the version of the agreed document and the digest of all stores that this instance serves by; 0: none.
+func (p *program) servedState() (by [2]uint64) {
+	if p.sharedConfig != nil {
+		by[0] = p.sharedConfig.node.ServedVersion()
 	}
 	if c := p.config.OpenSearch; c != nil {
 		by[1] = storepool.Digest(c.Stores)
 	}
-	if p.gatherer != nil {
-		by[1] ^= storepool.Digest(p.gatherer.Stores())
+	if p.aggregator != nil {
+		by[1] ^= storepool.Digest(p.aggregator.Stores())
 	}
 	return by
 }
 
-// part ends this instance's part.
-func (p *program) part() {
-	if p.telling.stop != nil {
-		close(p.telling.stop)
-		<-p.telling.done
+// stopGossip ends this instance's part.
+func (p *program) stopGossip() {
+	if p.factPublisher.stop != nil {
+		close(p.factPublisher.stop)
+		<-p.factPublisher.done
 	}
-	if err := p.fleet.Close(); err != nil {
+	if err := p.gossip.Close(); err != nil {
 		p.log.WithError(err).Warn("membership not closed cleanly")
 	}
-	if p.sharing.stop != nil {
-		close(p.sharing.stop)
-		<-p.sharing.done
+	if p.quotaFollower.stop != nil {
+		close(p.quotaFollower.stop)
+		<-p.quotaFollower.done
 	}
 }
--- a/left_test.go
+++ b/processtest/client_gone_test.go
@@ -1,10 +1,7 @@
-package alderproxy
+package processtest
 
 import (
-	"bytes"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -20,19 +17,19 @@
 // what they asked reaches a store.
 func TestStoppedProcessBeginsNothingForClientsThatLeft(t *testing.T) {
 	s := testserver.NewFrameStore(t)
-	c, _, cl, lines := running(t, settings(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
-	go drainLog(lines)
+	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
+	go discardLog(lines)
 	for round := range 10 {
 		require.NoError(t, c.Process.Signal(syscall.SIGSTOP))
-		require.Eventually(t, func() bool { return stopped(t, c.Process.Pid) }, 5*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return allThreadsStopped(t, c.Process.Pid) }, 5*time.Second, time.Millisecond)
 		for i := range 8 * (round + 1) {
 			left := testserver.Dial(t, cl.RemoteAddr().String()) // the system accepts it
-			ask(left, fmt.Sprintf("left%d-%d", round, i))
+			sendLookup(left, fmt.Sprintf("left%d-%d", round, i))
 			left.Close()
 		}
 		require.NoError(t, c.Process.Signal(syscall.SIGCONT))
 		behind := testserver.Dial(t, cl.RemoteAddr().String())
-		ask(behind, fmt.Sprint("behind", round))
+		sendLookup(behind, fmt.Sprint("behind", round))
 		assert.Equal(t, 200, behind.Read().Status)
 		behind.Close()
 	}
@@ -46,16 +43,3 @@
 	}
 	assert.Empty(t, begun)
 }
-
-// stopped tells that no thread of a process runs: the signal stops them one after another.
-func stopped(t *testing.T, pid int) bool {
-	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
-	require.NoError(t, err)
-	for _, thread := range threads {
-		text, err := os.ReadFile(thread)
-		if _, after, _ := bytes.Cut(text, []byte(") ")); err != nil || !bytes.HasPrefix(after, []byte("T")) {
-			return false
-		}
-	}
-	return len(threads) > 0
-}
--- /dev/null
+++ b/processtest/config_change_test.go
@@ -0,0 +1,170 @@
+package processtest
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/admin"
+	"alderproxy/sharedconfig"
+)
+
+// The leader is killed at each step of a change, also between the two entries. Who asked it is told nothing, and so
+// does not know. Afterwards all have the new version or all the old one; asking again for the same change makes it
+// once, whatever had become of it.
+func TestLeaderKilledAtEachStepOfAChange(t *testing.T) {
+	for _, step := range []string{"propose", "proposed", "check", "decide", "decided"} {
+		t.Run(step, func(t *testing.T) {
+			t.Parallel()
+			r := startCluster(t, 2*time.Second, step)
+			r.transferLeadership("n1")
+			n1, n2 := r.instances["n1"], r.instances["n2"]
+			o, err := n1.client().Put(configPut("change", 1, 2))
+			if err == nil { // its last breath may still have been the answer
+				require.Equal(t, "decided", step)
+				require.Equal(t, sharedconfig.Outcome{Request: "change", Status: sharedconfig.Done, Version: 2}, o)
+			} else {
+				require.ErrorIs(t, err, admin.ErrUnreachable)
+			}
+			<-n1.ended
+			n1.start("")
+			var versions [3]uint64
+			require.Eventually(t, func() bool { // the survivors agree on what became of it, and so does the one that died
+				for k, name := range []string{"n1", "n2", "n3"} {
+					s, err := r.instances[name].client().Status()
+					if err != nil || s.Pending != "" || s.Leader == "" || s.Why != "" {
+						return false
+					}
+					versions[k] = s.Serving
+				}
+				return versions[0] == versions[1] && versions[1] == versions[2]
+			}, 20*time.Second, 20*time.Millisecond)
+			if step == "decided" {
+				assert.Equal(t, uint64(2), versions[0])
+			}
+			o, err = n2.client().Put(configPut("change", 1, 2))
+			require.NoError(t, err)
+			assert.Equal(t, sharedconfig.Outcome{Request: "change", Status: sharedconfig.Done, Version: 2}, o)
+			r.waitUntilServing(2, "n1", "n2", "n3")
+			for _, name := range []string{"n1", "n2", "n3"} {
+				all, err := r.instances[name].client().History(false)
+				require.NoError(t, err)
+				assert.Len(t, all, 2, "made twice")
+			}
+			o, err = n2.client().Put(configPut("other", 1, 3))
+			require.NoError(t, err)
+			assert.Equal(t, sharedconfig.Conflict, o.Status)
+		})
+	}
+}
+
+// A process that is stopped for 20 s and goes on: not even the first query that it finds waiting is served under the
+// version that was replaced meanwhile.
+func TestStoppedInstanceServesNothingReplacedAfterItWakes(t *testing.T) {
+	t.Parallel()
+	r := startCluster(t, time.Second, "")
+	r.transferLeadership("n1")
+	for _, name := range []string{"n3", "n1"} { // one that follows, and the one that leads
+		i := r.instances[name]
+		i.signal(syscall.SIGSTOP)
+		s, err := r.instances["n2"].client().Show(0, false)
+		if name == "n1" { // the others have to find another leader first
+			require.Eventually(t, func() bool { s, err = r.instances["n2"].client().Show(0, false); return err == nil }, 20*time.Second, 50*time.Millisecond)
+		}
+		require.NoError(t, err)
+		o, err := r.instances["n2"].client().Put(configPut("while "+name, s.Number, 10+int(s.Number)))
+		require.NoError(t, err)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+		var waiting []*bufio.Reader
+		for range 5 { // the kernel takes these for it
+			c, err := net.Dial("tcp", i.searchAddr)
+			require.NoError(t, err)
+			defer c.Close()
+			c.SetDeadline(time.Now().Add(40 * time.Second))
+			c.Write(searchRequest())
+			waiting = append(waiting, bufio.NewReader(c))
+		}
+		time.Sleep(20 * time.Second) // not a wait for an event: it is the stop
+		i.signal(syscall.SIGCONT)
+		for _, w := range waiting {
+			status, version, err := readAnswer(w)
+			require.NoError(t, err)
+			assert.True(t, status == 503 && version == "" || status == 200 && version == fmt.Sprint(o.Version), "%s: status %d by version %s", name, status, version)
+		}
+		r.waitUntilServing(o.Version, "n1", "n2", "n3")
+	}
+}
+
+// Two changes for one version: one wins. Whoever is asked, of those that run.
+func TestTwoChangesAtOnce(t *testing.T) {
+	t.Parallel()
+	r := startCluster(t, 2*time.Second, "")
+	for round := range uint64(5) {
+		results := make(chan sharedconfig.Outcome, 3)
+		for k, name := range []string{"n1", "n2", "n3"} {
+			go func() {
+				o, err := r.instances[name].client().Put(configPut(fmt.Sprint(round, name), round+1, 100*int(round)+k+2))
+				if err != nil {
+					o.Why = err.Error()
+				}
+				results <- o
+			}()
+		}
+		count := map[sharedconfig.Status]int{}
+		for range 3 {
+			count[(<-results).Status]++
+		}
+		assert.Equal(t, map[sharedconfig.Status]int{sharedconfig.Done: 1, sharedconfig.Conflict: 2}, count)
+	}
+	r.waitUntilServing(6, "n1", "n2", "n3")
+	for what, text := range map[string]string{ // what a front here could not serve by is active nowhere
+		"index catalogue: no store here holds slice 1":             strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 2\ncells = 2", 1),
+		"the platform's front runs this class with another effect": "[class lookup]\naim = 1s\ngive_up = 2s\neffect = keyed\nwindow = 3s\n",
+		"index catalogue.slices: 1 is not below 1":                 strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 1", 1),
+		"settings: Classes is empty":                               "[layout]\nslices = 2\n",
+	} {
+		o, err := r.instances["n3"].client().Put(admin.Put{Request: what, Expect: 6, Text: text, Author: "test"})
+		if err == nil {
+			assert.Equal(t, sharedconfig.Refused, o.Status)
+			assert.NotEmpty(t, o.Instance)
+			err = errors.New(o.Why)
+		}
+		assert.ErrorContains(t, err, what)
+	}
+	r.waitUntilServing(6, "n1", "n2", "n3")
+}
+
+// Changes while queries run on both fronts, and the leader is killed during one: each query has one final answer,
+// none is refused, and the versions that the answers tell never go back.
+func TestChangesUnderQueryLoadWithTheLeaderKilled(t *testing.T) {
+	t.Parallel()
+	r := startCluster(t, 4*time.Second, "")
+	r.transferLeadership("n1")
+	load := r.startLoad("n2", "n3")
+	client := r.instances["n2"].client()
+	for v := uint64(1); v <= 8; v++ {
+		if v == 4 {
+			go func() { time.Sleep(3 * time.Millisecond); r.instances["n1"].cmd.Process.Kill() }()
+		}
+		var o sharedconfig.Outcome
+		var err error
+		require.Eventually(t, func() bool {
+			o, err = client.Put(configPut(fmt.Sprint("c", v), v, int(v)+1))
+			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
+		}, 20*time.Second, 10*time.Millisecond)
+		require.Equal(t, sharedconfig.Done, o.Status, "%s %v", o.Why, err)
+	}
+	r.waitUntilServing(9, "n2", "n3")
+	sum := load.stop()
+	assert.Empty(t, sum.violations)
+	assert.Zero(t, sum.rejected, "refused though a majority was there")
+	assert.Greater(t, sum.sent, 200)
+}
--- /dev/null
+++ b/processtest/data_directory_test.go
@@ -0,0 +1,92 @@
+package processtest
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/sharedconfig"
+)
+
+// Whatever is wrong with what an instance keeps is one line at its start, and nothing is served.
+func TestSpoiltFolderEndsTheStart(t *testing.T) {
+	t.Parallel()
+	r := startCluster(t, 2*time.Second, "")
+	n3 := r.instances["n3"]
+	n3.signal(syscall.SIGTERM)
+	<-n3.ended
+	require.Equal(t, 0, n3.cmd.ProcessState.ExitCode(), n3.logged())
+	db := filepath.Join(n3.path("folder"), "agreed.db")
+	whole, err := os.ReadFile(db)
+	require.NoError(t, err)
+	run := func() string {
+		var out strings.Builder
+		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+		defer cancel()
+		c := exec.CommandContext(ctx, os.Args[0])
+		c.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+n3.path("ini"))
+		c.Stderr = &out
+		assert.Error(t, c.Run())
+		assert.Equal(t, 1, c.ProcessState.ExitCode(), "it served: %s", out.String())
+		return out.String()
+	}
+	at := strings.Index(string(whole), "worth = 1")
+	require.Positive(t, at)
+	spoilt := []byte(strings.ReplaceAll(string(whole), "worth = 1", "worth = 7"))
+	require.NoError(t, os.WriteFile(db, spoilt, 0o600))
+	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]*agreed.db: [^\n]*spoilt\n$`, run())
+	require.NoError(t, os.WriteFile(db, whole[:9000], 0o600))
+	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]*agreed.db: [^\n]+\n$`, run())
+	require.NoError(t, os.RemoveAll(n3.path("folder")))
+	require.NoError(t, os.WriteFile(n3.path("folder"), nil, 0o600))
+	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]+\n$`, run())
+	require.NoError(t, os.Remove(n3.path("folder")))
+	require.NoError(t, os.Mkdir(n3.path("folder"), 0o700))
+	require.NoError(t, os.WriteFile(db, whole, 0o600))
+	n3.start("")
+	r.waitUntilServing(1, "n3")
+}
+
+// A disk that is full: the instance cannot keep what the others agree on, says so, and stops by the bound; the others
+// go on. With room again it catches up.
+func TestFullDisk(t *testing.T) {
+	t.Parallel()
+	r := startCluster(t, time.Second, "")
+	r.transferLeadership("n1")
+	n3 := r.instances["n3"]
+	n3.signal(syscall.SIGTERM)
+	<-n3.ended
+	f, err := os.Stat(filepath.Join(n3.path("folder"), "agreed.db"))
+	require.NoError(t, err)
+	// No file of this process may grow beyond that: what writing past it brings is what a full disk brings.
+	n3.startCommand("", exec.Command("bash", "-c", fmt.Sprintf("ulimit -f %d; exec %s", f.Size()/1024+64, os.Args[0])))
+	r.waitUntilServing(1, "n3")
+	long := strings.Repeat("# "+strings.Repeat("x", 1000)+"\n", 100)
+	for v := uint64(1); v <= 5; v++ {
+		p := configPut(fmt.Sprint(v), v, int(v)+1)
+		p.Text += long
+		o, err := r.instances["n2"].client().Put(p)
+		require.NoError(t, err)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+	}
+	time.Sleep(time.Second) // the bound
+	status, version, err := n3.search()
+	assert.True(t, err != nil || status == 503, "served by version %s: %s", version, n3.logged())
+	status, version, err = n3.lookup("refused")
+	assert.True(t, err != nil || status == 429, "served by version %s: %s", version, n3.logged())
+	r.waitUntilServing(6, "n1", "n2")
+	n3.cmd.Process.Kill()
+	<-n3.ended
+	assert.Contains(t, n3.logged(), "file too large")
+	n3.start("")
+	r.waitUntilServing(6, "n3")
+}
--- /dev/null
+++ b/processtest/descriptors_test.go
@@ -0,0 +1,94 @@
+package processtest
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/httpwire"
+	"alderproxy/internal/testserver"
+)
+
+// Clients fill what they may of few descriptors, silent ones and ones that wait for silent stores, connections to stores
+// the rest, and discovery is silent meanwhile. A drain that it tells at its return is heard all the same: descriptors are
+// kept for it.
+func TestClientsAtTheBoundLeaveRoomForDiscovery(t *testing.T) {
+	const sockets = 64
+	s := testserver.NewFrameStore(t)
+	recordCalls(s)
+	var entries []string
+	for i := range 24 { // more stores than there is room for connections
+		entries = append(entries, testserver.Entry(fmt.Sprint("s-", i), s, "in_service"))
+	}
+	d := testserver.NewDiscovery(t, entries...)
+	config := strings.Replace(platformConfig(d), `"settings":`, fmt.Sprintf(`"limits":{"sockets":%d},"settings":`, sockets), 1)
+	c, _ := processCommand(t, config)
+	c.Path, c.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %q", sockets, os.Args[0])}
+	out, err := c.StderrPipe()
+	require.NoError(t, err)
+	require.NoError(t, c.Start())
+	t.Cleanup(func() { c.Process.Kill() })
+	lines := bufio.NewScanner(out)
+	addr := waitForLog(t, lines, `msg=serving.*listen="([^"]+)"`)[1]
+	var full atomic.Int64
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for lines.Scan() {
+			if strings.Contains(lines.Text(), "too many open files") {
+				full.Add(1)
+			}
+		}
+	}()
+	d.Silence(true)
+	s.SetFault(testserver.Mute)
+	var clients sync.WaitGroup
+	stop := make(chan struct{})
+	for i := range 3 * sockets {
+		clients.Go(func() {
+			for n := 0; ; n++ {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				nc, err := net.DialTimeout("tcp", addr, time.Second)
+				if err != nil {
+					continue
+				}
+				nc.SetDeadline(time.Now().Add(3 * time.Second))
+				if i%4 > 0 { // the others say nothing
+					nc.Write(lookupRequest(fmt.Sprint("q", i, "-", n)))
+				}
+				httpwire.ReadResponse(bufio.NewReader(nc)) // served, refused, turned away or ended
+				nc.Close()
+			}
+		})
+	}
+	for len(d.Targets) > 0 {
+		<-d.Targets
+	}
+	for range 30 { // calls that are out, each with a descriptor
+		<-d.Targets
+	}
+	d.Silence(false)
+	d.Tell(false, testserver.Entry("s-0", s, "terminating"))
+	heard := fmt.Sprintf("from=%d&", d.Version())
+	require.Eventually(t, func() bool { return strings.Contains(<-d.Targets, heard) }, 5*time.Second, time.Millisecond)
+	close(stop)
+	clients.Wait()
+	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
+	<-ended
+	assert.NoError(t, c.Wait())
+	assert.Zero(t, full.Load(), "descriptors ran out")
+}
--- a/drain_test.go
+++ b/processtest/draining_store_test.go
@@ -1,7 +1,6 @@
-package alderproxy
+package processtest
 
 import (
-	"bufio"
 	"fmt"
 	"strings"
 	"sync"
@@ -17,19 +16,19 @@
 	"alderproxy/internal/testserver"
 )
 
-// arrivals keeps when calls came to a store.
-type arrivals struct {
-	mu    sync.Mutex
-	times []time.Time
+// callTimes keeps when calls came to a store.
+type callTimes struct {
+	mu sync.Mutex
+	at []time.Time
 }
 
-func watchArrivals(s *testserver.Store) *arrivals {
-	a := &arrivals{}
+func recordCalls(s *testserver.Store) *callTimes {
+	a := &callTimes{}
 	go func() {
 		for p := range s.Parts {
 			if p[0] == '1' {
 				a.mu.Lock()
-				a.times = append(a.times, time.Now())
+				a.at = append(a.at, time.Now())
 				a.mu.Unlock()
 			}
 		}
@@ -37,10 +36,10 @@
 	return a
 }
 
-func (a *arrivals) between(from, to time.Time) (n int) {
+func (a *callTimes) between(from, to time.Time) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, t := range a.times {
+	for _, t := range a.at {
 		if t.After(from) && t.Before(to) {
 			n++
 		}
@@ -55,13 +54,13 @@
 func TestNoProcessCallsALeavingStoreHoweverDiscoveryFailed(t *testing.T) {
 	const processes, grace = 4, 550 * time.Millisecond
 	leaving, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
-	came := watchArrivals(leaving)
-	watchArrivals(other)
+	came := recordCalls(leaving)
+	recordCalls(other)
 	in, out := testserver.Entry("s-1", leaving, "in_service"), testserver.Entry("s-1", leaving, "terminating")
 	d := testserver.NewDiscovery(t, in, testserver.Entry("s-2", other, "in_service"))
 	config := func() string {
 		known := fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s,%s]}`, in, testserver.Entry("s-2", other, "in_service"))
-		return strings.Replace(strings.TrimSuffix(settings(d), "}")+known+"}", `"fleet_size":1`, `"fleet_size":300`, 1)
+		return strings.Replace(strings.TrimSuffix(platformConfig(d), "}")+known+"}", `"fleet_size":1`, `"fleet_size":300`, 1)
 	}
 	var served, odd atomic.Int64
 	var id atomic.Int64
@@ -78,7 +77,7 @@
 			default:
 			}
 			cl.SetDeadline(time.Now().Add(10 * time.Second))
-			if _, err := cl.Write(lookup(fmt.Sprint("q", id.Add(1)))); err != nil {
+			if _, err := cl.Write(lookupRequest(fmt.Sprint("q", id.Add(1)))); err != nil {
 				return // its process was killed
 			}
 			resp, err := httpwire.ReadResponse(cl.R)
@@ -96,8 +95,8 @@
 		signal func(syscall.Signal)
 	}
 	begin := func() process {
-		c, _, cl, lines := running(t, config())
-		go drainLog(lines)
+		c, _, cl, lines := startProcess(t, config())
+		go discardLog(lines)
 		for range 8 {
 			clients.Add(1)
 			more := testserver.Dial(t, cl.RemoteAddr().String())
@@ -159,16 +158,3 @@
 	// One that stood still finds its calls late, and in a large fleet lets few of their class in for some seconds.
 	assert.Less(t, odd.Load(), served.Load()/5, "queries suffered")
 }
-
-func lookup(id string) []byte {
-	return httpwire.AppendRequest(nil, "POST", "/lookup", "test", httpwire.Header{
-		{Name: "Request-Id", Value: id},
-		{Name: "Request-Timeout", Value: "2"},
-	}, []byte(`{"slices":[{"slice":0,"mass":1}],"filter":"x"}`))
-}
-
-// drainLog reads a log to its end: a process whose log nobody reads comes to a stop.
-func drainLog(lines *bufio.Scanner) {
-	for lines.Scan() {
-	}
-}
--- /dev/null
+++ b/processtest/followers_test.go
@@ -0,0 +1,72 @@
+package processtest
+
+import (
+	"errors"
+	"fmt"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/admin"
+	"alderproxy/internal/faultnet"
+	"alderproxy/membership"
+	"alderproxy/sharedconfig"
+)
+
+// Three voters and those that follow, while leaders die and versions change: nobody serves a replaced version beyond
+// the bound, and those that follow go on with the voters that are left.
+func TestFollowersThroughLeaderKills(t *testing.T) {
+	t.Parallel()
+	r := startClusterWithFollowers(t, 3*time.Second, "", true, 5)
+	all := r.instanceNames()
+	follow := without(all, "n1", "n2", "n3")
+	load := r.startLoad(follow...)
+	r.faults.All(faultnet.Rule{Loss: 0, Delay: 30 * time.Millisecond})
+	version := uint64(1)
+	for round := range 3 {
+		leader := ""
+		client := r.instances["n1"].client()
+		require.Eventually(t, func() bool { s, err := client.Status(); leader = s.Leader; return err == nil && leader != "" }, 20*time.Second, 20*time.Millisecond)
+		r.instances[leader].signal(syscall.SIGKILL)
+		<-r.instances[leader].ended
+		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
+		var o sharedconfig.Outcome
+		var err error
+		require.Eventually(t, func() bool {
+			o, err = r.instances[asked].client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
+			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
+		}, 20*time.Second, 20*time.Millisecond)
+		require.NoError(t, err)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+		load.versionReplaced(version)
+		version++
+		r.waitUntilServing(version, follow...)
+		r.instances[leader].start("")
+		r.waitUntilServing(version, all...)
+	}
+	// A change given to one that follows is refused with the way to go; what it serves by can be read there.
+	f1 := r.instances["f1"].client()
+	o, err := f1.Put(configPut("elsewhere", version, 99))
+	require.NoError(t, err)
+	assert.Equal(t, sharedconfig.Refused, o.Status)
+	assert.Contains(t, o.Why, r.instances["n2"].peerProxy.Addr())
+	v, err := f1.Show(0, true)
+	require.NoError(t, err)
+	assert.Equal(t, version, v.Number)
+	// All tell the fleet what they serve by: one version, one list of stores.
+	require.Eventually(t, func() bool {
+		values := map[string]int{}
+		for _, m := range r.instances["f2"].members().Members {
+			for _, f := range m.Facts {
+				values[f.Name+" "+f.Value]++
+			}
+		}
+		return len(values) == 2 && values[fmt.Sprint(membership.Document.Name, " ", version)] == len(all)
+	}, 20*time.Second, 50*time.Millisecond)
+	sum := load.stop()
+	assert.Empty(t, sum.violations)
+	t.Logf("%d queries to those that follow, %d refused, through three leader kills", sum.sent, sum.rejected)
+}
--- a/measure_test.go
+++ b/processtest/measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package alderproxy
+package processtest
 
 import (
 	"bufio"
@@ -18,8 +18,10 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
+	"alderproxy"
 	"alderproxy/config"
 	"alderproxy/document"
 	"alderproxy/internal/testserver"
@@ -40,7 +42,7 @@
 	}
 }
 
-func (r *trio) allServe(version uint64, names ...string) bool {
+func (r *cluster) allServe(version uint64, names ...string) bool {
 	for _, name := range names {
 		s, err := r.instances[name].client().Status()
 		if err != nil || s.Serving < version {
@@ -52,12 +54,12 @@
 
 // From put to done, and to active at all three; real processes.
 func TestMeasurePutToActive(t *testing.T) {
-	r := newTrio(t, 5*time.Second, "")
-	r.leadBy("n1")
+	r := startCluster(t, 5*time.Second, "")
+	r.transferLeadership("n1")
 	var done, everywhere []time.Duration
 	for v := uint64(1); v <= 200; v++ {
 		began := time.Now()
-		o, err := r.instances["n2"].client().Put(put(fmt.Sprint(v), v, int(v)+1))
+		o, err := r.instances["n2"].client().Put(configPut(fmt.Sprint(v), v, int(v)+1))
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		done = append(done, time.Since(began))
@@ -72,7 +74,7 @@
 
 // Time without a leader after a kill, and queries that were not served meanwhile.
 func TestMeasureLeaderKilled(t *testing.T) {
-	r := newTrio(t, 5*time.Second, "")
+	r := startCluster(t, 5*time.Second, "")
 	var gaps, puts []time.Duration
 	var asked, lost atomic.Int64
 	for round := range 20 {
@@ -95,7 +97,7 @@
 			go func() {
 				defer wg.Done()
 				for n := 0; !stop.Load(); n++ {
-					status, _, err := r.instances[name].ask()
+					status, _, err := r.instances[name].search()
 					if asked.Add(1); status != 200 || err != nil {
 						lost.Add(1)
 					}
@@ -112,7 +114,7 @@
 		gaps = append(gaps, time.Since(began))
 		v, err := r.instances[others[0]].client().Show(0, false)
 		require.NoError(t, err)
-		o, err := r.instances[others[0]].client().Put(put(fmt.Sprint("after ", round), v.Number, round+1000))
+		o, err := r.instances[others[0]].client().Put(configPut(fmt.Sprint("after ", round), v.Number, round+1000))
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		puts = append(puts, time.Since(began))
@@ -120,7 +122,7 @@
 		wg.Wait()
 		<-r.instances[leader].ended
 		r.instances[leader].start("")
-		r.serving(o.Version, "n1", "n2", "n3")
+		r.waitUntilServing(o.Version, "n1", "n2", "n3")
 	}
 	for what, all := range map[string][]time.Duration{"a new leader is known": gaps, "a change is done": puts} {
 		median, _, most := quantiles(t, all)
@@ -131,8 +133,8 @@
 
 // Throughput and tail of the OpenSearch front during ten changes in ten seconds, beside none; in turns.
 func TestMeasureFrontDuringChanges(t *testing.T) {
-	r := newTrio(t, 5*time.Second, "")
-	r.leadBy("n1")
+	r := startCluster(t, 5*time.Second, "")
+	r.transferLeadership("n1")
 	load := func(changes bool) *hdrhistogram.Histogram {
 		var mu sync.Mutex
 		sum := hdrhistogram.New(1, 10_000_000, 3)
@@ -143,14 +145,14 @@
 			go func() {
 				defer wg.Done()
 				own := hdrhistogram.New(1, 10_000_000, 3)
-				c, err := net.Dial("tcp", r.instances["n2"].search)
+				c, err := net.Dial("tcp", r.instances["n2"].searchAddr)
 				require.NoError(t, err)
 				defer c.Close()
 				c.SetDeadline(end.Add(10 * time.Second))
 				for in := bufio.NewReader(c); time.Now().Before(end); {
 					began := time.Now()
 					c.Write(searchRequest())
-					status, _, err := answered(in)
+					status, _, err := readAnswer(in)
 					require.NoError(t, err)
 					require.Equal(t, 200, status)
 					own.RecordValue(time.Since(began).Microseconds())
@@ -164,7 +166,7 @@
 			time.Sleep(950 * time.Millisecond)
 			v, err := r.instances["n3"].client().Show(0, false)
 			require.NoError(t, err)
-			o, err := r.instances["n3"].client().Put(put(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
+			o, err := r.instances["n3"].client().Put(configPut(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
 			require.NoError(t, err)
 			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
@@ -183,21 +185,23 @@
 
 // Size of the folder and time to start with 1,000 versions, compacted and not.
 func TestMeasureThousandVersions(t *testing.T) {
+	quiet := logrus.New()
+	quiet.SetLevel(logrus.ErrorLevel)
 	for _, after := range []int{100_000, 200} {
 		lone := t.TempDir()
 		text := fmt.Sprintf("[instance]\nid = n1\nfolder = %s\nadmin = 127.0.0.1:0\n[agreement]\nlisten = 127.0.0.1:0\nspeed = 4\nsnapshot_after = %d\n",
 			lone, after)
 		c, err := config.Parse("lone.ini", text)
 		require.NoError(t, err)
-		first := fmt.Sprintf(sharedText, 1)
-		_, err = Init(c, first, "test")
+		first := fmt.Sprintf(documentTemplate, 1)
+		_, err = alderproxy.Init(c, first, "test")
 		require.NoError(t, err)
 		open := func() *raftnode.Node {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			n, err := raftnode.Open(raftnode.Config{
 				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, Speed: 4,
-				SnapshotAfter: after, Log: logger(config.Log{Level: "error"}).WithField("measure", true),
+				SnapshotAfter: after, Log: quiet.WithField("measure", true),
 				Check: func(string) error { return nil }, Activate: func(sharedconfig.Version) error { return nil },
 			})
 			require.NoError(t, err)
@@ -205,7 +209,7 @@
 		}
 		n := open()
 		for v := uint64(1); v < 1000; v++ {
-			text := fmt.Sprintf(sharedText, v+1)
+			text := fmt.Sprintf(documentTemplate, v+1)
 			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
 			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
@@ -228,10 +232,10 @@
 // until one, half and all of the others hold it to be gone, and what each sends meanwhile; then leader kills, and how
 // long a replaced version was served at any time by those that follow.
 func TestMeasureFleetOfProcesses(t *testing.T) {
-	r := newFleet(t, 3*time.Second, "", true, 7)
-	all := r.names()
-	r.agree(all, 30*time.Second)
-	load := r.traffic("n1", "f1")
+	r := startClusterWithFollowers(t, 3*time.Second, "", true, 7)
+	all := r.instanceNames()
+	r.waitForView(all, 30*time.Second)
+	load := r.startLoad("n1", "f1")
 	var one, half, every []time.Duration
 	others := without(all, "f7")
 	sent := func() (n, bytes uint64) {
@@ -267,7 +271,7 @@
 		}
 		every = append(every, time.Since(began))
 		victim.start("")
-		r.agree(all, 30*time.Second)
+		r.waitForView(all, 30*time.Second)
 	}
 	n2, bytes2 := sent()
 	span := time.Since(started).Seconds() * float64(len(others))
@@ -275,13 +279,13 @@
 		m, p99, most := quantiles(t, took)
 		t.Logf("from SIGKILL until known to %s of nine: median %v, p99 %v, most %v; times 5 at the usual ones", what, m, p99, most)
 	}
-	t.Logf("%.1f datagrams and %.0f bytes a member and second at a period of 200 ms; %d deaths logged for 15 kills", float64(n2-n)/span, float64(bytes2-bytes)/span, len(r.fell()))
+	t.Logf("%.1f datagrams and %.0f bytes a member and second at a period of 200 ms; %d deaths logged for 15 kills", float64(n2-n)/span, float64(bytes2-bytes)/span, len(r.loggedDeaths()))
 	sum := load.stop()
-	require.Empty(t, sum.bad)
-	t.Logf("%d queries meanwhile, %d refused", sum.asked, sum.refused)
+	require.Empty(t, sum.violations)
+	t.Logf("%d queries meanwhile, %d refused", sum.sent, sum.rejected)
 
 	follow := without(all, "n1", "n2", "n3")
-	load = r.traffic(follow...)
+	load = r.startLoad(follow...)
 	version := uint64(1)
 	for round := range 6 {
 		leader := ""
@@ -299,20 +303,20 @@
 		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
 		o := sharedconfig.Outcome{}
 		until(t, func() bool {
-			o, _ = r.instances[asked].client().Put(put(fmt.Sprint("round", round), version, int(version)+1))
+			o, _ = r.instances[asked].client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
 			return o.Status == sharedconfig.Done
 		})
-		load.changed(version)
+		load.versionReplaced(version)
 		began := time.Now()
 		version++
 		until(t, func() bool { return r.allServe(version, follow...) })
 		t.Logf("leader kill %d: all seven that follow serve by version %d after %v", round+1, version, time.Since(began))
 		r.instances[leader].start("")
-		r.serving(version, all...)
+		r.waitUntilServing(version, all...)
 	}
 	sum = load.stop()
-	require.Empty(t, sum.bad, "none may serve a replaced version beyond the bound of 3 s")
-	t.Logf("%d queries to those that follow, %d refused", sum.asked, sum.refused)
+	require.Empty(t, sum.violations, "none may serve a replaced version beyond the bound of 3 s")
+	t.Logf("%d queries to those that follow, %d refused", sum.sent, sum.rejected)
 }
 
 // What one gatherer takes at so many stores: a process that has asked each of them, once idle and once while lists come.
@@ -330,9 +334,9 @@
 		}
 		d.Tell(true, entries...)
 		// The list is known at the start, so that its log lines come before anybody waits for the program.
-		c, _, cl, lines := running(t, strings.Replace(settings(d), `"settings"`, fmt.Sprintf(
+		c, _, cl, lines := startProcess(t, strings.Replace(platformConfig(d), `"settings"`, fmt.Sprintf(
 			`"limits":{"sockets":4096,"memory_mb":192},"known":{"version":1,"full":true,"servers":[%s]},"settings"`, strings.Join(entries, ",")), 1))
-		go drainLog(lines)
+		go discardLog(lines)
 		listed := func() string {
 			status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
 			require.NoError(t, err)
@@ -344,7 +348,7 @@
 		}
 		t.Logf("%4d stores, just listed: %s", stores, listed())
 		for i := range 6 * stores {
-			ask(cl, fmt.Sprint("q", i))
+			sendLookup(cl, fmt.Sprint("q", i))
 			require.Equal(t, 200, cl.Read().Status)
 		}
 		t.Logf("%4d stores, %d connections: %s", stores, s.Conns(), listed())
--- a/fleet_test.go
+++ b/processtest/membership_test.go
@@ -1,8 +1,6 @@
-package alderproxy
+package processtest
 
 import (
-	"errors"
-	"fmt"
 	"os"
 	"slices"
 	"strings"
@@ -13,24 +11,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"alderproxy/admin"
 	"alderproxy/gossip"
 	"alderproxy/internal/faultnet"
-	"alderproxy/membership"
 	"alderproxy/sharedconfig"
 )
 
-func (r *trio) names() (all []string) {
-	for name := range r.instances {
-		all = append(all, name)
-	}
-	slices.Sort(all)
-	return all
-}
-
 func (i *instance) members() gossip.Status {
 	s, err := i.client().Members(0)
-	require.NoError(i.trio.t, err, "%s: %s", i.name, i.logged())
+	require.NoError(i.cluster.t, err, "%s: %s", i.name, i.logged())
 	return s
 }
 
@@ -43,8 +31,8 @@
 	return all[k]
 }
 
-// there are the names that an instance holds to be there.
-func (i *instance) there() (all []string) {
+// presentMembers are the names that an instance holds to be there.
+func (i *instance) presentMembers() (all []string) {
 	for _, m := range i.members().Members {
 		if m.State == "alive" || m.State == "suspect" {
 			all = append(all, m.Name)
@@ -53,20 +41,20 @@
 	return all
 }
 
-// agree waits until each of some holds exactly these to be there, and returns how long that took.
-func (r *trio) agree(these []string, within time.Duration) time.Duration {
+// waitForView waits until each of some holds exactly these to be there, and returns how long that took.
+func (r *cluster) waitForView(these []string, within time.Duration) time.Duration {
 	began := time.Now()
 	slices.Sort(these)
 	for _, name := range these {
 		i := r.instances[name]
-		require.Eventually(r.t, func() bool { return slices.Equal(i.there(), these) }, within, 20*time.Millisecond, "%s holds %v to be there, not %v: %s",
-			name, i.there(), these, i.logged())
+		require.Eventually(r.t, func() bool { return slices.Equal(i.presentMembers(), these) }, within, 20*time.Millisecond, "%s holds %v to be there, not %v: %s",
+			name, i.presentMembers(), these, i.logged())
 	}
 	return time.Since(began)
 }
 
-// fell tells which deaths any instance has logged.
-func (r *trio) fell() (all []string) {
+// loggedDeaths tells which deaths any instance has logged.
+func (r *cluster) loggedDeaths() (all []string) {
 	for _, i := range r.instances {
 		for line := range strings.Lines(i.logged()) {
 			if strings.Contains(line, "fleet changed") && strings.Contains(line, "what=dead") {
@@ -77,22 +65,18 @@
 	return all
 }
 
-func without(all []string, out ...string) []string {
-	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(out, n) })
-}
-
 // Nine processes at a fifth of the usual times. What is slow, lost or cut one way is no death; what is killed is one,
 // and known to all; each is logged by one.
 func TestFleetTellsTheSlowFromTheDead(t *testing.T) {
 	t.Parallel()
-	r := newFleet(t, 4*time.Second, "", true, 6)
-	all := r.names()
-	r.agree(all, 20*time.Second)
+	r := startClusterWithFollowers(t, 4*time.Second, "", true, 6)
+	all := r.instanceNames()
+	r.waitForView(all, 20*time.Second)
 	for _, name := range all { // all take a ninth of what the stores bear, though no file says how many they are
 		i := r.instances[name]
 		require.Eventually(t, func() bool { return strings.Contains(i.logged(), "fleet=9") }, 10*time.Second, 20*time.Millisecond, i.logged())
 	}
-	load := r.traffic("n2", "f1", "f6")
+	load := r.startLoad("n2", "f1", "f6")
 	digest := r.instances["n1"].members().Digest
 	for _, name := range all {
 		assert.Equal(t, digest, r.instances[name].members().Digest)
@@ -105,64 +89,64 @@
 	r.instances["f4"].signal(syscall.SIGCONT)
 	time.Sleep(4 * time.Second) // not a wait for an event: nothing is to happen
 	r.faults.Clear()
-	r.agree(all, 10*time.Second)
-	assert.Empty(t, r.fell())
+	r.waitForView(all, 10*time.Second)
+	assert.Empty(t, r.loggedDeaths())
 
 	// f3 no longer hears f2, which hears it: both stay, and f3 can say why.
 	r.faults.Set("f2", "f3", faultnet.Rule{Cut: true})
 	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reach == "one-way" }, 20*time.Second, 50*time.Millisecond)
-	r.agree(all, 10*time.Second)
+	r.waitForView(all, 10*time.Second)
 	assert.Equal(t, "reachable", r.instances["f1"].member("f2").Reach)
 	r.faults.Clear()
 	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reach == "reachable" }, 20*time.Second, 50*time.Millisecond)
-	assert.Empty(t, r.fell())
+	assert.Empty(t, r.loggedDeaths())
 
 	// Killed: known to all, logged once.
 	r.instances["f5"].signal(syscall.SIGKILL)
 	<-r.instances["f5"].ended
-	took := r.agree(without(all, "f5"), 20*time.Second)
+	took := r.waitForView(without(all, "f5"), 20*time.Second)
 	t.Logf("a killed process is out of all views after %v, at a fifth of the usual times", took)
-	require.Eventually(t, func() bool { return len(r.fell()) > 0 }, 5*time.Second, 20*time.Millisecond)
-	assert.Len(t, r.fell(), 1, "each death is logged by one member")
+	require.Eventually(t, func() bool { return len(r.loggedDeaths()) > 0 }, 5*time.Second, 20*time.Millisecond)
+	assert.Len(t, r.loggedDeaths(), 1, "each death is logged by one member")
 	for _, kind := range []string{"folder", "ini"} { // it starts anew, with nothing kept
 		require.NoError(t, os.RemoveAll(r.instances["f5"].path(kind)))
 	}
-	r.instances["f5"].write()
+	r.instances["f5"].writeConfig()
 	r.instances["f5"].start("")
-	r.agree(all, 20*time.Second)
+	r.waitForView(all, 20*time.Second)
 
 	// A planned stop is told as one, at once and before the process has ended.
 	r.instances["f3"].signal(syscall.SIGTERM)
 	require.Eventually(t, func() bool { return r.instances["n1"].member("f3").State == "left" }, 2*time.Second, 10*time.Millisecond)
-	r.agree(without(all, "f3"), 5*time.Second)
+	r.waitForView(without(all, "f3"), 5*time.Second)
 	<-r.instances["f3"].ended
 	assert.Equal(t, 0, r.instances["f3"].cmd.ProcessState.ExitCode(), r.instances["f3"].logged())
-	assert.Len(t, r.fell(), 1)
+	assert.Len(t, r.loggedDeaths(), 1)
 
 	sum := load.stop()
-	assert.Empty(t, sum.bad)
-	t.Logf("%d queries meanwhile, %d refused: the loss met the voters' frames too", sum.asked, sum.refused)
+	assert.Empty(t, sum.violations)
+	t.Logf("%d queries meanwhile, %d refused: the loss met the voters' frames too", sum.sent, sum.rejected)
 }
 
 // Long stops, and a split in two with a leader in the smaller part: who stood still accuses nobody, both sides go on,
 // and after it they are one.
 func TestFleetThroughStopsAndSplits(t *testing.T) {
 	t.Parallel()
-	r := newFleet(t, 4*time.Second, "", true, 5)
-	all := r.names()
-	r.leadBy("n1")
-	r.agree(all, 20*time.Second)
-	load := r.traffic("n2", "n3", "f1")
+	r := startClusterWithFollowers(t, 4*time.Second, "", true, 5)
+	all := r.instanceNames()
+	r.transferLeadership("n1")
+	r.waitForView(all, 20*time.Second)
+	load := r.startLoad("n2", "n3", "f1")
 	for _, span := range []time.Duration{5 * time.Second, 20 * time.Second} { // 25 and 100 s at the usual times: deaths
 		f2 := r.instances["f2"]
 		f2.signal(syscall.SIGSTOP)
 		until := time.Now().Add(span)
-		r.agree(without(all, "f2"), span)
+		r.waitForView(without(all, "f2"), span)
 		time.Sleep(time.Until(until)) // the stop
 		f2.signal(syscall.SIGCONT)
-		r.agree(all, 20*time.Second)
+		r.waitForView(all, 20*time.Second)
 		assert.Contains(t, f2.logged(), "this member stood still")
-		for _, line := range r.fell() {
+		for _, line := range r.loggedDeaths() {
 			assert.Contains(t, line, "[f2]", "who stood still accuses nobody")
 		}
 	}
@@ -176,74 +160,19 @@
 		s, err := client.Status()
 		return err == nil && s.Leader != "" && s.Leader != "n1"
 	}, 20*time.Second, 50*time.Millisecond)
-	o, err := client.Put(put("split", 1, 2))
+	o, err := client.Put(configPut("split", 1, 2))
 	require.NoError(t, err)
 	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
-	load.changed(1)
-	r.agree(there, 30*time.Second)
+	load.versionReplaced(1)
+	r.waitForView(there, 30*time.Second)
 	// Whoever is on the smaller side stops by the bound: it cannot know that its version was not replaced.
 	for _, name := range here {
-		require.Eventually(t, func() bool { s, _, err := r.instances[name].ask(); return err == nil && s == 503 }, 2*r.bound, 50*time.Millisecond, name)
+		require.Eventually(t, func() bool { s, _, err := r.instances[name].search(); return err == nil && s == 503 }, 2*r.stalenessBound, 50*time.Millisecond, name)
 	}
 	r.faults.Clear()
-	r.agree(all, 30*time.Second)
-	r.serving(2, all...)
-	sum := load.stop()
-	assert.Empty(t, sum.bad)
-	t.Logf("%d queries, %d refused", sum.asked, sum.refused)
-}
-
-// Three voters and those that follow, while leaders die and versions change: nobody serves a replaced version beyond
-// the bound, and those that follow go on with the voters that are left.
-func TestFollowersThroughLeaderKills(t *testing.T) {
-	t.Parallel()
-	r := newFleet(t, 3*time.Second, "", true, 5)
-	all := r.names()
-	follow := without(all, "n1", "n2", "n3")
-	load := r.traffic(follow...)
-	r.faults.All(faultnet.Rule{Loss: 0, Delay: 30 * time.Millisecond})
-	version := uint64(1)
-	for round := range 3 {
-		leader := ""
-		client := r.instances["n1"].client()
-		require.Eventually(t, func() bool { s, err := client.Status(); leader = s.Leader; return err == nil && leader != "" }, 20*time.Second, 20*time.Millisecond)
-		r.instances[leader].signal(syscall.SIGKILL)
-		<-r.instances[leader].ended
-		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
-		var o sharedconfig.Outcome
-		var err error
-		require.Eventually(t, func() bool {
-			o, err = r.instances[asked].client().Put(put(fmt.Sprint("round", round), version, int(version)+1))
-			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
-		}, 20*time.Second, 20*time.Millisecond)
-		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
-		load.changed(version)
-		version++
-		r.serving(version, follow...)
-		r.instances[leader].start("")
-		r.serving(version, all...)
-	}
-	// A change given to one that follows is refused with the way to go; what it serves by can be read there.
-	f1 := r.instances["f1"].client()
-	o, err := f1.Put(put("elsewhere", version, 99))
-	require.NoError(t, err)
-	assert.Equal(t, sharedconfig.Refused, o.Status)
-	assert.Contains(t, o.Why, r.instances["n2"].front.Addr())
-	v, err := f1.Show(0, true)
-	require.NoError(t, err)
-	assert.Equal(t, version, v.Number)
-	// All tell the fleet what they serve by: one version, one list of stores.
-	require.Eventually(t, func() bool {
-		values := map[string]int{}
-		for _, m := range r.instances["f2"].members().Members {
-			for _, f := range m.Facts {
-				values[f.Name+" "+f.Value]++
-			}
-		}
-		return len(values) == 2 && values[fmt.Sprint(membership.Document.Name, " ", version)] == len(all)
-	}, 20*time.Second, 50*time.Millisecond)
+	r.waitForView(all, 30*time.Second)
+	r.waitUntilServing(2, all...)
 	sum := load.stop()
-	assert.Empty(t, sum.bad)
-	t.Logf("%d queries to those that follow, %d refused, through three leader kills", sum.asked, sum.refused)
+	assert.Empty(t, sum.violations)
+	t.Logf("%d queries, %d refused", sum.sent, sum.rejected)
 }
--- /dev/null
+++ b/processtest/process_test.go
@@ -0,0 +1,93 @@
+package processtest
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/httpwire"
+	"alderproxy/internal/testserver"
+)
+
+// repositoryRoot is the working directory of the processes: the deployment's own file is found relative to it.
+const repositoryRoot = ".."
+
+func processCommand(t *testing.T, config string) (c *exec.Cmd, path string) {
+	path = filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
+	c = exec.CommandContext(t.Context(), os.Args[0])
+	c.Dir = repositoryRoot
+	c.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG="+path)
+	return c, path
+}
+
+// startProcess starts the program and returns once it is ready, with a client of it and its log.
+func startProcess(t *testing.T, config string) (c *exec.Cmd, path string, cl *testserver.Client, lines *bufio.Scanner) {
+	c, path = processCommand(t, config)
+	out, err := c.StderrPipe()
+	require.NoError(t, err)
+	require.NoError(t, c.Start())
+	t.Cleanup(func() { c.Process.Kill() }) // if the test fails before the program has ended
+	lines = bufio.NewScanner(out)
+	m := waitForLog(t, lines, `msg=serving.*listen="([^"]+)"`)
+	cl = testserver.Dial(t, m[1])
+	require.Eventually(t, func() bool { // as the platform does: clients come once it is ready
+		cl.Send("GET", "/healthz", "")
+		return cl.Read().Status == 200
+	}, 10*time.Second, 5*time.Millisecond)
+	return c, path, cl, lines
+}
+
+// waitForLog reads the log up to a line.
+func waitForLog(t *testing.T, lines *bufio.Scanner, pattern string) []string {
+	for lines.Scan() {
+		if m := regexp.MustCompile(pattern).FindStringSubmatch(lines.Text()); m != nil {
+			return m
+		}
+	}
+	require.Fail(t, "not logged: "+pattern)
+	return nil
+}
+
+func platformConfig(d *testserver.Discovery) string {
+	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, d.Addr,
+		fmt.Sprintf(testserver.Settings, testserver.Lookup, 0, 15_000_000))
+}
+
+func sendLookup(c *testserver.Client, id string) {
+	c.Send("POST", "/lookup", `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", id, "Request-Timeout", "2")
+}
+
+func lookupRequest(id string) []byte {
+	return httpwire.AppendRequest(nil, "POST", "/lookup", "test", httpwire.Header{
+		{Name: "Request-Id", Value: id},
+		{Name: "Request-Timeout", Value: "2"},
+	}, []byte(`{"slices":[{"slice":0,"mass":1}],"filter":"x"}`))
+}
+
+// discardLog reads a log to its end: a process whose log nobody reads comes to a stop.
+func discardLog(lines *bufio.Scanner) {
+	for lines.Scan() {
+	}
+}
+
+// allThreadsStopped tells that no thread of a process runs: the signal stops them one after another.
+func allThreadsStopped(t *testing.T, pid int) bool {
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
+	require.NoError(t, err)
+	for _, thread := range threads {
+		text, err := os.ReadFile(thread)
+		if _, after, _ := bytes.Cut(text, []byte(") ")); err != nil || !bytes.HasPrefix(after, []byte("T")) {
+			return false
+		}
+	}
+	return len(threads) > 0
+}
--- a/restart_test.go
+++ b/processtest/startup_test.go
@@ -1,8 +1,11 @@
-package alderproxy
+package processtest
 
 import (
 	"bufio"
+	"bytes"
 	"fmt"
+	"os"
+	"path/filepath"
 	"runtime"
 	"strings"
 	"testing"
@@ -12,9 +15,34 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
+	"alderproxy/config"
 	"alderproxy/internal/testserver"
+	"alderproxy/platform"
 )
 
+func TestBadStartEndsWithOneLine(t *testing.T) {
+	for name, config := range map[string]string{"empty": "", "cut": `{"listen":`, "no settings": `{}`} {
+		c, _ := processCommand(t, config)
+		var out bytes.Buffer
+		c.Stderr = &out
+		assert.Error(t, c.Run(), name)
+		assert.Regexp(t, `^alderproxy: configuration: [^\n]+\n$`, out.String(), name)
+	}
+}
+
+func TestFilesOfTheRepositoryAreUsable(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "example", "gatherer.json"))
+	require.NoError(t, err)
+	_, err = platform.ParseConfig(text)
+	assert.NoError(t, err)
+	for path, on := range map[string]bool{"deploy/alderproxy.ini": false, "example/alderproxy.ini": true} {
+		c, err := config.Load(filepath.Join(repositoryRoot, path))
+		require.NoError(t, err, path)
+		assert.Equal(t, on, c.OpenSearch != nil, path)
+		assert.Nil(t, c.Agreement, path)
+	}
+}
+
 // A fleet's restart at its worst: all begin at once, share one core, and discovery is silent. Nine in ten take clients
 // within 10 s, by the list that they had.
 func TestNineInTenAreReadyInTimeOnOneCoreWithoutDiscovery(t *testing.T) {
@@ -22,7 +50,7 @@
 	s := testserver.NewFrameStore(t)
 	d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
 	d.Silence(true)
-	config := strings.TrimSuffix(settings(d), "}") + fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s]}}`,
+	config := strings.TrimSuffix(platformConfig(d), "}") + fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s]}}`,
 		testserver.Entry("s-1", s, "in_service"))
 
 	var had, one unix.CPUSet
@@ -38,15 +66,15 @@
 	require.NoError(t, unix.SchedSetaffinity(0, &one))
 	began, ready := time.Now(), make(chan time.Duration, processes)
 	for range processes {
-		c, _ := command(t, config)
+		c, _ := processCommand(t, config)
 		out, err := c.StderrPipe()
 		require.NoError(t, err)
 		require.NoError(t, c.Start())
 		t.Cleanup(func() { c.Process.Kill(); c.Wait() })
 		go func() {
 			lines := bufio.NewScanner(out)
-			cl := testserver.Dial(t, logged(t, lines, `msg=serving.*listen="([^"]+)"`)[1])
-			go drainLog(lines)
+			cl := testserver.Dial(t, waitForLog(t, lines, `msg=serving.*listen="([^"]+)"`)[1])
+			go discardLog(lines)
 			for {
 				if cl.Send("GET", "/healthz", ""); cl.Read().Status == 200 {
 					ready <- time.Since(began)
--- a/agreement.go
+++ b/sharedconfig.go
@@ -20,30 +20,27 @@
 	"alderproxy/sharedconfig"
 )
 
-// agreement is the program's side of its group: it has the fronts serve by each version of the agreed document.
-type agreement struct {
-	p    *program
-	node part
-
-	mu      sync.Mutex
-	version uint64
-	doc     *document.Document              // of the version; nil: none is known yet
-	edge    atomic.Pointer[platform.Config] // the gatherer's; nil: that front is off
+// sharedConfig is the program's side of its group: it has the fronts serve by each version of the agreed document.
+type sharedConfig struct {
+	program *program
+	node    configNode
+
+	mu       sync.Mutex
+	version  uint64
+	document *document.Document              // of the version; nil: none is known yet
+	platform atomic.Pointer[platform.Config] // the gatherer's; nil: that front is off
 }
 
-// part is this instance's part in its group, with a vote or without.
-type part interface {
+// configNode is this instance's part in its group, with a vote or without.
+type configNode interface {
 	admin.Agreement
 	Gate(version uint64) (open bool, comeBack time.Duration)
 	ServedVersion() uint64
 	Close() error
 }
 
-// atStep is set by tests that let an instance die in the middle of a change.
-var atStep func(step string)
-
-// secret reads a file that holds one word.
-func secret(path string) ([]byte, error) {
+// readSecret reads a file that holds one word.
+func readSecret(path string) ([]byte, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -58,27 +55,27 @@
 	return text, nil
 }
 
-// agree starts this instance's part in its group. The fronts start after it.
-func (p *program) agree(edge *platform.Config) error {
+// joinConfigGroup starts this instance's part in its group. The fronts start after it.
+func (p *program) joinConfigGroup(edge *platform.Config) error {
 	c := p.config.Agreement
-	key, err := secret(c.KeyFile)
+	key, err := readSecret(c.KeyFile)
 	if err != nil {
 		return fmt.Errorf("agreement.key_file: %w", err)
 	}
-	a := &agreement{p: p}
-	a.edge.Store(edge)
+	a := &sharedConfig{program: p}
+	a.platform.Store(edge)
 	log := p.log.WithField("instance", p.config.ID)
 	conf := raftnode.Config{
 		Name: p.config.ID, DataDirectory: p.config.Folder, Address: c.Address, Key: key, Voters: c.Follow,
 		StalenessBound: c.StaleAfter, ServeWhenStale: c.ServeStale, Speed: c.Speed, SnapshotAfter: c.SnapshotAfter, Log: log,
-		Check: a.check, Activate: a.use, OnStep: atStep,
+		Check: a.check, Activate: a.activate, OnStep: p.onChangeStep,
 	}
 	if len(c.Follow) > 0 {
 		f, err := raftnode.Follow(conf)
 		if err != nil {
 			return fmt.Errorf("agreement: %w", err)
 		}
-		a.node, p.agreement = f, a
+		a.node, p.sharedConfig = f, a
 		log.WithField("voters", c.Follow).Info("following")
 		return nil
 	}
@@ -94,30 +91,32 @@
 	}
 	a.node = n
 	log.WithField("listen", peers.Addr().String()).WithField("address", c.Address).Info("reachable for instances")
-	p.agreement = a
+	p.sharedConfig = a
 	return nil
 }
 
-func (a *agreement) close() {
+func (a *sharedConfig) close() {
 	if n, votes := a.node.(*raftnode.Node); votes {
 		n.TransferLeadership(time.Second)
 	}
 	if err := a.node.Close(); err != nil {
-		a.p.log.WithError(err).Warn("agreement not closed cleanly")
+		a.program.log.WithError(err).Warn("agreement not closed cleanly")
 	}
 }
 
-// gate is asked by the brokers as they take a query.
-func (a *agreement) gate(t *broker.Terms) (bool, time.Duration) { return a.node.Gate(t.Version) }
+// allowsQueries is asked by the brokers as they take a query.
+func (a *sharedConfig) allowsQueries(t *broker.Terms) (bool, time.Duration) {
+	return a.node.Gate(t.Version)
+}
 
 // terms are what this instance's fronts would serve a document by; an error says why one cannot.
-func (a *agreement) terms(version uint64, d *document.Document) (search, edge *broker.Terms, err error) {
-	if c := a.p.config.OpenSearch; c != nil {
+func (a *sharedConfig) terms(version uint64, d *document.Document) (search, edge *broker.Terms, err error) {
+	if c := a.program.config.OpenSearch; c != nil {
 		if search, err = c.Terms(version, d); err != nil {
 			return nil, nil, err
 		}
 	}
-	if c := a.edge.Load(); c != nil {
+	if c := a.platform.Load(); c != nil {
 		if edge, err = c.Terms(version, d); err != nil {
 			return nil, nil, err
 		}
@@ -126,7 +125,7 @@
 }
 
 // check tells whether this instance could serve by a text.
-func (a *agreement) check(text string) error {
+func (a *sharedConfig) check(text string) error {
 	d, err := document.Parse("document", text)
 	if err != nil {
 		return err
@@ -135,8 +134,8 @@
 	return err
 }
 
-// use has the fronts serve by a version. Those that have not started yet begin with it.
-func (a *agreement) use(v sharedconfig.Version) error {
+// activate has the fronts serve by a version. Those that have not started yet begin with it.
+func (a *sharedConfig) activate(v sharedconfig.Version) error {
 	d, err := document.Parse("document", v.Text)
 	if err != nil {
 		return err
@@ -147,42 +146,42 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.version, a.doc = v.Number, d
-	if a.p.search != nil {
-		if err := a.p.search.Use(search); err != nil {
+	a.version, a.document = v.Number, d
+	if a.program.openSearch != nil {
+		if err := a.program.openSearch.Use(search); err != nil {
 			return err
 		}
 	}
-	if a.p.gatherer != nil {
-		return a.p.gatherer.Use(edge)
+	if a.program.aggregator != nil {
+		return a.program.aggregator.Use(edge)
 	}
 	return nil
 }
 
 // reload has the gatherer serve by a new configuration of its own, under the version that is in force.
-func (a *agreement) reload(c *platform.Config) error {
+func (a *sharedConfig) reload(c *platform.Config) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	terms := &broker.Terms{Settings: c.Settings}
-	if a.doc != nil {
+	if a.document != nil {
 		var err error
-		if terms, err = c.Terms(a.version, a.doc); err != nil {
+		if terms, err = c.Terms(a.version, a.document); err != nil {
 			return err
 		}
 	}
-	if err := a.p.gatherer.Reload(c); err != nil {
+	if err := a.program.aggregator.Reload(c); err != nil {
 		return err
 	}
-	a.edge.Store(c)
-	return a.p.gatherer.Use(terms)
+	a.platform.Store(c)
+	return a.program.aggregator.Use(terms)
 }
 
-// first are the terms that the fronts start with. The lock is held.
-func (a *agreement) first() (search, edge *broker.Terms, err error) {
-	if a.doc != nil {
-		return a.terms(a.version, a.doc)
+// initialTerms are the terms that the fronts start with. The lock is held.
+func (a *sharedConfig) initialTerms() (search, edge *broker.Terms, err error) {
+	if a.document != nil {
+		return a.terms(a.version, a.document)
 	}
-	if c := a.edge.Load(); c != nil {
+	if c := a.platform.Load(); c != nil {
 		edge = &broker.Terms{Settings: c.Settings}
 	}
 	return opensearch.Unknown(), edge, nil
