--- /dev/null
+++ b/httpwire/body.go
@@ -0,0 +1,146 @@
+package httpwire
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+)
+
+// body reads a body by its length, in chunks, or, where a message has neither and toEnd is set, up to the end of the
+// stream. limit is in bytes.
+func (h *head) body(r *bufio.Reader, limit int, toEnd bool) ([]byte, error) {
+	length, coding, err := h.framing()
+	switch {
+	case err != nil:
+		return nil, err
+	case coding != "" && (length != "" || !strings.EqualFold(coding, "chunked")):
+		return nil, fmt.Errorf("%w: transfer coding", ErrMalformed)
+	case coding != "":
+		return h.chunks(r, limit)
+	case length != "":
+		return bodyOfLength(r, length, limit)
+	case toEnd:
+		return bodyToEnd(r, limit)
+	}
+	return nil, nil
+}
+
+// framing returns the values of Content-Length and Transfer-Encoding; empty: the message has no such line. Differing
+// lengths are refused: peers that each believe another one would see different messages.
+func (h *head) framing() (length, coding string, err error) {
+	for _, f := range h.Header {
+		switch {
+		case strings.EqualFold(f.Name, "Content-Length"):
+			if length != "" && length != f.Value {
+				return "", "", fmt.Errorf("%w: two lengths", ErrMalformed)
+			}
+			length = f.Value
+			if length == "" {
+				return "", "", fmt.Errorf("%w: empty length", ErrMalformed)
+			}
+		case strings.EqualFold(f.Name, "Transfer-Encoding"):
+			if coding != "" {
+				return "", "", fmt.Errorf("%w: two codings", ErrMalformed)
+			}
+			coding = f.Value
+		}
+	}
+	return length, coding, nil
+}
+
+func bodyOfLength(r *bufio.Reader, length string, limit int) ([]byte, error) {
+	n, err := strconv.ParseUint(length, 10, 63)
+	if errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(limit) {
+		return nil, bodyTooLarge(limit)
+	}
+	if err != nil || length[0] == '+' {
+		return nil, fmt.Errorf("%w: length", ErrMalformed)
+	}
+	return ReadN(r, nil, int64(n))
+}
+
+func bodyToEnd(r *bufio.Reader, limit int) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
+	if err == nil && len(body) > limit {
+		err = bodyTooLarge(limit)
+	}
+	return body, err
+}
+
+func bodyTooLarge(limit int) error {
+	return fmt.Errorf("%w: body over %d bytes", ErrTooLarge, limit)
+}
+
+// ReadN appends the next n bytes. Memory is allocated as they come, not by the announced length. Its error is
+// io.ErrUnexpectedEOF where the stream ends before.
+func ReadN(r io.Reader, to []byte, n int64) ([]byte, error) {
+	buf := bytes.NewBuffer(to)
+	if _, err := io.CopyN(buf, r, n); err != nil {
+		return nil, unexpectedEOF(err)
+	}
+	return buf.Bytes(), nil
+}
+
+func unexpectedEOF(err error) error {
+	if errors.Is(err, io.EOF) {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+// chunks reads a chunked body and its trailers, which are dropped.
+func (h *head) chunks(r *bufio.Reader, limit int) ([]byte, error) {
+	var body []byte
+	for {
+		size, err := h.chunkSize(r, limit-len(body), limit)
+		if err != nil {
+			return nil, err
+		}
+		if size == 0 {
+			return body, h.skipTrailers(r)
+		}
+		if body, err = ReadN(r, body, size); err != nil {
+			return nil, err
+		}
+		text, err := h.line(r)
+		if err != nil {
+			return nil, unexpectedEOF(err)
+		}
+		if text != "" {
+			return nil, fmt.Errorf("%w: end of chunk", ErrMalformed)
+		}
+	}
+}
+
+// chunkSize reads the line before a chunk, of which at most remaining bytes may come.
+func (h *head) chunkSize(r *bufio.Reader, remaining, limit int) (int64, error) {
+	text, err := h.line(r)
+	if err != nil {
+		return 0, unexpectedEOF(err)
+	}
+	size, _, _ := strings.Cut(text, ";")
+	n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 63)
+	if errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(remaining) {
+		return 0, bodyTooLarge(limit)
+	}
+	if err != nil || size[0] == '+' {
+		return 0, fmt.Errorf("%w: chunk size", ErrMalformed)
+	}
+	return int64(n), nil
+}
+
+func (h *head) skipTrailers(r *bufio.Reader) error {
+	for {
+		text, err := h.line(r)
+		if err != nil {
+			return unexpectedEOF(err)
+		}
+		if text == "" {
+			return nil
+		}
+	}
+}
--- /dev/null
+++ b/httpwire/head.go
@@ -0,0 +1,109 @@
+package httpwire
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// head is the start line and the header lines of a message.
+type head struct {
+	Header
+
+	startLine string
+	remaining int // bytes that the rest of the head may hold
+}
+
+// line reads one line, without its end, and counts it against the limit on the head.
+func (h *head) line(r *bufio.Reader) (string, error) {
+	var text []byte
+	for {
+		piece, err := r.ReadSlice('\n')
+		if h.remaining -= len(piece); h.remaining < 0 {
+			return "", fmt.Errorf("%w: head over %d bytes", ErrTooLarge, MaxHead)
+		}
+		text = append(text, piece...)
+		if err == nil {
+			break
+		}
+		if !errors.Is(err, bufio.ErrBufferFull) {
+			if len(text) > 0 && errors.Is(err, io.EOF) {
+				err = io.ErrUnexpectedEOF
+			}
+			return "", err
+		}
+	}
+	text = bytes.TrimSuffix(text, []byte("\n"))
+	text = bytes.TrimSuffix(text, []byte("\r"))
+	return string(text), nil
+}
+
+// readHead reads the start line and the header lines up to the empty line behind them.
+func readHead(r *bufio.Reader) (*head, error) {
+	h := &head{remaining: MaxHead}
+	var err error
+	for empty := 0; h.startLine == ""; empty++ { // one empty line before a message is tolerated
+		if h.startLine, err = h.line(r); err != nil {
+			return nil, err
+		}
+		if h.startLine == "" && empty > 0 {
+			return nil, fmt.Errorf("%w: no first line", ErrMalformed)
+		}
+	}
+	for {
+		text, err := h.line(r)
+		if err != nil {
+			return nil, unexpectedEOF(err)
+		}
+		if text == "" {
+			return h, nil
+		}
+		name, value, ok := strings.Cut(text, ":")
+		if !ok || !isToken(name) || !isValue(value) {
+			return nil, fmt.Errorf("%w: header line", ErrMalformed)
+		}
+		h.Header = append(h.Header, Field{name, strings.Trim(value, " \t")})
+	}
+}
+
+func isToken(s string) bool {
+	for i := range len(s) {
+		c := s[i]
+		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !letter && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+			return false
+		}
+	}
+	return s != ""
+}
+
+func isValue(s string) bool {
+	for i := range len(s) {
+		if s[i] < 0x20 && s[i] != '\t' || s[i] == 0x7f {
+			return false
+		}
+	}
+	return true
+}
+
+func isVersion(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
+
+// closes reports whether the connection closes after the message.
+func (h *head) closes(version string) bool {
+	for _, f := range h.Header {
+		if strings.EqualFold(f.Name, "Connection") {
+			for _, word := range strings.Split(f.Value, ",") {
+				switch word = strings.TrimSpace(word); {
+				case strings.EqualFold(word, "close"):
+					return true
+				case strings.EqualFold(word, "keep-alive"):
+					return false
+				}
+			}
+		}
+	}
+	return version == "HTTP/1.0"
+}
--- /dev/null
+++ b/httpwire/request.go
@@ -0,0 +1,25 @@
+package httpwire
+
+import (
+	"bufio"
+	"fmt"
+	"strings"
+)
+
+// ReadRequest reads one request. Its error is io.EOF where the peer has closed the connection between requests, or wraps
+// ErrMalformed, ErrTooLarge or the error of the stream.
+func ReadRequest(r *bufio.Reader) (*Request, error) {
+	h, err := readHead(r)
+	if err != nil {
+		return nil, err
+	}
+	words := strings.Split(h.startLine, " ")
+	if len(words) != 3 || !isToken(words[0]) || words[1] == "" || !isValue(words[1]) || !isVersion(words[2]) {
+		return nil, fmt.Errorf("%w: request line", ErrMalformed)
+	}
+	req := &Request{Method: words[0], Target: words[1], Header: h.Header, Close: h.closes(words[2])}
+	if req.Body, err = h.body(r, MaxBody, false); err != nil {
+		return nil, err
+	}
+	return req, nil
+}
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -28,8 +28,8 @@
 	s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			gone <- false
-			go func() { <-release; x.Wake() }()
-			left := x.Wait()
+			go func() { <-release; x.CancelWait() }()
+			left := x.AwaitClientGone()
 			if gone <- left; left {
 				return nil
 			}
@@ -48,7 +48,7 @@
 
 // Clients that keep their connections for good must not crowd out new ones.
 func TestIdleConnectionYieldsToANewOne(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{MaxConns: 4})
+	addr, _, _ := serving(t, &httpwire.Server{MaxConnections: 4})
 	for range 12 {
 		assert.Equal(t, 200, status(testserver.Dial(t, addr), "/"))
 	}
@@ -57,7 +57,7 @@
 // Clients that ask once and stay use up what clients may hold: beyond a bound the one idle longest ends, though nobody
 // new comes.
 func TestTooManyIdleConnectionsYieldAtOnce(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{MaxIdle: 2})
+	addr, _, _ := serving(t, &httpwire.Server{MaxIdleConnections: 2})
 	var clients []*testserver.Client
 	for range 3 {
 		c := testserver.Dial(t, addr)
@@ -89,7 +89,7 @@
 
 // A connection with an open request never yields: the new client is told.
 func TestOpenRequestNeverYields(t *testing.T) {
-	addr, release, gone := serving(t, &httpwire.Server{MaxConns: 2})
+	addr, release, gone := serving(t, &httpwire.Server{MaxConnections: 2})
 	var held []*testserver.Client
 	for range 2 {
 		c := testserver.Dial(t, addr)
@@ -107,7 +107,7 @@
 
 // Who says nothing, or never ends what it sends, is owed an end within seconds.
 func TestClientThatNeverAsksIsEnded(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{FirstLimit: 30 * time.Millisecond})
+	addr, _, _ := serving(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
 		c := testserver.Dial(t, addr)
 		c.Write([]byte(text))
@@ -258,7 +258,7 @@
 		taken, gone := make(chan struct{}), make(chan bool, 1)
 		s := &httpwire.Server{Log: testserver.Log(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 			close(taken)
-			gone <- x.Wait()
+			gone <- x.AwaitClientGone()
 			return nil
 		}}
 		go s.Serve(g)
@@ -324,10 +324,10 @@
 		}
 	}})
 	release := make(chan struct{})
-	s := &httpwire.Server{Log: testserver.Log(), FirstLimit: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.Log(), FirstRequestTimeout: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
-			go func() { <-release; x.Wake() }()
-			x.Wait()
+			go func() { <-release; x.CancelWait() }()
+			x.AwaitClientGone()
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
@@ -369,14 +369,14 @@
 				}
 			}
 			g := newGate(t, h)
-			s := &httpwire.Server{Log: testserver.Log(), MaxConns: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
+			s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
 				return &httpwire.Reply{Status: 200}
 			}}
 			switch {
 			case strings.HasPrefix(name, "yields"):
-				s.MaxConns = 1
+				s.MaxConnections = 1
 			case strings.HasPrefix(name, "too many"):
-				s.MaxIdle = 1
+				s.MaxIdleConnections = 1
 			}
 			go s.Serve(g)
 			t.Cleanup(s.Close)
@@ -419,7 +419,7 @@
 			}
 		},
 	})
-	s := &httpwire.Server{Log: testserver.Log(), MaxConns: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	go s.Serve(g)
 	t.Cleanup(s.Close)
 	cl := testserver.Dial(t, g.Addr().String())
@@ -474,7 +474,7 @@
 func TestAnswerThatNobodyReadsHoldsUpNobody(t *testing.T) {
 	g := newGate(t, nil)
 	writes := make(chan struct{})
-	s := &httpwire.Server{Log: testserver.Log(), WriteLimit: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.Log(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/much" {
 			close(writes)
 			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than two systems' buffers hold
@@ -497,7 +497,7 @@
 // connection ends in order, where a close over what was not read would reset it.
 func TestRequestThatCrossesTheEndIsNotServed(t *testing.T) {
 	for name, s := range map[string]*httpwire.Server{
-		"idle for long": {IdleLimit: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdle: 1},
+		"idle for long": {IdleTimeout: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdleConnections: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var cl *testserver.Client
--- a/opensearch/front.go
+++ b/opensearch/front.go
@@ -90,7 +90,7 @@
 func (it *item) Respond(a broker.Response) {
 	it.answer = a
 	if it.group.left.Add(-1) == 0 {
-		it.group.x.Wake()
+		it.group.x.CancelWait()
 	}
 }
 
@@ -210,7 +210,7 @@
 		if len(out) == 0 {
 			return items
 		}
-		if x.Left() {
+		if x.ClientGone() {
 			return nil
 		}
 		g.left.Store(int32(len(out)))
@@ -221,14 +221,14 @@
 				it.Respond(broker.Response{Status: broker.Rejected})
 			}
 		}
-		if x.Wait() {
+		if x.AwaitClientGone() {
 			f.broker.Cancel(queries...)
 			return nil
 		}
 		if !slices.ContainsFunc(out, func(it *item) bool { return it.answer.StaleTerms }) {
 			return items
 		}
-		x.Rearm()
+		x.ResetWait()
 		again, _ := read(f.broker.Terms())
 		for i, it := range items {
 			if it.bad == nil && it.answer.StaleTerms {
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -408,7 +408,7 @@
 	c := r.ask(t, "/_msearch", "{\"index\":\"catalogue\"}\n{\"size\":7}\n{\"index\":\"families\"}\n{\"size\":7}\n")
 	<-began
 	c.Close()
-	require.Eventually(t, func() bool { return r.server.Conns() == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.server.Connections() == 0 }, 5*time.Second, time.Millisecond)
 	next := r.ask(t, "/catalogue/_search", `{"size":3}`)
 	close(hold)
 	assert.Equal(t, 200, next.Read().Status)
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -105,8 +105,8 @@
 		return open && !s.leave.Load()
 	}}
 	s.server = &httpwire.Server{
-		Handle: f.handle, Log: log, MaxConns: c.MaxConns,
-		Refuse: func(status int, err error) []byte { return appendError(nil, status, "parse_exception", err.Error()) },
+		Handle: f.handle, Log: log, MaxConnections: c.MaxConns,
+		RejectionBody: func(status int, err error) []byte { return appendError(nil, status, "parse_exception", err.Error()) },
 	}
 	go func() {
 		if err := s.server.Serve(s.listen); err != nil {
@@ -129,7 +129,7 @@
 // Stop ends the front: new connections are served until one moment, and what was taken is answered by another.
 func (s *Service) Stop(serveUntil, cutoff time.Time) {
 	s.leave.Store(true)
-	s.server.Leave()
+	s.server.DisableKeepAlive()
 	time.Sleep(time.Until(serveUntil))
 	s.server.Close()
 	<-s.broker.Drain(cutoff)
