--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -49,7 +49,8 @@
 		{"large line", "GET /" + long, "", false, ErrTooLarge},
 	} {
 		req, err := ReadRequest(bufio.NewReader(strings.NewReader(c.text)))
-		if assert.ErrorIs(t, err, c.err, c.name); c.err == nil {
+		require.ErrorIs(t, err, c.err, c.name)
+		if c.err == nil {
 			assert.Equal(t, c.body, string(req.Body), c.name)
 			assert.Equal(t, c.closing, req.Close, c.name)
 			assert.Equal(t, "/a", req.Path(), c.name)
@@ -72,7 +73,8 @@
 		{"large to the end", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", MaxBody+1), "", false, ErrTooLarge},
 	} {
 		resp, err := ReadResponse(bufio.NewReader(strings.NewReader(c.text)))
-		if assert.ErrorIs(t, err, c.err, c.name); c.err == nil {
+		require.ErrorIs(t, err, c.err, c.name)
+		if c.err == nil {
 			assert.Equal(t, c.body, string(resp.Body), c.name)
 			assert.Equal(t, c.closing, resp.Close, c.name)
 		}
@@ -87,16 +89,16 @@
 		if err == nil && len(req.Body) > MaxBody {
 			t.Error("body over the limit")
 		}
-		ReadResponse(bufio.NewReader(strings.NewReader(string(b)))) // must not panic
+		_, _ = ReadResponse(bufio.NewReader(strings.NewReader(string(b)))) // must not panic
 	})
 }
 
 // An answer without a length ends with an orderly end of the connection; a reset on the way is none.
 func TestAnswerWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
 	for _, reset := range []bool{true, false} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		nc, err := net.Dial("tcp", l.Addr().String())
+		nc, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 		require.NoError(t, err)
 		defer nc.Close()
 		peer, err := l.Accept()
@@ -107,7 +109,7 @@
 		_, err = r.Peek(30) // it has come
 		require.NoError(t, err)
 		if reset {
-			peer.(*net.TCPConn).SetLinger(0)
+			require.NoError(t, peer.(*net.TCPConn).SetLinger(0))
 		}
 		peer.Close()
 		resp, err := ReadResponse(r)
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -1,10 +1,8 @@
 package httpwire_test
 
 import (
-	"errors"
 	"io"
 	"net"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,8 +19,8 @@
 // serving starts a server whose handler answers at once, but for /wait: that waits for the channel it returns, or
 // until the client has left. gone tells which, after a first value when the request was taken.
 func serving(t *testing.T, s *httpwire.Server) (addr string, release chan struct{}, gone chan bool) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
+	t.Helper()
+	l := listen(t)
 	release, gone = make(chan struct{}), make(chan bool, 16)
 	s.Log = testserver.Log()
 	s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
@@ -36,11 +34,30 @@
 		}
 		return &httpwire.Reply{Status: 200, Body: []byte("{}")}
 	}
-	go s.Serve(l)
-	t.Cleanup(s.Close)
+	startServing(t, s, l)
 	return l.Addr().String(), release, gone
 }
 
+// startServing serves a listener until the test ends.
+func startServing(t *testing.T, s *httpwire.Server, l net.Listener) {
+	t.Helper()
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(s.Close)
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	return l
+}
+
+func write(t *testing.T, c io.Writer, text string) {
+	t.Helper()
+	_, err := c.Write([]byte(text))
+	require.NoError(t, err)
+}
+
 func status(c *testserver.Client, target string) int {
 	c.Send("GET", target, "")
 	return c.Read().Status
@@ -110,7 +127,7 @@
 	addr, _, _ := serving(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
 		c := testserver.Dial(t, addr)
-		c.Write([]byte(text))
+		write(t, c, text)
 		got, _ := c.R.ReadString(' ')
 		rest, _ := c.R.ReadString(' ')
 		assert.Equal(t, want, strings.TrimSpace(got+rest))
@@ -149,75 +166,12 @@
 	assert.Equal(t, 413, c.Read().Status)
 }
 
-// gated is a connection of the server's with hooks before and after what the server does to it.
-type gated struct {
-	*net.TCPConn
-	*hooks
-}
-
-// hooks tell of calls on a connection, and hold them up. Each may be nil.
-type hooks struct {
-	deadline func(at time.Time, set func()) // around SetReadDeadline
-	read     func()                         // before Read
-	end      func()                         // before CloseWrite or Close, whichever comes first
-	once     sync.Once
-}
-
-func (g gated) SetReadDeadline(at time.Time) error {
-	if g.deadline == nil {
-		return g.TCPConn.SetReadDeadline(at)
-	}
-	g.deadline(at, func() { g.TCPConn.SetReadDeadline(at) })
-	return nil
-}
-
-func (g gated) Read(b []byte) (int, error) {
-	if g.read != nil {
-		g.read()
-	}
-	return g.TCPConn.Read(b)
-}
-
-func (g gated) CloseWrite() error { g.ending(); return g.TCPConn.CloseWrite() }
-func (g gated) Close() error      { g.ending(); return g.TCPConn.Close() }
 func (g gated) ending() {
 	if g.end != nil {
 		g.once.Do(g.end)
 	}
 }
 
-// gate is a listener whose connections have hooks, the first of them its own.
-type gate struct {
-	*net.TCPListener
-	accept func() // before Accept
-	none   func() // after an Accept that found nothing in its time
-	first  *hooks
-}
-
-func (g *gate) Accept() (net.Conn, error) {
-	if g.accept != nil {
-		g.accept()
-	}
-	c, err := g.TCPListener.Accept()
-	if errors.Is(err, os.ErrDeadlineExceeded) && g.none != nil {
-		g.none()
-	}
-	if err != nil {
-		return nil, err
-	}
-	h := g.first
-	if g.first = nil; h == nil {
-		h = &hooks{}
-	}
-	return gated{c.(*net.TCPConn), h}, nil
-}
-
-func newGate(t *testing.T, first *hooks) *gate {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	return &gate{TCPListener: l.(*net.TCPListener), first: first}
-}
-
 // Connections come between the server's last look for one and the close of its listener: they are served.
 func TestConnectionThatComesBeforeTheListenerClosesIsServed(t *testing.T) {
 	g := newGate(t, nil)
@@ -237,7 +191,7 @@
 	go func() { done <- s.Serve(g) }()
 	require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
 	s.Close()
-	assert.NoError(t, <-done)
+	require.NoError(t, <-done)
 	require.Len(t, late, 3)
 	for _, c := range late {
 		resp := c.Read()
@@ -261,8 +215,7 @@
 			gone <- x.AwaitClientGone()
 			return nil
 		}}
-		go s.Serve(g)
-		t.Cleanup(s.Close)
+		startServing(t, s, g)
 		c := testserver.Dial(t, g.Addr().String())
 		c.Send("GET", "/", "")
 		<-taken
@@ -331,8 +284,7 @@
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
-	go s.Serve(g)
-	t.Cleanup(s.Close)
+	startServing(t, s, g)
 	c := testserver.Dial(t, g.Addr().String())
 	close(release)
 	assert.Equal(t, 200, status(c, "/wait"))
@@ -346,12 +298,12 @@
 func TestRequestThatCameBeforeTheEndIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool // request of the connection
-		end   func(*httpwire.Server, string, *testing.T)
+		end   func(t *testing.T, s *httpwire.Server, addr string)
 	}{
-		"closes, resting":   {false, func(s *httpwire.Server, _ string, _ *testing.T) { s.Close() }},
-		"closes, new":       {true, func(s *httpwire.Server, _ string, _ *testing.T) { s.Close() }},
-		"yields, resting":   {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(testserver.Dial(t, addr), "/") }},
-		"too many, resting": {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(testserver.Dial(t, addr), "/") }},
+		"closes, resting":   {false, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"closes, new":       {true, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"yields, resting":   {false, func(t *testing.T, _ *httpwire.Server, addr string) { t.Helper(); status(testserver.Dial(t, addr), "/") }},
+		"too many, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) { t.Helper(); status(testserver.Dial(t, addr), "/") }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold, reached := make(chan struct{}), make(chan struct{}, 64)
@@ -378,15 +330,14 @@
 			case strings.HasPrefix(name, "too many"):
 				s.MaxIdleConnections = 1
 			}
-			go s.Serve(g)
-			t.Cleanup(s.Close)
+			startServing(t, s, g)
 			cl := testserver.Dial(t, g.Addr().String())
 			if !c.first {
 				require.Equal(t, 200, status(cl, "/"))
 			}
 			<-reached
 			cl.Send("GET", "/", "")
-			c.end(s, g.Addr().String(), t)
+			c.end(t, s, g.Addr().String())
 			select {
 			case <-told:
 			case <-time.After(5 * time.Second):
@@ -420,15 +371,14 @@
 		},
 	})
 	s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
-	go s.Serve(g)
-	t.Cleanup(s.Close)
+	startServing(t, s, g)
 	cl := testserver.Dial(t, g.Addr().String())
-	cl.Write([]byte("GET / HTTP/1.1\r\n"))
+	write(t, cl, "GET / HTTP/1.1\r\n")
 	<-reached
 	yields.Store(true)
 	other := testserver.Dial(t, g.Addr().String())
 	<-yielded
-	cl.Write([]byte("\r\n"))
+	write(t, cl, "\r\n")
 	time.Sleep(60 * time.Millisecond) // three times a last look
 	close(hold)
 	assert.Equal(t, 200, cl.Read().Status)
@@ -465,7 +415,7 @@
 	for _, c := range late {
 		assert.Equal(t, 200, c.Read().Status)
 	}
-	assert.NoError(t, <-done)
+	require.NoError(t, <-done)
 	assert.True(t, s.Wait(5*time.Second))
 }
 
@@ -481,8 +431,7 @@
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
-	go s.Serve(g)
-	t.Cleanup(s.Close)
+	startServing(t, s, g)
 	other := testserver.Dial(t, g.Addr().String())
 	require.Equal(t, 200, status(other, "/"))
 	testserver.Dial(t, g.Addr().String()).Send("GET", "/much", "")
@@ -512,8 +461,7 @@
 			served := make(chan string, 16)
 			s.Log = testserver.Log()
 			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply { served <- x.Path(); return &httpwire.Reply{Status: 200} }
-			go s.Serve(g)
-			t.Cleanup(s.Close)
+			startServing(t, s, g)
 			cl = testserver.Dial(t, g.Addr().String())
 			require.Equal(t, 200, status(cl, "/"))
 			switch name {
@@ -525,7 +473,7 @@
 				<-served
 			}
 			_, err := cl.R.Peek(1)
-			assert.ErrorIs(t, err, io.EOF)
+			require.ErrorIs(t, err, io.EOF)
 			assert.Equal(t, "/", <-served)
 			assert.Empty(t, served)
 		})
