--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -50,11 +50,11 @@
 
 func (h *hand) query(class, parts int) (uint64, []Event) {
 	h.id += 100
-	c := h.a.set.Classes[class]
+	c := h.a.settings.Classes[class]
 	events := []Event{Query{ID: h.id, Number: h.id, Class: class, Deadline: h.now + c.Timeout, Parts: parts}}
 	for i := range parts {
 		events = append(events, Part{
-			ID: h.id + uint64(i) + 1, Number: h.id, Shard: i % h.a.set.Shards,
+			ID: h.id + uint64(i) + 1, Number: h.id, Shard: i % h.a.settings.Shards,
 			Weight: 1 / float64(parts),
 		})
 	}
@@ -74,7 +74,7 @@
 func (h *hand) teach(class, n int, latency Micros) {
 	for range n {
 		_, events := h.query(class, 1)
-		sent := pick[SendAttempt](h.step(h.a.set.Tick, events...))
+		sent := pick[SendAttempt](h.step(h.a.settings.Tick, events...))
 		for _, s := range sent {
 			h.step(latency, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Elapsed: latency, Report: NoLoadReport})
 		}
@@ -107,8 +107,8 @@
 		h := newHand(t, handSettings())
 		id, events := h.query(class, 3)
 		h.step(0, events...)
-		for end := h.now + h.a.set.Classes[class].Timeout; h.now < end-h.a.set.Tick; {
-			h.step(h.a.set.Tick, Timer{})
+		for end := h.now + h.a.settings.Classes[class].Timeout; h.now < end-h.a.settings.Tick; {
+			h.step(h.a.settings.Tick, Timer{})
 		}
 		if h.finals(id) != 1 {
 			t.Errorf("class %d: %d final answers before its time was up, want 1", class, h.finals(id))
@@ -154,7 +154,7 @@
 	h := newHand(t, handSettings(), servers[:2]...) // 3 is gone, 2 drains
 	for range 20 {
 		_, events := h.query(0, 3)
-		h.step(h.a.set.Tick, events...)
+		h.step(h.a.settings.Tick, events...)
 	}
 	sent := pick[SendAttempt](h.log)
 	if len(sent) == 0 {
@@ -168,8 +168,8 @@
 	h = newHand(t, handSettings(), servers...) // and the place that sends holds the rule by itself
 	_, events := h.query(0, 1)
 	h.a.Step(h.now, events)
-	q := h.a.open[0]
-	q.parts[0].state, q.parts[0].tries, q.parts[0].live, h.a.servers[3].out = waiting, 0, nil, nil
+	q := h.a.openQueries[0]
+	q.parts[0].state, q.parts[0].attempts, q.parts[0].inFlight, h.a.servers[3].inFlight = partQueued, 0, nil, nil
 	if h.a.send(q.parts[0], h.a.servers[2]) || !h.a.send(q.parts[0], h.a.servers[3]) {
 		t.Fatal("send takes a draining server, or no ready one")
 	}
@@ -187,7 +187,7 @@
 		h := newHand(t, s)
 		h.teach(0, 60, work)
 		for range 40 {
-			h.a.hear(h.a.servers[1], report)
+			h.a.recordLoad(h.a.servers[1], report)
 		}
 		hands = append(hands, h)
 	}
@@ -196,15 +196,15 @@
 	for now := start; now < start+s.SlowStartDuration; now += 4 * s.Tick {
 		for _, h := range hands {
 			h.now = now
-			for _, q := range h.a.open { // what waits is as good as gone
-				h.a.close(q)
+			for _, q := range h.a.openQueries { // what waits is as good as gone
+				h.a.closeQuery(q)
 			}
 			_, query := h.query(0, 1)
 			acts := h.step(0, append(query, EndpointList{[]Endpoint{{ID: 9, State: Ready, StartedAt: start}}})...)
 			for _, p := range pick[SendAttempt](acts) {
 				sent = append(sent, now)
 				h.step(0, AttemptResult{Part: p.Part, Server: 9, Status: OK, Report: NoLoadReport})
-				h.a.classes[0].ref, h.a.refAll, h.a.work = work, work, work // answered at once only for the window's sake
+				h.a.classes[0].referenceLatency, h.a.meanLatency, h.a.baseLatency = work, work, work // answered at once only for the window's sake
 			}
 		}
 		in := 0.0
@@ -214,7 +214,7 @@
 			}
 		}
 		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-start)/float64(s.SlowStartDuration)
-		most = max(most, in/(s.OverloadFactor*share*float64(s.OverloadDuration)*hands[0].a.bears))
+		most = max(most, in/(s.OverloadFactor*share*float64(s.OverloadDuration)*hands[0].a.sustainedRate))
 	}
 	return most, work * float64(len(sent)) / float64(s.SlowStartDuration)
 }
@@ -248,7 +248,7 @@
 			sent = append(sent, pick[SendAttempt](h.step(1000, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport}))...)
 		}
 		for range 360 {
-			h.step(h.a.set.Tick, Timer{})
+			h.step(h.a.settings.Tick, Timer{})
 		}
 		answers := pick[Answer](h.log)
 		if want := btoi(in >= 4); len(answers) != want {
@@ -266,14 +266,14 @@
 	for range 40 {
 		_, events := h.query(0, 1)
 		taken += len(events)
-		acts := h.step(h.a.set.Tick, events...)
+		acts := h.step(h.a.settings.Tick, events...)
 		for range 3 {
 			var outcomes []Event
 			for _, s := range pick[SendAttempt](acts) {
 				p := h.a.parts[s.Part]
-				outcomes = append(outcomes, AttemptResult{Part: s.Part, Attempt: p.tries - 1, Server: s.Server, Status: ServerError, Report: NoLoadReport})
+				outcomes = append(outcomes, AttemptResult{Part: s.Part, Attempt: p.attempts - 1, Server: s.Server, Status: ServerError, Report: NoLoadReport})
 			}
-			acts = h.step(h.a.set.Tick, outcomes...)
+			acts = h.step(h.a.settings.Tick, outcomes...)
 		}
 	}
 	tries := map[uint64]int{}
@@ -282,7 +282,7 @@
 		further += btoi(tries[s.Part] > 0)
 		tries[s.Part]++
 	}
-	if limit := int(h.a.set.RetryBudgetMinimum + h.a.set.RetryBudgetRatio*float64(taken)); further == 0 || further > limit {
+	if limit := int(h.a.settings.RetryBudgetMinimum + h.a.settings.RetryBudgetRatio*float64(taken)); further == 0 || further > limit {
 		t.Fatalf("%d further attempts, want some and at most %d", further, limit)
 	}
 }
@@ -292,14 +292,14 @@
 func TestSharesFollowUtility(t *testing.T) {
 	h := newHand(t, handSettings())
 	for id, f := range map[uint32]float64{1: 1, 2: 2, 3: 2} {
-		h.a.servers[id].factor, h.a.servers[id].touched = f, h.now
+		h.a.servers[id].latencyRatio, h.a.servers[id].sampledAt = f, h.now
 	}
 	counts := map[uint32]int{}
 	for range 400 {
-		q := &query{cls: h.a.classes[0]}
-		p := &part{q: q, state: waiting, size: 1}
+		q := &query{class: h.a.classes[0]}
+		p := &part{query: q, state: partQueued, relativeCost: 1}
 		h.a.parts[0] = p
-		s := h.a.deal(p)
+		s := h.a.chooseReplica(p)
 		if len(counts) == 0 && s.ID != 1 {
 			t.Errorf("the first part went to server %d, not to the best", s.ID)
 		}
@@ -331,17 +331,17 @@
 func TestReportsMoveChoices(t *testing.T) {
 	h := newHand(t, handSettings())
 	h.teach(0, 30, 200_000)
-	p := &part{q: &query{cls: h.a.classes[0]}, size: 1}
-	before := h.a.predict(h.a.servers[2], p)
+	p := &part{query: &query{class: h.a.classes[0]}, relativeCost: 1}
+	before := h.a.predictLatency(h.a.servers[2], p)
 	r := NoLoadReport
 	r.Inflight = 8
-	h.a.hear(h.a.servers[2], r)
-	if after := h.a.predict(h.a.servers[2], p); after < 2*before {
+	h.a.recordLoad(h.a.servers[2], r)
+	if after := h.a.predictLatency(h.a.servers[2], p); after < 2*before {
 		t.Errorf("a report of eight in hand moved the prediction from %v to %v only", before, after)
 	}
 	h.now += h.a.classes[0].LatencyObjective * 2
 	h.step(0)
-	if old := h.a.predict(h.a.servers[2], p); math.Abs(old-before) > 0.2*before {
+	if old := h.a.predictLatency(h.a.servers[2], p); math.Abs(old-before) > 0.2*before {
 		t.Errorf("an old report still counts: %v against %v", old, before)
 	}
 }
@@ -353,7 +353,7 @@
 	h := newHand(t, handSettings())
 	for range 10 {
 		_, events := h.query(0, 3)
-		h.step(h.a.set.Tick, events...)
+		h.step(h.a.settings.Tick, events...)
 	}
 	if n := len(pick[Reject](h.log)); n > 0 {
 		t.Fatalf("%d of the first ten queries refused", n)
@@ -365,7 +365,7 @@
 	h.teach(0, 30, 200_000)
 	s := h.a.servers[2]
 	_, events := h.query(0, 3)
-	for _, sent := range pick[SendAttempt](h.step(h.a.set.Tick, events...)) {
+	for _, sent := range pick[SendAttempt](h.step(h.a.settings.Tick, events...)) {
 		if sent.Server == 2 {
 			h.step(1000, AttemptResult{Part: sent.Part, Server: 2, Status: ServerError, Report: NoLoadReport})
 		}
@@ -379,7 +379,7 @@
 	h := newHand(t, handSettings())
 	h.teach(0, 30, 200_000)
 	_, events := h.query(0, 3)
-	h.step(h.a.set.Tick, events...)
+	h.step(h.a.settings.Tick, events...)
 	h.step(900_000, Timer{})
 	if !h.a.isOutlier(h.a.servers[1]) {
 		t.Fatalf("silent for several latencies, yet slowness is %v", h.a.slowness(h.a.servers[1]))
@@ -392,7 +392,7 @@
 	set.RetryBudgetWindow = 0
 	h := newHand(t, set)
 	h.teach(0, 50, 1000)
-	if n := len(h.a.taken) + len(h.a.further); n > 0 {
+	if n := len(h.a.acceptedHistory) + len(h.a.retryHistory); n > 0 {
 		t.Errorf("%d entries are kept for good", n)
 	}
 }
@@ -402,7 +402,7 @@
 	h := newHand(t, handSettings(), ready(1)...)
 	h.teach(0, 20, 100_000)
 	id, events := h.query(0, 2)
-	for _, s := range pick[SendAttempt](h.step(h.a.set.Tick, events...)) {
+	for _, s := range pick[SendAttempt](h.step(h.a.settings.Tick, events...)) {
 		h.step(1000, AttemptResult{Part: s.Part, Server: 1, Status: ConnectionBroken, Report: NoLoadReport})
 	}
 	if h.finals(id) > 0 {
@@ -413,19 +413,19 @@
 // Resets cost a shard's only replica its rank, not its queries: they end at once, and what they hit is asked again.
 func TestOnlyReplicaThatResetsIsNotHeldToBeSlow(t *testing.T) {
 	h := newHand(t, handSettings(), ready(1)...)
-	aim := h.a.set.Classes[0].LatencyObjective
-	h.a.set.RetryBudgetWindow = 0
+	aim := h.a.settings.Classes[0].LatencyObjective
+	h.a.settings.RetryBudgetWindow = 0
 	h.teach(0, 20, aim/10)
 	for range 8 { // each first attempt breaks
 		_, events := h.query(0, 1)
-		sent := pick[SendAttempt](h.step(h.a.set.Tick, events...))
+		sent := pick[SendAttempt](h.step(h.a.settings.Tick, events...))
 		sent = pick[SendAttempt](h.step(aim/100, AttemptResult{Part: sent[0].Part, Server: 1, Status: ConnectionBroken, Report: NoLoadReport}))
 		h.step(aim/10, AttemptResult{Part: sent[0].Part, Attempt: 1, Server: 1, Status: OK, Report: NoLoadReport})
 	}
-	for range int(h.a.window()) + 1 { // one more than finds room
+	for range int(h.a.concurrencyLimit()) + 1 { // one more than finds room
 		_, events := h.query(0, 1)
 		if got := pick[Reject](h.step(0, events...)); len(got) > 0 {
-			t.Fatalf("refused behind %d of its parts: slowness %.1f", len(h.a.servers[1].out), h.a.slowness(h.a.servers[1]))
+			t.Fatalf("refused behind %d of its parts: slowness %.1f", len(h.a.servers[1].inFlight), h.a.slowness(h.a.servers[1]))
 		}
 	}
 	if !h.a.isOutlier(h.a.servers[1]) {
@@ -437,7 +437,7 @@
 	h := newHand(t, handSettings())
 	h.teach(0, 60, 100_000)
 	h.teach(0, 60, 250_000)
-	for _, s := range h.a.order {
+	for _, s := range h.a.serversByID {
 		if h.a.isOutlier(s) {
 			t.Errorf("server %d is an outlier though all slowed alike", s.ID)
 		}
@@ -498,12 +498,12 @@
 				back = append(back, HealthCheckResult{Server: id + 1, Status: OK, Report: NoLoadReport})
 			}
 		}
-		h.step(h.a.set.Tick, back...)
-		h.step(h.a.set.Tick, Timer{})
+		h.step(h.a.settings.Tick, back...)
+		h.step(h.a.settings.Tick, Timer{})
 		for range 3 { // a share of the parts would go there by utility alone
 			_, events := h.query(0, 1)
 			h.step(0, events...)
-			h.step(2*h.a.set.Tick, Timer{})
+			h.step(2*h.a.settings.Tick, Timer{})
 		}
 		sent := pick[SendAttempt](h.log)
 		for _, s := range sent {
@@ -523,7 +523,7 @@
 	h.step(2_000_000, Timer{})
 	_, events := h.query(0, 1)
 	h.step(0, events...)
-	if n := len(pick[SendAttempt](h.step(2*h.a.set.Tick, Timer{}))); n != 1 {
+	if n := len(pick[SendAttempt](h.step(2*h.a.settings.Tick, Timer{}))); n != 1 {
 		t.Fatalf("%d parts sent after two ticks of silence, want 1", n)
 	}
 }
@@ -539,17 +539,17 @@
 		_, events := h.query(0, 5)
 		sent := pick[SendAttempt](h.step(0, events...))
 		for i, s := range sent {
-			h.a.parts[s.Part].live[0].pred = 900_000 // so that no part is late by its own prediction
+			h.a.parts[s.Part].inFlight[0].predictedLatency = 900_000 // so that no part is late by its own prediction
 			if i < max(in, -in) {
 				h.step(0, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
 			}
 		}
-		for _, s := range h.a.order {
-			s.factor, s.heard = 1, h.now+10_000_000
+		for _, s := range h.a.serversByID {
+			s.latencyRatio, s.respondedAt = 1, h.now+10_000_000
 		}
 		h.log = nil
 		for range 380 {
-			h.step(h.a.set.Tick, Timer{})
+			h.step(h.a.settings.Tick, Timer{})
 		}
 		if n := len(pick[CancelAttempt](h.log)) + len(pick[SendAttempt](h.log)); (n > 0) != (in > 0) {
 			t.Errorf("%d of 5 parts in: %d cancels and further attempts near the aim", in, n)
@@ -564,7 +564,7 @@
 	h.teach(0, 30, 100_000)
 	for range 20 {
 		h.log = nil
-		h.step(2*Micros(h.a.beat), Timer{}) // no connection was in use for long
+		h.step(2*Micros(h.a.meanObjective), Timer{}) // no connection was in use for long
 		_, events := h.query(0, 1)
 		sent := pick[SendAttempt](h.step(0, events...))
 		if len(sent) != 1 {
@@ -575,19 +575,19 @@
 			status = again
 		}
 		h.step(300_000, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: status, Report: NoLoadReport})
-		for _, q := range h.a.open {
-			h.a.close(q)
+		for _, q := range h.a.openQueries {
+			h.a.closeQuery(q)
 		}
 	}
-	for _, s := range h.a.order {
-		s.doubt = false
+	for _, s := range h.a.serversByID {
+		s.suspect = false
 	}
 	if again == ConnectFailed { // what was proven before falls with the first connection that can't be made
-		h.a.cured = 0.9
-		h.a.judge(&attempt{srv: h.a.order[0], cure: true}, ConnectFailed)
+		h.a.freshConnectionSuccess = 0.9
+		h.a.classifyConnection(&attempt{server: h.a.serversByID[0], freshConnection: true}, ConnectFailed)
 	}
 	h.log = nil
-	h.step(2*Micros(h.a.beat), Timer{})
+	h.step(2*Micros(h.a.meanObjective), Timer{})
 	_, events := h.query(0, 3)
 	h.step(0, events...)
 	if len(pick[SendAttempt](h.log)) == 0 {
@@ -616,11 +616,11 @@
 	hung := 0
 	for i := range 60 {
 		h.log = nil
-		for _, s := range h.a.order {
-			s.factor = 1 // what is late now was quick before, and the fleet as a whole keeps its pace
+		for _, s := range h.a.serversByID {
+			s.latencyRatio = 1 // what is late now was quick before, and the fleet as a whole keeps its pace
 		}
-		h.a.classes[0].ref = 100_000
-		h.step(Micros(h.a.beat), Timer{})
+		h.a.classes[0].referenceLatency = 100_000
+		h.step(Micros(h.a.meanObjective), Timer{})
 		_, events := h.query(0, 1)
 		for _, s := range pick[SendAttempt](h.step(0, events...)) {
 			took := Micros(100_000)
@@ -664,7 +664,7 @@
 	s.InstanceCount = 32
 	h := newHand(t, s)
 	h.teach(0, 30, 200_000)
-	h.a.classes[0].stretch = 20
+	h.a.classes[0].latencyRatio = 20
 	id, events := h.query(0, 1)
 	if h.step(0, events...); h.finals(id) != 1 {
 		t.Error("admitted, though such queries took twenty times their predicted wait")
@@ -677,12 +677,12 @@
 	s.InstanceCount = 32
 	h := newHand(t, s)
 	h.teach(0, 30, 200_000)
-	h.a.classes[0].stretch = 20
+	h.a.classes[0].latencyRatio = 20
 	h.log = nil
 	const mean = 10
 	for range mean * 3 {
 		_, events := h.query(0, 1)
-		h.step(Micros(h.a.beat)/mean, events...)
+		h.step(Micros(h.a.meanObjective)/mean, events...)
 	}
 	if n := len(pick[SendAttempt](h.log)); n < 2 || n > 4 {
 		t.Fatalf("%d queries let in within three mean aims, want about one each", n)
@@ -695,9 +695,9 @@
 	h.teach(0, 40, 100_000)
 	_, events := h.query(0, 1)
 	s := pick[SendAttempt](h.step(0, events...))[0]
-	for _, other := range h.a.order {
+	for _, other := range h.a.serversByID {
 		if other.ID != s.Server {
-			other.factor, other.touched = 5, h.now
+			other.latencyRatio, other.sampledAt = 5, h.now
 		}
 	}
 	acts := h.step(10_000, AttemptResult{Part: s.Part, Server: s.Server, Status: Rejected, Report: NoLoadReport})
@@ -741,7 +741,7 @@
 	h := newHand(t, s)
 	h.teach(0, 40, 100_000)
 	n := 0
-	for end := h.now + 20*Micros(h.a.beat); h.now < end; {
+	for end := h.now + 20*Micros(h.a.meanObjective); h.now < end; {
 		_, events := h.query(0, 1)
 		acts := h.step(100_000, events...)
 		asked := pick[HealthCheck](h.log)
@@ -760,7 +760,7 @@
 				status, after = TimedOut, 400_000
 			}
 			queue = append(queue, pick[SendAttempt](h.step(after, AttemptResult{
-				Part: sent.Part, Attempt: h.a.parts[sent.Part].tries - 1,
+				Part: sent.Part, Attempt: h.a.parts[sent.Part].attempts - 1,
 				Server: sent.Server, Status: status, Report: NoLoadReport,
 			}))...)
 		}
@@ -855,9 +855,9 @@
 	var gaps []Micros
 	for range 2 {
 		at := h.now
-		acts := h.step(h.a.set.Tick, AttemptResult{Part: sent[0].Part, Attempt: len(gaps), Server: 1, Status: Rejected, Report: NoLoadReport})
+		acts := h.step(h.a.settings.Tick, AttemptResult{Part: sent[0].Part, Attempt: len(gaps), Server: 1, Status: Rejected, Report: NoLoadReport})
 		for sent = pick[SendAttempt](acts); len(sent) == 0 && h.now < at+2_000_000; {
-			sent = pick[SendAttempt](h.step(h.a.set.Tick, Timer{}))
+			sent = pick[SendAttempt](h.step(h.a.settings.Tick, Timer{}))
 		}
 		if len(sent) == 0 {
 			t.Fatal("the part was never sent again")
@@ -873,7 +873,7 @@
 func TestJammedClassIsPaced(t *testing.T) {
 	h := newHand(t, handSettings())
 	h.teach(0, 40, 100_000)
-	q := &query{cls: h.a.classes[0], full: true}
+	q := &query{class: h.a.classes[0], wasRejected: true}
 	refused := func() int {
 		n := 0
 		for range 100 {
@@ -890,11 +890,11 @@
 		t.Fatalf("%d of 100 refused before any jam", n)
 	}
 	h.a.queries[q.ID] = q
-	h.a.end(q)
-	h.a.end(q)
-	h.a.set.InstanceCount = 11 // own room says nothing at size
-	if n := refused(); n < 10 || n > 90 || h.a.classes[0].jams != 0 {
-		t.Errorf("%d of 100 refused after two jammed queries, %d jams left", n, h.a.classes[0].jams)
+	h.a.rejectOrFail(q)
+	h.a.rejectOrFail(q)
+	h.a.settings.InstanceCount = 11 // own room says nothing at size
+	if n := refused(); n < 10 || n > 90 || h.a.classes[0].overloadCount != 0 {
+		t.Errorf("%d of 100 refused after two jammed queries, %d jams left", n, h.a.classes[0].overloadCount)
 	}
 }
 
@@ -903,14 +903,14 @@
 	h := newHand(t, handSettings())
 	c := h.a.classes[0]
 	for i := range 300 {
-		c.size(Micros(50_000 << (i % 3)))
+		c.relativeCost(Micros(50_000 << (i % 3)))
 	}
-	if r := c.size(200_000) / c.size(50_000); r < 1.9 || r > 2.1 || c.size(0) != 1 || c.size(-5) != 1 {
-		t.Errorf("four times the hint is held to be %.2f times the work, no hint %.2f", r, c.size(0))
+	if r := c.relativeCost(200_000) / c.relativeCost(50_000); r < 1.9 || r > 2.1 || c.relativeCost(0) != 1 || c.relativeCost(-5) != 1 {
+		t.Errorf("four times the hint is held to be %.2f times the work, no hint %.2f", r, c.relativeCost(0))
 	}
-	q := &query{cls: c}
-	light, heavy := &part{q: q, size: c.size(50_000)}, &part{q: q, size: c.size(200_000)}
-	if s := h.a.order[0]; h.a.predict(s, heavy) < 1.5*h.a.predict(s, light) {
+	q := &query{class: c}
+	light, heavy := &part{query: q, relativeCost: c.relativeCost(50_000)}, &part{query: q, relativeCost: c.relativeCost(200_000)}
+	if s := h.a.serversByID[0]; h.a.predictLatency(s, heavy) < 1.5*h.a.predictLatency(s, light) {
 		t.Error("a heavy part is predicted to be as quick as a light one")
 	}
 }
@@ -924,14 +924,14 @@
 		q := events[0].(Query)
 		q.Key = key
 		events[0] = q
-		return id, pick[SendAttempt](h.step(h.a.set.Tick, events...))
+		return id, pick[SendAttempt](h.step(h.a.settings.Tick, events...))
 	}
 	id, sent := next(7)
 	if len(sent) != 3 {
 		t.Fatalf("%d parts sent at first", len(sent))
 	}
 	for _, s := range sent[:2] {
-		h.step(h.a.set.Tick, AttemptResult{Part: s.Part, Server: s.Server, Status: ConnectionBroken, Report: NoLoadReport})
+		h.step(h.a.settings.Tick, AttemptResult{Part: s.Part, Server: s.Server, Status: ConnectionBroken, Report: NoLoadReport})
 	}
 	if h.finals(id) != 1 {
 		t.Fatal("the query goes on after two servers died of it")
@@ -939,7 +939,7 @@
 	if id, sent = next(7); len(sent) != 1 {
 		t.Fatalf("the key's next query sends %d parts ahead, want one", len(sent))
 	}
-	acts := h.step(h.a.set.Tick, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
+	acts := h.step(h.a.settings.Tick, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
 	if n := len(pick[SendAttempt](acts)); n != 2 {
 		t.Errorf("after the first answer %d parts follow, want two", n)
 	}
@@ -948,14 +948,14 @@
 	}
 	// resets that spare some of a query's parts are no evidence against it
 	id, sent = next(9)
-	h.step(h.a.set.Tick, AttemptResult{Part: sent[2].Part, Server: sent[2].Server, Status: OK, Report: NoLoadReport})
+	h.step(h.a.settings.Tick, AttemptResult{Part: sent[2].Part, Server: sent[2].Server, Status: OK, Report: NoLoadReport})
 	for _, s := range sent[:2] {
-		h.step(h.a.set.Tick, AttemptResult{Part: s.Part, Server: s.Server, Status: ConnectionBroken, Report: NoLoadReport})
+		h.step(h.a.settings.Tick, AttemptResult{Part: s.Part, Server: s.Server, Status: ConnectionBroken, Report: NoLoadReport})
 	}
 	if h.finals(id) != 0 {
 		t.Error("a query with an answered part was given up for two resets")
 	}
-	h.now += h.a.set.SlowStartDuration
+	h.now += h.a.settings.SlowStartDuration
 	if _, sent = next(7); len(sent) != 3 {
 		t.Errorf("the key is never forgiven: %d parts sent", len(sent))
 	}
@@ -966,18 +966,18 @@
 	for _, busy := range []float64{0.2, 0.9} {
 		h := newHand(t, handSettings(), append(ready(1, 2, 3), ready(4, 5, 6)...)...)
 		h.teach(4, 40, 100_000)
-		h.a.util = busy
+		h.a.meanUtilization = busy
 		_, events := h.query(4, 6)
 		for i, w := range []float64{0.5, 0.3, 0.08, 0.06, 0.04, 0.02} {
 			p := events[i+1].(Part)
 			p.Weight = w
 			events[i+1] = p
 		}
-		sent := pick[SendAttempt](h.step(h.a.set.Tick, events...))
+		sent := pick[SendAttempt](h.step(h.a.settings.Tick, events...))
 		if want := 2 + 4*btoi(busy < 0.5); len(sent) != want {
 			t.Fatalf("load %.1f: %d parts sent at first, want %d", busy, len(sent), want)
 		}
-		acts := h.step(h.a.set.Tick, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
+		acts := h.step(h.a.settings.Tick, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: OK, Report: NoLoadReport})
 		if n := len(pick[SendAttempt](acts)); n != btoi(busy > 0.5) {
 			t.Errorf("load %.1f: a quick answer brought %d more parts", busy, n)
 		}
@@ -1005,11 +1005,11 @@
 			waits = append(waits, h.now-from)
 		}
 		first[waits[0]] = true
-		if waits[0] < Micros(h.a.beat)/2 || waits[1] < waits[0]*3/2 || waits[4] > s.PollInterval+2*s.Tick {
+		if waits[0] < Micros(h.a.meanObjective)/2 || waits[1] < waits[0]*3/2 || waits[4] > s.PollInterval+2*s.Tick {
 			t.Errorf("aggregator %d called again after %v", number, waits)
 		}
 		h.step(s.Tick, EndpointList{ready(1, 2, 3)})
-		if h.a.asks != 0 {
+		if h.a.failedPolls != 0 {
 			t.Error("a list that came leaves the wait long")
 		}
 	}
@@ -1025,10 +1025,10 @@
 	h.teach(0, 30, 100_000)
 	busy := NoLoadReport
 	busy.Queue, busy.Rate = 12, 40
-	for _, s := range h.a.order {
-		h.a.hear(s, NoLoadReport)
+	for _, s := range h.a.serversByID {
+		h.a.recordLoad(s, NoLoadReport)
 	}
-	h.a.hear(h.a.order[0], busy)
+	h.a.recordLoad(h.a.serversByID[0], busy)
 	h.log = nil
 	for range 12 {
 		_, events := h.query(0, 1)
@@ -1040,7 +1040,7 @@
 	for _, s := range pick[SendAttempt](h.log) {
 		got[s.Server]++
 	}
-	if id := h.a.order[0].ID; 3*got[id] > got[h.a.order[1].ID] {
+	if id := h.a.serversByID[0].ID; 3*got[id] > got[h.a.serversByID[1].ID] {
 		t.Errorf("parts %v, want few at server %d, where twelve wait", got, id)
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -353,7 +353,7 @@
 	if s := w.servers[a.Server]; (s.RingPosition-p.shard+2*w.set.RingSize)%w.set.RingSize >= w.set.ReplicationFactor {
 		w.t.Fatalf("part %d of shard %d sent to a server without it", a.Part, p.shard)
 	}
-	w.chill(a.Server, w.agg.parts[a.Part].q.cls.ref)
+	w.chill(a.Server, w.agg.parts[a.Part].query.class.referenceLatency)
 	if len(p.live) > 0 && !w.set.AllowHedging {
 		w.t.Fatalf("part %d has two attempts out", a.Part)
 	}
