--- a/document/document.go
+++ b/document/document.go
@@ -23,38 +23,38 @@
 	Layout  Layout
 	Limits  Limits
 	Classes []policy.Class // a team's class is named team/class
-	Teams   []Team
+	Tenants   []Tenant
 	Indices []Index
 }
 
 // Layout says how indices are cut and which cells hold what: slice s is held by cells (s+j) mod Cells, j below Reach.
-type Layout struct{ Slices, Cells, Reach int }
+type Layout struct{ Shards, RingSize, ReplicationFactor int }
 
 // Limits bound what an instance holds and tries.
 type Limits struct {
 	MaxOpen, MaxAttempts int // queries and parts held; attempts of a part
-	SecondCopies, Cancel bool
-	Advice               time.Duration // longest Retry-After; 0: none is given
-	FurtherShare         float64       // further attempts for each query and part taken; 0: no budget but the teams' own
-	FurtherFree          float64       // and as many free ones over FurtherSpan
-	FurtherSpan          time.Duration
-	ColdFor              time.Duration // a store that started is warm by then; 0: stores are never cold
-	ColdShare            float64       // what it bears at first
-	FallMultiple         float64       // more than this multiple of what it bears for FallAfter fells a cold store
-	FallAfter            time.Duration
+	AllowHedging, AllowCancel bool
+	MaxRetryAfter               time.Duration // longest Retry-After; 0: none is given
+	RetryBudgetRatio         float64       // further attempts for each query and part taken; 0: no budget but the teams' own
+	RetryBudgetMinimum          float64       // and as many free ones over FurtherSpan
+	RetryBudgetWindow          time.Duration
+	SlowStartDuration              time.Duration // a store that started is warm by then; 0: stores are never cold
+	SlowStartFraction            float64       // what it bears at first
+	OverloadFactor         float64       // more than this multiple of what it bears for FallAfter fells a cold store
+	OverloadDuration            time.Duration
 }
 
-// Team is a team's contract, beside its classes.
-type Team struct {
+// Tenant is a team's contract, beside its classes.
+type Tenant struct {
 	Name      string
-	QueriesPS float64 // that count in full; 0: unlimited
-	Further   float64 // further attempts for each of its queries and parts; 0: none beyond the limit a part
+	QueriesPerSecond float64 // that count in full; 0: unlimited
+	RetryRatio   float64 // further attempts for each of its queries and parts; 0: none beyond the limit a part
 }
 
 // Index is one index that can be searched.
 type Index struct {
 	Name, Class string
-	Slices      []int
+	Shards      []int
 }
 
 // MaxSize bounds a document, in bytes: every version that is kept takes as much, on every instance.
@@ -62,9 +62,9 @@
 
 // Bounds of a document: more is no configuration but a mistake.
 const (
-	maxClasses, maxTeams, maxIndices = 256, 256, 1024
-	maxSlices                        = 4096
-	longest                          = time.Hour
+	maxClasses, maxTenants, maxIndices = 256, 256, 1024
+	maxShards                        = 4096
+	maxDuration                          = time.Hour
 )
 
 // Parse reads a text that has shared sections only. Its error is inifile.Faults.
@@ -110,20 +110,20 @@
 	if size := len(Shared(f)); size > MaxSize { // of an instance's file, which may be longer
 		f.Only("layout").Fault("", "the shared sections are over %d bytes", MaxSize)
 	}
-	d.layout(f.Only("layout"))
-	d.limits(f.Only("limits"))
+	d.readLayout(f.Only("layout"))
+	d.readLimits(f.Only("limits"))
 	teams := map[string]bool{}
 	for _, s := range f.Of("team") {
 		teams[s.Name] = true
-		d.team(s)
+		d.readTenant(s)
 	}
 	for _, s := range f.Of("class") {
-		d.class(s, teams)
+		d.readClass(s, teams)
 	}
 	for _, s := range f.Of("index") {
-		d.index(s)
+		d.readIndex(s)
 	}
-	for kind, most := range map[string]int{"class": maxClasses, "team": maxTeams, "index": maxIndices} {
+	for kind, most := range map[string]int{"class": maxClasses, "team": maxTenants, "index": maxIndices} {
 		if all := f.Of(kind); len(all) > most {
 			all[most].Fault("", "over %d sections of the kind %s", most, kind)
 		}
@@ -131,44 +131,44 @@
 	return d
 }
 
-func (d *Document) layout(s *inifile.Section) {
+func (d *Document) readLayout(s *inifile.Section) {
 	d.Layout = Layout{
-		Slices: s.Int("slices", 1, 1, maxSlices), Cells: s.Int("cells", 1, 1, maxSlices),
-		Reach: s.Int("reach", 1, 1, maxSlices),
+		Shards: s.Int("slices", 1, 1, maxShards), RingSize: s.Int("cells", 1, 1, maxShards),
+		ReplicationFactor: s.Int("reach", 1, 1, maxShards),
 	}
-	if d.Layout.Reach > d.Layout.Cells {
-		s.Fault("reach", "%d cells hold a slice, but there are %d", d.Layout.Reach, d.Layout.Cells)
+	if d.Layout.ReplicationFactor > d.Layout.RingSize {
+		s.Fault("reach", "%d cells hold a slice, but there are %d", d.Layout.ReplicationFactor, d.Layout.RingSize)
 	}
 	s.Done()
 }
 
-func (d *Document) limits(s *inifile.Section) {
+func (d *Document) readLimits(s *inifile.Section) {
 	d.Limits = Limits{
 		MaxOpen: s.Int("max_open", 1000, 1, 1<<20), MaxAttempts: s.Int("max_attempts", 4, 1, 100),
-		SecondCopies: s.Bool("second_copies", true), Cancel: s.Bool("cancel", true),
-		Advice:       s.Duration("advice", 2*time.Second, 0, longest),
-		FurtherShare: s.Float("further_share", 0, 0, 100), FurtherFree: s.Float("further_free", 10, 0, 1e6),
-		FurtherSpan: s.Duration("further_span", 10*time.Second, time.Second, longest),
-		ColdFor:     s.Duration("cold_for", 0, 0, longest), ColdShare: s.Float("cold_share", 0.1, 0.001, 1),
-		FallMultiple: s.Float("fall_multiple", 2, 0.01, 1000),
-		FallAfter:    s.Duration("fall_after", time.Second, 10*time.Millisecond, longest),
+		AllowHedging: s.Bool("second_copies", true), AllowCancel: s.Bool("cancel", true),
+		MaxRetryAfter:       s.Duration("advice", 2*time.Second, 0, maxDuration),
+		RetryBudgetRatio: s.Float("further_share", 0, 0, 100), RetryBudgetMinimum: s.Float("further_free", 10, 0, 1e6),
+		RetryBudgetWindow: s.Duration("further_span", 10*time.Second, time.Second, maxDuration),
+		SlowStartDuration:     s.Duration("cold_for", 0, 0, maxDuration), SlowStartFraction: s.Float("cold_share", 0.1, 0.001, 1),
+		OverloadFactor: s.Float("fall_multiple", 2, 0.01, 1000),
+		OverloadDuration:    s.Duration("fall_after", time.Second, 10*time.Millisecond, maxDuration),
 	}
 	s.Done()
 }
 
-func (d *Document) team(s *inifile.Section) {
+func (d *Document) readTenant(s *inifile.Section) {
 	if !isName(s.Name) {
 		s.Fault("", "a team's name is made of letters, digits, - and _")
 	}
-	d.Teams = append(d.Teams, Team{s.Name, s.Float("queries_per_s", 0, 0, 1e6), s.Float("further", 0, 0, 100)})
+	d.Tenants = append(d.Tenants, Tenant{s.Name, s.Float("queries_per_s", 0, 0, 1e6), s.Float("further", 0, 0, 100)})
 	s.Done()
 }
 
-var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
+var idempotencies = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 
-func micros(d time.Duration) policy.Micros { return d.Microseconds() }
+func toMicros(d time.Duration) policy.Micros { return d.Microseconds() }
 
-func (d *Document) class(s *inifile.Section, teams map[string]bool) {
+func (d *Document) readClass(s *inifile.Section, teams map[string]bool) {
 	team, own, owned := strings.Cut(s.Name, "/")
 	switch {
 	case !isName(team) || owned && !isName(own):
@@ -178,13 +178,13 @@
 	}
 	s.Need("aim")
 	s.Need("give_up")
-	aim := s.Duration("aim", time.Second, time.Millisecond, longest)
-	give := s.Duration("give_up", longest, time.Millisecond, longest)
-	effect := effects[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
-	window := s.Duration("window", 0, 0, longest)
+	aim := s.Duration("aim", time.Second, time.Millisecond, maxDuration)
+	give := s.Duration("give_up", maxDuration, time.Millisecond, maxDuration)
+	effect := idempotencies[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
+	window := s.Duration("window", 0, 0, maxDuration)
 	c := policy.Class{
-		Name: s.Name, LatencyObjective: micros(aim), Timeout: micros(give), PriorityWeight: s.Float("worth", 1, 1e-6, 1e6),
-		LateWeight: s.Float("late_worth", 0, 0, 1), Idempotency: effect, DeduplicationWindow: micros(window),
+		Name: s.Name, LatencyObjective: toMicros(aim), Timeout: toMicros(give), PriorityWeight: s.Float("worth", 1, 1e-6, 1e6),
+		LateWeight: s.Float("late_worth", 0, 0, 1), Idempotency: effect, DeduplicationWindow: toMicros(window),
 		RequiredCoverage: s.Float("need", 1, 0.001, 1), PartialWeight: s.Float("partial_earns", 1, 0, 1),
 	}
 	c.MinCoverage = s.Float("least", c.RequiredCoverage, 0.001, 1)
@@ -202,11 +202,11 @@
 	s.Done()
 }
 
-func (d *Document) index(s *inifile.Section) {
-	if !isIndex(s.Name) {
+func (d *Document) readIndex(s *inifile.Section) {
+	if !isIndexName(s.Name) {
 		s.Fault("", "an index's name is made of small letters, digits, -, _ and . and begins with a letter or digit")
 	}
-	ix := Index{s.Name, s.Need("class"), s.Numbers("slices", d.Layout.Slices)}
+	ix := Index{s.Name, s.Need("class"), s.Numbers("slices", d.Layout.Shards)}
 	if c, ok := d.Class(ix.Class); !ok {
 		if ix.Class != "" {
 			s.Fault("class", "there is no [class %s]", ix.Class)
@@ -237,8 +237,8 @@
 	return s != "" && len(s) <= 64
 }
 
-// isIndex tells whether a name can stand in a path as it is.
-func isIndex(s string) bool {
+// isIndexName tells whether a name can stand in a path as it is.
+func isIndexName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || i > 0 && (c == '-' || c == '_' || c == '.')) {
@@ -248,35 +248,35 @@
 	return s != "" && len(s) <= 255
 }
 
-// tick is how often decisions are looked at again.
-const tick = 5 * time.Millisecond
+// tickInterval is how often decisions are looked at again.
+const tickInterval = 5 * time.Millisecond
 
 // Settings are the document's terms for the decisions of one of some instances that share the load.
 func (d *Document) Settings(number, fleet int) policy.Settings {
 	l := d.Limits
 	s := policy.Settings{
-		InstanceIndex: number, InstanceCount: fleet, Tick: micros(tick), Classes: d.Classes,
-		Shards: d.Layout.Slices, RingSize: d.Layout.Cells, ReplicationFactor: d.Layout.Reach, MaxBatchSize: 1,
-		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, AllowHedging: l.SecondCopies, AllowCancel: l.Cancel,
-		SendRetryAfter: l.Advice > 0, MaxRetryAfter: micros(l.Advice), AnswerSlack: micros(4 * tick), DrainGrace: micros(500 * time.Millisecond),
+		InstanceIndex: number, InstanceCount: fleet, Tick: toMicros(tickInterval), Classes: d.Classes,
+		Shards: d.Layout.Shards, RingSize: d.Layout.RingSize, ReplicationFactor: d.Layout.ReplicationFactor, MaxBatchSize: 1,
+		MaxAttempts: l.MaxAttempts, MaxOpen: l.MaxOpen, AllowHedging: l.AllowHedging, AllowCancel: l.AllowCancel,
+		SendRetryAfter: l.MaxRetryAfter > 0, MaxRetryAfter: toMicros(l.MaxRetryAfter), AnswerSlack: toMicros(4 * tickInterval), DrainGrace: toMicros(500 * time.Millisecond),
 	}
-	if l.ColdFor > 0 {
-		s.SlowStartDuration, s.SlowStartFraction, s.OverloadFactor, s.OverloadDuration = micros(l.ColdFor), l.ColdShare, l.FallMultiple, micros(l.FallAfter)
+	if l.SlowStartDuration > 0 {
+		s.SlowStartDuration, s.SlowStartFraction, s.OverloadFactor, s.OverloadDuration = toMicros(l.SlowStartDuration), l.SlowStartFraction, l.OverloadFactor, toMicros(l.OverloadDuration)
 	}
 	share, weights := 0.0, 0.0
-	for _, t := range d.Teams {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, QueriesPerSecond: t.QueriesPS})
-		weight := max(t.QueriesPS, 1)
-		share, weights = share+weight*t.Further, weights+weight
+	for _, t := range d.Tenants {
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, QueriesPerSecond: t.QueriesPerSecond})
+		weight := max(t.QueriesPerSecond, 1)
+		share, weights = share+weight*t.RetryRatio, weights+weight
 	}
 	if weights > 0 {
 		share /= weights // the decisions know one budget: the teams' ones, each by its traffic
 	}
-	if l.FurtherShare > 0 {
-		share = l.FurtherShare
+	if l.RetryBudgetRatio > 0 {
+		share = l.RetryBudgetRatio
 	}
 	if share > 0 {
-		s.RetryBudgetWindow, s.RetryBudgetRatio, s.RetryBudgetMinimum = micros(l.FurtherSpan), share, l.FurtherFree
+		s.RetryBudgetWindow, s.RetryBudgetRatio, s.RetryBudgetMinimum = toMicros(l.RetryBudgetWindow), share, l.RetryBudgetMinimum
 	}
 	return s
 }
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, ix := range d.Indices {
-		for _, slice := range ix.Slices {
+		for _, slice := range ix.Shards {
 			held := func(s storepool.Store) bool {
 				return ((s.RingPosition-slice)%set.RingSize+set.RingSize)%set.RingSize < set.ReplicationFactor
 			}
@@ -55,7 +55,7 @@
 			}
 		}
 		class := slices.IndexFunc(set.Classes, func(k policy.Class) bool { return k.Name == ix.Class })
-		by[ix.Name] = index{class, ix.Slices}
+		by[ix.Name] = index{class, ix.Shards}
 	}
 	t.FrontData = by
 	return t, nil
