--- a/document/document_test.go
+++ b/document/document_test.go
@@ -11,7 +11,7 @@
 	"alderproxy/policy"
 )
 
-const good = `# ours
+const validText = `# ours
 [layout]
 slices = 4
 cells = 2
@@ -46,27 +46,51 @@
 `
 
 func TestSettings(t *testing.T) {
-	d, err := Parse("doc", good)
+	d, err := Parse("doc", validText)
 	require.NoError(t, err)
-	assert.Equal(t, good, d.Text)
+	assert.Equal(t, validText, d.Text)
 	s := d.Settings(1, 3)
 	require.NoError(t, s.Check())
 	assert.Equal(t, []policy.Class{
-		{Name: "sales/lookup", LatencyObjective: 1_500_000, Timeout: 4_000_000, PriorityWeight: 1, LateWeight: 0.3, RequiredCoverage: 1, MinCoverage: 1, PartialWeight: 1},
 		{
-			Name: "quote-save", LatencyObjective: 1_000_000, Timeout: 2_000_000, PriorityWeight: 5, Idempotency: policy.IdempotentByKey, DeduplicationWindow: 3_000_000, RequiredCoverage: 0.9,
-			MinCoverage: 0.5, PartialWeight: 1,
+			Name:             "sales/lookup",
+			LatencyObjective: 1_500_000,
+			Timeout:          4_000_000,
+			PriorityWeight:   1,
+			LateWeight:       0.3,
+			RequiredCoverage: 1,
+			MinCoverage:      1,
+			PartialWeight:    1,
+		},
+		{
+			Name:                "quote-save",
+			LatencyObjective:    1_000_000,
+			Timeout:             2_000_000,
+			PriorityWeight:      5,
+			Idempotency:         policy.IdempotentByKey,
+			DeduplicationWindow: 3_000_000,
+			RequiredCoverage:    0.9,
+			MinCoverage:         0.5,
+			PartialWeight:       1,
 		},
 	}, s.Classes)
 	assert.Equal(t, []policy.Tenant{{Name: "sales", QueriesPerSecond: 20}}, s.Tenants)
-	assert.Equal(t, [8]int{4, 2, 2, 1, 3, 1, 150, 4}, [8]int{s.Shards, s.RingSize, s.ReplicationFactor, s.InstanceIndex, s.InstanceCount, s.MaxBatchSize, s.MaxOpen, s.MaxAttempts})
-	assert.Equal(t, [3]float64{0.2, 5, 10e6}, [3]float64{s.RetryBudgetRatio, s.RetryBudgetMinimum, float64(s.RetryBudgetWindow)})
+	assert.Equal(t, 4, s.Shards)
+	assert.Equal(t, 2, s.RingSize)
+	assert.Equal(t, 2, s.ReplicationFactor)
+	assert.Equal(t, 1, s.InstanceIndex)
+	assert.Equal(t, 3, s.InstanceCount)
+	assert.Equal(t, 1, s.MaxBatchSize)
+	assert.Equal(t, 150, s.MaxOpen)
+	assert.Equal(t, 4, s.MaxAttempts)
+	assert.Equal(t, [2]float64{0.2, 5}, [2]float64{s.RetryBudgetRatio, s.RetryBudgetMinimum}) // exact, no tolerance
+	assert.Equal(t, policy.Micros(10_000_000), s.RetryBudgetWindow)
 	assert.Equal(t, policy.Micros(10_000_000), s.SlowStartDuration)
-	assert.Equal(t, []Index{{"catalogue", "sales/lookup", []int{0, 1, 2}}}, d.Indices)
+	assert.Equal(t, []Index{{Name: "catalogue", Class: "sales/lookup", Shards: []int{0, 1, 2}}}, d.Indices)
 }
 
 func TestFaults(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, c := range []struct{ old, replacement, want string }{
 		{"reach = 2", "reach = 3", "doc:5: layout.reach: 3 cells hold a slice, but there are 2"},
 		{"max_open = 150", "max_opn = 150", "doc:8: limits.max_opn: unknown key"},
 		{"give_up = 4s", "give_up = 1s", "doc:18: class sales/lookup.give_up: 1s is under the aim of 1.5s"},
@@ -82,50 +106,53 @@
 		{"[class quote-save]", "[class quote/save/x]", "doc:21: class quote/save/x: a class's name is made of letters, digits, - and _, with the team's name and / before it where it is a team's"},
 		{"# ours", "[instance]", "doc:1: instance: unknown section"},
 	} {
-		_, err := Parse("doc", strings.Replace(good, c.old, c.new, 1))
-		if assert.Error(t, err, c.new) {
+		_, err := Parse("doc", strings.Replace(validText, c.old, c.replacement, 1))
+		if assert.Error(t, err, c.replacement) {
 			assert.Equal(t, c.want, err.Error())
 		}
 	}
 }
 
-// The shared text of an instance's file is a document, and as a document it says the same.
+// The shared text of an instance's file parses as a document of the same meaning.
 func TestShared(t *testing.T) {
-	f := inifile.Read("file", "[instance]\nid = n1\n"+good+"[log]\nlevel = info\n")
+	f := inifile.Read("file", "[instance]\nid = n1\n"+validText+"[log]\nlevel = info\n")
 	require.NoError(t, f.Err())
 	text := Shared(f)
 	assert.NotContains(t, text, "instance")
 	assert.NotContains(t, text, "level")
-	a, err := Parse("doc", text)
+	extracted, err := Parse("doc", text)
 	require.NoError(t, err)
-	b, err := Parse("doc", good)
+	original, err := Parse("doc", validText)
 	require.NoError(t, err)
-	assert.Equal(t, b.Settings(0, 1), a.Settings(0, 1))
-	assert.Equal(t, text, Shared(inifile.Read("doc", text)), "not the same when taken twice")
-	assert.NotEqual(t, Digest(text), Digest(good))
+	assert.Equal(t, original.Settings(0, 1), extracted.Settings(0, 1))
+	assert.Equal(t, text, Shared(inifile.Read("doc", text)), "extracting twice changes the text")
+	assert.NotEqual(t, Digest(text), Digest(validText))
 	assert.Len(t, Digest(text), 16)
 }
 
 func TestOverlay(t *testing.T) {
-	d, err := Parse("doc", good)
+	d, err := Parse("doc", validText)
 	require.NoError(t, err)
-	base := policy.Settings{Shards: 9, Classes: []policy.Class{{Name: "other", LatencyObjective: 7}, {Name: "quote-save", LatencyObjective: 9, Idempotency: policy.IdempotentByKey}}}
+	base := policy.Settings{Shards: 9, Classes: []policy.Class{
+		{Name: "other", LatencyObjective: 7},
+		{Name: "quote-save", LatencyObjective: 9, Idempotency: policy.IdempotentByKey},
+	}}
 	s, err := d.Overlay(base)
 	require.NoError(t, err)
 	assert.Equal(t, 9, s.Shards)
 	assert.Equal(t, base.Classes[0], s.Classes[0])
 	assert.Equal(t, policy.Micros(1_000_000), s.Classes[1].LatencyObjective)
-	assert.Equal(t, policy.Micros(9), base.Classes[1].LatencyObjective, "the platform's own settings were changed")
+	assert.Equal(t, policy.Micros(9), base.Classes[1].LatencyObjective, "the base settings were modified")
 	base.Classes[1].Idempotency = policy.NonIdempotent
 	_, err = d.Overlay(base)
 	assert.ErrorContains(t, err, "class quote-save.effect")
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validText)
 	f.Fuzz(func(t *testing.T, text string) {
 		if d, err := Parse("doc", text); err == nil && len(d.Classes) > 0 {
-			assert.NoError(t, d.Settings(0, 1).Check(), "accepted, and the decisions cannot use it")
+			assert.NoError(t, d.Settings(0, 1).Check(), "accepted, but its settings are invalid")
 		}
 	})
 }
--- /dev/null
+++ b/document/parse.go
@@ -0,0 +1,207 @@
+package document
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"alderproxy/inifile"
+	"alderproxy/policy"
+)
+
+// Kinds lists the kinds of shared sections. The value is true if sections of the kind have a name.
+var Kinds = map[string]bool{"layout": false, "limits": false, "class": true, "team": true, "index": true}
+
+// MaxSize is the largest size of a document, in bytes. Every instance stores that much for each version it retains.
+const MaxSize = 256 << 10
+
+// Bounds of a document's values. A larger value is taken for a mistake.
+const (
+	maxClasses  = 256
+	maxTenants  = 256
+	maxIndices  = 1024
+	maxShards   = 4096
+	maxDuration = time.Hour
+)
+
+// idempotencies maps the values of the setting "effect".
+var idempotencies = map[string]policy.Idempotency{
+	"safe":   policy.Idempotent,
+	"keyed":  policy.IdempotentByKey,
+	"unsafe": policy.NonIdempotent,
+}
+
+// Parse reads a text that consists of shared sections only; name stands for the text in errors. An error is of the type
+// inifile.Faults.
+func Parse(name, text string) (*Document, error) {
+	if len(text) > MaxSize {
+		return nil, inifile.Faults{{File: name, What: fmt.Sprintf("is over %d bytes", MaxSize)}}
+	}
+	file := inifile.Read(name, text)
+	if !file.Broken() {
+		file.Known(Kinds)
+	}
+	d := Read(file)
+	if err := file.Err(); err != nil {
+		return nil, err
+	}
+	return d, nil
+}
+
+// Shared returns the text of a file's shared sections, including the comments within them.
+func Shared(file *inifile.File) string {
+	var out strings.Builder
+	lines := strings.SplitAfter(file.Text, "\n")
+	for _, section := range file.Sections {
+		if _, shared := Kinds[section.Kind]; !shared {
+			continue
+		}
+		text := strings.Join(lines[section.Line-1:min(section.Last, len(lines))], "")
+		out.WriteString(strings.TrimSpace(text) + "\n\n")
+	}
+	return strings.TrimSuffix(out.String(), "\n")
+}
+
+// Read parses the shared sections of a file. Errors are recorded in the file, see its Err method.
+func Read(file *inifile.File) *Document {
+	d := &Document{Text: file.Text}
+	if file.Broken() {
+		return d
+	}
+	// An instance's file may be longer than a document: only its shared sections count.
+	if size := len(Shared(file)); size > MaxSize {
+		file.Only("layout").Fault("", "the shared sections are over %d bytes", MaxSize)
+	}
+	d.readLayout(file.Only("layout"))
+	d.readLimits(file.Only("limits"))
+	tenants := map[string]bool{}
+	for _, section := range file.Of("team") {
+		tenants[section.Name] = true
+		d.readTenant(section)
+	}
+	for _, section := range file.Of("class") {
+		d.readClass(section, tenants)
+	}
+	for _, section := range file.Of("index") {
+		d.readIndex(section)
+	}
+	checkSectionCounts(file)
+	return d
+}
+
+func checkSectionCounts(file *inifile.File) {
+	for kind, limit := range map[string]int{"class": maxClasses, "team": maxTenants, "index": maxIndices} {
+		if sections := file.Of(kind); len(sections) > limit {
+			sections[limit].Fault("", "over %d sections of the kind %s", limit, kind)
+		}
+	}
+}
+
+func (d *Document) readLayout(s *inifile.Section) {
+	d.Layout = Layout{
+		Shards:            s.Int("slices", 1, 1, maxShards),
+		RingSize:          s.Int("cells", 1, 1, maxShards),
+		ReplicationFactor: s.Int("reach", 1, 1, maxShards),
+	}
+	if d.Layout.ReplicationFactor > d.Layout.RingSize {
+		s.Fault("reach", "%d cells hold a slice, but there are %d", d.Layout.ReplicationFactor, d.Layout.RingSize)
+	}
+	s.Done()
+}
+
+func (d *Document) readLimits(s *inifile.Section) {
+	d.Limits = Limits{
+		MaxOpen:            s.Int("max_open", 1000, 1, 1<<20),
+		MaxAttempts:        s.Int("max_attempts", 4, 1, 100),
+		AllowHedging:       s.Bool("second_copies", true),
+		AllowCancel:        s.Bool("cancel", true),
+		MaxRetryAfter:      s.Duration("advice", 2*time.Second, 0, maxDuration),
+		RetryBudgetRatio:   s.Float("further_share", 0, 0, 100),
+		RetryBudgetMinimum: s.Float("further_free", 10, 0, 1e6),
+		RetryBudgetWindow:  s.Duration("further_span", 10*time.Second, time.Second, maxDuration),
+		SlowStartDuration:  s.Duration("cold_for", 0, 0, maxDuration),
+		SlowStartFraction:  s.Float("cold_share", 0.1, 0.001, 1),
+		OverloadFactor:     s.Float("fall_multiple", 2, 0.01, 1000),
+		OverloadDuration:   s.Duration("fall_after", time.Second, 10*time.Millisecond, maxDuration),
+	}
+	s.Done()
+}
+
+func (d *Document) readTenant(s *inifile.Section) {
+	if !isName(s.Name) {
+		s.Fault("", "a team's name is made of letters, digits, - and _")
+	}
+	d.Tenants = append(d.Tenants, Tenant{
+		Name:             s.Name,
+		QueriesPerSecond: s.Float("queries_per_s", 0, 0, 1e6),
+		RetryRatio:       s.Float("further", 0, 0, 100),
+	})
+	s.Done()
+}
+
+func (d *Document) readClass(s *inifile.Section, tenants map[string]bool) {
+	checkClassName(s, tenants)
+	s.Need("aim")
+	s.Need("give_up")
+	objective := s.Duration("aim", time.Second, time.Millisecond, maxDuration)
+	timeout := s.Duration("give_up", maxDuration, time.Millisecond, maxDuration)
+	idempotency := idempotencies[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
+	window := s.Duration("window", 0, 0, maxDuration)
+	class := policy.Class{
+		Name:                s.Name,
+		LatencyObjective:    toMicros(objective),
+		Timeout:             toMicros(timeout),
+		PriorityWeight:      s.Float("worth", 1, 1e-6, 1e6),
+		LateWeight:          s.Float("late_worth", 0, 0, 1),
+		Idempotency:         idempotency,
+		DeduplicationWindow: toMicros(window),
+		RequiredCoverage:    s.Float("need", 1, 0.001, 1),
+		PartialWeight:       s.Float("partial_earns", 1, 0, 1),
+	}
+	class.MinCoverage = s.Float("least", class.RequiredCoverage, 0.001, 1)
+	switch {
+	case timeout < objective:
+		s.Fault("give_up", "%v is under the aim of %v", timeout, objective)
+	case idempotency == policy.IdempotentByKey && window == 0:
+		s.Fault("window", "a keyed class needs the time in which stores drop repeats")
+	case idempotency != policy.IdempotentByKey && window != 0:
+		s.Fault("window", "only a keyed class has one")
+	case class.MinCoverage > class.RequiredCoverage:
+		s.Fault("least", "%v is over the need of %v", class.MinCoverage, class.RequiredCoverage)
+	}
+	d.Classes = append(d.Classes, class)
+	s.Done()
+}
+
+func checkClassName(s *inifile.Section, tenants map[string]bool) {
+	first, second, hasTenant := strings.Cut(s.Name, "/")
+	switch {
+	case !isName(first) || hasTenant && !isName(second):
+		s.Fault("", "a class's name is made of letters, digits, - and _, with the team's name and / before it where it is a team's")
+	case hasTenant && !tenants[first]:
+		s.Fault("", "there is no [team %s]", first)
+	}
+}
+
+func (d *Document) readIndex(s *inifile.Section) {
+	if !isIndexName(s.Name) {
+		s.Fault("", "an index's name is made of small letters, digits, -, _ and . and begins with a letter or digit")
+	}
+	index := Index{
+		Name:   s.Name,
+		Class:  s.Need("class"),
+		Shards: s.Numbers("slices", d.Layout.Shards),
+	}
+	class, found := d.Class(index.Class)
+	switch {
+	case !found && index.Class == "": // reported by Need
+	case !found:
+		s.Fault("class", "there is no [class %s]", index.Class)
+	case class.Idempotency != policy.Idempotent:
+		s.Fault("class", "a search is always safe to repeat, and so must be its class")
+	}
+	d.Indices = append(d.Indices, index)
+	s.Done()
+}
+
+func toMicros(d time.Duration) policy.Micros { return d.Microseconds() }
--- /dev/null
+++ b/document/settings.go
@@ -0,0 +1,102 @@
+package document
+
+import (
+	"time"
+
+	"alderproxy/inifile"
+	"alderproxy/policy"
+)
+
+const (
+	tickInterval = 5 * time.Millisecond // how often pending decisions are reviewed
+	answerSlack  = 4 * tickInterval     // how long before its deadline a query is answered
+	drainGrace   = 500 * time.Millisecond
+	maxBatchSize = 1 // parts in a call to a store
+)
+
+// Settings returns the settings of the decisions for the instance with the given index among count instances that
+// share the load.
+func (d *Document) Settings(index, count int) policy.Settings {
+	limits := d.Limits
+	settings := policy.Settings{
+		InstanceIndex:     index,
+		InstanceCount:     count,
+		Tick:              toMicros(tickInterval),
+		Classes:           d.Classes,
+		Tenants:           d.policyTenants(),
+		Shards:            d.Layout.Shards,
+		RingSize:          d.Layout.RingSize,
+		ReplicationFactor: d.Layout.ReplicationFactor,
+		MaxBatchSize:      maxBatchSize,
+		MaxAttempts:       limits.MaxAttempts,
+		MaxOpen:           limits.MaxOpen,
+		AllowHedging:      limits.AllowHedging,
+		AllowCancel:       limits.AllowCancel,
+		SendRetryAfter:    limits.MaxRetryAfter > 0,
+		MaxRetryAfter:     toMicros(limits.MaxRetryAfter),
+		AnswerSlack:       toMicros(answerSlack),
+		DrainGrace:        toMicros(drainGrace),
+	}
+	if limits.SlowStartDuration > 0 {
+		settings.SlowStartDuration = toMicros(limits.SlowStartDuration)
+		settings.SlowStartFraction = limits.SlowStartFraction
+		settings.OverloadFactor = limits.OverloadFactor
+		settings.OverloadDuration = toMicros(limits.OverloadDuration)
+	}
+	if ratio := d.retryBudgetRatio(); ratio > 0 {
+		settings.RetryBudgetWindow = toMicros(limits.RetryBudgetWindow)
+		settings.RetryBudgetRatio = ratio
+		settings.RetryBudgetMinimum = limits.RetryBudgetMinimum
+	}
+	return settings
+}
+
+func (d *Document) policyTenants() []policy.Tenant {
+	var tenants []policy.Tenant
+	for _, t := range d.Tenants {
+		tenants = append(tenants, policy.Tenant{Name: t.Name, QueriesPerSecond: t.QueriesPerSecond})
+	}
+	return tenants
+}
+
+// retryBudgetRatio returns the ratio of the one retry budget that the decisions keep: the limits' own, or else the mean
+// of the tenants' ratios, weighted by their quotas.
+func (d *Document) retryBudgetRatio() float64 {
+	if d.Limits.RetryBudgetRatio > 0 {
+		return d.Limits.RetryBudgetRatio
+	}
+	sum, weights := 0.0, 0.0
+	for _, t := range d.Tenants {
+		weight := max(t.QueriesPerSecond, 1)
+		sum += weight * t.RetryRatio
+		weights += weight
+	}
+	if weights == 0 {
+		return 0
+	}
+	return sum / weights
+}
+
+// Overlay returns base with its classes replaced by the document's classes of the same names. It fails with an
+// inifile.Fault if the document gives one of them another idempotency than base.
+func (d *Document) Overlay(base policy.Settings) (policy.Settings, error) {
+	classes := make([]policy.Class, len(base.Classes))
+	for i, class := range base.Classes {
+		classes[i] = class
+		own, found := d.Class(class.Name)
+		if !found {
+			continue
+		}
+		if own.Idempotency != class.Idempotency {
+			return base, inifile.Fault{
+				File: "agreed document",
+				At:   "class " + class.Name + ".effect",
+				What: "the platform's front runs this class with another effect",
+			}
+		}
+		own.FetchParts = class.FetchParts
+		classes[i] = own
+	}
+	base.Classes = classes
+	return base, nil
+}
