--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -207,61 +207,61 @@
 
 // Core decides for one instance. Its calls must not overlap.
 type Core struct {
-	set    Settings
+	settings    Settings
 	now    Micros
-	acts   []Action
+	actions   []Action
 	state  State
-	roster []Member
+	members []Member
 	lease  Lease
 
-	asks    map[uint64]Micros // asks for a lease that may still be answered: when they left
-	lastAsk uint64
-	askedAt Micros
+	leaseRequests    map[uint64]Micros // asks for a lease that may still be answered: when they left
+	lastLeaseRequest uint64
+	leaseRequestedAt Micros
 
 	// The rest is a leader's.
 	term           uint64
 	leading, ready bool
-	queue          []ChangeRequested // changes that wait for the one under way
-	current        *change
-	waits          []LeaseRequested // for the next verification
-	verifying      []LeaseRequested // for the one that is out
-	verified       uint64           // its version
-	seq            uint64
-	verifyOut      uint64 // 0: none is out
-	heard          map[string]Micros
-	joins          *roster // the membership change under way
-	awaited        map[string]Micros
-}
-
-// change is the change under way.
-type change struct {
+	queuedChanges          []ChangeRequested // changes that wait for the one under way
+	currentChange        *changeInProgress
+	waitingLeases          []LeaseRequested // for the next verification
+	verifyingLeases      []LeaseRequested // for the one that is out
+	verifyingVersion       uint64           // its version
+	lastSeq            uint64
+	verificationSeq      uint64 // 0: none is out
+	lastHeard          map[string]Micros
+	membershipChange          *membershipChange // the membership change under way
+	catchUpRequestedAt        map[string]Micros
+}
+
+// changeInProgress is the change under way.
+type changeInProgress struct {
 	Change
 	calls    []uint64
-	until    Micros // callers wait no longer
+	callDeadline    Micros // callers wait no longer
 	proposed bool   // the first entry is applied
-	checkTo  Micros
-	waits    map[string]Member // who has not answered yet
-	yes      int
-	no       *CheckResult // the first one, and whose it was
-	noFrom   string
+	checkDeadline  Micros
+	unanswered    map[string]Member // who has not answered yet
+	acceptCount      int
+	rejection       *CheckResult // the first one, and whose it was
+	rejectedBy   string
 	decided  bool // the second entry is on its way
-	accept   bool
+	accepted   bool
 }
 
-// roster is a membership change under way.
-type roster struct {
+// membershipChange is a membership change under way.
+type membershipChange struct {
 	call   uint64
 	member Member
 	remove bool
 	seq    uint64 // of SetRoster; 0: it waits for the member to catch up
-	until  Micros
+	deadline  Micros
 }
 
 // New returns the core of an instance that has state and knows nobody.
 func New(set Settings, state State) *Core {
 	return &Core{
-		set: set, state: state, lease: Lease{Serve: set.ServeWhenStale, Removed: set.Removed}, asks: map[uint64]Micros{},
-		askedAt: -set.LeaseInterval, heard: map[string]Micros{}, awaited: map[string]Micros{},
+		settings: set, state: state, lease: Lease{Serve: set.ServeWhenStale, Removed: set.Removed}, leaseRequests: map[uint64]Micros{},
+		leaseRequestedAt: -set.LeaseInterval, lastHeard: map[string]Micros{}, catchUpRequestedAt: map[string]Micros{},
 	}
 }
 
@@ -273,64 +273,64 @@
 
 // Step takes what happened and returns what to do now, in order.
 func (c *Core) Step(now Micros, events []Event) []Action {
-	c.now, c.acts = max(now, c.now), nil
+	c.now, c.actions = max(now, c.now), nil
 	for _, e := range events {
-		c.take(e)
+		c.handleEvent(e)
 	}
-	c.ask()
+	c.requestLease()
 	if c.leading && c.ready {
-		c.lead()
+		c.advanceLeader()
 	}
-	return c.acts
+	return c.actions
 }
 
-func (c *Core) do(a Action) { c.acts = append(c.acts, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Core) logf(format string, args ...any) { c.do(Log{fmt.Sprintf(format, args...)}) }
+func (c *Core) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
-func (c *Core) take(e Event) {
+func (c *Core) handleEvent(e Event) {
 	switch e := e.(type) {
 	case Applied:
-		c.applied(e)
+		c.handleApplied(e)
 	case Role:
-		c.role(e)
+		c.handleRole(e)
 	case Ready:
 		c.ready = c.ready || c.leading && e.Term == c.term
 	case MemberList:
-		c.roster = e.Members
+		c.members = e.Members
 	case ChangeRequested:
-		c.asked(e)
+		c.handleChangeRequested(e)
 	case AppendFailed:
-		if c.current != nil && c.current.Request == e.Request {
-			c.unknown("the log did not take it, or nobody knows whether it did")
+		if c.currentChange != nil && c.currentChange.Request == e.Request {
+			c.abandonCurrentChange("the log did not take it, or nobody knows whether it did")
 		}
 	case CheckResult:
-		c.verdict(e)
+		c.handleCheckResult(e)
 	case LeaseRequested:
-		c.leaseAsked(e)
+		c.handleLeaseRequested(e)
 	case Verified:
-		c.verifiedNow(e)
+		c.handleVerified(e)
 	case LeaseGranted:
-		c.granted(e)
+		c.handleLeaseGranted(e)
 	case AddRequested:
-		c.add(e)
+		c.handleAddRequested(e)
 	case RemoveRequested:
-		c.remove(e)
+		c.handleRemoveRequested(e)
 	case MembershipChanged:
-		c.rosterSet(e)
+		c.handleMembershipChanged(e)
 	case CaughtUp:
-		c.caughtUp(e)
+		c.handleCaughtUp(e)
 	}
 }
 
-func (c *Core) applied(e Applied) {
+func (c *Core) handleApplied(e Applied) {
 	before := c.state.Active()
 	c.state = e.State
 	if v := c.state.Active(); v.Number != before.Number {
-		c.do(Activate{v})
+		c.emit(Activate{v})
 	}
 	for _, o := range e.Outcomes {
-		cur := c.current
+		cur := c.currentChange
 		if cur == nil || cur.Request != o.Request || o.Request == "" {
 			continue
 		}
@@ -338,177 +338,177 @@
 		case o.Status == Pending:
 			cur.proposed = true
 		case o.Status == Busy: // a change that an earlier leader began: it is decided first
-			c.requeue()
+			c.requeueCurrentChange()
 		case o.Status != Unknown:
-			c.reply(cur.calls, o)
-			c.current = nil
+			c.replyAll(cur.calls, o)
+			c.currentChange = nil
 		}
 	}
 }
 
-// requeue puts the change under way back: another one is pending.
-func (c *Core) requeue() {
-	cur := c.current
-	c.current = nil
-	again := make([]ChangeRequested, 0, len(cur.calls)+len(c.queue))
+// requeueCurrentChange puts the change under way back: another one is pending.
+func (c *Core) requeueCurrentChange() {
+	cur := c.currentChange
+	c.currentChange = nil
+	again := make([]ChangeRequested, 0, len(cur.calls)+len(c.queuedChanges))
 	for _, call := range cur.calls {
 		again = append(again, ChangeRequested{call, cur.Change})
 	}
-	c.queue = append(again, c.queue...)
+	c.queuedChanges = append(again, c.queuedChanges...)
 }
 
-func (c *Core) reply(calls []uint64, o Outcome) {
+func (c *Core) replyAll(calls []uint64, o Outcome) {
 	for _, call := range calls {
-		c.do(Reply{call, o})
+		c.emit(Reply{call, o})
 	}
 }
 
-// role ends what a leader has under way when the term ends: nobody here knows then what becomes of it.
-func (c *Core) role(e Role) {
+// handleRole ends what a leader has under way when the term ends: nobody here knows then what becomes of it.
+func (c *Core) handleRole(e Role) {
 	if e.Leading == c.leading && (!e.Leading || e.Term == c.term) {
 		c.term = max(c.term, e.Term)
 		return
 	}
 	if c.leading {
-		c.unknown("this instance no longer leads")
-		for _, a := range c.queue {
-			c.do(Reply{a.Call, Outcome{Request: a.Change.Request, Why: "this instance no longer leads"}})
+		c.abandonCurrentChange("this instance no longer leads")
+		for _, a := range c.queuedChanges {
+			c.emit(Reply{a.Call, Outcome{Request: a.Change.Request, Why: "this instance no longer leads"}})
 		}
-		c.endRoster(Unknown, "this instance no longer leads")
-		for _, w := range append(c.waits, c.verifying...) {
-			c.do(AnswerLeaseRequest{Call: w.Call})
+		c.finishMembershipChange(Unknown, "this instance no longer leads")
+		for _, w := range append(c.waitingLeases, c.verifyingLeases...) {
+			c.emit(AnswerLeaseRequest{Call: w.Call})
 		}
 	}
 	c.leading, c.term, c.ready = e.Leading, e.Term, false
-	c.queue, c.current, c.waits, c.verifying, c.verifyOut = nil, nil, nil, nil, 0
-	clear(c.heard)
-	clear(c.awaited)
+	c.queuedChanges, c.currentChange, c.waitingLeases, c.verifyingLeases, c.verificationSeq = nil, nil, nil, nil, 0
+	clear(c.lastHeard)
+	clear(c.catchUpRequestedAt)
 }
 
-func (c *Core) unknown(why string) {
-	if c.current != nil {
-		c.reply(c.current.calls, Outcome{Request: c.current.Request, Why: why})
-		c.current = nil
+func (c *Core) abandonCurrentChange(why string) {
+	if c.currentChange != nil {
+		c.replyAll(c.currentChange.calls, Outcome{Request: c.currentChange.Request, Why: why})
+		c.currentChange = nil
 	}
 }
 
-// asked takes a change in. One that is known already is answered from what is known of it, and one that is under way
+// handleChangeRequested takes a change in. One that is known already is answered from what is known of it, and one that is under way
 // gets a further caller.
-func (c *Core) asked(e ChangeRequested) {
+func (c *Core) handleChangeRequested(e ChangeRequested) {
 	known := c.state.Outcome(e.Change.Request)
 	switch {
 	case !c.leading:
-		c.do(Reply{e.Call, Outcome{Request: e.Change.Request, Why: "this instance does not lead"}})
-	case c.current != nil && c.current.Request == e.Change.Request:
-		c.current.calls = append(c.current.calls, e.Call)
+		c.emit(Reply{e.Call, Outcome{Request: e.Change.Request, Why: "this instance does not lead"}})
+	case c.currentChange != nil && c.currentChange.Request == e.Change.Request:
+		c.currentChange.calls = append(c.currentChange.calls, e.Call)
 	case known.Status != Unknown && known.Status != Pending && c.ready:
-		c.do(Reply{e.Call, known})
+		c.emit(Reply{e.Call, known})
 	default:
-		c.queue = append(c.queue, e)
+		c.queuedChanges = append(c.queuedChanges, e)
 	}
 }
 
-// lead does what a leader owes: it decides what is pending, begins what waits, verifies for those who ask for leases
+// advanceLeader does what a leader owes: it decides what is pending, begins what waits, verifies for those who ask for leases
 // and gives those a vote that have caught up.
-func (c *Core) lead() {
-	c.begin()
-	c.judge()
-	if len(c.waits) > 0 && c.verifyOut == 0 && !c.activating() {
-		c.seq++
-		c.verifyOut, c.verifying, c.waits = c.seq, c.waits, nil
-		c.verified = c.state.Active().Number
-		c.do(Verify{c.seq})
+func (c *Core) advanceLeader() {
+	c.startNextChange()
+	c.decideCurrentChange()
+	if len(c.waitingLeases) > 0 && c.verificationSeq == 0 && !c.mayBeActivating() {
+		c.lastSeq++
+		c.verificationSeq, c.verifyingLeases, c.waitingLeases = c.lastSeq, c.waitingLeases, nil
+		c.verifyingVersion = c.state.Active().Number
+		c.emit(Verify{c.lastSeq})
 	}
-	c.members()
+	c.advanceMembership()
 }
 
-// activating tells whether a new version may be active already though it is not applied here.
-func (c *Core) activating() bool { return c.current != nil && c.current.decided && c.current.accept }
+// mayBeActivating tells whether a new version may be active already though it is not applied here.
+func (c *Core) mayBeActivating() bool { return c.currentChange != nil && c.currentChange.decided && c.currentChange.accepted }
 
-// begin takes up what an earlier leader left pending, else the next change that waits.
-func (c *Core) begin() {
-	if c.current == nil && c.state.Pending != nil {
+// startNextChange takes up what an earlier leader left pending, else the next change that waits.
+func (c *Core) startNextChange() {
+	if c.currentChange == nil && c.state.Pending != nil {
 		c.logf("change %s was left pending: it is checked again", c.state.Pending.Request)
-		c.current = &change{Change: *c.state.Pending, proposed: true}
+		c.currentChange = &changeInProgress{Change: *c.state.Pending, proposed: true}
 	}
-	for c.current == nil && len(c.queue) > 0 {
-		next := c.queue[0]
-		c.queue = c.queue[1:]
+	for c.currentChange == nil && len(c.queuedChanges) > 0 {
+		next := c.queuedChanges[0]
+		c.queuedChanges = c.queuedChanges[1:]
 		if known := c.state.Outcome(next.Change.Request); known.Status != Unknown {
-			c.do(Reply{next.Call, known})
+			c.emit(Reply{next.Call, known})
 			continue
 		}
-		c.current = &change{Change: next.Change, calls: []uint64{next.Call}, until: c.now + c.set.ChangeTimeout}
-		c.do(Append{Entry{Propose: &next.Change}, next.Change.Request})
+		c.currentChange = &changeInProgress{Change: next.Change, calls: []uint64{next.Call}, callDeadline: c.now + c.settings.ChangeTimeout}
+		c.emit(Append{Entry{Propose: &next.Change}, next.Change.Request})
 	}
-	if cur := c.current; cur != nil { // those who ask for the same change wait with it
-		c.queue = slices.DeleteFunc(c.queue, func(a ChangeRequested) bool {
+	if cur := c.currentChange; cur != nil { // those who ask for the same change wait with it
+		c.queuedChanges = slices.DeleteFunc(c.queuedChanges, func(a ChangeRequested) bool {
 			same := a.Change.Request == cur.Request
 			if same {
 				cur.calls = append(cur.calls, a.Call)
 			}
 			return same
 		})
-		if cur.until > 0 && c.now >= cur.until {
-			c.reply(cur.calls, Outcome{Request: cur.Request, Why: "not decided in time"})
-			cur.calls, cur.until = nil, 0
+		if cur.callDeadline > 0 && c.now >= cur.callDeadline {
+			c.replyAll(cur.calls, Outcome{Request: cur.Request, Why: "not decided in time"})
+			cur.calls, cur.callDeadline = nil, 0
 		}
-		if cur.proposed && cur.waits == nil {
-			cur.checkTo, cur.waits = c.now+c.set.CheckTimeout, map[string]Member{}
-			for _, m := range c.roster {
-				cur.waits[m.Folder] = m
-				c.do(Check{m, cur.Change})
+		if cur.proposed && cur.unanswered == nil {
+			cur.checkDeadline, cur.unanswered = c.now+c.settings.CheckTimeout, map[string]Member{}
+			for _, m := range c.members {
+				cur.unanswered[m.Folder] = m
+				c.emit(Check{m, cur.Change})
 			}
 		}
 	}
 }
 
-func (c *Core) verdict(e CheckResult) {
-	cur := c.current
+func (c *Core) handleCheckResult(e CheckResult) {
+	cur := c.currentChange
 	if cur == nil || cur.Request != e.Request || cur.decided {
 		return
 	}
-	m, asked := cur.waits[e.Folder]
+	m, asked := cur.unanswered[e.Folder]
 	if !asked {
 		return
 	}
-	delete(cur.waits, e.Folder)
+	delete(cur.unanswered, e.Folder)
 	switch {
 	case e.TimedOut:
 		c.logf("instance %s did not check change %s: %s", m.Name, e.Request, cmp.Or(e.Reason, "no answer"))
 	case !e.Accepted:
-		if cur.no == nil {
-			cur.no, cur.noFrom = &e, m.Name
+		if cur.rejection == nil {
+			cur.rejection, cur.rejectedBy = &e, m.Name
 		}
 	case m.Voter:
-		cur.yes++
+		cur.acceptCount++
 	}
 }
 
-// judge decides the change under way once every member has spoken, or its time for that is up. One "no" decides it
+// decideCurrentChange decides the change under way once every member has spoken, or its time for that is up. One "no" decides it
 // at once. Without a majority's "yes" it is refused: a leader that is cut off would find out only later.
-func (c *Core) judge() {
-	cur := c.current
-	if cur == nil || !cur.proposed || cur.waits == nil || cur.decided {
+func (c *Core) decideCurrentChange() {
+	cur := c.currentChange
+	if cur == nil || !cur.proposed || cur.unanswered == nil || cur.decided {
 		return
 	}
 	d := Decision{Request: cur.Request}
 	switch {
-	case cur.no != nil:
-		d.Instance, d.Why = cur.noFrom, cur.no.Reason
-	case len(cur.waits) > 0 && c.now < cur.checkTo:
+	case cur.rejection != nil:
+		d.Instance, d.Why = cur.rejectedBy, cur.rejection.Reason
+	case len(cur.unanswered) > 0 && c.now < cur.checkDeadline:
 		return
-	case cur.yes <= c.voters()/2:
-		d.Why = fmt.Sprintf("only %d of %d instances could check it", cur.yes, c.voters())
+	case cur.acceptCount <= c.voterCount()/2:
+		d.Why = fmt.Sprintf("only %d of %d instances could check it", cur.acceptCount, c.voterCount())
 	default:
 		d.Accept = true
 	}
-	cur.decided, cur.accept = true, d.Accept
-	c.do(Append{Entry{Decide: &d}, cur.Request})
+	cur.decided, cur.accepted = true, d.Accept
+	c.emit(Append{Entry{Decide: &d}, cur.Request})
 }
 
-func (c *Core) voters() (n int) {
-	for _, m := range c.roster {
+func (c *Core) voterCount() (n int) {
+	for _, m := range c.members {
 		if m.Voter {
 			n++
 		}
@@ -516,74 +516,74 @@
 	return n
 }
 
-func (c *Core) member(is func(Member) bool) (Member, bool) {
-	i := slices.IndexFunc(c.roster, is)
+func (c *Core) findMember(is func(Member) bool) (Member, bool) {
+	i := slices.IndexFunc(c.members, is)
 	if i < 0 {
 		return Member{}, false
 	}
-	return c.roster[i], true
+	return c.members[i], true
 }
 
-// ask asks for a lease, as often as the settings say: soon enough that several may be lost before the bound passes.
+// requestLease asks for a lease, as often as the settings say: soon enough that several may be lost before the bound passes.
 // Who was not granted its last one asks more often: a leader may be there for a short time only.
-func (c *Core) ask() {
-	every := c.set.LeaseInterval
-	if _, out := c.asks[c.lastAsk]; out || c.lastAsk == 0 {
+func (c *Core) requestLease() {
+	every := c.settings.LeaseInterval
+	if _, out := c.leaseRequests[c.lastLeaseRequest]; out || c.lastLeaseRequest == 0 {
 		every /= 8
 	}
-	if c.lease.Removed || c.now < c.askedAt+every {
+	if c.lease.Removed || c.now < c.leaseRequestedAt+every {
 		return
 	}
-	maps.DeleteFunc(c.asks, func(_ uint64, at Micros) bool { return at+c.set.StalenessBound <= c.now })
-	c.lastAsk++
-	c.asks[c.lastAsk], c.askedAt = c.now, c.now
-	c.do(RequestLease{c.lastAsk})
+	maps.DeleteFunc(c.leaseRequests, func(_ uint64, at Micros) bool { return at+c.settings.StalenessBound <= c.now })
+	c.lastLeaseRequest++
+	c.leaseRequests[c.lastLeaseRequest], c.leaseRequestedAt = c.now, c.now
+	c.emit(RequestLease{c.lastLeaseRequest})
 }
 
-// granted counts from when the ask left, on this instance's own clock: however late the answer comes, what it says
+// handleLeaseGranted counts from when the ask left, on this instance's own clock: however late the answer comes, what it says
 // was true then or later.
-func (c *Core) granted(e LeaseGranted) {
-	at, known := c.asks[e.Seq]
+func (c *Core) handleLeaseGranted(e LeaseGranted) {
+	at, known := c.leaseRequests[e.Seq]
 	if !known || !e.OK {
 		return
 	}
-	delete(c.asks, e.Seq)
+	delete(c.leaseRequests, e.Seq)
 	if e.Removed {
 		c.lease = Lease{Removed: true}
-		c.do(NewLease{c.lease})
+		c.emit(NewLease{c.lease})
 		c.logf("this instance was removed from its group: it serves nothing any more")
 		return
 	}
-	if until := at + c.set.StalenessBound - c.set.StalenessBound/clockSlack; until > c.now {
+	if until := at + c.settings.StalenessBound - c.settings.StalenessBound/clockSlack; until > c.now {
 		c.lease = c.lease.with(Grant{e.Version, until}, c.now)
-		c.do(NewLease{c.lease})
+		c.emit(NewLease{c.lease})
 	}
 }
 
-// leaseAsked has the asker wait for the next verification: one that is out already may have begun before the ask.
-func (c *Core) leaseAsked(e LeaseRequested) {
+// handleLeaseRequested has the asker wait for the next verification: one that is out already may have begun before the ask.
+func (c *Core) handleLeaseRequested(e LeaseRequested) {
 	if !c.leading || !c.ready {
-		c.do(AnswerLeaseRequest{Call: e.Call})
+		c.emit(AnswerLeaseRequest{Call: e.Call})
 		return
 	}
-	c.heard[e.Folder] = c.now
-	c.waits = append(c.waits, e)
+	c.lastHeard[e.Folder] = c.now
+	c.waitingLeases = append(c.waitingLeases, e)
 }
 
-// verifiedNow grants what was verified. The version is the one that was active when the verification began; while a
+// handleVerified grants what was verified. The version is the one that was active when the verification began; while a
 // newer one may be active unseen none begins.
-func (c *Core) verifiedNow(e Verified) {
-	if e.Seq != c.verifyOut {
+func (c *Core) handleVerified(e Verified) {
+	if e.Seq != c.verificationSeq {
 		return
 	}
-	for _, w := range c.verifying {
+	for _, w := range c.verifyingLeases {
 		g := AnswerLeaseRequest{Call: w.Call}
-		if e.OK && e.Term == c.term && c.verified > 0 {
-			_, in := c.member(func(m Member) bool { return m.Folder == w.Folder })
-			g.Version, g.Removed = c.verified, c.state.IsRetired(w.Folder)
+		if e.OK && e.Term == c.term && c.verifyingVersion > 0 {
+			_, in := c.findMember(func(m Member) bool { return m.Folder == w.Folder })
+			g.Version, g.Removed = c.verifyingVersion, c.state.IsRetired(w.Folder)
 			g.OK = in || g.Removed
 		}
-		c.do(g)
+		c.emit(g)
 	}
-	c.verifying, c.verifyOut = nil, 0
+	c.verifyingLeases, c.verificationSeq = nil, 0
 }
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -65,36 +65,36 @@
 // so that a follower's lease never outlasts the one that it came from: the bound on staleness is the voters' own,
 // and no majority is asked for it. Its calls must not overlap.
 type Follower struct {
-	set    Settings
+	settings    Settings
 	now    Micros
-	acts   []Action
-	seeds  []Member // by its own file: addresses alone
-	voters []Member // by the newest answer
+	actions   []Action
+	seedVoters  []Member // by its own file: addresses alone
+	knownVoters []Member // by the newest answer
 	active Version
 	group  string // empty: nobody has told yet
 	lease  Lease
 
-	asks    map[uint64]asked
-	lastAsk uint64
-	askedAt Micros
-	failed  map[string]Micros // when a voter last failed, by address
-	refused string            // the newest group that was not this one's, as it was logged
+	pendingPolls    map[uint64]pendingPoll
+	lastPoll uint64
+	polledAt Micros
+	failedAt  map[string]Micros // when a voter last failed, by address
+	loggedGroup string            // the newest group that was not this one's, as it was logged
 }
 
-type asked struct {
-	at Micros
-	of Member
+type pendingPoll struct {
+	sentAt Micros
+	voter Member
 }
 
 // NewFollower returns the decisions of an instance that served by a version last (Number 0: by none) and knows these
 // addresses of voters.
 func NewFollower(set Settings, voters []string, last Version) *Follower {
 	f := &Follower{
-		set: set, active: last, lease: Lease{Serve: set.ServeWhenStale}, asks: map[uint64]asked{}, askedAt: -set.LeaseInterval,
-		failed: map[string]Micros{},
+		settings: set, active: last, lease: Lease{Serve: set.ServeWhenStale}, pendingPolls: map[uint64]pendingPoll{}, polledAt: -set.LeaseInterval,
+		failedAt: map[string]Micros{},
 	}
 	for _, a := range voters {
-		f.seeds = append(f.seeds, Member{Addr: a, Voter: true})
+		f.seedVoters = append(f.seedVoters, Member{Addr: a, Voter: true})
 	}
 	return f
 }
@@ -106,127 +106,127 @@
 func (f *Follower) Group() string { return f.group }
 
 // Voters are those known, in the order in which this instance asks them.
-func (f *Follower) Voters() []Member { return f.order() }
+func (f *Follower) Voters() []Member { return f.votersByPreference() }
 
 // Step takes what happened and returns what to do now, in order.
 func (f *Follower) Step(now Micros, events []Event) []Action {
-	f.now, f.acts = max(now, f.now), nil
+	f.now, f.actions = max(now, f.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case ReplyReceived:
-			f.told(e)
+			f.handleReply(e)
 		case CallTimedOut:
-			if a, out := f.asks[e.Seq]; out {
-				delete(f.asks, e.Seq)
-				f.fail(a.of)
+			if a, out := f.pendingPolls[e.Seq]; out {
+				delete(f.pendingPolls, e.Seq)
+				f.markFailed(a.voter)
 			}
 		}
 	}
-	f.ask()
-	return f.acts
+	f.poll()
+	return f.actions
 }
 
-func (f *Follower) do(a Action) { f.acts = append(f.acts, a) }
+func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-func (f *Follower) fail(m Member) { f.failed[m.Addr] = f.now }
+func (f *Follower) markFailed(m Member) { f.failedAt[m.Addr] = f.now }
 
-// ask asks for a lease as often as a voter does. A voter that has not answered the last ask by then is passed over
+// poll asks for a lease as often as a voter does. A voter that has not answered the last ask by then is passed over
 // for as long as the bound, since there is only so much time.
-func (f *Follower) ask() {
-	every := f.set.LeaseInterval
-	if len(f.asks) > 0 || f.lastAsk == 0 || !f.lease.Holds(f.now, f.active.Number) {
+func (f *Follower) poll() {
+	every := f.settings.LeaseInterval
+	if len(f.pendingPolls) > 0 || f.lastPoll == 0 || !f.lease.Holds(f.now, f.active.Number) {
 		every /= 4 // there is something to catch up on
 	}
-	if f.now < f.askedAt+every {
+	if f.now < f.polledAt+every {
 		return
 	}
-	for _, seq := range slices.Sorted(maps.Keys(f.asks)) {
-		a := f.asks[seq]
-		if f.now-a.at >= f.set.LeaseInterval/2 {
-			f.fail(a.of)
+	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
+		a := f.pendingPolls[seq]
+		if f.now-a.sentAt >= f.settings.LeaseInterval/2 {
+			f.markFailed(a.voter)
 		}
-		if f.now-a.at >= f.set.StalenessBound { // an answer would be worth nothing
-			delete(f.asks, seq)
+		if f.now-a.sentAt >= f.settings.StalenessBound { // an answer would be worth nothing
+			delete(f.pendingPolls, seq)
 		}
 	}
-	all := f.order()
+	all := f.votersByPreference()
 	if len(all) == 0 {
 		return
 	}
-	f.lastAsk++
-	f.askedAt = f.now
-	f.asks[f.lastAsk] = asked{f.now, all[0]}
+	f.lastPoll++
+	f.polledAt = f.now
+	f.pendingPolls[f.lastPoll] = pendingPoll{f.now, all[0]}
 	a := PollRequest{Have: f.active.Number, Digest: f.active.Digest}
 	if f.group == "" { // what it had may be of a group that was begun anew since
 		a = PollRequest{}
 	}
-	f.do(PollVoter{f.lastAsk, all[0], a})
+	f.emit(PollVoter{f.lastPoll, all[0], a})
 }
 
-// order is the voters in the order in which this instance wants them: its own, drawn from its folder's name, so that
+// votersByPreference is the voters in the order in which this instance wants them: its own, drawn from its folder's name, so that
 // all instances spread over the voters; those that failed within the bound come last, the one that failed longest ago
 // first. Addresses by its own file count while no voter is known to work.
-func (f *Follower) order() []Member {
-	all := slices.Clone(f.voters)
-	fresh := slices.ContainsFunc(all, func(m Member) bool { return !f.failing(m) })
+func (f *Follower) votersByPreference() []Member {
+	all := slices.Clone(f.knownVoters)
+	fresh := slices.ContainsFunc(all, func(m Member) bool { return !f.failedRecently(m) })
 	if !fresh {
-		for _, s := range f.seeds {
+		for _, s := range f.seedVoters {
 			if !slices.ContainsFunc(all, func(m Member) bool { return m.Addr == s.Addr }) {
 				all = append(all, s)
 			}
 		}
 	}
-	weight := func(m Member) uint64 { return xxhash.Sum64String(f.set.InstanceID + " " + m.Addr) }
+	weight := func(m Member) uint64 { return xxhash.Sum64String(f.settings.InstanceID + " " + m.Addr) }
 	slices.SortFunc(all, func(x, y Member) int {
-		if a, b := f.failing(x), f.failing(y); a || b {
+		if a, b := f.failedRecently(x), f.failedRecently(y); a || b {
 			if a != b {
 				return map[bool]int{true: 1, false: -1}[a]
 			}
-			return cmp.Or(cmp.Compare(f.failed[x.Addr], f.failed[y.Addr]), cmp.Compare(weight(x), weight(y)))
+			return cmp.Or(cmp.Compare(f.failedAt[x.Addr], f.failedAt[y.Addr]), cmp.Compare(weight(x), weight(y)))
 		}
 		return cmp.Or(cmp.Compare(weight(x), weight(y)), cmp.Compare(x.Addr, y.Addr))
 	})
 	return all
 }
 
-func (f *Follower) failing(m Member) bool {
-	at, known := f.failed[m.Addr]
-	return known && f.now-at < f.set.StalenessBound
+func (f *Follower) failedRecently(m Member) bool {
+	at, known := f.failedAt[m.Addr]
+	return known && f.now-at < f.settings.StalenessBound
 }
 
-func (f *Follower) told(e ReplyReceived) {
-	a, out := f.asks[e.Seq]
+func (f *Follower) handleReply(e ReplyReceived) {
+	a, out := f.pendingPolls[e.Seq]
 	if !out {
 		return // it came twice, or too late
 	}
-	delete(f.asks, e.Seq)
+	delete(f.pendingPolls, e.Seq)
 	switch {
 	case !e.OK:
-		f.fail(a.of)
+		f.markFailed(a.voter)
 		return
 	case f.group != "" && e.Group != f.group:
-		f.fail(a.of)
-		if f.refused != e.Group {
-			f.refused = e.Group
-			f.do(Log{fmt.Sprintf("the voter at %s is of group %s and not of %s: it is not followed; if the group was begun anew, restart this instance", a.of.Addr, e.Group, f.group)})
+		f.markFailed(a.voter)
+		if f.loggedGroup != e.Group {
+			f.loggedGroup = e.Group
+			f.emit(Log{fmt.Sprintf("the voter at %s is of group %s and not of %s: it is not followed; if the group was begun anew, restart this instance", a.voter.Addr, e.Group, f.group)})
 		}
 		return
 	}
-	delete(f.failed, a.of.Addr)
+	delete(f.failedAt, a.voter.Addr)
 	first := f.group == ""
 	f.group = e.Group
 	if len(e.Voters) > 0 {
-		f.voters = e.Voters
+		f.knownVoters = e.Voters
 	}
-	maps.DeleteFunc(f.failed, func(_ string, at Micros) bool { return f.now-at >= f.set.StalenessBound })
+	maps.DeleteFunc(f.failedAt, func(_ string, at Micros) bool { return f.now-at >= f.settings.StalenessBound })
 	// Versions never go back, but for the first answer: what was kept may be of a group that was begun anew.
 	if v := e.Active; v != nil && (v.Number > f.active.Number || first && (v.Number != f.active.Number || v.Digest != f.active.Digest)) {
 		f.active = *v
-		f.do(Activate{*v})
+		f.emit(Activate{*v})
 	}
-	left := min(e.Left, f.set.StalenessBound)
-	if until := a.at + left - left/clockSlack; until > f.now {
+	left := min(e.Left, f.settings.StalenessBound)
+	if until := a.sentAt + left - left/clockSlack; until > f.now {
 		f.lease = f.lease.with(Grant{e.Version, until}, f.now)
-		f.do(NewLease{f.lease})
+		f.emit(NewLease{f.lease})
 	}
 }
--- a/sharedconfig/measure_test.go
+++ b/sharedconfig/measure_test.go
@@ -33,8 +33,8 @@
 	m := newModel(t, 1, 3)
 	m.followers(followers)
 	for _, f := range m.follow {
-		f.voters = m.roster
-		shares[f.order()[0].Addr]++
+		f.knownVoters = m.roster
+		shares[f.votersByPreference()[0].Addr]++
 	}
 	t.Logf("shares of the voters: %v", shares)
 	all := []int{shares["a0"], shares["a1"], shares["a2"]}
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -58,7 +58,7 @@
 	case 0:
 		f.paused = m.now + Micros(m.rng.IntN(3*bound))
 	case 1: // started again with nothing
-		*f = mfollower{Follower: NewFollower(f.set, []string{"a1", "a0"}, Version{}), skew: f.skew, served: f.served}
+		*f = mfollower{Follower: NewFollower(f.settings, []string{"a1", "a0"}, Version{}), skew: f.skew, served: f.served}
 	}
 	if f.paused > m.now {
 		return
@@ -372,7 +372,7 @@
 	}
 	for _, f := range m.follow {
 		if f.paused <= m.now && f.lease.Holds(m.now+f.skew, f.version) {
-			serves(f.set.InstanceID, f.version)
+			serves(f.settings.InstanceID, f.version)
 		}
 	}
 }
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -100,9 +100,9 @@
 	Retired  []string  `json:"retired,omitempty"`
 }
 
-// keepOutcomes is how many ended changes are known by their request. One that is asked for again later than that
+// maxOutcomes is how many ended changes are known by their request. One that is asked for again later than that
 // would be a new one, and then fails on the version that it expects.
-const keepOutcomes = 1024
+const maxOutcomes = 1024
 
 // Active is the version in force; its number is 0 before the group is founded.
 func (s State) Active() Version {
@@ -168,10 +168,10 @@
 		return s, o
 	case c.Expect != active.Number:
 		o.Status, o.Why = Conflict, fmt.Sprintf("version %d is active and not %d", active.Number, c.Expect)
-		return s.end(o), o
+		return s.recordOutcome(o), o
 	case c.Digest == active.Digest && c.Text == active.Text:
 		o.Status, o.Version, o.Why = Done, active.Number, "nothing to change"
-		return s.end(o), o
+		return s.recordOutcome(o), o
 	}
 	s.Pending = &c
 	o.Status = Pending
@@ -186,7 +186,7 @@
 	s.Pending = nil
 	if !d.Accept {
 		o := Outcome{Request: d.Request, Status: Refused, Instance: d.Instance, Why: d.Why}
-		return s.end(o), o
+		return s.recordOutcome(o), o
 	}
 	return s.activate(c)
 }
@@ -201,13 +201,13 @@
 		s.Versions = slices.Clone(s.Versions[len(s.Versions)-s.Keep:])
 	}
 	o := Outcome{Request: c.Request, Status: Done, Version: v.Number}
-	return s.end(o), o
+	return s.recordOutcome(o), o
 }
 
-func (s State) end(o Outcome) State {
+func (s State) recordOutcome(o Outcome) State {
 	s.Outcomes = append(slices.Clip(s.Outcomes), o)
-	if len(s.Outcomes) > keepOutcomes {
-		s.Outcomes = slices.Clone(s.Outcomes[len(s.Outcomes)-keepOutcomes:])
+	if len(s.Outcomes) > maxOutcomes {
+		s.Outcomes = slices.Clone(s.Outcomes[len(s.Outcomes)-maxOutcomes:])
 	}
 	return s
 }
