--- a/peer/frame.go
+++ b/peer/frame.go
@@ -13,15 +13,15 @@
 // MaxFrame bounds a frame's payload, in bytes.
 const MaxFrame = 8 << 20
 
-// headLen is a frame's head: length of the payload, kind, number of the call.
-const headLen = 4 + 1 + 8
+// frameHeaderSize is a frame's head: length of the payload, kind, number of the call.
+const frameHeaderSize = 4 + 1 + 8
 
 // Kinds of frames that are no calls. Those of calls lie between.
 const (
-	kindHello byte = 0x01
-	kindChunk byte = 0x02 // a piece of a stream; its payload begins with its number, an empty rest ends it
-	kindDone  byte = 0x80
-	kindFail  byte = 0x81
+	frameHello       byte = 0x01
+	frameStreamChunk byte = 0x02 // a piece of a stream; its payload begins with its number, an empty rest ends it
+	frameResult      byte = 0x80
+	frameError       byte = 0x81
 )
 
 // Frame is one message.
@@ -44,7 +44,7 @@
 
 // ReadFrame reads a frame. Memory is taken as its bytes come, and not as its head announces.
 func ReadFrame(r io.Reader) (Frame, error) {
-	var head [headLen]byte
+	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return Frame{}, err
 	}
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -43,7 +43,7 @@
 type Follower struct {
 	serving
 	id     raft.ServerID
-	net    *peer.Net
+	net    *peer.Endpoint
 	core   *sharedconfig.Follower // the loop's
 	group  atomic.Pointer[string]
 	active atomic.Pointer[sharedconfig.Version]
--- a/raftnode/group.go
+++ b/raftnode/group.go
@@ -53,7 +53,7 @@
 type Node struct {
 	serving
 	id      raft.ServerID
-	net     *peer.Net
+	net     *peer.Endpoint
 	raft    *raft.Raft
 	machine *machine
 	core    *sharedconfig.Core // the loop's
@@ -96,7 +96,7 @@
 		return err
 	}
 	defer s.Close()
-	if group, err := s.Self(selfGroup); err != nil || group != "" {
+	if group, err := s.Metadata(selfGroup); err != nil || group != "" {
 		return errors.Join(err, fmt.Errorf("%s: %w", folder, ErrAlreadyBootstrapped))
 	}
 	group := randomHex(8)
@@ -116,7 +116,7 @@
 	if err := s.SetUint64([]byte("CurrentTerm"), 1); err != nil {
 		return err
 	}
-	return s.SetSelf(selfGroup, group)
+	return s.SetMetadata(selfGroup, group)
 }
 
 // openFolder opens what an instance keeps, and begins it in an empty folder: with a name for the folder itself that
@@ -128,11 +128,11 @@
 	if s, err = raftstore.Open(filepath.Join(folder, fileName)); err != nil {
 		return nil, "", fmt.Errorf("folder: %w", err)
 	}
-	known, err := s.Self(selfName)
-	own, err2 := s.Self(selfFolder)
+	known, err := s.Metadata(selfName)
+	own, err2 := s.Metadata(selfFolder)
 	if err = errors.Join(err, err2); err == nil && own == "" {
 		known, own = name, randomHex(4)
-		err = errors.Join(s.SetSelf(selfName, name), s.SetSelf(selfFolder, own))
+		err = errors.Join(s.SetMetadata(selfName, name), s.SetMetadata(selfFolder, own))
 	}
 	if err == nil && known != name {
 		err = fmt.Errorf("it is %s's and not %s's", known, name)
@@ -160,11 +160,11 @@
 }
 
 func (n *Node) start() error {
-	group, err := n.store.Self(selfGroup)
+	group, err := n.store.Metadata(selfGroup)
 	if err != nil {
 		return err
 	}
-	removed, err := n.store.Self(selfRemoved)
+	removed, err := n.store.Metadata(selfRemoved)
 	if err != nil {
 		return err
 	}
@@ -287,7 +287,7 @@
 		}
 		if group := state.Group; group != "" && group != *n.group.Load() {
 			n.group.Store(&group)
-			if err := n.store.SetSelf(selfGroup, group); err != nil {
+			if err := n.store.SetMetadata(selfGroup, group); err != nil {
 				n.Log.WithError(err).Error("the group's name could not be kept")
 			}
 		}
@@ -390,7 +390,7 @@
 	case sharedconfig.NewLease:
 		n.lease.Store(&a.Lease)
 		if a.Lease.Removed {
-			if err := n.store.SetSelf(selfRemoved, "yes"); err != nil {
+			if err := n.store.SetMetadata(selfRemoved, "yes"); err != nil {
 				n.Log.WithError(err).Error("the removal could not be kept")
 			}
 		}
--- a/raftnode/recover.go
+++ b/raftnode/recover.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	defer n.store.Close()
-	if removed, err := n.store.Self(selfRemoved); err != nil || removed != "" {
+	if removed, err := n.store.Metadata(selfRemoved); err != nil || removed != "" {
 		return fmt.Errorf("folder %s: this instance was removed from its group: nothing goes on from it", folder)
 	}
 	if rem.State.Active().Number == 0 {
@@ -133,5 +133,5 @@
 	if err := raft.RecoverCluster(conf, m, n.store, n.store, snaps, t, only); err != nil {
 		return fmt.Errorf("folder %s: %w", folder, err)
 	}
-	return n.store.SetSelf(selfGroup, m.group)
+	return n.store.SetMetadata(selfGroup, m.group)
 }
--- a/raftnode/serving.go
+++ b/raftnode/serving.go
@@ -45,7 +45,7 @@
 
 // last is the version that was served last, from the folder; its number is 0 where there is none.
 func (s *serving) last() (v sharedconfig.Version, err error) {
-	text, err := s.store.Self(selfActive)
+	text, err := s.store.Metadata(selfActive)
 	if err != nil || text == "" {
 		return v, err
 	}
@@ -125,7 +125,7 @@
 			if s.serve(v) {
 				text, err := json.Marshal(v)
 				if err == nil {
-					err = s.store.SetSelf(selfActive, string(text))
+					err = s.store.SetMetadata(selfActive, string(text))
 				}
 				if err != nil {
 					s.Log.WithError(err).Error("the version in use could not be kept")
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -36,7 +36,7 @@
 
 // transport carries Raft's calls over a peer.Net. It is a raft.Transport.
 type transport struct {
-	net   *peer.Net
+	net   *peer.Endpoint
 	addr  raft.ServerAddress
 	calls chan raft.RPC
 
--- a/raftstore/raftstore.go
+++ b/raftstore/raftstore.go
@@ -19,12 +19,12 @@
 // Store is the file. It is a raft.LogStore and a raft.StableStore.
 type Store struct{ db *bbolt.DB }
 
-var logs, stable, self = []byte("log"), []byte("stable"), []byte("self")
+var logBucket, stableBucket, metadataBucket = []byte("log"), []byte("stable"), []byte("self")
 
 // ErrCorrupt is behind errors about records that are not what was written.
 var ErrCorrupt = errors.New("spoilt")
 
-var handle = &codec.MsgpackHandle{}
+var msgpackHandle = &codec.MsgpackHandle{}
 
 // Open opens or makes the file and reads every record once.
 func Open(path string) (s *Store, err error) {
@@ -45,7 +45,7 @@
 	}
 	s = &Store{db}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{logs, stable, self} {
+		for _, name := range [][]byte{logBucket, stableBucket, metadataBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -66,7 +66,7 @@
 func (s *Store) verify() error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		next := uint64(0)
-		err := tx.Bucket(logs).ForEach(func(k, v []byte) error {
+		err := tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 			if len(k) != 8 {
 				return fmt.Errorf("record %x of the log: %w", k, ErrCorrupt)
 			}
@@ -81,7 +81,7 @@
 			}
 			return nil
 		})
-		for _, name := range [][]byte{stable, self} {
+		for _, name := range [][]byte{stableBucket, metadataBucket} {
 			if err == nil {
 				err = tx.Bucket(name).ForEach(func(k, v []byte) error {
 					if _, err := open(v); err != nil {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	return codec.NewDecoderBytes(text, handle).Decode(l)
+	return codec.NewDecoderBytes(text, msgpackHandle).Decode(l)
 }
 
 func key(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
@@ -122,7 +122,7 @@
 
 func (s *Store) edge(of func(*bbolt.Cursor) ([]byte, []byte)) (i uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		if k, _ := of(tx.Bucket(logs).Cursor()); k != nil {
+		if k, _ := of(tx.Bucket(logBucket).Cursor()); k != nil {
 			i = binary.BigEndian.Uint64(k)
 		}
 		return nil
@@ -139,7 +139,7 @@
 // GetLog reads an entry.
 func (s *Store) GetLog(i uint64, l *raft.Log) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
-		v := tx.Bucket(logs).Get(key(i))
+		v := tx.Bucket(logBucket).Get(key(i))
 		if v == nil {
 			return raft.ErrLogNotFound
 		}
@@ -158,10 +158,10 @@
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		for _, l := range all {
 			var text []byte
-			if err := codec.NewEncoderBytes(&text, handle).Encode(l); err != nil {
+			if err := codec.NewEncoderBytes(&text, msgpackHandle).Encode(l); err != nil {
 				return fmt.Errorf("entry %d of the log: %w", l.Index, err)
 			}
-			if err := tx.Bucket(logs).Put(key(l.Index), seal(text)); err != nil {
+			if err := tx.Bucket(logBucket).Put(key(l.Index), seal(text)); err != nil {
 				return err
 			}
 		}
@@ -172,7 +172,7 @@
 // DeleteRange deletes entries from the first to the last given, both included.
 func (s *Store) DeleteRange(from, to uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(logs).Cursor()
+		c := tx.Bucket(logBucket).Cursor()
 		for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
 			if err := c.Delete(); err != nil {
 				return err
@@ -200,11 +200,11 @@
 var errNotFound = errors.New("not found")
 
 // Set writes a value that Raft keeps.
-func (s *Store) Set(k, v []byte) error { return s.put(stable, k, v) }
+func (s *Store) Set(k, v []byte) error { return s.put(stableBucket, k, v) }
 
 // Get reads one.
 func (s *Store) Get(k []byte) ([]byte, error) {
-	v, err := s.get(stable, k)
+	v, err := s.get(stableBucket, k)
 	if err == nil && v == nil {
 		return nil, errNotFound
 	}
@@ -216,18 +216,20 @@
 
 // GetUint64 reads one; 0: it is not there.
 func (s *Store) GetUint64(k []byte) (uint64, error) {
-	v, err := s.get(stable, k)
+	v, err := s.get(stableBucket, k)
 	if err != nil || len(v) != 8 {
 		return 0, err
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// Self is what an instance keeps of itself, by name; empty: nothing.
-func (s *Store) Self(name string) (string, error) {
-	v, err := s.get(self, []byte(name))
+// Metadata is what an instance keeps of itself, by name; empty: nothing.
+func (s *Store) Metadata(name string) (string, error) {
+	v, err := s.get(metadataBucket, []byte(name))
 	return string(v), err
 }
 
-// SetSelf keeps something of the instance itself.
-func (s *Store) SetSelf(name, value string) error { return s.put(self, []byte(name), []byte(value)) }
+// SetMetadata keeps something of the instance itself.
+func (s *Store) SetMetadata(name, value string) error {
+	return s.put(metadataBucket, []byte(name), []byte(value))
+}
--- a/raftstore/raftstore_test.go
+++ b/raftstore/raftstore_test.go
@@ -80,7 +80,7 @@
 	for i := uint64(1); i < 4; i++ {
 		require.NoError(t, s.StoreLog(&raft.Log{Index: i, Data: []byte("number " + string(rune('0'+i)))}))
 	}
-	require.NoError(t, s.SetSelf("name", "somebody"))
+	require.NoError(t, s.SetMetadata("name", "somebody"))
 	_, err = Open(path)
 	assert.ErrorContains(t, err, "another process has it open")
 	require.NoError(t, s.Close())
