--- a/peer/frame.go
+++ b/peer/frame.go
@@ -1,5 +1,3 @@
-// Package peer carries calls between the instances of a group over TCP: frames on connections that begin with a
-// handshake, in which each side names itself, its group and whom it means, and proves the group's key.
 package peer
 
 import (
@@ -10,56 +8,66 @@
 	"io"
 )
 
-// MaxFrame bounds a frame's payload, in bytes.
+// MaxFrame is the largest payload of a frame, in bytes.
 const MaxFrame = 8 << 20
 
-// frameHeaderSize is a frame's head: length of the payload, kind, number of the call.
-const frameHeaderSize = 4 + 1 + 8
+// Sizes of the fields of a frame's header, in bytes: payload length, kind and call id, in this order.
+const (
+	frameLengthSize = 4
+	frameKindSize   = 1
+	frameCallSize   = 8
+	frameHeaderSize = frameLengthSize + frameKindSize + frameCallSize
+)
 
-// Kinds of frames that are no calls. Those of calls lie between.
+// Frame kinds of the protocol itself. The kinds between frameStreamChunk and frameResult are kinds of calls.
 const (
-	frameHello       byte = 0x01
-	frameStreamChunk byte = 0x02 // a piece of a stream; its payload begins with its number, an empty rest ends it
+	frameHello byte = 0x01
+	// frameStreamChunk carries a piece of a call's stream: a sequence number from 0, then the bytes. A chunk without
+	// bytes ends the stream.
+	frameStreamChunk byte = 0x02
 	frameResult      byte = 0x80
 	frameError       byte = 0x81
 )
 
-// Frame is one message.
+// Frame is one message on a connection.
 type Frame struct {
 	Kind byte
-	Call uint64
+	Call uint64 // id of the call that the frame belongs to; 0 in a handshake
 	Body []byte
 }
 
-// ErrFrame is behind the errors about what is no frame.
+// ErrFrame is wrapped by the errors about frames that violate the protocol.
 var ErrFrame = errors.New("malformed frame")
 
-// Append appends a frame to what is to be written.
-func (f Frame) Append(to []byte) []byte {
-	to = binary.BigEndian.AppendUint32(to, uint32(len(f.Body)))
-	to = append(to, f.Kind)
-	to = binary.BigEndian.AppendUint64(to, f.Call)
-	return append(to, f.Body...)
+// Append appends the encoded frame to a buffer.
+func (f Frame) Append(buffer []byte) []byte {
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(f.Body)))
+	buffer = append(buffer, f.Kind)
+	buffer = binary.BigEndian.AppendUint64(buffer, f.Call)
+	return append(buffer, f.Body...)
 }
 
-// ReadFrame reads a frame. Memory is taken as its bytes come, and not as its head announces.
+// ReadFrame reads one frame. It allocates memory as the payload arrives: the announced length is not trusted. The error
+// is io.EOF only if r ends before the frame begins.
 func ReadFrame(r io.Reader) (Frame, error) {
-	var head [frameHeaderSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return Frame{}, err
 	}
-	n := binary.BigEndian.Uint32(head[:4])
-	if n > MaxFrame {
-		return Frame{}, fmt.Errorf("%w: %d bytes", ErrFrame, n)
+	length := binary.BigEndian.Uint32(header[:frameLengthSize])
+	if length > MaxFrame {
+		return Frame{}, fmt.Errorf("%w: %d bytes", ErrFrame, length)
 	}
-	f := Frame{Kind: head[4], Call: binary.BigEndian.Uint64(head[5:])}
 	var body bytes.Buffer
-	if _, err := io.CopyN(&body, r, int64(n)); err != nil {
+	if _, err := io.CopyN(&body, r, int64(length)); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		return Frame{}, err
 	}
-	f.Body = body.Bytes()
-	return f, nil
+	return Frame{
+		Kind: header[frameLengthSize],
+		Call: binary.BigEndian.Uint64(header[frameLengthSize+frameKindSize:]),
+		Body: body.Bytes(),
+	}, nil
 }
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -29,14 +29,14 @@
 	return json.Marshal(sharedconfig.Answer(*s, *n.lease.Load(), clock.Now(), n.Members(), a))
 }
 
-// isGuest tells whether an id is none of the members'.
-func (n *Node) isGuest(id string) bool {
+// isMember reports whether an id is a member's.
+func (n *Node) isMember(id string) bool {
 	for _, m := range n.Members() {
 		if target(m).ID == id {
-			return false
+			return true
 		}
 	}
-	return true
+	return false
 }
 
 // Follower is the part of an instance without a vote.
--- a/raftnode/group.go
+++ b/raftnode/group.go
@@ -206,12 +206,12 @@
 			}
 		}
 	}
-	t.net = peer.Listen(peer.Config{ID: string(n.id), Group: func() string { return *n.group.Load() }, Key: n.Key, Log: n.Log, Guest: func(id string) bool {
+	t.net = peer.Listen(peer.Config{ID: string(n.id), Group: func() string { return *n.group.Load() }, Key: n.Key, Log: n.Log, IsMember: func(id string) bool {
 		select {
 		case <-ready:
-			return n.isGuest(id)
+			return n.isMember(id)
 		default:
-			return true // nobody can tell yet
+			return false // the members are not known yet
 		}
 	}}, n.Listener, handlers)
 	n.net = t.net
