--- /dev/null
+++ b/raftstore/key_value.go
@@ -0,0 +1,65 @@
+package raftstore
+
+import (
+	"errors"
+
+	"go.etcd.io/bbolt"
+)
+
+// errNotFound has the text by which Raft recognizes that a key has no value.
+var errNotFound = errors.New("not found")
+
+// Set writes a value of Raft's.
+func (s *Store) Set(key, value []byte) error { return s.put(stableBucket, key, value) }
+
+// Get reads a value of Raft's. The error's text is "not found" if the key has none.
+func (s *Store) Get(key []byte) ([]byte, error) {
+	value, err := s.get(stableBucket, key)
+	if err == nil && value == nil {
+		return nil, errNotFound
+	}
+	return value, err
+}
+
+// SetUint64 writes an integer of Raft's.
+func (s *Store) SetUint64(key []byte, value uint64) error { return s.Set(key, encodeInteger(value)) }
+
+// GetUint64 reads an integer of Raft's, which is 0 if the key has none.
+func (s *Store) GetUint64(key []byte) (uint64, error) {
+	value, err := s.get(stableBucket, key)
+	if err != nil || len(value) != integerSize {
+		return 0, err
+	}
+	return decodeInteger(value), nil
+}
+
+// SetMetadata writes a value that the instance stores about itself.
+func (s *Store) SetMetadata(key, value string) error {
+	return s.put(metadataBucket, []byte(key), []byte(value))
+}
+
+// Metadata reads a value that the instance stores about itself, which is empty if the key has none.
+func (s *Store) Metadata(key string) (string, error) {
+	value, err := s.get(metadataBucket, []byte(key))
+	return string(value), err
+}
+
+func (s *Store) put(bucket, key, value []byte) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		return tx.Bucket(bucket).Put(key, sealRecord(value))
+	})
+}
+
+// get reads a value, which is nil if the key has none.
+func (s *Store) get(bucket, key []byte) (value []byte, err error) {
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		record := tx.Bucket(bucket).Get(key)
+		if record == nil {
+			return nil
+		}
+		var err error
+		value, err = openRecord(record)
+		return err
+	})
+	return value, err
+}
--- /dev/null
+++ b/raftstore/log_store.go
@@ -0,0 +1,93 @@
+package raftstore
+
+import (
+	"fmt"
+
+	"github.com/hashicorp/go-msgpack/v2/codec"
+	"github.com/hashicorp/raft"
+	"go.etcd.io/bbolt"
+)
+
+var msgpackHandle = &codec.MsgpackHandle{}
+
+// FirstIndex returns the index of the first entry, or 0 for an empty log.
+func (s *Store) FirstIndex() (uint64, error) { return s.edgeIndex((*bbolt.Cursor).First) }
+
+// LastIndex returns the index of the last entry, or 0 for an empty log.
+func (s *Store) LastIndex() (uint64, error) { return s.edgeIndex((*bbolt.Cursor).Last) }
+
+// edgeIndex returns the index of the entry that a move of a cursor leads to, or 0 for an empty log.
+func (s *Store) edgeIndex(move func(*bbolt.Cursor) (key, record []byte)) (index uint64, err error) {
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		if key, _ := move(tx.Bucket(logBucket).Cursor()); key != nil {
+			index = decodeInteger(key)
+		}
+		return nil
+	})
+	return index, err
+}
+
+// GetLog reads the entry with an index. The error is raft.ErrLogNotFound if there is none.
+func (s *Store) GetLog(index uint64, entry *raft.Log) error {
+	return s.db.View(func(tx *bbolt.Tx) error {
+		record := tx.Bucket(logBucket).Get(encodeInteger(index))
+		if record == nil {
+			return raft.ErrLogNotFound
+		}
+		if err := decodeEntry(record, entry); err != nil {
+			return fmt.Errorf("entry %d of the log: %w", index, err)
+		}
+		return nil
+	})
+}
+
+// StoreLog writes an entry.
+func (s *Store) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
+
+// StoreLogs writes all the entries, or none of them if it fails.
+func (s *Store) StoreLogs(entries []*raft.Log) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(logBucket)
+		for _, entry := range entries {
+			record, err := encodeEntry(entry)
+			if err != nil {
+				return fmt.Errorf("entry %d of the log: %w", entry.Index, err)
+			}
+			if err := bucket.Put(encodeInteger(entry.Index), record); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+// DeleteRange deletes the entries from first to last, both included.
+func (s *Store) DeleteRange(first, last uint64) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		cursor := tx.Bucket(logBucket).Cursor()
+		key, _ := cursor.Seek(encodeInteger(first))
+		for key != nil && decodeInteger(key) <= last {
+			if err := cursor.Delete(); err != nil {
+				return err
+			}
+			key, _ = cursor.Next()
+		}
+		return nil
+	})
+}
+
+func encodeEntry(entry *raft.Log) ([]byte, error) {
+	var value []byte
+	if err := codec.NewEncoderBytes(&value, msgpackHandle).Encode(entry); err != nil {
+		return nil, err
+	}
+	return sealRecord(value), nil
+}
+
+func decodeEntry(record []byte, entry *raft.Log) error {
+	value, err := openRecord(record)
+	if err != nil {
+		return err
+	}
+	return codec.NewDecoderBytes(value, msgpackHandle).Decode(entry)
+}
--- /dev/null
+++ b/raftstore/store.go
@@ -0,0 +1,154 @@
+// Package raftstore stores an instance's Raft log, its votes and its metadata in one bbolt file. Each record has a
+// checksum, which is verified when the file is opened and whenever the record is read.
+package raftstore
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"runtime/debug"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/hashicorp/raft"
+	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
+)
+
+// Store is the open file. It is a raft.LogStore and a raft.StableStore.
+type Store struct{ db *bbolt.DB }
+
+var (
+	_ raft.LogStore    = (*Store)(nil)
+	_ raft.StableStore = (*Store)(nil)
+)
+
+// Buckets of the file.
+var (
+	logBucket      = []byte("log")    // entries of the log by index
+	stableBucket   = []byte("stable") // Raft's term and votes
+	metadataBucket = []byte("self")   // what the instance stores about itself
+)
+
+const (
+	lockTimeout  = time.Second // to wait for another process that has the file open
+	checksumSize = 8           // bytes before a record's value
+	integerSize  = 8           // bytes of a key of the log and of a stored integer
+)
+
+// Errors of a file that cannot be opened or read.
+var (
+	// ErrCorrupt is wrapped by errors about records that differ from what was written.
+	ErrCorrupt = errors.New("spoilt")
+	// ErrLocked is wrapped by the error of Open if another process has the file open.
+	ErrLocked = errors.New("another process has it open")
+)
+
+// Open opens the file at a path, or creates it, and verifies all records. The error wraps ErrCorrupt or ErrLocked where
+// these are the cause.
+func Open(path string) (store *Store, err error) {
+	// bbolt panics on corrupt pages, and memory access faults where the file ends before its mapping. The file stays open
+	// then, since the instance does not start.
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if r := recover(); r != nil {
+			store = nil
+			err = fmt.Errorf("%s: %w: %v", path, ErrCorrupt, r)
+		}
+	}()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, fmt.Errorf("%s: %w", path, ErrLocked)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	store = &Store{db: db}
+	err = store.createBuckets()
+	if err == nil {
+		err = store.verify()
+	}
+	if err != nil {
+		_ = db.Close() // the first error is the cause
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return store, nil
+}
+
+// Close closes the file.
+func (s *Store) Close() error { return s.db.Close() }
+
+func (s *Store) createBuckets() error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		for _, name := range [][]byte{logBucket, stableBucket, metadataBucket} {
+			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+// verify checks that every record is intact and that the log has no gap.
+func (s *Store) verify() error {
+	return s.db.View(func(tx *bbolt.Tx) error {
+		if err := verifyLog(tx.Bucket(logBucket)); err != nil {
+			return err
+		}
+		for _, name := range [][]byte{stableBucket, metadataBucket} {
+			err := tx.Bucket(name).ForEach(func(key, record []byte) error {
+				if _, err := openRecord(record); err != nil {
+					return fmt.Errorf("record %s: %w", key, err)
+				}
+				return nil
+			})
+			if err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+func verifyLog(bucket *bbolt.Bucket) error {
+	next := uint64(0) // 0 before the first entry
+	return bucket.ForEach(func(key, record []byte) error {
+		if len(key) != integerSize {
+			return fmt.Errorf("record %x of the log: %w", key, ErrCorrupt)
+		}
+		index := decodeInteger(key)
+		if next != 0 && index != next {
+			return fmt.Errorf("log: %w: entry %d follows %d", ErrCorrupt, index, next-1)
+		}
+		next = index + 1
+		var entry raft.Log
+		if err := decodeEntry(record, &entry); err != nil || entry.Index != index {
+			return fmt.Errorf("entry %d of the log: %w", index, ErrCorrupt)
+		}
+		return nil
+	})
+}
+
+// sealRecord returns a value behind its checksum.
+func sealRecord(value []byte) []byte {
+	record := make([]byte, 0, checksumSize+len(value))
+	record = binary.BigEndian.AppendUint64(record, xxhash.Sum64(value))
+	return append(record, value...)
+}
+
+// openRecord returns a copy of a record's value. The error is ErrCorrupt if the checksum does not match.
+func openRecord(record []byte) ([]byte, error) {
+	if len(record) < checksumSize {
+		return nil, ErrCorrupt
+	}
+	value := record[checksumSize:]
+	if binary.BigEndian.Uint64(record) != xxhash.Sum64(value) {
+		return nil, ErrCorrupt
+	}
+	return bytes.Clone(value), nil
+}
+
+func encodeInteger(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+
+func decodeInteger(b []byte) uint64 { return binary.BigEndian.Uint64(b) }
