--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -18,36 +18,36 @@
 	"alderproxy/sharedconfig"
 )
 
-// call is a put or a read, as the checker of linearizability takes it.
-type call struct {
+// registerCall is a put or a read, as the checker of linearizability takes it.
+type registerCall struct {
 	put    bool
 	expect uint64
 	text   string
 }
 
-type outcome struct {
+type registerResult struct {
 	status  sharedconfig.Status // of a put
 	version uint64
 	text    string // of a read
 }
 
-type held struct {
+type registerState struct {
 	version uint64
 	text    string
 }
 
-// register is what the group must look like to its callers: one versioned text, changed by compare and set.
-var register = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{held{1, "one"}} },
+// registerModel is what the group must look like to its callers: one versioned text, changed by compare and set.
+var registerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{registerState{1, "one"}} },
 	Step: func(state, in, out any) []any {
-		s, c, o := state.(held), in.(call), out.(outcome)
+		s, c, o := state.(registerState), in.(registerCall), out.(registerResult)
 		if !c.put {
-			if s == (held{o.version, o.text}) {
+			if s == (registerState{o.version, o.text}) {
 				return []any{s}
 			}
 			return nil
 		}
-		next := held{c.expect + 1, c.text}
+		next := registerState{c.expect + 1, c.text}
 		switch o.status {
 		case sharedconfig.Done:
 			if s.version == c.expect && o.version == next.version {
@@ -70,22 +70,22 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// run is what a run under faults has shown.
-type run struct {
+// faultRunResult is what a run under faults has shown.
+type faultRunResult struct {
 	stale                         time.Duration // longest time that a replaced version was served
 	done, unknown, reads, changes int
 	linear                        porcupine.CheckResult
 }
 
-// underFaults lets clients change and read for a while, with messages lost, delayed, repeated and ways cut, and
+// runUnderFaults lets clients change and read for a while, with messages lost, delayed, repeated and ways cut, and
 // watches who serves what. It goes on for length, and longer where fewer than enough reads and changes were answered by
 // then.
-func underFaults(t *testing.T, seed uint64, bound, length time.Duration) (sum run) {
-	r := newRig(t, bound)
+func runUnderFaults(t *testing.T, seed uint64, bound, length time.Duration) (sum faultRunResult) {
+	r := newTestCluster(t, bound)
 	r.faults = faultnet.New(seed)
 	var mu sync.Mutex
 	first := map[uint64]time.Time{} // when a version was first served by anybody
-	r.begin()
+	r.bootstrap()
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	watch := func(n *Node) {
@@ -120,7 +120,7 @@
 	began := time.Now()
 	var history []porcupine.Operation
 	seen := 0 // reads and changes that were answered
-	note := func(id int, c call, from time.Time, o outcome, known bool) {
+	note := func(id int, c registerCall, from time.Time, o registerResult, known bool) {
 		op := porcupine.Operation{ClientId: id, Input: c, Call: from.Sub(began).Nanoseconds(), Output: o, Return: time.Since(began).Nanoseconds()}
 		if !known {
 			op.Return = int64(time.Hour)
@@ -149,14 +149,14 @@
 				continue
 			}
 			v := s.Active()
-			note(id, call{}, from, outcome{version: v.Number, text: v.Text}, true)
+			note(id, registerCall{}, from, registerResult{version: v.Number, text: v.Text}, true)
 			if rng.IntN(2) == 0 {
 				continue
 			}
-			c := call{true, v.Number, fmt.Sprint(id, ".", k)}
+			c := registerCall{true, v.Number, fmt.Sprint(id, ".", k)}
 			from = time.Now()
-			o := n.Execute(change(c.text, c.expect, c.text), 3*time.Second)
-			note(id, c, from, outcome{status: o.Status, version: o.Version}, o.Status != sharedconfig.Unknown)
+			o := n.Execute(changeCommand(c.text, c.expect, c.text), 3*time.Second)
+			note(id, c, from, registerResult{status: o.Status, version: o.Version}, o.Status != sharedconfig.Unknown)
 		}
 	}
 	for id := range 6 {
@@ -168,7 +168,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		ran := time.Since(began)
-		return ran < length || seen <= enough && ran < time.Minute
+		return ran < length || seen <= minAnswered && ran < time.Minute
 	}
 	for ; more(); time.Sleep(time.Duration(200+rng.IntN(1400)) * time.Millisecond) {
 		a, b := names[rng.IntN(3)], names[rng.IntN(3)]
@@ -189,8 +189,8 @@
 	close(stop)
 	wg.Wait()
 	for _, op := range history {
-		switch o := op.Output.(outcome); {
-		case !op.Input.(call).put:
+		switch o := op.Output.(registerResult); {
+		case !op.Input.(registerCall).put:
 			sum.reads++
 		case o.status == sharedconfig.Done:
 			sum.done++
@@ -199,12 +199,12 @@
 		}
 	}
 	sum.changes = len(history) - sum.reads
-	sum.linear = porcupine.CheckOperationsTimeout(register.ToModel(), history, 20*time.Second)
+	sum.linear = porcupine.CheckOperationsTimeout(registerModel.ToModel(), history, 20*time.Second)
 	return sum
 }
 
-// enough is how many reads and changes have to be answered for a run to tell anything.
-const enough = 10
+// minAnswered is how many reads and changes have to be answered for a run to tell anything.
+const minAnswered = 10
 
 // Under lost, delayed and repeated messages and cuts one way and both: nobody serves a replaced version past the
 // bound, and what callers see is one versioned text.
@@ -212,22 +212,22 @@
 	for seed := range uint64(4) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			sum := underFaults(t, seed, time.Second, 8*time.Second)
+			sum := runUnderFaults(t, seed, time.Second, 8*time.Second)
 			t.Logf("%+v", sum)
 			assert.LessOrEqual(t, sum.stale, time.Second)
 			assert.NotEqual(t, porcupine.Illegal, sum.linear)
-			assert.Greater(t, sum.done+sum.reads, enough, "the test saw nothing")
+			assert.Greater(t, sum.done+sum.reads, minAnswered, "the test saw nothing")
 		})
 	}
 }
 
 // The membership changes while the leader dies; and an instance joins with only a snapshot to read.
 func TestJoiningBySnapshotWhileTheLeaderDies(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
 	lead := r.leader()
 	for v := uint64(1); v <= 12; v++ {
-		require.Equal(t, sharedconfig.Done, lead.Execute(change(fmt.Sprint(v), v, fmt.Sprint(v)), 10*time.Second).Status)
+		require.Equal(t, sharedconfig.Done, lead.Execute(changeCommand(fmt.Sprint(v), v, fmt.Sprint(v)), 10*time.Second).Status)
 	}
 	for _, n := range r.nodes { // most of what was agreed on is in the snapshot only
 		require.NoError(t, n.raft.Snapshot().Error())
@@ -249,7 +249,7 @@
 	delete(r.nodes, lead.Name)
 	o := <-answer
 	assert.Equal(t, sharedconfig.Done, o.Status, o.Why)
-	r.agreed(13)
+	r.waitUntilServing(13)
 	voters := 0
 	for _, m := range n4.Members() {
 		if m.Voter {
@@ -262,10 +262,10 @@
 
 // What is left of a group goes on alone; those who come back from the old one are kept apart from it.
 func TestRecover(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
-	require.Equal(t, sharedconfig.Done, r.leader().Execute(change("a", 1, "two"), 10*time.Second).Status)
-	r.agreed(2)
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
+	require.Equal(t, sharedconfig.Done, r.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
+	r.waitUntilServing(2)
 	for _, n := range r.nodes {
 		require.NoError(t, n.Close())
 	}
@@ -283,8 +283,8 @@
 	c.Address = front.Addr().String()
 	require.NoError(t, RecoverUnsafe(c.DataDirectory, "n3", c.Address), "at another address")
 	n3 := r.open(c)
-	r.agreed(2)
-	require.Equal(t, sharedconfig.Done, n3.Execute(change("b", 2, "three"), 10*time.Second).Status)
+	r.waitUntilServing(2)
+	require.Equal(t, sharedconfig.Done, n3.Execute(changeCommand("b", 2, "three"), 10*time.Second).Status)
 	old := r.configs["n1"]
 	old.Listener = listen(t)
 	n1 := r.open(old)
@@ -298,14 +298,14 @@
 
 // A snapshot that is spoilt is named, and the one before it stands in only where the log goes on behind it.
 func TestSpoiltSnapshotEndsTheStart(t *testing.T) {
-	r := newRig(t, time.Second)
+	r := newTestCluster(t, time.Second)
 	c := r.config("n1")
 	require.NoError(t, Bootstrap(c.DataDirectory, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
 	n := r.open(c)
-	r.agreed(1)
-	require.Equal(t, sharedconfig.Done, n.Execute(change("a", 1, "two"), 10*time.Second).Status)
+	r.waitUntilServing(1)
+	require.Equal(t, sharedconfig.Done, n.Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	require.NoError(t, n.raft.Snapshot().Error())
-	metas, err := n.inspected()
+	metas, err := n.snapshotIDs()
 	require.NoError(t, err)
 	require.Len(t, metas, 1)
 	require.NoError(t, n.Close())
@@ -316,7 +316,7 @@
 	text[len(text)/2] ^= 1
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	c.Listener = listen(t)
-	s, _, err := openFolder(c.DataDirectory, "n1")
+	s, _, err := openDataDirectory(c.DataDirectory, "n1")
 	require.NoError(t, err)
 	require.NoError(t, s.DeleteRange(1, 2)) // as compacting would have
 	require.NoError(t, s.Close())
@@ -327,9 +327,9 @@
 	assert.NotErrorIs(t, err, os.ErrNotExist)
 }
 
-// inspected are the names of the snapshots in the folder, the newest first.
-func (n *Node) inspected() (names []string, err error) {
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.DataDirectory, keepSnap, n.hclog())
+// snapshotIDs are the names of the snapshots in the folder, the newest first.
+func (n *Node) snapshotIDs() (names []string, err error) {
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.DataDirectory, retainedSnapshots, n.hclog())
 	if err != nil {
 		return nil, err
 	}
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -43,7 +43,7 @@
 type Follower struct {
 	serving
 	id     raft.ServerID
-	net    *peer.Endpoint
+	endpoint    *peer.Endpoint
 	core   *sharedconfig.Follower // the loop's
 	group  atomic.Pointer[string]
 	active atomic.Pointer[sharedconfig.Version]
@@ -58,7 +58,7 @@
 	f := &Follower{serving: newServing(c)}
 	f.fields = f.log
 	var err error
-	if f.store, f.id, err = openFolder(c.DataDirectory, c.Name); err != nil {
+	if f.store, f.id, err = openDataDirectory(c.DataDirectory, c.Name); err != nil {
 		return nil, err
 	}
 	last, err := f.last()
@@ -73,7 +73,7 @@
 	f.group.Store(&group)
 	f.active.Store(&last)
 	f.voters.Store(&none)
-	f.net = peer.New(peer.Config{ID: string(f.id), Group: func() string { return *f.group.Load() }, Key: f.Key, Log: f.Log})
+	f.endpoint = peer.New(peer.Config{ID: string(f.id), Group: func() string { return *f.group.Load() }, Key: f.Key, Log: f.Log})
 	if last.Number > 0 {
 		f.serve(last)
 	}
@@ -84,7 +84,7 @@
 // Close stops the instance.
 func (f *Follower) Close() error {
 	close(f.stop)
-	f.net.Close()
+	f.endpoint.Close()
 	f.stopped.Wait()
 	return f.store.Close()
 }
@@ -136,7 +136,7 @@
 }
 
 func (f *Follower) askEvery() time.Duration {
-	return span(sharedconfig.Defaults("", f.StalenessBound.Microseconds(), false).LeaseInterval)
+	return microseconds(sharedconfig.Defaults("", f.StalenessBound.Microseconds(), false).LeaseInterval)
 }
 
 // ask puts one ask to a voter. An answer that comes after the bound would be worth nothing.
@@ -160,7 +160,7 @@
 	if a.Voter.Name != "" {
 		to = target(a.Voter)
 	}
-	body, err = f.net.Call(to, callFollow, body, nil, f.StalenessBound)
+	body, err = f.endpoint.Call(to, callFollow, body, nil, f.StalenessBound)
 	if err == nil {
 		err = json.Unmarshal(body, &t)
 	}
--- a/raftnode/group.go
+++ b/raftnode/group.go
@@ -53,7 +53,7 @@
 type Node struct {
 	serving
 	id      raft.ServerID
-	net     *peer.Endpoint
+	endpoint     *peer.Endpoint
 	raft    *raft.Raft
 	machine *machine
 	core    *sharedconfig.Core // the loop's
@@ -70,7 +70,7 @@
 
 const (
 	fileName = "agreed.db"
-	keepSnap = 2
+	retainedSnapshots = 2
 )
 
 // selves are the names of what an instance keeps of itself.
@@ -91,7 +91,7 @@
 // Bootstrap makes a folder the first of a new group, with a first version of the document. The instance that starts in
 // it is the group's only member until others are added.
 func Bootstrap(folder, name, address, text, digest, author string, keep int, at time.Time) error {
-	s, id, err := openFolder(folder, name)
+	s, id, err := openDataDirectory(folder, name)
 	if err != nil {
 		return err
 	}
@@ -119,9 +119,9 @@
 	return s.SetMetadata(selfGroup, group)
 }
 
-// openFolder opens what an instance keeps, and begins it in an empty folder: with a name for the folder itself that
+// openDataDirectory opens what an instance keeps, and begins it in an empty folder: with a name for the folder itself that
 // no other folder has, since an instance that lost its votes must not vote as the one that it was.
-func openFolder(folder, name string) (s *raftstore.Store, id raft.ServerID, err error) {
+func openDataDirectory(folder, name string) (s *raftstore.Store, id raft.ServerID, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, "", fmt.Errorf("folder: %w", err)
 	}
@@ -141,7 +141,7 @@
 		s.Close()
 		return nil, "", fmt.Errorf("folder %s: %w", folder, err)
 	}
-	return s, idOf(name, own), nil
+	return s, serverID(name, own), nil
 }
 
 // Open starts an instance. With an empty folder it waits to be added to a group.
@@ -149,7 +149,7 @@
 	n := &Node{serving: newServing(c), calls: map[uint64]chan sharedconfig.Outcome{}, grants: map[uint64]chan sharedconfig.AnswerLeaseRequest{}, moved: make(chan struct{})}
 	n.fields = n.Fields
 	var err error
-	if n.store, n.id, err = openFolder(c.DataDirectory, c.Name); err != nil {
+	if n.store, n.id, err = openDataDirectory(c.DataDirectory, c.Name); err != nil {
 		return nil, err
 	}
 	if err := n.start(); err != nil {
@@ -169,7 +169,7 @@
 		return err
 	}
 	n.group.Store(&group)
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.DataDirectory, keepSnap, n.hclog())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.DataDirectory, retainedSnapshots, n.hclog())
 	if err != nil {
 		return fmt.Errorf("folder %s: %w", n.DataDirectory, err)
 	}
@@ -177,7 +177,7 @@
 		return fmt.Errorf("folder %s: %w", n.DataDirectory, err)
 	}
 	n.machine = &machine{tell: n.tell}
-	_, folder, _ := splitID(string(n.id))
+	_, folder, _ := parseServerID(string(n.id))
 	set := sharedconfig.Defaults(folder, n.StalenessBound.Microseconds(), n.ServeWhenStale)
 	set.Removed = removed != ""
 	n.core = sharedconfig.New(set, sharedconfig.State{})
@@ -214,7 +214,7 @@
 			return false // the members are not known yet
 		}
 	}}, n.Listener, handlers)
-	n.net = t.net
+	n.endpoint = t.net
 	conf := raft.DefaultConfig()
 	conf.LocalID, conf.Logger, conf.MaxAppendEntries = n.id, n.hclog(), 16
 	leads := make(chan bool, 8)
@@ -231,7 +231,7 @@
 	}
 	if n.raft, err = raft.NewRaft(conf, n.machine, n.store, n.store, snapshots, t); err != nil {
 		close(n.stop)
-		n.net.Close()
+		n.endpoint.Close()
 		return fmt.Errorf("folder %s: %w", n.DataDirectory, err)
 	}
 	close(ready)
@@ -243,7 +243,7 @@
 func (n *Node) Close() error {
 	close(n.stop)
 	err := n.raft.Shutdown().Error()
-	n.net.Close()
+	n.endpoint.Close()
 	n.tick()
 	n.stopped.Wait()
 	return errors.Join(err, n.store.Close())
@@ -335,7 +335,7 @@
 	}
 	var all []sharedconfig.Member
 	for _, s := range f.Configuration().Servers {
-		name, folder, err := splitID(string(s.ID))
+		name, folder, err := parseServerID(string(s.ID))
 		if err == nil {
 			all = append(all, sharedconfig.Member{Name: name, Folder: folder, Addr: string(s.Address), Voter: s.Suffrage == raft.Voter})
 		}
@@ -344,10 +344,10 @@
 }
 
 func target(m sharedconfig.Member) peer.Target {
-	return peer.Target{ID: string(idOf(m.Name, m.Folder)), Addr: m.Addr}
+	return peer.Target{ID: string(serverID(m.Name, m.Folder)), Addr: m.Addr}
 }
 
-func span(m sharedconfig.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func microseconds(m sharedconfig.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // carryOut does what the core decided. What may wait is done on a goroutine of its own.
 func (n *Node) carryOut(a sharedconfig.Action) {
@@ -357,11 +357,11 @@
 		go n.append(a)
 	case sharedconfig.Check:
 		n.at("check")
-		go n.check(a, span(set.CheckTimeout))
+		go n.check(a, microseconds(set.CheckTimeout))
 	case sharedconfig.Reply:
 		n.reply(a)
 	case sharedconfig.RequestLease:
-		go n.askLease(a.Seq, span(set.LeaseInterval*4))
+		go n.askLease(a.Seq, microseconds(set.LeaseInterval*4))
 	case sharedconfig.Verify:
 		go func() {
 			term := n.raft.CurrentTerm()
@@ -382,7 +382,7 @@
 	case sharedconfig.ChangeMembership:
 		go n.setRoster(a)
 	case sharedconfig.WaitForCatchUp:
-		go n.await(a.Member, span(set.CheckTimeout))
+		go n.await(a.Member, microseconds(set.CheckTimeout))
 	case sharedconfig.Activate:
 		if a.Version.Number > n.used.Load() { // the log is read again from the start
 			n.activate(a.Version)
@@ -424,7 +424,7 @@
 }
 
 func (n *Node) setRoster(a sharedconfig.ChangeMembership) {
-	id, addr := idOf(a.Member.Name, a.Member.Folder), raft.ServerAddress(a.Member.Addr)
+	id, addr := serverID(a.Member.Name, a.Member.Folder), raft.ServerAddress(a.Member.Addr)
 	var f raft.IndexFuture
 	switch {
 	case a.Remove:
@@ -446,7 +446,7 @@
 func (n *Node) await(m sharedconfig.Member, within time.Duration) {
 	want, until := n.raft.CommitIndex(), time.Now().Add(within)
 	for time.Now().Before(until) {
-		body, err := n.net.Call(target(m), callApplied, nil, nil, within)
+		body, err := n.endpoint.Call(target(m), callApplied, nil, nil, within)
 		var at uint64
 		if err == nil && json.Unmarshal(body, &at) == nil && at >= want {
 			n.tell(sharedconfig.CaughtUp{Folder: m.Folder})
@@ -471,7 +471,7 @@
 	if err == nil && target(a.Member).ID == string(n.id) {
 		body, err = n.checkCalled("", body, nil)
 	} else if err == nil {
-		body, err = n.net.Call(target(a.Member), callCheck, body, nil, within)
+		body, err = n.endpoint.Call(target(a.Member), callCheck, body, nil, within)
 	}
 	if err != nil {
 		v.TimedOut, v.Reason = true, err.Error()
@@ -513,7 +513,7 @@
 	case n.id:
 		body, err = n.leaseCalled(string(n.id), nil, nil)
 	default:
-		body, err = n.net.Call(peer.Target{ID: string(id), Addr: string(addr)}, callLease, nil, nil, within)
+		body, err = n.endpoint.Call(peer.Target{ID: string(id), Addr: string(addr)}, callLease, nil, nil, within)
 	}
 	if err == nil {
 		err = json.Unmarshal(body, &g)
@@ -525,7 +525,7 @@
 func (n *Node) askAround(within time.Duration) ([]byte, error) {
 	for _, m := range n.Members() {
 		if to := target(m); to.ID != string(n.id) {
-			body, err := n.net.Call(to, callLease, nil, nil, within/2)
+			body, err := n.endpoint.Call(to, callLease, nil, nil, within/2)
 			var g sharedconfig.AnswerLeaseRequest
 			if err == nil && json.Unmarshal(body, &g) == nil && g.OK {
 				return body, nil
@@ -537,7 +537,7 @@
 
 // leaseCalled answers who asks for a lease.
 func (n *Node) leaseCalled(from string, _ []byte, _ io.Reader) ([]byte, error) {
-	_, folder, err := splitID(from)
+	_, folder, err := parseServerID(from)
 	if err != nil {
 		return nil, err
 	}
--- a/raftnode/group_test.go
+++ b/raftnode/group_test.go
@@ -16,19 +16,19 @@
 	"alderproxy/sharedconfig"
 )
 
-// rig is a group whose instances reach each other over a faulty network only.
-type rig struct {
+// testCluster is a group whose instances reach each other over a faulty network only.
+type testCluster struct {
 	t       *testing.T
 	dir     string
 	faults  *faultnet.Network
-	bound   time.Duration
+	stalenessBound   time.Duration
 	nodes   map[string]*Node
 	configs map[string]Config
 }
 
-func newRig(t *testing.T, bound time.Duration) *rig {
+func newTestCluster(t *testing.T, bound time.Duration) *testCluster {
 	// The folder comes first: what is cleaned up last must be removed after the instances have ended.
-	r := &rig{t: t, dir: t.TempDir(), faults: faultnet.New(1), bound: bound, nodes: map[string]*Node{}, configs: map[string]Config{}}
+	r := &testCluster{t: t, dir: t.TempDir(), faults: faultnet.New(1), stalenessBound: bound, nodes: map[string]*Node{}, configs: map[string]Config{}}
 	t.Cleanup(func() {
 		for _, n := range r.nodes {
 			n.Close()
@@ -45,11 +45,11 @@
 }
 
 // config makes an instance that does not run yet. Text with "bad" in it is one that it cannot serve by.
-func (r *rig) config(name string) Config {
+func (r *testCluster) config(name string) Config {
 	front, own := listen(r.t), listen(r.t)
 	r.faults.Front(name, front).Behind(own.Addr().String())
 	c := Config{
-		Name: name, DataDirectory: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), StalenessBound: r.bound,
+		Name: name, DataDirectory: filepath.Join(r.dir, name), Listener: own, Address: front.Addr().String(), Key: []byte("k"), StalenessBound: r.stalenessBound,
 		Speed: 5, SnapshotAfter: 8, Log: testserver.Log(), Activate: func(sharedconfig.Version) error { return nil },
 		Check: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
@@ -62,15 +62,15 @@
 	return c
 }
 
-func (r *rig) open(c Config) *Node {
+func (r *testCluster) open(c Config) *Node {
 	n, err := Open(c)
 	require.NoError(r.t, err)
 	r.nodes[c.Name] = n
 	return n
 }
 
-// begin starts a group of three that hold version 1.
-func (r *rig) begin() {
+// bootstrap starts a group of three that hold version 1.
+func (r *testCluster) bootstrap() {
 	c := r.config("n1")
 	require.NoError(r.t, Bootstrap(c.DataDirectory, "n1", c.Address, "one", "d1", "test", 100, time.Now()))
 	n1 := r.open(c)
@@ -80,11 +80,11 @@
 		o := n1.Execute(Command{Add: &sharedconfig.Member{Name: name, Addr: c.Address}}, 15*time.Second)
 		require.Equal(r.t, sharedconfig.Done, o.Status, o.Why)
 	}
-	r.agreed(1)
+	r.waitUntilServing(1)
 }
 
-// agreed waits until all serve by a version, under a lease.
-func (r *rig) agreed(version uint64) {
+// waitUntilServing waits until all serve by a version, under a lease.
+func (r *testCluster) waitUntilServing(version uint64) {
 	for name, n := range r.nodes {
 		require.Eventually(r.t, func() bool {
 			open, _ := n.Gate(n.ServedVersion())
@@ -93,7 +93,7 @@
 	}
 }
 
-func (r *rig) leader() (n *Node) {
+func (r *testCluster) leader() (n *Node) {
 	require.Eventually(r.t, func() bool {
 		for _, o := range r.nodes {
 			if st := o.Status(); st.Leader == o.Name {
@@ -106,36 +106,36 @@
 	return n
 }
 
-func change(request string, expect uint64, text string) Command {
+func changeCommand(request string, expect uint64, text string) Command {
 	return Command{Change: &sharedconfig.Change{Request: request, Expect: expect, Text: text, Digest: text, Author: "test"}}
 }
 
 func TestAChangeIsActiveEverywhereAndAskedForTwiceMadeOnce(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
 	for _, n := range r.nodes { // whoever is asked passes it on
-		o := n.Execute(change("a", 1, "two"), 10*time.Second)
+		o := n.Execute(changeCommand("a", 1, "two"), 10*time.Second)
 		assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Done, Version: 2}, o)
 	}
-	r.agreed(2)
-	o := r.leader().Execute(change("b", 1, "other"), 10*time.Second)
+	r.waitUntilServing(2)
+	o := r.leader().Execute(changeCommand("b", 1, "other"), 10*time.Second)
 	assert.Equal(t, sharedconfig.Conflict, o.Status)
 }
 
 func TestOneNoMeansNowhere(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
-	o := r.nodes["n1"].Execute(change("a", 1, "bad for n3"), 10*time.Second)
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
+	o := r.nodes["n1"].Execute(changeCommand("a", 1, "bad for n3"), 10*time.Second)
 	assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Refused, Instance: "n3", Why: "n3 has no such index"}, o)
-	r.agreed(1)
-	assert.Equal(t, sharedconfig.Done, r.nodes["n2"].Execute(change("b", 1, "two"), 10*time.Second).Status)
-	r.agreed(2)
+	r.waitUntilServing(1)
+	assert.Equal(t, sharedconfig.Done, r.nodes["n2"].Execute(changeCommand("b", 1, "two"), 10*time.Second).Status)
+	r.waitUntilServing(2)
 }
 
 // An instance that is cut off stops by the bound, and the others do without it.
 func TestCutOffInstanceStopsByTheBound(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
 	cut := r.leader()
 	var others []string
 	for name := range r.nodes {
@@ -144,23 +144,23 @@
 		}
 	}
 	r.faults.Isolate(cut.Name, others...)
-	o := r.nodes[others[0]].Execute(change("a", 1, "two"), 10*time.Second)
+	o := r.nodes[others[0]].Execute(changeCommand("a", 1, "two"), 10*time.Second)
 	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 	done := time.Now()
 	require.Eventually(t, func() bool { open, _ := cut.Gate(cut.ServedVersion()); return !open }, 10*time.Second, time.Millisecond)
-	assert.Less(t, time.Since(done), r.bound)
+	assert.Less(t, time.Since(done), r.stalenessBound)
 	assert.Equal(t, uint64(1), cut.ServedVersion())
 	r.faults.Clear()
-	r.agreed(2)
+	r.waitUntilServing(2)
 }
 
 func TestRestartedInstanceServesNothingBeforeItKnows(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
 	c := r.configs["n2"]
 	require.NoError(t, r.nodes["n2"].Close())
 	delete(r.nodes, "n2")
-	require.Equal(t, sharedconfig.Done, r.leader().Execute(change("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.Done, r.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	r.faults.Isolate("n2", "n1", "n3")
 	var err error
 	c.Listener, err = net.Listen("tcp", c.Listener.Addr().String())
@@ -173,12 +173,12 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	r.faults.Clear()
-	r.agreed(2)
+	r.waitUntilServing(2)
 }
 
 func TestRemovedInstanceStopsAndALostFolderIsAnother(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
 	lead := r.leader()
 	var gone string
 	for name := range r.nodes {
@@ -199,7 +199,7 @@
 	require.Equal(t, sharedconfig.Done, lead.Execute(Command{Remove: gone}, 10*time.Second).Status)
 	o = lead.Execute(Command{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 15*time.Second)
 	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
-	r.agreed(1)
+	r.waitUntilServing(1)
 	require.Equal(t, sharedconfig.Done, lead.Execute(Command{Remove: gone}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return n.Status().Why == "this instance was removed from its group" }, 10*time.Second, 5*time.Millisecond)
 	o = lead.Execute(Command{Add: &sharedconfig.Member{Name: gone, Addr: c.Address}}, 5*time.Second)
@@ -208,8 +208,8 @@
 
 // An instance that comes back at another address, with its folder, is the same one and keeps its vote.
 func TestMoveToAnotherAddress(t *testing.T) {
-	r := newRig(t, time.Second)
-	r.begin()
+	r := newTestCluster(t, time.Second)
+	r.bootstrap()
 	r.leader().Execute(Command{HandOver: new(string)}, time.Second)
 	require.NoError(t, r.nodes["n2"].Close())
 	delete(r.nodes, "n2")
@@ -222,19 +222,19 @@
 	require.Eventually(t, func() bool {
 		return r.leader().Execute(Command{Add: &sharedconfig.Member{Name: "n2", Addr: c.Address}}, 10*time.Second).Status == sharedconfig.Done
 	}, 20*time.Second, 50*time.Millisecond)
-	r.agreed(1)
+	r.waitUntilServing(1)
 	for _, m := range n2.Members() {
 		assert.True(t, m.Voter, m.Name)
 	}
-	require.Equal(t, sharedconfig.Done, n2.Execute(change("a", 1, "two"), 10*time.Second).Status)
-	r.agreed(2)
+	require.Equal(t, sharedconfig.Done, n2.Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
+	r.waitUntilServing(2)
 }
 
 // Where the operators prefer service to agreement, an instance that is cut off goes on, and a restarted one begins
 // with what it served last; one that was removed stops all the same.
 func TestServiceBeforeAgreement(t *testing.T) {
-	r := newRig(t, 500*time.Millisecond)
-	r.begin()
+	r := newTestCluster(t, 500*time.Millisecond)
+	r.bootstrap()
 	var lead, other string
 	lead = r.leader().Name
 	for name := range r.nodes {
@@ -250,7 +250,7 @@
 		return r.open(c)
 	}
 	n := reopen()
-	r.agreed(1)
+	r.waitUntilServing(1)
 	r.faults.Isolate(other, "n1", "n2", "n3")
 	require.Eventually(t, func() bool { return n.Status().Lease == 0 }, 10*time.Second, 5*time.Millisecond)
 	open, _ := n.Gate(n.ServedVersion())
@@ -260,7 +260,7 @@
 	assert.True(t, open)
 	assert.Equal(t, uint64(1), n.ServedVersion())
 	r.faults.Clear()
-	r.agreed(1)
+	r.waitUntilServing(1)
 	require.Equal(t, sharedconfig.Done, r.nodes[lead].Execute(Command{Remove: other}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return !open }, 10*time.Second, 5*time.Millisecond)
 	r.faults.Isolate(other, "n1", "n2", "n3")
--- a/raftnode/measure_test.go
+++ b/raftnode/measure_test.go
@@ -16,7 +16,7 @@
 func TestMeasureStaleness(t *testing.T) {
 	const runs, bound = 200, time.Second
 	var mu sync.Mutex
-	var sum run
+	var sum faultRunResult
 	illegal, undecided := 0, 0
 	over := map[time.Duration]int{}
 	t.Run("runs", func(t *testing.T) {
@@ -26,7 +26,7 @@
 				t.Parallel()
 				room <- struct{}{}
 				defer func() { <-room }()
-				one := underFaults(t, 1000+seed, bound, 4*time.Second)
+				one := runUnderFaults(t, 1000+seed, bound, 4*time.Second)
 				mu.Lock()
 				defer mu.Unlock()
 				sum.stale = max(sum.stale, one.stale)
--- a/raftnode/operate.go
+++ b/raftnode/operate.go
@@ -50,7 +50,7 @@
 		default:
 			body, err := json.Marshal(o)
 			if err == nil {
-				body, err = n.net.Call(peer.Target{ID: string(id), Addr: string(addr)}, callForward, body, nil, try)
+				body, err = n.endpoint.Call(peer.Target{ID: string(id), Addr: string(addr)}, callForward, body, nil, try)
 			}
 			answer := sharedconfig.Outcome{}
 			if err == nil {
@@ -88,11 +88,11 @@
 			return sharedconfig.ChangeRequested{Call: call, Change: *o.Change}
 		})
 	case o.Add != nil:
-		h, err := n.net.Identify(o.Add.Addr, 2*time.Second)
+		h, err := n.endpoint.Identify(o.Add.Addr, 2*time.Second)
 		if err != nil {
 			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: fmt.Sprintf("no instance answers at %s: %v", o.Add.Addr, err)}
 		}
-		name, folder, err := splitID(h.From)
+		name, folder, err := parseServerID(h.From)
 		switch {
 		case err != nil:
 			return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: err.Error()}
@@ -155,7 +155,7 @@
 		for _, m := range n.Members() {
 			if m.Name == to && m.Voter {
 				f = func() raft.Future {
-					return n.raft.LeadershipTransferToServer(idOf(m.Name, m.Folder), raft.ServerAddress(m.Addr))
+					return n.raft.LeadershipTransferToServer(serverID(m.Name, m.Folder), raft.ServerAddress(m.Addr))
 				}
 			}
 		}
@@ -198,7 +198,7 @@
 func (n *Node) Status() Status {
 	s, at := n.state.Load(), clock.Now()
 	_, leader := n.raft.LeaderWithID()
-	name, _, _ := splitID(string(leader))
+	name, _, _ := parseServerID(string(leader))
 	lease, used := n.lease.Load(), n.used.Load()
 	first, _ := n.store.FirstIndex()
 	st := Status{
--- a/raftnode/recover.go
+++ b/raftnode/recover.go
@@ -48,7 +48,7 @@
 
 func remains(folder, name string) (n *Node, snaps raft.SnapshotStore, rem RecoveryReport, err error) {
 	n = &Node{serving: newServing(Config{DataDirectory: folder, Name: name})}
-	if n.store, n.id, err = openFolder(folder, name); err != nil {
+	if n.store, n.id, err = openDataDirectory(folder, name); err != nil {
 		return n, nil, rem, err
 	}
 	defer func() {
@@ -57,7 +57,7 @@
 			err = fmt.Errorf("folder %s: %w", folder, err)
 		}
 	}()
-	if snaps, err = raft.NewFileSnapshotStoreWithLogger(folder, keepSnap, hclog.NewNullLogger()); err != nil {
+	if snaps, err = raft.NewFileSnapshotStoreWithLogger(folder, retainedSnapshots, hclog.NewNullLogger()); err != nil {
 		return n, nil, rem, err
 	}
 	if err = n.inspect(snaps); err != nil {
@@ -96,7 +96,7 @@
 		rem.Last, rem.Term = l.Index, l.Term
 	}
 	for _, s := range members.Servers {
-		if name, folder, err := splitID(string(s.ID)); err == nil {
+		if name, folder, err := parseServerID(string(s.ID)); err == nil {
 			rem.Members = append(rem.Members, sharedconfig.Member{Name: name, Folder: folder, Addr: string(s.Address), Voter: s.Suffrage == raft.Voter})
 		}
 	}
@@ -121,7 +121,7 @@
 	m := &recovered{group: randomHex(8)}
 	m.tell = func(sharedconfig.Event) {}
 	for _, o := range rem.Members {
-		if idOf(o.Name, o.Folder) != n.id {
+		if serverID(o.Name, o.Folder) != n.id {
 			m.retired = append(m.retired, o.Folder)
 		}
 	}
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -167,10 +167,10 @@
 	}
 }
 
-// idOf and splitID are between a member and its id: its name, a dot and its folder.
-func idOf(name, folder string) raft.ServerID { return raft.ServerID(name + "." + folder) }
+// serverID and splitID are between a member and its id: its name, a dot and its folder.
+func serverID(name, folder string) raft.ServerID { return raft.ServerID(name + "." + folder) }
 
-func splitID(id string) (name, folder string, err error) {
+func parseServerID(id string) (name, folder string, err error) {
 	name, folder, ok := strings.Cut(id, ".")
 	if !ok || name == "" || folder == "" {
 		return "", "", fmt.Errorf("%q is no id of an instance", id)
