--- a/admin/admin.go
+++ b/admin/admin.go
@@ -161,7 +161,7 @@
 		}
 		limit := time.NewTimer(readLimit)
 		defer limit.Stop()
-		for changed := s.fleet.Changed(); s.fleet.View().Version == after; changed = s.fleet.Changed() {
+		for changed := s.fleet.ViewChanged(); s.fleet.View().Version == after; changed = s.fleet.ViewChanged() {
 			select {
 			case <-changed:
 				continue
--- a/cmd/alderproxy/members.go
+++ b/cmd/alderproxy/members.go
@@ -41,8 +41,8 @@
 // trust words how far a view can be relied on.
 func trust(s gossip.Status) string {
 	switch {
-	case s.Taken != "":
-		return "no member: the instance at " + s.Taken + " has its name"
+	case s.NameTakenBy != "":
+		return "no member: the instance at " + s.NameTakenBy + " has its name"
 	case !s.Trusted:
 		return "NOT trusted: it may be cut off, and its view stands still"
 	}
@@ -61,11 +61,11 @@
 			fmt.Fprintln(t, "MEMBER\tZONE\tADDRESS\tSTATE\tREACH\tSINCE\tHEARD\tSEEN BY")
 			for _, m := range s.Members {
 				if all || m.State == "alive" || m.State == "suspect" {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.Zone, m.Addr, m.State, m.Reach, span(m.Since), span(m.Heard), m.SeenBy)
+					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.Zone, m.Addr, m.State, m.Reachability, span(m.StateAgeMillis), span(m.LastContactAgeMillis), m.SeenByCount)
 				}
 			}
 			t.Flush()
-			fmt.Fprintf(w, "%s sees %d members there, by view %d (%s), %s\n", s.Name, s.Alive, s.View, s.Digest, trust(s))
+			fmt.Fprintf(w, "%s sees %d members there, by view %d (%s), %s\n", s.Name, s.AliveCount, s.ViewVersion, s.Digest, trust(s))
 		})
 	}}
 	c.Flags().BoolVar(&all, "all", false, "with those that left or died and are remembered")
@@ -82,21 +82,21 @@
 				return err
 			}
 			if err := o.print(c.OutOrStdout(), s, func(w io.Writer) {
-				fmt.Fprintf(w, "view %d: %d members there, %s\n", s.View, s.Alive, trust(s))
+				fmt.Fprintf(w, "view %d: %d members there, %s\n", s.ViewVersion, s.AliveCount, trust(s))
 			}); err != nil {
 				return err
 			}
 			for n := 0; times == 0 || n < times; {
-				next, err := o.fleet(s.View)
+				next, err := o.fleet(s.ViewVersion)
 				if err != nil {
 					return err
 				}
-				if next.View == s.View {
+				if next.ViewVersion == s.ViewVersion {
 					continue
 				}
 				n++
 				o.print(c.OutOrStdout(), next, func(w io.Writer) {
-					fmt.Fprintf(w, "view %d: %d members there, %s%s\n", next.View, next.Alive, trust(next), differences(s, next))
+					fmt.Fprintf(w, "view %d: %d members there, %s%s\n", next.ViewVersion, next.AliveCount, trust(next), differences(s, next))
 				})
 				s = next
 			}
@@ -111,17 +111,17 @@
 func differences(was, is gossip.Status) string {
 	var out strings.Builder
 	for _, m := range is.Members {
-		before := gossip.Member{State: "unknown", Reach: m.Reach}
+		before := gossip.Member{State: "unknown", Reachability: m.Reachability}
 		if i := slices.IndexFunc(was.Members, func(o gossip.Member) bool { return o.Name == m.Name }); i >= 0 {
 			before = was.Members[i]
 		}
 		switch {
 		case before.State != m.State:
-			fmt.Fprintf(&out, "; %s %s -> %s (%s)", m.Name, before.State, m.State, cmp.Or(m.Why, "started"))
-		case before.Started != m.Started:
+			fmt.Fprintf(&out, "; %s %s -> %s (%s)", m.Name, before.State, m.State, cmp.Or(m.StateReason, "started"))
+		case before.StartedUnixMillis != m.StartedUnixMillis:
 			fmt.Fprintf(&out, "; %s started anew", m.Name)
-		case before.Reach != m.Reach:
-			fmt.Fprintf(&out, "; %s %s -> %s", m.Name, before.Reach, m.Reach)
+		case before.Reachability != m.Reachability:
+			fmt.Fprintf(&out, "; %s %s -> %s", m.Name, before.Reachability, m.Reachability)
 		}
 	}
 	return out.String()
@@ -150,11 +150,11 @@
 			}
 			m := s.Members[i]
 			return o.print(c.OutOrStdout(), m, func(w io.Writer) {
-				fmt.Fprintf(w, "%s (zone %q) at %s, started %s\n", m.Name, m.Zone, m.Addr, time.UnixMilli(m.Started).UTC().Format(time.DateTime))
-				fmt.Fprintf(w, "  %s for %s: %s\n", m.State, span(m.Since), cmp.Or(m.Why, "nothing was said against it"))
-				fmt.Fprintf(w, "  %s: %s\n", m.Reach, reaches[m.Reach])
-				fmt.Fprintf(w, "  word from it to %s: %s ago; in the newest periods it answered %d members that told so\n", s.Name, span(m.Heard), m.SeenBy)
-				if m.Doubted {
+				fmt.Fprintf(w, "%s (zone %q) at %s, started %s\n", m.Name, m.Zone, m.Addr, time.UnixMilli(m.StartedUnixMillis).UTC().Format(time.DateTime))
+				fmt.Fprintf(w, "  %s for %s: %s\n", m.State, span(m.StateAgeMillis), cmp.Or(m.StateReason, "nothing was said against it"))
+				fmt.Fprintf(w, "  %s: %s\n", m.Reachability, reaches[m.Reachability])
+				fmt.Fprintf(w, "  word from it to %s: %s ago; in the newest periods it answered %d members that told so\n", s.Name, span(m.LastContactAgeMillis), m.SeenByCount)
+				if m.Distrusted {
 					fmt.Fprintln(w, "  doubted: most of those whom it accused answered")
 				}
 				for _, f := range m.Facts {
--- a/config/config.go
+++ b/config/config.go
@@ -208,10 +208,10 @@
 	at := cmp.Or(s.Addr("address"), m.Listen)
 	period := s.Duration("period", time.Second, 50*time.Millisecond, time.Minute)
 	m.Member = membership.Config{
-		Name: c.ID, Zone: s.Text("zone", ""), Seeds: s.Places("seeds"), Period: period.Microseconds(),
-		Hold:   s.Duration("hold", 8*period, period, time.Hour).Microseconds(),
-		Budget: s.Int("datagrams_per_s", 30, 4, 10_000),
-		Forget: s.Duration("forget", 24*time.Hour, time.Minute, 30*24*time.Hour).Microseconds(),
+		Name: c.ID, Zone: s.Text("zone", ""), Seeds: s.Places("seeds"), ProbeInterval: period.Microseconds(),
+		SuspicionTimeout:   s.Duration("hold", 8*period, period, time.Hour).Microseconds(),
+		MaxSendRate: s.Int("datagrams_per_s", 30, 4, 10_000),
+		TombstoneTTL: s.Duration("forget", 24*time.Hour, time.Minute, 30*24*time.Hour).Microseconds(),
 	}
 	s.Done()
 	if s.Has("listen") {
@@ -224,7 +224,7 @@
 			s.Fault("address", "%s cannot be reached by others: set address", at)
 			return
 		}
-		if err := m.Member.Check(); err != nil {
+		if err := m.Member.Validate(); err != nil {
 			s.Fault("", "%v", err)
 		}
 	}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -110,11 +110,11 @@
 
 	// f3 no longer hears f2, which hears it: both stay, and f3 can say why.
 	r.faults.Set("f2", "f3", faultnet.Rule{Cut: true})
-	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reach == "one-way" }, 20*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reachability == "one-way" }, 20*time.Second, 50*time.Millisecond)
 	r.agree(all, 10*time.Second)
-	assert.Equal(t, "reachable", r.instances["f1"].member("f2").Reach)
+	assert.Equal(t, "reachable", r.instances["f1"].member("f2").Reachability)
 	r.faults.Clear()
-	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reach == "reachable" }, 20*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reachability == "reachable" }, 20*time.Second, 50*time.Millisecond)
 	assert.Empty(t, r.fell())
 
 	// Killed: known to all, logged once.
@@ -241,7 +241,7 @@
 				values[f.Name+" "+f.Value]++
 			}
 		}
-		return len(values) == 2 && values[fmt.Sprint(membership.Document.Name, " ", version)] == len(all)
+		return len(values) == 2 && values[fmt.Sprint(membership.DocumentVersion.Name, " ", version)] == len(all)
 	}, 20*time.Second, 50*time.Millisecond)
 	sum := load.stop()
 	assert.Empty(t, sum.bad)
--- a/gossip/fleet.go
+++ b/gossip/fleet.go
@@ -26,7 +26,7 @@
 	Group  string            // datagrams of other groups change nothing
 	Key    []byte            // shared by the group; empty: none
 	Conn   *net.UDPConn
-	Now    func() membership.Micros // nil: clock.Now
+	Clock  func() membership.Micros // nil: clock.Now
 	Log    *logrus.Entry
 }
 
@@ -44,7 +44,7 @@
 	group   *membership.Group // the loop's
 	raw     syscall.RawConn
 	view    atomic.Pointer[membership.View]
-	counts  atomic.Pointer[Counts]
+	counts  atomic.Pointer[DatagramCounts]
 	taken   atomic.Pointer[netip.AddrPort]
 	inbox   chan membership.Event
 	orders  chan membership.Event // of this process, which must not be dropped
@@ -54,42 +54,42 @@
 
 	mu      sync.Mutex
 	changed chan struct{} // closed when the view is another
-	dropped drops
+	dropped DropCounts
 	latest  error // of the newest datagram that was dropped
 	from    netip.AddrPort
 }
 
-// Counts is what this instance's datagrams came to.
-type Counts struct {
-	Sent      uint64 `json:"sent"`
-	SentBytes uint64 `json:"sent_bytes"`
-	Came      uint64 `json:"came"`
-	Unsent    uint64 `json:"unsent"` // the system did not take them
-	Repeats   int    `json:"repeats"`
-	drops
+// DatagramCounts is what this instance's datagrams came to.
+type DatagramCounts struct {
+	Sent       uint64 `json:"sent"`
+	SentBytes  uint64 `json:"sent_bytes"`
+	Received   uint64 `json:"came"`
+	SendErrors uint64 `json:"unsent"` // the system did not take them
+	Duplicates int    `json:"repeats"`
+	DropCounts
 }
 
-// drops are datagrams that came and changed nothing.
-type drops struct {
-	Malformed uint64 `json:"malformed"`
-	Foreign   uint64 `json:"foreign"`
-	Unproven  uint64 `json:"unproven"`
-	Form      uint64 `json:"unknown_form"`
-	Flooded   uint64 `json:"flooded"`
+// DropCounts are datagrams that came and changed nothing.
+type DropCounts struct {
+	Malformed       uint64 `json:"malformed"`
+	OtherGroup      uint64 `json:"foreign"`
+	Unauthenticated uint64 `json:"unproven"`
+	UnknownVersion  uint64 `json:"unknown_form"`
+	QueueFull       uint64 `json:"flooded"`
 }
 
 // Open starts an instance's part.
 func Open(c Config) (*Node, error) {
-	if c.Member.Birth == 0 {
-		c.Member.Birth = birth(time.Now())
+	if c.Member.Generation == 0 {
+		c.Member.Generation = birth(time.Now())
 	}
-	if c.Member.Seed == 0 {
-		c.Member.Seed = rand.Uint64()
+	if c.Member.RandomSeed == 0 {
+		c.Member.RandomSeed = rand.Uint64()
 	}
-	if c.Now == nil {
-		c.Now = clock.Now
+	if c.Clock == nil {
+		c.Clock = clock.Now
 	}
-	g, err := membership.New(c.Member, c.Now())
+	g, err := membership.New(c.Member, c.Clock())
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 	}
 	n.tellRefusals()
 	n.view.Store(&membership.View{})
-	n.counts.Store(&Counts{})
+	n.counts.Store(&DatagramCounts{})
 	for _, run := range []func(){n.read, n.loop} {
 		n.stopped.Add(1)
 		go func() { defer n.stopped.Done(); run() }()
@@ -142,15 +142,15 @@
 	}
 }
 
-// Changed closes when the view is another one than now.
-func (n *Node) Changed() <-chan struct{} {
+// ViewChanged closes when the view is another one than now.
+func (n *Node) ViewChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// Tell attaches a fact to this instance or takes one back; see membership.Key.
-func (n *Node) Tell(p membership.Publish) { n.order(p) }
+// PublishFact attaches a fact to this instance or takes one back; see membership.Key.
+func (n *Node) PublishFact(p membership.PublishFact) { n.order(p) }
 
 // Leave says that this instance goes as planned. It still answers until it is closed.
 func (n *Node) Leave() { n.order(membership.Leave{}) }
@@ -164,7 +164,7 @@
 
 // read takes datagrams from the socket. What is not of this group goes no further.
 func (n *Node) read() {
-	b := make([]byte, membership.MostBytes+1) // one more: what is longer shows
+	b := make([]byte, membership.MaxDatagramSize+1) // one more: what is longer shows
 	for {
 		n.config.Conn.SetReadDeadline(time.Now().Add(ioLimit))
 		k, from, err := n.config.Conn.ReadFromUDPAddrPort(b)
@@ -179,12 +179,12 @@
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		m, err := n.codec.Read(b[:k])
+		m, err := n.codec.Decode(b[:k])
 		if err != nil {
 			n.drop(from, err)
 			continue
 		}
-		n.take(membership.Received{From: from, Message: m}, from)
+		n.take(membership.MessageReceived{From: from, Message: m}, from)
 	}
 }
 
@@ -203,14 +203,14 @@
 	defer n.mu.Unlock()
 	n.latest, n.from = err, from
 	switch {
-	case errors.Is(err, membership.ErrForeign):
-		n.dropped.Foreign++
-	case errors.Is(err, membership.ErrUnproven):
-		n.dropped.Unproven++
-	case errors.Is(err, membership.ErrForm):
-		n.dropped.Form++
+	case errors.Is(err, membership.ErrOtherGroup):
+		n.dropped.OtherGroup++
+	case errors.Is(err, membership.ErrUnauthenticated):
+		n.dropped.Unauthenticated++
+	case errors.Is(err, membership.ErrUnknownVersion):
+		n.dropped.UnknownVersion++
 	case errors.Is(err, errFlooded):
-		n.dropped.Flooded++
+		n.dropped.QueueFull++
 	default:
 		n.dropped.Malformed++
 	}
@@ -218,9 +218,9 @@
 
 // loop owns the decisions.
 func (n *Node) loop() {
-	ticker := time.NewTicker(time.Duration(n.config.Member.Turn()) * time.Microsecond)
+	ticker := time.NewTicker(time.Duration(n.config.Member.TickInterval()) * time.Microsecond)
 	defer ticker.Stop()
-	var told drops
+	var told DropCounts
 	var reported time.Time
 	var events []membership.Event
 	for {
@@ -248,52 +248,52 @@
 		}
 		counts := *n.counts.Load()
 		for _, e := range events {
-			if _, ok := e.(membership.Received); ok {
-				counts.Came++
+			if _, ok := e.(membership.MessageReceived); ok {
+				counts.Received++
 			}
 		}
 		n.config.Conn.SetWriteDeadline(time.Now().Add(ioLimit))
-		for _, a := range n.group.Step(n.config.Now(), events...) {
+		for _, a := range n.group.Step(n.config.Clock(), events...) {
 			n.carryOut(a, &counts)
 		}
 		n.mu.Lock()
-		counts.drops = n.dropped
+		counts.DropCounts = n.dropped
 		latest, from := n.latest, n.from
 		n.mu.Unlock()
-		counts.Repeats = n.group.Repeats()
+		counts.Duplicates = n.group.Duplicates()
 		n.counts.Store(&counts)
-		if counts.drops != told && time.Since(reported) >= reportGap {
-			told, reported = counts.drops, time.Now()
+		if counts.DropCounts != told && time.Since(reported) >= reportGap {
+			told, reported = counts.DropCounts, time.Now()
 			n.config.Log.WithFields(logrus.Fields{
-				"malformed": told.Malformed, "foreign": told.Foreign, "unproven": told.Unproven,
-				"unknown_form": told.Form, "flooded": told.Flooded, "last_from": from.String(),
+				"malformed": told.Malformed, "foreign": told.OtherGroup, "unproven": told.Unauthenticated,
+				"unknown_form": told.UnknownVersion, "flooded": told.QueueFull, "last_from": from.String(),
 			}).WithError(latest).Warn("datagrams dropped")
 		}
 	}
 }
 
-func (n *Node) carryOut(a membership.Action, counts *Counts) {
+func (n *Node) carryOut(a membership.Action, counts *DatagramCounts) {
 	switch a := a.(type) {
-	case membership.Send:
-		b := n.codec.Append(nil, a.Message)
+	case membership.SendMessage:
+		b := n.codec.AppendEncode(nil, a.Message)
 		_, err := n.config.Conn.WriteToUDPAddrPort(b, a.To)
 		if err != nil { // it may be word of an earlier one: this one was not sent then
 			n.refusals()
 			_, err = n.config.Conn.WriteToUDPAddrPort(b, a.To)
 		}
 		if err != nil {
-			counts.Unsent++
+			counts.SendErrors++
 			return
 		}
 		counts.Sent, counts.SentBytes = counts.Sent+1, counts.SentBytes+uint64(len(b))
-	case membership.Changed:
+	case membership.ViewChanged:
 		before := n.view.Swap(&a.View)
 		n.mu.Lock()
 		close(n.changed)
 		n.changed = make(chan struct{})
 		n.mu.Unlock()
 		n.report(*before, a.View)
-	case membership.Taken:
+	case membership.NameTaken:
 		n.taken.Store(&a.By)
 		n.config.Log.WithField("by", a.By.String()).Error("another instance has this one's name: it is no member until it starts again under another")
 	case membership.Log:
@@ -303,9 +303,9 @@
 
 // report logs what changed. What concerns others is said by one of all members, the scribe of each.
 func (n *Node) report(before, now membership.View) {
-	self := membership.NameID(n.config.Member.Name)
+	self := membership.IDFromName(n.config.Member.Name)
 	if before.Version > 0 && before.Trusted != now.Trusted {
-		log := n.config.Log.WithFields(logrus.Fields{"view": now.Version, "alive": now.Alive()})
+		log := n.config.Log.WithFields(logrus.Fields{"view": now.Version, "alive": now.AliveCount()})
 		if now.Trusted {
 			log.Info("the view of the fleet is trusted again")
 		} else {
@@ -316,10 +316,10 @@
 	for _, m := range now.Members {
 		was, known := before.Find(m.Name)
 		switch {
-		case m.ID == self || now.Scribe(m.ID) != self:
-		case m.Standing > membership.Suspect && known && was.Standing <= membership.Suspect:
-			names[m.Standing.String()] = append(names[m.Standing.String()], m.Name)
-		case m.Standing <= membership.Suspect && (!known && before.Version > 0 || known && (was.Standing > membership.Suspect || was.Birth != m.Birth)):
+		case m.ID == self || now.Reporter(m.ID) != self:
+		case m.State > membership.Suspect && known && was.State <= membership.Suspect:
+			names[m.State.String()] = append(names[m.State.String()], m.Name)
+		case m.State <= membership.Suspect && (!known && before.Version > 0 || known && (was.State > membership.Suspect || was.Generation != m.Generation)):
 			names["came"] = append(names["came"], m.Name)
 		}
 	}
@@ -327,7 +327,7 @@
 		if all := names[what]; len(all) > 0 {
 			slices.Sort(all)
 			n.config.Log.WithFields(logrus.Fields{
-				"what": what, "members": all[:min(len(all), 20)], "count": len(all), "alive": now.Alive(),
+				"what": what, "members": all[:min(len(all), 20)], "count": len(all), "alive": now.AliveCount(),
 				"view": now.Version,
 			}).Info("fleet changed")
 		}
--- a/gossip/fleet_test.go
+++ b/gossip/fleet_test.go
@@ -45,7 +45,7 @@
 	log, out := logrus.New(), &lines{}
 	log.SetOutput(out)
 	n, err := Open(Config{
-		Member: membership.Config{Name: name, Addr: addr, Seeds: seeds, Period: 200_000, Hold: 1_600_000, Budget: 100, Forget: 60_000_000},
+		Member: membership.Config{Name: name, Addr: addr, Seeds: seeds, ProbeInterval: 200_000, SuspicionTimeout: 1_600_000, MaxSendRate: 100, TombstoneTTL: 60_000_000},
 		Group:  "test", Key: []byte(key), Conn: conn, Log: logrus.NewEntry(log),
 	})
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 
 func alive(n *Node) (all []string) {
 	for _, m := range n.View().Members {
-		if m.Standing <= membership.Suspect {
+		if m.State <= membership.Suspect {
 			all = append(all, m.Name)
 		}
 	}
@@ -85,7 +85,7 @@
 	assert.Less(t, took, 1600*time.Millisecond)
 	b, ok := a.View().Find("b")
 	assert.True(t, ok)
-	assert.Equal(t, membership.Dead, b.Standing)
+	assert.Equal(t, membership.Dead, b.State)
 }
 
 // What does not come from this group changes nothing, is counted by kind and said once.
@@ -97,8 +97,8 @@
 	c, err := net.Dial("udp4", at.String())
 	require.NoError(t, err)
 	defer c.Close()
-	whole := membership.NewCodec("test", []byte("the key of this group")).Append(nil, membership.Message{Kind: membership.Bye, From: membership.NameID("z"), Birth: 1, Count: 1})
-	foreign := membership.NewCodec("elsewhere", nil).Append(nil, membership.Message{Kind: membership.Bye, From: 7})
+	whole := membership.NewCodec("test", []byte("the key of this group")).AppendEncode(nil, membership.Message{Kind: membership.KindLeave, Sender: membership.IDFromName("z"), Generation: 1, MessageNumber: 1})
+	foreign := membership.NewCodec("elsewhere", nil).AppendEncode(nil, membership.Message{Kind: membership.KindLeave, Sender: 7})
 	later := slices.Clone(whole)
 	later[0]++
 	for _, b := range [][]byte{nil, []byte("x"), make([]byte, 4000), whole[:len(whole)-1], append(slices.Clone(whole), 0), foreign, later, whole, whole} {
@@ -106,7 +106,7 @@
 	}
 	eventually(t, "counted", func() bool {
 		s := a.Status()
-		return s.Counts.Malformed >= 3 && s.Counts.Foreign == 1 && s.Counts.Form == 1 && s.Counts.Unproven > 2
+		return s.Datagrams.Malformed >= 3 && s.Datagrams.OtherGroup == 1 && s.Datagrams.UnknownVersion == 1 && s.Datagrams.Unauthenticated > 2
 	})
 	assert.Equal(t, []string{"a"}, alive(a))
 	eventually(t, "said", func() bool { return strings.Contains(log.String(), "datagrams dropped") })
@@ -125,13 +125,13 @@
 	defer c.Close()
 	codec := membership.NewCodec("test", nil)
 	for i := range 20_000 {
-		c.Write(codec.Append(nil, membership.Message{Kind: membership.Ping, From: membership.ID(i + 1), Birth: 1, Count: 1, Seq: 1}))
+		c.Write(codec.AppendEncode(nil, membership.Message{Kind: membership.KindPing, Sender: membership.ID(i + 1), Generation: 1, MessageNumber: 1, ProbeNumber: 1}))
 	}
-	before := a.Status().Counts
-	eventually(t, "still there", func() bool { now := a.Status().Counts; return now.Came > before.Came+20 })
+	before := a.Status().Datagrams
+	eventually(t, "still there", func() bool { now := a.Status().Datagrams; return now.Received > before.Received+20 })
 	assert.Equal(t, []string{"a", "b"}, alive(a))
-	s := a.Status().Counts
-	t.Logf("%d taken, %d dropped, %d answered", s.Came, s.Flooded, s.Sent)
+	s := a.Status().Datagrams
+	t.Logf("%d taken, %d dropped, %d answered", s.Received, s.QueueFull, s.Sent)
 	assert.Less(t, s.Sent, uint64(2000), "answers keep the budget")
 }
 
@@ -143,17 +143,17 @@
 	defer b.Close()
 	held := func() string {
 		m, _ := b.View().Find("a")
-		v, ok := membership.Document.Of(m)
+		v, ok := membership.DocumentVersion.Value(m)
 		return fmt.Sprint(v, ok)
 	}
-	a.Tell(membership.Document.Publish(41, 60_000_000))
+	a.PublishFact(membership.DocumentVersion.Publish(41, 60_000_000))
 	eventually(t, "told", func() bool { return held() == "41 true" })
-	a.Tell(membership.Document.Publish(42, 60_000_000))
+	a.PublishFact(membership.DocumentVersion.Publish(42, 60_000_000))
 	eventually(t, "told anew", func() bool { return held() == "42 true" })
-	a.Tell(membership.Document.Withdraw(60_000_000))
+	a.PublishFact(membership.DocumentVersion.Withdraw(60_000_000))
 	eventually(t, "taken back", func() bool { return held() == "0 false" })
 	a.Leave()
-	eventually(t, "left", func() bool { m, _ := b.View().Find("a"); return m.Standing == membership.Left })
+	eventually(t, "left", func() bool { m, _ := b.View().Find("a"); return m.State == membership.Left })
 }
 
 // Two processes under one name: the one that is there stays, the later one is told.
@@ -163,13 +163,13 @@
 	b, bt, _ := node(t, "b", "", at)
 	defer b.Close()
 	eventually(t, "both there", func() bool { return len(alive(a)) == 2 && len(alive(b)) == 2 })
-	first := a.Status().Members[1].Started
+	first := a.Status().Members[1].StartedUnixMillis
 	eventually(t, "another birth", func() bool { return born(birth(time.Now())).UnixMilli() > first })
 	twin, _, log := node(t, "b", "", at)
 	defer twin.Close()
-	eventually(t, "refused", func() bool { return twin.Status().Taken == bt.String() })
+	eventually(t, "refused", func() bool { return twin.Status().NameTakenBy == bt.String() })
 	assert.Contains(t, log.String(), "another instance has this one's name")
 	m, _ := a.View().Find("b")
 	assert.Equal(t, bt, m.Addr)
-	assert.Empty(t, b.Status().Taken)
+	assert.Empty(t, b.Status().NameTakenBy)
 }
--- a/gossip/refused.go
+++ b/gossip/refused.go
@@ -21,7 +21,7 @@
 	var all []netip.AddrPort
 	n.raw.Control(func(fd uintptr) {
 		oob := make([]byte, 512)
-		b := make([]byte, membership.MostBytes)
+		b := make([]byte, membership.MaxDatagramSize)
 		for range maxWaiting {
 			_, _, _, to, err := unix.Recvmsg(int(fd), b, oob, unix.MSG_ERRQUEUE|unix.MSG_DONTWAIT)
 			if err != nil {
@@ -33,6 +33,6 @@
 		}
 	})
 	for _, a := range all {
-		n.take(membership.Refusal{Addr: a}, a)
+		n.take(membership.PortUnreachable{Addr: a}, a)
 	}
 }
--- a/measure_test.go
+++ b/measure_test.go
@@ -236,7 +236,7 @@
 	others := without(all, "f7")
 	sent := func() (n, bytes uint64) {
 		for _, name := range others {
-			c := r.instances[name].members().Counts
+			c := r.instances[name].members().Datagrams
 			n, bytes = n+c.Sent, bytes+c.SentBytes
 		}
 		return n, bytes
--- a/members.go
+++ b/members.go
@@ -20,7 +20,7 @@
 	period := time.Second
 	return &config.Members{Listen: edge.Peers.Listen, Group: "tier", Member: membership.Config{
 		Name: edge.Name, Addr: own,
-		Seeds: edge.Peers.All, Period: period.Microseconds(), Hold: 8 * period.Microseconds(), Budget: 30, Forget: time.Hour.Microseconds(),
+		Seeds: edge.Peers.All, ProbeInterval: period.Microseconds(), SuspicionTimeout: 8 * period.Microseconds(), MaxSendRate: 30, TombstoneTTL: time.Hour.Microseconds(),
 	}}
 }
 
@@ -45,13 +45,13 @@
 		return fmt.Errorf("membership: %w", err)
 	}
 	log := p.log.WithField("instance", c.Member.Name)
-	if p.fleet, err = gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Now: now}); err != nil {
+	if p.fleet, err = gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Clock: now}); err != nil {
 		conn.Close()
 		return err
 	}
 	log.WithField("listen", conn.LocalAddr().String()).WithField("address", c.Member.Addr.String()).Info("reachable for members")
 	if o := p.config.OpenSearch; o != nil {
-		self := membership.NameID(c.Member.Name)
+		self := membership.IDFromName(c.Member.Name)
 		o.Share = func() (int, int) { return p.fleet.View().Share(self, o.Number, o.Fleet) }
 	}
 	return nil
@@ -63,7 +63,7 @@
 	defer close(p.sharing.done)
 	was := [2]int{}
 	for {
-		changed := p.fleet.Changed()
+		changed := p.fleet.ViewChanged()
 		number, fleet := p.config.OpenSearch.Share()
 		if now := [2]int{number, fleet}; now != was {
 			was = now
@@ -118,9 +118,9 @@
 	for {
 		if now := p.servedBy(); now != told || time.Since(at) > factFor/3 {
 			told, at = now, time.Now()
-			for i, key := range []membership.Key[uint64]{membership.Document, membership.Stores} {
+			for i, key := range []membership.FactKey[uint64]{membership.DocumentVersion, membership.EndpointListDigest} {
 				if now[i] > 0 {
-					p.fleet.Tell(key.Publish(now[i], factFor.Microseconds()))
+					p.fleet.PublishFact(key.Publish(now[i], factFor.Microseconds()))
 				}
 			}
 		}
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -12,7 +12,7 @@
 	Owner       ID
 	Name, Value string
 	Version     uint32
-	Left        Micros // until it expires
+	TTL         Micros // until it expires
 }
 
 type fact struct {
@@ -29,22 +29,22 @@
 // told words a fact for others. What is left of its time travels with it, since clocks differ.
 func (f *fact) told(now Micros) Fact {
 	t := f.Fact
-	t.Left = f.ends - now
+	t.TTL = f.ends - now
 	return t
 }
 
 // publish attaches a fact to this member. What is too long, or one too many, is logged and dropped.
-func (g *Group) publish(p Publish) {
+func (g *Group) publish(p PublishFact) {
 	old := g.self.facts[p.Name]
 	switch {
-	case p.Name == "" || len(p.Name) > MostFact || len(p.Value) > MostValue || p.For < 0:
-		g.log("fact %q of %d bytes for %d ms cannot be told", p.Name, len(p.Value), p.For/1000)
+	case p.Name == "" || len(p.Name) > MaxFactNameLength || len(p.Value) > MaxFactValueLength || p.TTL < 0:
+		g.log("fact %q of %d bytes for %d ms cannot be told", p.Name, len(p.Value), p.TTL/1000)
 		return
-	case old == nil && len(g.self.facts) >= MostFacts:
+	case old == nil && len(g.self.facts) >= MaxFacts:
 		g.log("fact %q is one too many", p.Name)
 		return
 	}
-	f := &fact{Fact: Fact{Owner: g.self.ID, Name: p.Name, Value: p.Value, Version: 1}, ends: g.now + p.For}
+	f := &fact{Fact: Fact{Owner: g.self.ID, Name: p.Name, Value: p.Value, Version: 1}, ends: g.now + p.TTL}
 	if old != nil {
 		f.Version = old.Version + 1
 	}
@@ -56,15 +56,15 @@
 // learnFact takes a fact of another member's. A member's facts are bounded in number, and end with it.
 func (g *Group) learnFact(f Fact) {
 	m := g.members[f.Owner]
-	if m == nil || m == g.self || m.Standing > Suspect || f.Left <= 0 || f.Left > g.Forget ||
-		f.Name == "" || len(f.Name) > MostFact || len(f.Value) > MostValue {
+	if m == nil || m == g.self || m.State > Suspect || f.TTL <= 0 || f.TTL > g.TombstoneTTL ||
+		f.Name == "" || len(f.Name) > MaxFactNameLength || len(f.Value) > MaxFactValueLength {
 		return
 	}
 	old := m.facts[f.Name]
-	if old != nil && f.Version <= old.Version || old == nil && len(m.facts) >= MostFacts {
+	if old != nil && f.Version <= old.Version || old == nil && len(m.facts) >= MaxFacts {
 		return
 	}
-	note(&m.facts, f.Name, &fact{Fact: f, ends: g.now + f.Left})
+	note(&m.facts, f.Name, &fact{Fact: f, ends: g.now + f.TTL})
 	g.tell(subject{id: f.Owner, is: f.Name})
 	g.touch()
 }
@@ -74,8 +74,8 @@
 	if g.now < g.renewAt {
 		return
 	}
-	g.renewAt = g.now + g.Period
-	if len(g.members) == 1 && g.now-g.began >= lonely*g.Period {
+	g.renewAt = g.now + g.ProbeInterval
+	if len(g.members) == 1 && g.now-g.began >= lonely*g.ProbeInterval {
 		g.settle()
 	}
 	for _, m := range g.all {
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, m := range slices.Clone(g.all) {
-		if m.Standing > Suspect && m != g.self && g.now-m.Since >= g.Forget {
+		if m.State > Suspect && m != g.self && g.now-m.StateSince >= g.TombstoneTTL {
 			g.forget(m)
 		}
 	}
@@ -105,38 +105,40 @@
 	g.touch()
 }
 
-// Key is a kind of fact: its name on the wire and the form of its values.
-type Key[T any] struct {
+// FactKey is a kind of fact: its name on the wire and the form of its values.
+type FactKey[T any] struct {
 	Name string
 	word func(T) string
 	read func(string) (T, error)
 }
 
-// NewKey returns a kind of fact. word must not return an empty text, which takes a fact back.
-func NewKey[T any](name string, word func(T) string, read func(string) (T, error)) Key[T] {
-	return Key[T]{name, word, read}
+// NewFactKey returns a kind of fact. word must not return an empty text, which takes a fact back.
+func NewFactKey[T any](name string, word func(T) string, read func(string) (T, error)) FactKey[T] {
+	return FactKey[T]{name, word, read}
 }
 
-// Number returns a kind of fact whose values are numbers.
-func Number(name string) Key[uint64] {
-	return NewKey(name, func(v uint64) string { return strconv.FormatUint(v, 36) },
+// NumericFactKey returns a kind of fact whose values are numbers.
+func NumericFactKey(name string) FactKey[uint64] {
+	return NewFactKey(name, func(v uint64) string { return strconv.FormatUint(v, 36) },
 		func(s string) (uint64, error) { return strconv.ParseUint(s, 36, 64) })
 }
 
 // What members tell of themselves.
 var (
-	Document = Number("document") // the version of the agreed document that it serves by
-	Stores   = Number("stores")   // the digest of the list of stores that it serves by
+	DocumentVersion    = NumericFactKey("document") // the version of the agreed document that it serves by
+	EndpointListDigest = NumericFactKey("stores")   // the digest of the list of stores that it serves by
 )
 
 // Publish is the event that attaches a value.
-func (k Key[T]) Publish(v T, last Micros) Publish { return Publish{k.Name, k.word(v), last} }
+func (k FactKey[T]) Publish(v T, last Micros) PublishFact {
+	return PublishFact{k.Name, k.word(v), last}
+}
 
 // Withdraw is the event that takes the value back.
-func (k Key[T]) Withdraw(last Micros) Publish { return Publish{Name: k.Name, For: last} }
+func (k FactKey[T]) Withdraw(last Micros) PublishFact { return PublishFact{Name: k.Name, TTL: last} }
 
-// Of is a member's value. One that cannot be read, as a later version of the program may word it, is none.
-func (k Key[T]) Of(m Member) (v T, ok bool) {
+// Value is a member's value. One that cannot be read, as a later version of the program may word it, is none.
+func (k FactKey[T]) Value(m Member) (v T, ok bool) {
 	i := slices.IndexFunc(m.Facts, func(f Fact) bool { return f.Name == k.Name })
 	if i < 0 {
 		return v, false
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		all++
-		if slices.ContainsFunc(c.view.Members, func(m Member) bool { return m.Name == name(of) && m.Standing > Suspect }) {
+		if slices.ContainsFunc(c.view.Members, func(m Member) bool { return m.Name == name(of) && m.State > Suspect }) {
 			n++
 		}
 	}
@@ -50,7 +50,7 @@
 			w.run(10 * second)
 			rate += float64(w.sent-sent) / 10 / float64(c.n) / float64(c.deaths)
 			bytes += float64(w.bytes-size) / 10 / float64(c.n) / float64(c.deaths)
-			w.nodes[1].turn(Publish{"list", "v", 600 * second})
+			w.nodes[1].turn(PublishFact{"list", "v", 600 * second})
 			began := w.net.Now()
 			for {
 				n := 0
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -23,8 +23,8 @@
 // ID is a member's number, made of its name.
 type ID uint32
 
-// NameID is the number of a name. Two names of one number cannot both be members: the later one is refused.
-func NameID(name string) ID {
+// IDFromName is the number of a name. Two names of one number cannot both be members: the later one is refused.
+func IDFromName(name string) ID {
 	h := fnv.New32a()
 	h.Write([]byte(name)) // never fails
 	return ID(h.Sum32())
@@ -32,105 +32,105 @@
 
 // Limits of what goes in one datagram.
 const (
-	MostName  = 24
-	MostZone  = 24
-	MostFact  = 16 // bytes of a fact's name
-	MostValue = 48
-	MostFacts = 8 // of one member
+	MaxNameLength      = 24
+	MaxZoneLength      = 24
+	MaxFactNameLength  = 16 // bytes of a fact's name
+	MaxFactValueLength = 48
+	MaxFacts           = 8 // of one member
 )
 
 // Config is what a member knows from the start.
 type Config struct {
-	Name, Zone string
-	Addr       netip.AddrPort   // where others reach it
-	Seeds      []netip.AddrPort // where members may be; its own and dead ones do no harm
-	Birth      uint32           // higher at each start of the same name, such as the second of the start
-	Seed       uint64           // of its random numbers
-	Period     Micros           // between probes; a second is usual
-	Hold       Micros           // how long a member that was silent may take to say that it is there: above its longest pause
-	Budget     int              // datagrams a second that it sends at most
-	Forget     Micros           // how long those that left or died are remembered
+	Name, Zone       string
+	Addr             netip.AddrPort   // where others reach it
+	Seeds            []netip.AddrPort // where members may be; its own and dead ones do no harm
+	Generation       uint32           // higher at each start of the same name, such as the second of the start
+	RandomSeed       uint64           // of its random numbers
+	ProbeInterval    Micros           // between probes; a second is usual
+	SuspicionTimeout Micros           // how long a member that was silent may take to say that it is there: above its longest pause
+	MaxSendRate      int              // datagrams a second that it sends at most
+	TombstoneTTL     Micros           // how long those that left or died are remembered
 }
 
-// Check names the first field that no member can work with.
-func (c Config) Check() error {
+// Validate names the first field that no member can work with.
+func (c Config) Validate() error {
 	switch {
-	case c.Name == "" || len(c.Name) > MostName:
-		return fmt.Errorf("membership: name %q has not 1 to %d bytes", c.Name, MostName)
-	case len(c.Zone) > MostZone:
-		return fmt.Errorf("membership: zone %q has over %d bytes", c.Zone, MostZone)
+	case c.Name == "" || len(c.Name) > MaxNameLength:
+		return fmt.Errorf("membership: name %q has not 1 to %d bytes", c.Name, MaxNameLength)
+	case len(c.Zone) > MaxZoneLength:
+		return fmt.Errorf("membership: zone %q has over %d bytes", c.Zone, MaxZoneLength)
 	case !c.Addr.IsValid() || !c.Addr.Addr().Unmap().Is4():
 		return fmt.Errorf("membership: address %v is no IPv4 address", c.Addr)
-	case c.Period <= 0 || c.Hold < c.Period || c.Forget < c.Hold:
-		return fmt.Errorf("membership: period %d, hold %d and forget %d are not in order", c.Period, c.Hold, c.Forget)
-	case c.Budget < 4:
-		return fmt.Errorf("membership: budget of %d datagrams a second is under 4", c.Budget)
+	case c.ProbeInterval <= 0 || c.SuspicionTimeout < c.ProbeInterval || c.TombstoneTTL < c.SuspicionTimeout:
+		return fmt.Errorf("membership: period %d, hold %d and forget %d are not in order", c.ProbeInterval, c.SuspicionTimeout, c.TombstoneTTL)
+	case c.MaxSendRate < 4:
+		return fmt.Errorf("membership: budget of %d datagrams a second is under 4", c.MaxSendRate)
 	}
 	return nil
 }
 
-// Standing is what the group holds of a member.
-type Standing uint8
+// MemberState is what the group holds of a member.
+type MemberState uint8
 
 // The standings. Of two of the same incarnation the later one here wins.
 const (
-	Alive Standing = iota
+	Alive MemberState = iota
 	Suspect
 	Dead
 	Left
 )
 
-func (s Standing) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s&3] }
+func (s MemberState) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s&3] }
 
-// Reach is how this member and another hear each other.
-type Reach uint8
+// Reachability is how this member and another hear each other.
+type Reachability uint8
 
 // The ways to be reached.
 const (
-	Unknown       Reach = iota
-	Reachable           // both ways
-	OneWay              // it hears us, and we hear of it through others only
-	ThroughOthers       // neither hears the other, and others hear it
+	ReachabilityUnknown Reachability = iota
+	Reachable                        // both ways
+	ReachableOneWay                  // it hears us, and we hear of it through others only
+	ReachableIndirectly              // neither hears the other, and others hear it
 	Unreachable
 )
 
-func (r Reach) String() string {
+func (r Reachability) String() string {
 	return [...]string{"unknown", "reachable", "one-way", "through others", "unreachable"}[min(r, Unreachable)]
 }
 
 // settled takes members that have had no occasion to ask each other yet for reachable: that they are is no change.
-func (r Reach) settled() Reach { return max(r, Reachable) }
+func (r Reachability) settled() Reachability { return max(r, Reachable) }
 
 // Member is one line of a view.
 type Member struct {
-	ID          ID
-	Name, Zone  string
-	Addr        netip.AddrPort
-	Birth, Inc  uint32
-	Standing    Standing
-	Reach       Reach
-	Since       Micros // of the standing
-	Why         string
-	SeenBy      int // members, this one included, that had word from it themselves within a few periods
-	Doubted     bool
-	Facts       []Fact
-	LastHeardAt Micros // by this member itself; 0: never
+	ID                      ID
+	Name, Zone              string
+	Addr                    netip.AddrPort
+	Generation, Incarnation uint32
+	State                   MemberState
+	Reachability            Reachability
+	StateSince              Micros // of the standing
+	StateReason             string
+	SeenByCount             int // members, this one included, that had word from it themselves within a few periods
+	Distrusted              bool
+	Facts                   []Fact
+	LastContact             Micros // by this member itself; 0: never
 }
 
 // View is who is there, as one member holds it. Members is sorted by name and holds those that are gone for as long
 // as they are remembered.
 type View struct {
-	Version uint64 // counts this member's own changes
-	Digest  uint32 // equal at two members that hold the same members to be there
-	Trusted bool   // false: this member may be cut off, and the view stands still
-	Settled bool   // another member has held the same ones to be there, at some time; or there is nobody to hold them
-	Members []Member
+	Version   uint64 // counts this member's own changes
+	Digest    uint32 // equal at two members that hold the same members to be there
+	Trusted   bool   // false: this member may be cut off, and the view stands still
+	Converged bool   // another member has held the same ones to be there, at some time; or there is nobody to hold them
+	Members   []Member
 }
 
-// Alive counts those that are there, suspects included: these may still say so.
-func (v View) Alive() (n int) {
+// AliveCount counts those that are there, suspects included: these may still say so.
+func (v View) AliveCount() (n int) {
 	for _, m := range v.Members {
-		if m.Standing <= Suspect {
+		if m.State <= Suspect {
 			n++
 		}
 	}
@@ -140,51 +140,51 @@
 // Event is something that happened.
 type Event interface{ event() }
 
-// Received is a message that came. Its sender was proven, or there is nothing to prove it by.
-type Received struct {
+// MessageReceived is a message that came. Its sender was proven, or there is nothing to prove it by.
+type MessageReceived struct {
 	From    netip.AddrPort
 	Message Message
 }
 
-// Refusal is proof that nothing listens where a member was.
-type Refusal struct{ Addr netip.AddrPort }
+// PortUnreachable is proof that nothing listens where a member was.
+type PortUnreachable struct{ Addr netip.AddrPort }
 
-// Publish attaches a fact to this member. An empty value takes it back.
-type Publish struct {
+// PublishFact attaches a fact to this member. An empty value takes it back.
+type PublishFact struct {
 	Name, Value string
-	For         Micros
+	TTL         Micros
 }
 
 // Leave begins a planned leave.
 type Leave struct{}
 
-func (Received) event() {}
-func (Refusal) event()  {}
-func (Publish) event()  {}
-func (Leave) event()    {}
+func (MessageReceived) event() {}
+func (PortUnreachable) event() {}
+func (PublishFact) event()     {}
+func (Leave) event()           {}
 
 // Action is something to do.
 type Action interface{ action() }
 
-// Send sends a message.
-type Send struct {
+// SendMessage sends a message.
+type SendMessage struct {
 	To      netip.AddrPort
 	Message Message
 }
 
-// Changed says that the view is another.
-type Changed struct{ View View }
+// ViewChanged says that the view is another.
+type ViewChanged struct{ View View }
 
 // Log is a line for the people on call.
 type Log struct{ Text string }
 
-// Taken says that another member has this one's name and answers: this one is refused and stays silent.
-type Taken struct{ By netip.AddrPort }
+// NameTaken says that another member has this one's name and answers: this one is refused and stays silent.
+type NameTaken struct{ By netip.AddrPort }
 
-func (Send) action()    {}
-func (Changed) action() {}
-func (Log) action()     {}
-func (Taken) action()   {}
+func (SendMessage) action() {}
+func (ViewChanged) action() {}
+func (Log) action()         {}
+func (NameTaken) action()   {}
 
 type member struct {
 	Member
@@ -236,9 +236,9 @@
 	judgeAt   Micros // nobody is taken out before
 	renewAt   Micros
 	tokens    float64
-	backlog   []Send // parts of a state that was asked for, as the budget allows
-	differs   Micros // since when a digest differs
-	sum       uint32 // the digest, while nothing has changed
+	backlog   []SendMessage // parts of a state that was asked for, as the budget allows
+	differs   Micros        // since when a digest differs
+	sum       uint32        // the digest, while nothing has changed
 	summed    bool
 	view      View
 	settled   bool
@@ -264,28 +264,28 @@
 	comparing                       // doubt by comparison
 )
 
-// Repeats counts what came more than once, late beyond recognition or under a life that is over.
-func (g *Group) Repeats() int { return g.repeats }
+// Duplicates counts what came more than once, late beyond recognition or under a life that is over.
+func (g *Group) Duplicates() int { return g.repeats }
 
-// Turn is how often Step wants to be called, at least.
-func (c Config) Turn() Micros { return c.Period / 10 }
+// TickInterval is how often Step wants to be called, at least.
+func (c Config) TickInterval() Micros { return c.ProbeInterval / 10 }
 
 // New returns a member that knows itself alone.
 func New(c Config, now Micros) (*Group, error) {
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	g := &Group{
-		Config: c, now: now, last: now, rng: rand.New(rand.NewPCG(c.Seed, uint64(NameID(c.Name)))),
-		members: map[ID]*member{}, relays: map[uint32]relay{}, rumors: rumors{}, tokens: float64(c.Budget),
+		Config: c, now: now, last: now, rng: rand.New(rand.NewPCG(c.RandomSeed, uint64(IDFromName(c.Name)))),
+		members: map[ID]*member{}, relays: map[uint32]relay{}, rumors: rumors{}, tokens: float64(c.MaxSendRate),
 	}
-	g.self = g.add(Member{ID: NameID(c.Name), Name: c.Name, Zone: c.Zone, Addr: c.Addr, Birth: c.Birth, Inc: 1, Reach: Reachable})
+	g.self = g.add(Member{ID: IDFromName(c.Name), Name: c.Name, Zone: c.Zone, Addr: c.Addr, Generation: c.Generation, Incarnation: 1, Reachability: Reachable})
 	for i := range g.rounds {
 		g.rounds[i] = true
 	}
 	// Members that start together do not all probe in the same moment.
 	g.began, g.movedAt = now, now
-	g.probeAt = now + g.rng.Int64N(c.Period)
+	g.probeAt = now + g.rng.Int64N(c.ProbeInterval)
 	g.settled = !slices.ContainsFunc(c.Seeds, func(a netip.AddrPort) bool { return a != c.Addr })
 	g.renewAt = now
 	g.spread(g.self)
@@ -305,17 +305,17 @@
 	}
 	gap := g.now - g.last
 	g.last = g.now
-	g.tokens = min(float64(g.Budget), g.tokens+float64(g.Budget)*float64(gap)/1e6)
-	if gap > g.Period/2 && g.off&ownPause == 0 {
+	g.tokens = min(float64(g.MaxSendRate), g.tokens+float64(g.MaxSendRate)*float64(gap)/1e6)
+	if gap > g.ProbeInterval/2 && g.off&ownPause == 0 {
 		g.paused(gap)
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Received:
+		case MessageReceived:
 			g.receive(e)
-		case Refusal:
+		case PortUnreachable:
 			g.refusal(e.Addr)
-		case Publish:
+		case PublishFact:
 			g.publish(e)
 		case Leave:
 			g.leave()
@@ -337,7 +337,7 @@
 		p.at, p.askAt, p.end = p.at+gap, p.askAt+gap, p.end+gap
 	}
 	for _, m := range g.all {
-		if m.Standing == Suspect {
+		if m.State == Suspect {
 			m.suspected += gap
 		}
 		if m.claim != nil {
@@ -348,21 +348,21 @@
 		g.dirty = g.now
 	}
 	g.health = min(g.health+1, mostHealth)
-	g.self.Inc++
+	g.self.Incarnation++
 	g.spread(g.self)
 	// What came meanwhile is still being read, in whatever order: nobody is judged before.
-	g.gossipAt, g.syncAt, g.judgeAt = 0, g.now, g.now+2*g.Period
+	g.gossipAt, g.syncAt, g.judgeAt = 0, g.now, g.now+2*g.ProbeInterval
 	g.differs = 0
 	g.log("this member stood still for %d ms", gap/1000)
 }
 
 func (g *Group) add(m Member) *member {
 	s := &member{Member: m} // maps are made as they are needed: most members of hundreds are neither accused nor asked for
-	s.Since = g.now
+	s.StateSince = g.now
 	g.members[m.ID] = s
 	at, _ := slices.BinarySearchFunc(g.all, m.ID, func(o *member, id ID) int { return cmp.Compare(o.ID, id) })
 	g.all = slices.Insert(g.all, at, s)
-	g.count(m.Standing, 1)
+	g.count(m.State, 1)
 	if g.self != nil {
 		// Anywhere in the rest of the round: a newcomer is found as soon as others.
 		at := g.next + g.rng.IntN(len(g.order)-g.next+1)
@@ -381,7 +381,7 @@
 }
 
 // count keeps the numbers of those that are there and of suspects.
-func (g *Group) count(s Standing, by int) {
+func (g *Group) count(s MemberState, by int) {
 	g.summed = false
 	if s <= Suspect {
 		g.there += by
--- a/membership/rumor.go
+++ b/membership/rumor.go
@@ -11,12 +11,12 @@
 
 // Update is what the group holds of a member, as it is told on.
 type Update struct {
-	ID         ID
-	Birth, Inc uint32
-	Standing   Standing
-	By         ID // of a suspect: who accuses it
-	Addr       netip.AddrPort
-	Name, Zone string // told of those that are there only
+	ID                      ID
+	Generation, Incarnation uint32
+	State                   MemberState
+	Accuser                 ID // of a suspect: who accuses it
+	Addr                    netip.AddrPort
+	Name, Zone              string // told of those that are there only
 }
 
 // rumors are updates and facts that are still worth telling, by what they are about.
@@ -36,8 +36,8 @@
 
 // update words what this member holds of another.
 func (g *Group) update(m *member) Update {
-	u := Update{ID: m.ID, Birth: m.Birth, Inc: m.Inc, Standing: m.Standing, Addr: m.Addr}
-	if m.Standing <= Suspect {
+	u := Update{ID: m.ID, Generation: m.Generation, Incarnation: m.Incarnation, State: m.State, Addr: m.Addr}
+	if m.State <= Suspect {
 		u.Name, u.Zone = m.Name, m.Zone
 	}
 	return u
@@ -56,69 +56,69 @@
 	}
 	m := g.members[u.ID]
 	if m == nil {
-		if u.Standing > Suspect || u.Name == "" || NameID(u.Name) != u.ID {
+		if u.State > Suspect || u.Name == "" || IDFromName(u.Name) != u.ID {
 			return // who is not known need not be buried
 		}
-		m = g.add(Member{ID: u.ID, Name: u.Name, Zone: u.Zone, Addr: u.Addr, Birth: u.Birth, Inc: u.Inc, Why: "told of"})
+		m = g.add(Member{ID: u.ID, Name: u.Name, Zone: u.Zone, Addr: u.Addr, Generation: u.Generation, Incarnation: u.Incarnation, StateReason: "told of"})
 		g.spread(m)
 	}
-	if u.Birth < m.Birth || u.Birth == m.Birth && u.Inc < m.Inc {
+	if u.Generation < m.Generation || u.Generation == m.Generation && u.Incarnation < m.Incarnation {
 		return
 	}
-	newer := u.Birth > m.Birth || u.Inc > m.Inc
-	switch u.Standing {
+	newer := u.Generation > m.Generation || u.Incarnation > m.Incarnation
+	switch u.State {
 	case Alive:
 		if !newer {
 			return
 		}
-		if u.Birth > m.Birth {
-			if g.vacant(m, u.Addr, u.Birth) {
-				g.renew(m, u.Birth, u.Inc, u.Addr)
+		if u.Generation > m.Generation {
+			if g.vacant(m, u.Addr, u.Generation) {
+				g.renew(m, u.Generation, u.Incarnation, u.Addr)
 			}
 			return
 		}
-		switch m.Standing {
+		switch m.State {
 		case Suspect:
 			g.vindicate(m)
 		case Dead: // the same process speaks: it was not dead, but slow beyond what it was granted
 			m.returns = min(m.returns+1, mostReturns)
 		}
-		m.Birth, m.Inc, m.Addr, m.Name, m.Zone, m.refused = u.Birth, u.Inc, u.Addr, u.Name, u.Zone, false
+		m.Generation, m.Incarnation, m.Addr, m.Name, m.Zone, m.refused = u.Generation, u.Incarnation, u.Addr, u.Name, u.Zone, false
 		note(&m.vouched, from, g.now)
 		g.stand(m, Alive, "speaks for itself")
 		g.spread(m)
 	case Suspect:
-		if u.Birth > m.Birth {
+		if u.Generation > m.Generation {
 			return // its own words, or others', tell of the new process first
 		}
 		if newer { // it has answered for all before: the time that it is granted begins anew
-			if m.Inc = u.Inc; g.off&startingAnew == 0 {
+			if m.Incarnation = u.Incarnation; g.off&startingAnew == 0 {
 				m.suspected = g.now
 			}
 			clear(m.accusers)
 		}
-		by := u.By
+		by := u.Accuser
 		if by == 0 {
 			by = from
 		}
-		g.suspect(m, u.Inc, by, "others had no answer")
+		g.suspect(m, u.Incarnation, by, "others had no answer")
 	case Dead, Left:
-		if m.Standing >= Dead && !newer {
+		if m.State >= Dead && !newer {
 			return
 		}
 		// A member that had its word a moment ago knows better, and has the other tell so.
-		if u.Standing == Dead && m.heard > 0 && g.now-m.heard < g.Period && m.Standing == Alive {
-			g.send(m.Addr, Message{Kind: Gossip, Updates: []Update{u}}, m)
+		if u.State == Dead && m.heard > 0 && g.now-m.heard < g.ProbeInterval && m.State == Alive {
+			g.send(m.Addr, Message{Kind: KindGossip, Updates: []Update{u}}, m)
 			return
 		}
-		if u.Standing == Dead && (!g.trusted() || g.now < g.judgeAt) {
+		if u.State == Dead && (!g.trusted() || g.now < g.judgeAt) {
 			return
 		}
 		if from != m.ID && !g.attested(m, u, from) {
 			return
 		}
-		m.Inc = max(m.Inc, u.Inc)
-		g.bury(m, u.Standing, map[Standing]string{Dead: "the others agreed", Left: "left as planned"}[u.Standing])
+		m.Incarnation = max(m.Incarnation, u.Incarnation)
+		g.bury(m, u.State, map[MemberState]string{Dead: "the others agreed", Left: "left as planned"}[u.State])
 	}
 }
 
@@ -132,9 +132,9 @@
 	if len(m.gone) >= min(2, g.there-2) {
 		return true
 	}
-	if u.Standing == Dead {
-		m.Inc = max(m.Inc, u.Inc)
-		g.suspect(m, m.Inc, from, "another holds it to be dead")
+	if u.State == Dead {
+		m.Incarnation = max(m.Incarnation, u.Incarnation)
+		g.suspect(m, m.Incarnation, from, "another holds it to be dead")
 	}
 	return false
 }
@@ -142,18 +142,18 @@
 // answerFor refutes what is said of this member itself.
 func (g *Group) answerFor(u Update) {
 	switch {
-	case u.Birth > g.self.Birth && u.Birth < math.MaxUint32:
+	case u.Generation > g.self.Generation && u.Generation < math.MaxUint32:
 		// A former life that looks later than this one: the clock was set back between them, or the name is taken twice.
 		// Which, the others find out as this one asks for its place with a life that is later still.
 		g.log("the name %s is known in a later life: this one begins anew beyond it", g.Name)
-		g.self.Birth, g.Birth, g.self.Inc, g.summed = u.Birth+1, u.Birth+1, 1, false
+		g.self.Generation, g.Generation, g.self.Incarnation, g.summed = u.Generation+1, u.Generation+1, 1, false
 		g.spread(g.self)
 		return
-	case u.Birth < g.self.Birth || u.Standing == Alive || g.leaving:
+	case u.Generation < g.self.Generation || u.State == Alive || g.leaving:
 		return
 	}
-	if u.Inc >= g.self.Inc {
-		g.self.Inc = u.Inc + 1
+	if u.Incarnation >= g.self.Incarnation {
+		g.self.Incarnation = u.Incarnation + 1
 		g.health = min(g.health+1, mostHealth)
 		g.spread(g.self)
 		g.gossipAt = min(g.gossipAt, g.now)
@@ -162,7 +162,7 @@
 
 // suspect takes an accusation. Independent accusers shorten the time that the member has to answer.
 func (g *Group) suspect(m *member, inc uint32, by ID, why string) {
-	if m == g.self || m.Standing > Suspect || inc < m.Inc || m.accusers[by] {
+	if m == g.self || m.State > Suspect || inc < m.Incarnation || m.accusers[by] {
 		return
 	}
 	if a := g.members[by]; a != nil && a != g.self {
@@ -171,7 +171,7 @@
 		}
 		a.accused++
 	}
-	if m.Standing == Alive {
+	if m.State == Alive {
 		m.suspected = g.now
 		g.stand(m, Suspect, why)
 	}
@@ -197,8 +197,8 @@
 		}
 		doubted = a.refuted*max(1, len(g.all)-1) > 3*others
 	}
-	if doubted != a.Doubted {
-		a.Doubted = doubted
+	if doubted != a.Distrusted {
+		a.Distrusted = doubted
 		g.touch()
 		g.log("accusations by %s are doubted: %d of %d were answered", a.Name, a.refuted, a.accused)
 	}
@@ -219,34 +219,34 @@
 // clear is called as word comes of a suspect, its own or a helper's: the time that it is granted begins anew. What
 // ends the suspicion, here and at the others, is what it says itself.
 func (g *Group) clear(m *member) {
-	if m.Standing != Suspect {
+	if m.State != Suspect {
 		return
 	}
 	if g.off&startingAnew == 0 {
 		m.suspected = g.now
 	}
 	// It must say so itself, or the others go on: it is told of the accusation.
-	g.send(m.Addr, Message{Kind: Gossip, Updates: []Update{{ID: m.ID, Birth: m.Birth, Inc: m.Inc, Standing: Suspect, By: g.self.ID, Addr: m.Addr}}}, m)
+	g.send(m.Addr, Message{Kind: KindGossip, Updates: []Update{{ID: m.ID, Generation: m.Generation, Incarnation: m.Incarnation, State: Suspect, Accuser: g.self.ID, Addr: m.Addr}}}, m)
 }
 
 // stand moves a member to a standing.
-func (g *Group) stand(m *member, s Standing, why string) {
+func (g *Group) stand(m *member, s MemberState, why string) {
 	if s != Suspect {
 		clear(m.accusers)
 		clear(m.gone)
 	}
-	if m.Standing == s {
+	if m.State == s {
 		return
 	}
-	g.count(m.Standing, -1)
+	g.count(m.State, -1)
 	g.count(s, 1)
-	if m.Standing > Suspect || s > Suspect { // a suspicion alone is no change: what comes of it is one
+	if m.State > Suspect || s > Suspect { // a suspicion alone is no change: what comes of it is one
 		g.touch()
 	}
-	m.Standing, m.Since, m.Why = s, g.now, why
+	m.State, m.StateSince, m.StateReason = s, g.now, why
 }
 
-func (g *Group) bury(m *member, s Standing, why string) {
+func (g *Group) bury(m *member, s MemberState, why string) {
 	g.stand(m, s, why)
 	g.reach(m, Unreachable)
 	g.spread(m)
@@ -260,11 +260,11 @@
 // member whose words are slow does not go in and out of the view.
 func (g *Group) patience(m *member) Micros {
 	n := min(len(m.accusers), enough)
-	most := g.Hold * Micros(2*enough-n+1) / Micros(enough+1)
+	most := g.SuspicionTimeout * Micros(2*enough-n+1) / Micros(enough+1)
 	if m.refused && n >= 1 {
-		most = g.Hold / 4
+		most = g.SuspicionTimeout / 4
 	}
-	return g.stretch(max(most, 2*g.Period)) << m.returns
+	return g.stretch(max(most, 2*g.ProbeInterval)) << m.returns
 }
 
 // judge takes out those whose time is up. A member that may be cut off itself judges nobody.
@@ -273,8 +273,8 @@
 		return
 	}
 	for _, m := range g.all {
-		if m.Standing == Suspect && g.now-m.suspected >= g.patience(m) {
-			g.bury(m, Dead, m.Why+"; it did not answer in time")
+		if m.State == Suspect && g.now-m.suspected >= g.patience(m) {
+			g.bury(m, Dead, m.StateReason+"; it did not answer in time")
 		}
 	}
 }
@@ -282,9 +282,9 @@
 // leave says that this member goes, several times as words get lost.
 func (g *Group) leave() {
 	g.leaving = true
-	g.self.Standing = Left
-	for _, m := range g.some(g.lasting(), func(m *member) bool { return m.Standing <= Suspect }) {
-		g.send(m.Addr, Message{Kind: Bye}, m)
+	g.self.State = Left
+	for _, m := range g.some(g.lasting(), func(m *member) bool { return m.State <= Suspect }) {
+		g.send(m.Addr, Message{Kind: KindLeave}, m)
 	}
 }
 
@@ -294,20 +294,20 @@
 		return
 	}
 	// Answers come first: news that can wait leaves a quarter of the budget to them.
-	if g.now >= g.gossipAt && len(g.rumors) > 0 && g.tokens > float64(g.Budget)/4 {
-		g.gossipAt = g.now + g.Period/4
-		for _, m := range g.some(2, func(m *member) bool { return m.Standing <= Suspect }) {
-			g.send(m.Addr, Message{Kind: Gossip}, m)
+	if g.now >= g.gossipAt && len(g.rumors) > 0 && g.tokens > float64(g.MaxSendRate)/4 {
+		g.gossipAt = g.now + g.ProbeInterval/4
+		for _, m := range g.some(2, func(m *member) bool { return m.State <= Suspect }) {
+			g.send(m.Addr, Message{Kind: KindGossip}, m)
 		}
 	}
 	if g.now >= g.strayAt {
-		g.strayAt = g.now + strayEvery*g.Period*Micros(80+g.rng.IntN(40))/100
+		g.strayAt = g.now + strayEvery*g.ProbeInterval*Micros(80+g.rng.IntN(40))/100
 		g.hail()
 	}
 	if g.syncAt > 0 && g.now >= g.syncAt {
 		g.syncAt = 0
-		for _, m := range g.some(1, func(m *member) bool { return m.Standing == Alive && m.Reach != Unreachable }) {
-			g.send(m.Addr, Message{Kind: Sync, Buckets: g.buckets(), Updates: []Update{g.update(g.self)}}, m)
+		for _, m := range g.some(1, func(m *member) bool { return m.State == Alive && m.Reachability != Unreachable }) {
+			g.send(m.Addr, Message{Kind: KindSyncRequest, BucketDigests: g.buckets(), Updates: []Update{g.update(g.self)}}, m)
 		}
 	}
 }
@@ -315,7 +315,7 @@
 // hail speaks to one that is gone, which may be there again, or to an address at which somebody may be. While this
 // member knows nobody, it speaks to a few addresses at once.
 func (g *Group) hail() {
-	gone := g.some(1, func(m *member) bool { return m.Standing == Dead })
+	gone := g.some(1, func(m *member) bool { return m.State == Dead })
 	known := map[netip.AddrPort]bool{g.Addr: true}
 	for _, m := range g.all {
 		known[m.Addr] = true
@@ -328,16 +328,16 @@
 	}
 	n := 1
 	if g.there <= 1 {
-		n, g.strayAt = 3, g.now+g.Period
+		n, g.strayAt = 3, g.now+g.ProbeInterval
 	}
 	if len(gone) > 0 && (len(strange) == 0 || g.rng.IntN(2) == 0) {
 		m := gone[0]
-		g.send(m.Addr, Message{Kind: Gossip, Updates: []Update{g.update(m), g.update(g.self)}}, m)
+		g.send(m.Addr, Message{Kind: KindGossip, Updates: []Update{g.update(m), g.update(g.self)}}, m)
 		return
 	}
 	for range min(n, len(strange)) {
 		i := g.rng.IntN(len(strange))
-		g.send(strange[i], Message{Kind: Sync, Buckets: g.buckets(), Updates: []Update{g.update(g.self)}}, nil)
+		g.send(strange[i], Message{Kind: KindSyncRequest, BucketDigests: g.buckets(), Updates: []Update{g.update(g.self)}}, nil)
 	}
 }
 
@@ -347,23 +347,23 @@
 		return
 	}
 	if g.tokens < 1 {
-		if m.Kind == Ack || m.Kind == Ping || m.Kind == State {
-			g.backlog = append(g.backlog[:min(len(g.backlog), 256)], Send{to, m})
+		if m.Kind == KindAck || m.Kind == KindPing || m.Kind == KindSyncResponse {
+			g.backlog = append(g.backlog[:min(len(g.backlog), 256)], SendMessage{to, m})
 		}
 		return
 	}
 	g.tokens--
 	g.seal(&m)
-	if m.Kind != State {
+	if m.Kind != KindSyncResponse {
 		g.load(&m, who)
 	}
-	g.do(Send{to, m})
+	g.do(SendMessage{to, m})
 }
 
 // seal fills in who speaks.
 func (g *Group) seal(m *Message) {
 	g.self.told.sent++
-	m.From, m.Birth, m.Inc, m.Count = g.self.ID, g.Birth, g.self.Inc, g.self.told.sent
+	m.Sender, m.Generation, m.Incarnation, m.MessageNumber = g.self.ID, g.Generation, g.self.Incarnation, g.self.told.sent
 	m.Digest = g.digest()
 }
 
@@ -374,7 +374,7 @@
 		m := g.backlog[n].Message
 		g.tokens--
 		g.seal(&m)
-		g.do(Send{g.backlog[n].To, m})
+		g.do(SendMessage{g.backlog[n].To, m})
 	}
 	g.backlog = g.backlog[n:]
 }
@@ -383,13 +383,13 @@
 func (g *Group) load(m *Message, who *member) {
 	room := m.room()
 	put := func(u Update) {
-		if n := u.size(); n <= room && !slices.ContainsFunc(m.Updates, func(o Update) bool { return o.ID == u.ID && o.By == u.By }) {
+		if n := u.size(); n <= room && !slices.ContainsFunc(m.Updates, func(o Update) bool { return o.ID == u.ID && o.Accuser == u.Accuser }) {
 			m.Updates, room = append(m.Updates, u), room-n
 		}
 	}
-	if who != nil && who.Standing == Suspect {
+	if who != nil && who.State == Suspect {
 		u := g.update(who)
-		u.By = g.self.ID
+		u.Accuser = g.self.ID
 		put(u)
 	}
 	if len(g.rumors) == 0 || room < 20 {
@@ -410,7 +410,7 @@
 		s := g.members[r.id]
 		before := room
 		switch {
-		case s == nil, r.by != 0 && s.Standing != Suspect: // what it was about is over
+		case s == nil, r.by != 0 && s.State != Suspect: // what it was about is over
 			delete(g.rumors, r.subject)
 			continue
 		case r.fact:
@@ -422,8 +422,8 @@
 			}
 		default:
 			u := g.update(s)
-			if u.By = r.by; r.by != 0 {
-				u.Standing = Suspect
+			if u.Accuser = r.by; r.by != 0 {
+				u.State = Suspect
 			}
 			put(u)
 		}
@@ -453,7 +453,7 @@
 	}
 	sum := uint32(0)
 	for _, m := range g.all {
-		if m.Standing <= Suspect {
+		if m.State <= Suspect {
 			sum ^= m.hash(false)
 		}
 	}
@@ -468,13 +468,13 @@
 func (m *member) hash(full bool) uint32 {
 	h := fnv.New32a()
 	there, inc := byte(0), uint32(0)
-	if m.Standing <= Suspect {
+	if m.State <= Suspect {
 		there = 1
 	}
 	if full {
-		inc = m.Inc
+		inc = m.Incarnation
 	}
-	for _, v := range []uint32{uint32(m.ID), m.Birth, inc} {
+	for _, v := range []uint32{uint32(m.ID), m.Generation, inc} {
 		h.Write([]byte{byte(v), byte(v >> 8), byte(v >> 16), byte(v >> 24)})
 	}
 	h.Write([]byte{there})
@@ -504,50 +504,50 @@
 	switch {
 	case m.Digest == g.digest():
 		g.differs = 0
-		if g.now-g.movedAt >= settling*g.Period {
+		if g.now-g.movedAt >= settling*g.ProbeInterval {
 			g.settle()
 		}
 	case g.differs == 0:
 		g.differs = g.now
-	case g.now-g.differs > 5*g.Period && g.syncAt == 0:
+	case g.now-g.differs > 5*g.ProbeInterval && g.syncAt == 0:
 		g.differs = 0
-		g.send(s.Addr, Message{Kind: Sync, Buckets: g.buckets(), Updates: []Update{g.update(g.self)}}, s)
+		g.send(s.Addr, Message{Kind: KindSyncRequest, BucketDigests: g.buckets(), Updates: []Update{g.update(g.self)}}, s)
 	}
 }
 
 // answerSync sends what another member holds differently, as the budget allows.
 func (g *Group) answerSync(to netip.AddrPort, s *member, m Message) {
-	if len(m.Buckets) != buckets || len(g.backlog) > 0 {
+	if len(m.BucketDigests) != buckets || len(g.backlog) > 0 {
 		return // what is being sent already may be what it asks for
 	}
 	mine := g.buckets()
-	state := Message{Kind: State}
+	state := Message{Kind: KindSyncResponse}
 	for _, o := range g.all {
-		if o == s || mine[uint32(o.ID)%buckets] == m.Buckets[uint32(o.ID)%buckets] || g.now-o.Since > g.Forget && o.Standing > Suspect {
+		if o == s || mine[uint32(o.ID)%buckets] == m.BucketDigests[uint32(o.ID)%buckets] || g.now-o.StateSince > g.TombstoneTTL && o.State > Suspect {
 			continue
 		}
 		u := g.update(o)
-		if o.Standing == Suspect {
-			u.Standing = Alive
+		if o.State == Suspect {
+			u.State = Alive
 		}
 		if u.size() > state.room() {
-			g.backlog = append(g.backlog, Send{to, state})
-			state = Message{Kind: State}
+			g.backlog = append(g.backlog, SendMessage{to, state})
+			state = Message{Kind: KindSyncResponse}
 		}
 		state.Updates = append(state.Updates, u)
 		for _, name := range slices.Sorted(maps.Keys(o.facts)) {
 			f := o.facts[name].told(g.now)
-			if f.Left <= 0 {
+			if f.TTL <= 0 {
 				continue
 			}
 			if f.size() > state.room() { // who is not known yet, as datagrams overtake each other, has no facts
-				g.backlog = append(g.backlog, Send{to, state})
-				state = Message{Kind: State, Updates: []Update{u}}
+				g.backlog = append(g.backlog, SendMessage{to, state})
+				state = Message{Kind: KindSyncResponse, Updates: []Update{u}}
 			}
 			state.Facts = append(state.Facts, f)
 		}
 	}
 	if len(state.Updates)+len(state.Facts) > 0 {
-		g.backlog = append(g.backlog, Send{to, state})
+		g.backlog = append(g.backlog, SendMessage{to, state})
 	}
 }
--- a/membership/share.go
+++ b/membership/share.go
@@ -1,8 +1,8 @@
 package membership
 
-// MostMembers is how many a fleet may have for all shares that are drawn from its views to hold. More are not refused:
+// MaxMembers is how many a fleet may have for all shares that are drawn from its views to hold. More are not refused:
 // it is what a newcomer counts on before its view is settled.
-const MostMembers = 1024
+const MaxMembers = 1024
 
 // Share is this member's place among those that share what the stores bear, and how many these are. It rests on one
 // rule: all members' shares together are never more than one whole. So whoever is known and has not left as planned
@@ -12,12 +12,12 @@
 // beyond the whole. The settings' number is the least: more members than they say make the share smaller, fewer do
 // not make it larger.
 func (v View) Share(self ID, number, fleet int) (int, int) {
-	if !v.Settled {
-		return number, max(fleet, MostMembers)
+	if !v.Converged {
+		return number, max(fleet, MaxMembers)
 	}
 	count, rank := 0, 0
 	for _, m := range v.Members {
-		if m.Standing == Left {
+		if m.State == Left {
 			continue
 		}
 		if m.ID == self {
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -66,8 +66,8 @@
 
 func testConfig(i int, seeds ...netip.AddrPort) Config {
 	return Config{
-		Name: name(i), Zone: fmt.Sprintf("z%d", i%3), Addr: address(i), Seeds: seeds, Birth: 1, Seed: uint64(i),
-		Period: second, Hold: 8 * second, Budget: 30, Forget: 3600 * second,
+		Name: name(i), Zone: fmt.Sprintf("z%d", i%3), Addr: address(i), Seeds: seeds, Generation: 1, RandomSeed: uint64(i),
+		ProbeInterval: second, SuspicionTimeout: 8 * second, MaxSendRate: 30, TombstoneTTL: 3600 * second,
 	}
 }
 
@@ -90,7 +90,7 @@
 func (c *citizen) start(cfg Config) {
 	c.births++
 	c.life++
-	cfg.Birth = c.births
+	cfg.Generation = c.births
 	g, err := New(cfg, c.clock())
 	require.NoError(c.town.t, err)
 	g.off = c.town.off
@@ -100,7 +100,7 @@
 	tick = func() {
 		if c.life == life {
 			c.turn()
-			c.town.net.After(simnet.Party(c.i), cfg.Turn(), tick)
+			c.town.net.After(simnet.Party(c.i), cfg.TickInterval(), tick)
 		}
 	}
 	c.town.net.After(simnet.Party(c.i), 0, tick)
@@ -112,25 +112,25 @@
 	c.inbox = nil
 	for _, act := range c.Step(c.clock(), events...) {
 		switch act := act.(type) {
-		case Send:
+		case SendMessage:
 			c.send(act)
-		case Changed:
+		case ViewChanged:
 			for _, m := range act.View.Members {
 				was := slices.IndexFunc(c.view.Members, func(o Member) bool { return o.ID == m.ID })
-				if m.Standing == Dead && was >= 0 && c.view.Members[was].Standing <= Suspect {
+				if m.State == Dead && was >= 0 && c.view.Members[was].State <= Suspect {
 					of := w.by[m.Addr]
 					w.falls = append(w.falls, fall{w.net.Now() - simnet.Start, c.i, of, !w.net.Alive(simnet.Party(of))})
 				}
 			}
 			c.view = act.View
 			c.views++
-		case Taken:
+		case NameTaken:
 			c.taken = true
 		}
 	}
 }
 
-func (c *citizen) send(s Send) {
+func (c *citizen) send(s SendMessage) {
 	w := c.town
 	if at := w.net.Now() / second; at != c.from {
 		c.from, c.count = at, 0
@@ -140,8 +140,8 @@
 	if w.bend != nil {
 		w.bend(c.i, &s.Message)
 	}
-	b := w.codec.Append(nil, s.Message)
-	require.LessOrEqual(w.t, len(b), MostBytes, "%+v", s.Message)
+	b := w.codec.AppendEncode(nil, s.Message)
+	require.LessOrEqual(w.t, len(b), MaxDatagramSize, "%+v", s.Message)
 	w.sent++
 	w.bytes += len(b)
 	to, ok := w.by[s.To]
@@ -149,9 +149,9 @@
 		return
 	}
 	w.net.Send(simnet.Party(c.i), simnet.Party(to), func() {
-		m, err := w.codec.Read(b)
+		m, err := w.codec.Decode(b)
 		require.NoError(w.t, err)
-		w.nodes[to].inbox = append(w.nodes[to].inbox, Received{c.Addr, m})
+		w.nodes[to].inbox = append(w.nodes[to].inbox, MessageReceived{c.Addr, m})
 	})
 }
 
@@ -179,7 +179,7 @@
 		}
 		there := make([]bool, len(w.nodes))
 		for _, m := range c.view.Members {
-			there[w.by[m.Addr]] = m.Standing <= Suspect
+			there[w.by[m.Addr]] = m.State <= Suspect
 		}
 		for i, held := range there {
 			if held != (i >= from && i < to && w.net.Alive(simnet.Party(i))) {
@@ -195,7 +195,7 @@
 	began := w.net.Now()
 	for !w.agreed(from, to) {
 		if w.net.Now()-began >= most {
-			assert.Fail(w.t, "no agreement", "in %d s; the first holds %d of %d", most/second, w.nodes[from].view.Alive(), to-from)
+			assert.Fail(w.t, "no agreement", "in %d s; the first holds %d of %d", most/second, w.nodes[from].view.AliveCount(), to-from)
 			return most
 		}
 		w.run(second / 10)
@@ -207,7 +207,7 @@
 // says that it is never over 1.
 func (w *town) whole() (sum float64) {
 	for _, c := range w.nodes {
-		if w.net.Alive(simnet.Party(c.i)) && c.view.Settled {
+		if w.net.Alive(simnet.Party(c.i)) && c.view.Converged {
 			_, fleet := c.view.Share(c.self.ID, 0, 1)
 			sum += 1 / float64(fleet)
 		}
@@ -238,7 +238,7 @@
 		digest := w.nodes[0].view.Digest
 		for _, c := range w.nodes {
 			assert.Equal(t, digest, c.view.Digest)
-			assert.LessOrEqual(t, c.most, 2*c.Budget, "datagrams in a second")
+			assert.LessOrEqual(t, c.most, 2*c.MaxSendRate, "datagrams in a second")
 		}
 		assert.Empty(t, w.falls)
 	}
@@ -373,13 +373,13 @@
 
 func TestCutsOfSomeWaysTakeNobodyOut(t *testing.T) {
 	t.Parallel()
-	reach := func(w *town, of, at int) Reach {
+	reach := func(w *town, of, at int) Reachability {
 		for _, m := range w.nodes[at].view.Members {
 			if m.Name == name(of) {
-				return m.Reach
+				return m.Reachability
 			}
 		}
-		return Unknown
+		return ReachabilityUnknown
 	}
 	w := found(t, 6, 12, lan)
 	w.until(0, 12, 60*second)
@@ -390,9 +390,9 @@
 	views := w.nodes[0].views
 	w.run(60 * second)
 	assert.Empty(t, w.falls)
-	assert.Equal(t, OneWay, reach(w, 3, 4))
-	assert.Equal(t, ThroughOthers, reach(w, 6, 5))
-	assert.Equal(t, ThroughOthers, reach(w, 5, 6))
+	assert.Equal(t, ReachableOneWay, reach(w, 3, 4))
+	assert.Equal(t, ReachableIndirectly, reach(w, 6, 5))
+	assert.Equal(t, ReachableIndirectly, reach(w, 5, 6))
 	assert.Equal(t, Reachable, reach(w, 3, 7))
 	assert.LessOrEqual(t, w.nodes[0].views-views, 2, "the others' views stand still")
 }
@@ -405,9 +405,9 @@
 	w.net.Cut(parties(0, 19), parties(19, 20))
 	w.run(60 * second)
 	assert.False(t, w.nodes[19].view.Trusted)
-	assert.Equal(t, 20, w.nodes[19].view.Alive())
+	assert.Equal(t, 20, w.nodes[19].view.AliveCount())
 	assert.True(t, w.nodes[0].view.Trusted)
-	assert.Equal(t, 19, w.nodes[0].view.Alive())
+	assert.Equal(t, 19, w.nodes[0].view.AliveCount())
 	w.net.Heal(parties(19, 20), parties(0, 19))
 	w.net.Heal(parties(0, 19), parties(19, 20))
 	w.until(0, 20, 60*second)
@@ -415,19 +415,19 @@
 
 func TestALiarIsDoubted(t *testing.T) {
 	t.Parallel()
-	for _, says := range []Standing{Suspect, Dead, Left} {
+	for _, says := range []MemberState{Suspect, Dead, Left} {
 		t.Run(says.String(), func(t *testing.T) { t.Parallel(); liar(t, says) })
 	}
 }
 
 // liar has one member say of others what is not so.
-func liar(t *testing.T, says Standing) {
+func liar(t *testing.T, says MemberState) {
 	w := found(t, 8, 20, lan)
 	w.until(0, 20, 60*second)
 	w.bend = func(from int, m *Message) {
-		if from == 7 && m.Kind == Gossip || m.Kind == Ping && from == 7 {
+		if from == 7 && m.Kind == KindGossip || m.Kind == KindPing && from == 7 {
 			of := w.nodes[(8+w.net.Rand().IntN(19))%20] // others
-			u := Update{ID: of.self.ID, Birth: of.Birth, Inc: of.self.Inc, Standing: says, By: w.nodes[7].self.ID, Addr: of.Addr}
+			u := Update{ID: of.self.ID, Generation: of.Generation, Incarnation: of.self.Incarnation, State: says, Accuser: w.nodes[7].self.ID, Addr: of.Addr}
 			if m.room() >= u.size() {
 				m.Updates = append(m.Updates, u)
 			}
@@ -436,7 +436,7 @@
 	w.run(120 * second)
 	assert.Empty(t, w.falls)
 	for _, c := range w.nodes {
-		assert.Equal(t, 20, c.view.Alive())
+		assert.Equal(t, 20, c.view.AliveCount())
 	}
 	if says == Left { // who answers that says so of itself: nobody was accused
 		return
@@ -444,7 +444,7 @@
 	doubted := 0
 	for _, c := range w.nodes {
 		for _, m := range c.view.Members {
-			if m.Doubted {
+			if m.Distrusted {
 				assert.Equal(t, name(7), m.Name)
 				doubted++
 			}
@@ -464,7 +464,7 @@
 	for _, c := range w.nodes {
 		for _, m := range c.view.Members {
 			if m.Name == name(5) && c.i != 5 {
-				assert.Equal(t, Left, m.Standing)
+				assert.Equal(t, Left, m.State)
 			}
 		}
 	}
@@ -527,17 +527,17 @@
 		}
 		return n
 	}
-	w.nodes[4].turn(Publish{"list", "v1", 60 * second})
-	w.nodes[4].turn(Publish{"list", "v2", 60 * second})
+	w.nodes[4].turn(PublishFact{"list", "v1", 60 * second})
+	w.nodes[4].turn(PublishFact{"list", "v2", 60 * second})
 	w.run(15 * second)
 	assert.Equal(t, 50, holds("v2"))
 	assert.Zero(t, holds("v1"))
 	w.run(60 * second)
 	assert.Zero(t, holds("v2"))
 	for i := range 20 {
-		w.nodes[4].turn(Publish{fmt.Sprint("f", i), "x", second})
+		w.nodes[4].turn(PublishFact{fmt.Sprint("f", i), "x", second})
 	}
-	assert.LessOrEqual(t, len(w.nodes[4].self.facts), MostFacts)
+	assert.LessOrEqual(t, len(w.nodes[4].self.facts), MaxFacts)
 }
 
 func TestOneSeedIsOneRun(t *testing.T) {
@@ -562,7 +562,7 @@
 			w.net.Pause(simnet.Party(i), 30*second)
 		}
 		w.run(30 * second)
-		held := w.nodes[39].view.Alive()
+		held := w.nodes[39].view.AliveCount()
 		took := w.until(0, 40, 30*second)
 		t.Logf("%d of 40 stand still for 30 s: %d held to be there at its end, all again %.1f s after", stopped, held, float64(took)/second)
 		for _, f := range w.falls {
@@ -589,7 +589,7 @@
 		views := w.nodes[20].views
 		w.run(60 * second)
 		t.Logf("deaf %v: the larger part holds %d to be there, trusted %v; the zone %d, trusted %v; %d views in the second minute", deaf,
-			w.nodes[20].view.Alive(), w.nodes[20].view.Trusted, w.nodes[5].view.Alive(), w.nodes[5].view.Trusted, w.nodes[20].views-views)
+			w.nodes[20].view.AliveCount(), w.nodes[20].view.Trusted, w.nodes[5].view.AliveCount(), w.nodes[5].view.Trusted, w.nodes[20].views-views)
 		assert.LessOrEqual(t, w.nodes[20].views-views, 10, "it does not flap")
 		w.net.Heal(from, to)
 		w.until(0, 30, 60*second)
@@ -643,7 +643,7 @@
 	for _, c := range w.nodes[:14] {
 		m, _ := c.view.Find(name(14))
 		assert.Equal(t, cfg.Addr, m.Addr)
-		assert.Equal(t, Alive, m.Standing)
+		assert.Equal(t, Alive, m.State)
 	}
 	w.kill(14)
 	w.run(40 * second)
@@ -660,7 +660,7 @@
 	w := found(t, 17, 20, lan)
 	w.until(0, 20, 60*second)
 	for i := range 19 {
-		w.nodes[i].turn(Document.Publish(uint64(i+40), 600*second))
+		w.nodes[i].turn(DocumentVersion.Publish(uint64(i+40), 600*second))
 	}
 	w.run(30 * second)
 	w.kill(19)
@@ -669,7 +669,7 @@
 	w.run(20 * second)
 	for i := range 19 {
 		m, _ := w.nodes[19].view.Find(name(i))
-		v, ok := Document.Of(m)
+		v, ok := DocumentVersion.Value(m)
 		assert.True(t, ok, "%s", name(i))
 		assert.Equal(t, uint64(i+40), v)
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -21,9 +21,9 @@
 	if g.dirty == 0 {
 		return
 	}
-	if g.now-g.dirty < 2*g.Hold {
+	if g.now-g.dirty < 2*g.SuspicionTimeout {
 		for _, m := range g.all {
-			if m.Standing == Suspect && len(m.accusers) > 1 && g.patience(m)-(g.now-m.suspected) < 2*g.Period {
+			if m.State == Suspect && len(m.accusers) > 1 && g.patience(m)-(g.now-m.suspected) < 2*g.ProbeInterval {
 				return
 			}
 		}
@@ -35,22 +35,22 @@
 	}
 	v.Version = g.view.Version + 1
 	g.view = v
-	g.do(Changed{v})
+	g.do(ViewChanged{v})
 }
 
 // Look is the view as it is at this moment, with what is no change: who was heard when, and by how many.
 func (g *Group) Look() View { return g.snapshot() }
 
 func (g *Group) snapshot() View {
-	v := View{Version: g.view.Version, Digest: g.digest(), Trusted: g.trusted(), Settled: g.settled}
+	v := View{Version: g.view.Version, Digest: g.digest(), Trusted: g.trusted(), Converged: g.settled}
 	for _, m := range g.all {
 		line := m.Member
 		if m == g.self {
-			line.SeenBy = 1
+			line.SeenByCount = 1
 		}
 		for _, at := range m.vouched {
-			if g.now-at < 10*g.Period {
-				line.SeenBy++
+			if g.now-at < 10*g.ProbeInterval {
+				line.SeenByCount++
 			}
 		}
 		for _, f := range m.facts {
@@ -67,21 +67,21 @@
 
 // same tells whether two views differ in nothing that anybody acts on: when a member was last heard is no change.
 func same(x, y View) bool {
-	there := func(m Member) Standing { return max(m.Standing, Suspect) }
+	there := func(m Member) MemberState { return max(m.State, Suspect) }
 	line := func(a, b Member) bool {
 		fact := func(f, h Fact) bool { return f.Name == h.Name && f.Version == h.Version }
-		return a.ID == b.ID && a.Birth == b.Birth && there(a) == there(b) && a.Reach.settled() == b.Reach.settled() && a.Addr == b.Addr &&
-			a.Doubted == b.Doubted && slices.EqualFunc(a.Facts, b.Facts, fact)
+		return a.ID == b.ID && a.Generation == b.Generation && there(a) == there(b) && a.Reachability.settled() == b.Reachability.settled() && a.Addr == b.Addr &&
+			a.Distrusted == b.Distrusted && slices.EqualFunc(a.Facts, b.Facts, fact)
 	}
-	return x.Digest == y.Digest && x.Trusted == y.Trusted && x.Settled == y.Settled && slices.EqualFunc(x.Members, y.Members, line)
+	return x.Digest == y.Digest && x.Trusted == y.Trusted && x.Converged == y.Converged && slices.EqualFunc(x.Members, y.Members, line)
 }
 
-// Scribe tells which of those that are there logs what becomes of a member, so that hundreds do not all say the same:
+// Reporter tells which of those that are there logs what becomes of a member, so that hundreds do not all say the same:
 // members that hold the same view name the same one. A member that nobody else is left for is its own.
-func (v View) Scribe(of ID) ID {
+func (v View) Reporter(of ID) ID {
 	best, most := of, uint64(0)
 	for _, m := range v.Members {
-		if m.Standing > Suspect || m.ID == of {
+		if m.State > Suspect || m.ID == of {
 			continue
 		}
 		var b [8]byte
--- a/membership/wire.go
+++ b/membership/wire.go
@@ -11,40 +11,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostBytes is what a datagram may hold: longer ones void a run on the platform.
-const MostBytes = 256
+// MaxDatagramSize is what a datagram may hold: longer ones void a run on the platform.
+const MaxDatagramSize = 256
 
 // Kind is what a message is for.
 type Kind uint8
 
 // The kinds of message.
 const (
-	Ping     Kind = iota + 1 // answer me
-	Ack                      // the answer
-	Ask                      // ask another for me
-	Relayed                  // it answered me
-	Deny                     // it did not, or is not known
-	Gossip                   // nothing but news
-	Sync                     // tell me what you hold differently
-	State                    // what was asked for by Sync
-	Bye                      // the sender leaves
-	Conflict                 // two members have one name
-	lastKind = Conflict
+	KindPing         Kind = iota + 1 // answer me
+	KindAck                          // the answer
+	KindPingReq                      // ask another for me
+	KindIndirectAck                  // it answered me
+	KindNack                         // it did not, or is not known
+	KindGossip                       // nothing but news
+	KindSyncRequest                  // tell me what you hold differently
+	KindSyncResponse                 // what was asked for by Sync
+	KindLeave                        // the sender leaves
+	KindNameConflict                 // two members have one name
+	lastKind         = KindNameConflict
 )
 
 // Message is one datagram. Updates and facts are as many as there is room for.
 type Message struct {
-	Kind              Kind
-	From              ID
-	Birth, Inc        uint32
-	Count             uint32 // of the sender's messages in this life: a repeat shows
-	Seq               uint32 // of the question
-	Target, About     ID
-	Digest            uint32
-	Heard, HeardAbout bool // the answerer had word from the asker; from the one on whose behalf it was asked
-	Buckets           []uint32
-	Updates           []Update
-	Facts             []Fact
+	Kind                                Kind
+	Sender                              ID
+	Generation, Incarnation             uint32
+	MessageNumber                       uint32 // of the sender's messages in this life: a repeat shows
+	ProbeNumber                         uint32 // of the question
+	Target, Requester                   ID
+	Digest                              uint32
+	HeardFromProber, HeardFromRequester bool // the answerer had word from the asker; from the one on whose behalf it was asked
+	BucketDigests                       []uint32
+	Updates                             []Update
+	Facts                               []Fact
 }
 
 // The form, big-endian: version, kind, flags, counts of buckets, updates and facts (a byte each); group, from, birth,
@@ -58,10 +58,10 @@
 // ErrMalformed is behind the errors about datagrams that are not of this form; ErrForeign and ErrUnproven behind those
 // of another group and those that do not prove that they come from this one.
 var (
-	ErrMalformed = errors.New("malformed datagram")
-	ErrForeign   = errors.New("datagram of another group")
-	ErrUnproven  = errors.New("datagram without proof of its group")
-	ErrForm      = errors.New("datagram of a form that this version does not know")
+	ErrMalformed       = errors.New("malformed datagram")
+	ErrOtherGroup      = errors.New("datagram of another group")
+	ErrUnauthenticated = errors.New("datagram without proof of its group")
+	ErrUnknownVersion  = errors.New("datagram of a form that this version does not know")
 )
 
 // Codec words messages of one group. With a key, only who knows it can word them; without, a checksum guards against
@@ -94,7 +94,7 @@
 
 // room is how many bytes are left for news.
 func (m *Message) room() int {
-	n := MostBytes - headSize - tailSize - 4*len(m.Buckets)
+	n := MaxDatagramSize - headSize - tailSize - 4*len(m.BucketDigests)
 	for _, u := range m.Updates {
 		n -= u.size()
 	}
@@ -104,25 +104,25 @@
 	return n
 }
 
-// Append words a message. Its parts must fit: room tells.
-func (c *Codec) Append(to []byte, m Message) []byte {
+// AppendEncode words a message. Its parts must fit: room tells.
+func (c *Codec) AppendEncode(to []byte, m Message) []byte {
 	start := len(to)
 	flags := byte(0)
-	if m.Heard {
+	if m.HeardFromProber {
 		flags |= 1
 	}
-	if m.HeardAbout {
+	if m.HeardFromRequester {
 		flags |= 2
 	}
-	to = append(to, form, byte(m.Kind), flags, byte(len(m.Buckets)), byte(len(m.Updates)), byte(len(m.Facts)))
-	for _, v := range []uint32{c.group, uint32(m.From), m.Birth, m.Inc, m.Count, m.Seq, uint32(m.Target), uint32(m.About), m.Digest} {
+	to = append(to, form, byte(m.Kind), flags, byte(len(m.BucketDigests)), byte(len(m.Updates)), byte(len(m.Facts)))
+	for _, v := range []uint32{c.group, uint32(m.Sender), m.Generation, m.Incarnation, m.MessageNumber, m.ProbeNumber, uint32(m.Target), uint32(m.Requester), m.Digest} {
 		to = binary.BigEndian.AppendUint32(to, v)
 	}
-	for _, v := range m.Buckets {
+	for _, v := range m.BucketDigests {
 		to = binary.BigEndian.AppendUint32(to, v)
 	}
 	for _, u := range m.Updates {
-		for _, v := range []uint32{uint32(u.ID), u.Birth, u.Inc, uint32(u.By)} {
+		for _, v := range []uint32{uint32(u.ID), u.Generation, u.Incarnation, uint32(u.Accuser)} {
 			to = binary.BigEndian.AppendUint32(to, v)
 		}
 		addr := u.Addr.Addr().Unmap()
@@ -130,13 +130,13 @@
 		if addr.Is4() {
 			ip = addr.As4()
 		}
-		to = append(append(to, byte(u.Standing)), ip[:]...)
+		to = append(append(to, byte(u.State)), ip[:]...)
 		to = binary.BigEndian.AppendUint16(to, u.Addr.Port())
 		to = append(append(to, byte(len(u.Name))), u.Name...)
 		to = append(append(to, byte(len(u.Zone))), u.Zone...)
 	}
 	for _, f := range m.Facts {
-		for _, v := range []uint32{uint32(f.Owner), f.Version, uint32(f.Left / 1000)} {
+		for _, v := range []uint32{uint32(f.Owner), f.Version, uint32(f.TTL / 1000)} {
 			to = binary.BigEndian.AppendUint32(to, v)
 		}
 		to = append(append(to, byte(len(f.Name))), f.Name...)
@@ -154,7 +154,7 @@
 func (r *reader) take(n int) []byte {
 	if n > len(r.rest) {
 		r.bad, r.rest = true, nil
-		return make([]byte, min(n, MostBytes))
+		return make([]byte, min(n, MaxDatagramSize))
 	}
 	b := r.rest[:n]
 	r.rest = r.rest[n:]
@@ -173,45 +173,45 @@
 	return string(r.take(n))
 }
 
-// Read reads a datagram. Nothing of one that fails may be used.
-func (c *Codec) Read(b []byte) (Message, error) {
+// Decode reads a datagram. Nothing of one that fails may be used.
+func (c *Codec) Decode(b []byte) (Message, error) {
 	switch {
-	case len(b) < headSize+tailSize || len(b) > MostBytes:
+	case len(b) < headSize+tailSize || len(b) > MaxDatagramSize:
 		return Message{}, ErrMalformed
 	case b[0] != form:
-		return Message{}, ErrForm
+		return Message{}, ErrUnknownVersion
 	case binary.BigEndian.Uint32(b[6:]) != c.group:
-		return Message{}, ErrForeign
+		return Message{}, ErrOtherGroup
 	}
 	body, proof := b[:len(b)-tailSize], b[len(b)-tailSize:]
 	if !hmac.Equal(c.proof(body), proof) {
-		return Message{}, ErrUnproven
+		return Message{}, ErrUnauthenticated
 	}
 	r := &reader{rest: body[1:]}
 	m := Message{Kind: Kind(r.byte())}
 	flags := r.byte()
-	m.Heard, m.HeardAbout = flags&1 != 0, flags&2 != 0
+	m.HeardFromProber, m.HeardFromRequester = flags&1 != 0, flags&2 != 0
 	nb, nu, nf := int(r.byte()), int(r.byte()), int(r.byte())
 	r.u32()
-	m.From, m.Birth, m.Inc, m.Count, m.Seq = ID(r.u32()), r.u32(), r.u32(), r.u32(), r.u32()
-	m.Target, m.About, m.Digest = ID(r.u32()), ID(r.u32()), r.u32()
+	m.Sender, m.Generation, m.Incarnation, m.MessageNumber, m.ProbeNumber = ID(r.u32()), r.u32(), r.u32(), r.u32(), r.u32()
+	m.Target, m.Requester, m.Digest = ID(r.u32()), ID(r.u32()), r.u32()
 	for i := 0; i < nb && !r.bad; i++ {
-		m.Buckets = append(m.Buckets, r.u32())
+		m.BucketDigests = append(m.BucketDigests, r.u32())
 	}
 	for i := 0; i < nu && !r.bad; i++ {
-		u := Update{ID: ID(r.u32()), Birth: r.u32(), Inc: r.u32(), By: ID(r.u32()), Standing: Standing(r.byte())}
+		u := Update{ID: ID(r.u32()), Generation: r.u32(), Incarnation: r.u32(), Accuser: ID(r.u32()), State: MemberState(r.byte())}
 		ip := [4]byte(r.take(4))
 		u.Addr = netip.AddrPortFrom(netip.AddrFrom4(ip), binary.BigEndian.Uint16(r.take(2)))
-		u.Name, u.Zone = r.text(MostName), r.text(MostZone)
-		r.bad = r.bad || u.Standing > Left
+		u.Name, u.Zone = r.text(MaxNameLength), r.text(MaxZoneLength)
+		r.bad = r.bad || u.State > Left
 		m.Updates = append(m.Updates, u)
 	}
 	for i := 0; i < nf && !r.bad; i++ {
-		f := Fact{Owner: ID(r.u32()), Version: r.u32(), Left: Micros(r.u32()) * 1000}
-		f.Name, f.Value = r.text(MostFact), r.text(MostValue)
+		f := Fact{Owner: ID(r.u32()), Version: r.u32(), TTL: Micros(r.u32()) * 1000}
+		f.Name, f.Value = r.text(MaxFactNameLength), r.text(MaxFactValueLength)
 		m.Facts = append(m.Facts, f)
 	}
-	if r.bad || len(r.rest) > 0 || flags > 3 || m.Kind < Ping || m.Kind > lastKind || m.From == 0 {
+	if r.bad || len(r.rest) > 0 || flags > 3 || m.Kind < KindPing || m.Kind > lastKind || m.Sender == 0 {
 		return Message{}, ErrMalformed
 	}
 	return m, nil
