--- a/membership/fact.go
+++ b/membership/fact.go
@@ -15,46 +15,46 @@
 	TTL         Micros // until it expires
 }
 
-type fact struct {
+type heldFact struct {
 	Fact
-	ends Micros
+	expiresAt Micros
 }
 
-func (f *fact) hash() uint32 {
+func (f *heldFact) hash() uint32 {
 	h := fnv.New32a()
 	h.Write(binary.BigEndian.AppendUint32([]byte(f.Name), f.Version)) // never fails
 	return h.Sum32()
 }
 
-// told words a fact for others. What is left of its time travels with it, since clocks differ.
-func (f *fact) told(now Micros) Fact {
+// forSending words a fact for others. What is left of its time travels with it, since clocks differ.
+func (f *heldFact) forSending(now Micros) Fact {
 	t := f.Fact
-	t.TTL = f.ends - now
+	t.TTL = f.expiresAt - now
 	return t
 }
 
-// publish attaches a fact to this member. What is too long, or one too many, is logged and dropped.
-func (g *Group) publish(p PublishFact) {
+// publishFact attaches a fact to this member. What is too long, or one too many, is logged and dropped.
+func (g *Group) publishFact(p PublishFact) {
 	old := g.self.facts[p.Name]
 	switch {
 	case p.Name == "" || len(p.Name) > MaxFactNameLength || len(p.Value) > MaxFactValueLength || p.TTL < 0:
-		g.log("fact %q of %d bytes for %d ms cannot be told", p.Name, len(p.Value), p.TTL/1000)
+		g.logf("fact %q of %d bytes for %d ms cannot be told", p.Name, len(p.Value), p.TTL/1000)
 		return
 	case old == nil && len(g.self.facts) >= MaxFacts:
-		g.log("fact %q is one too many", p.Name)
+		g.logf("fact %q is one too many", p.Name)
 		return
 	}
-	f := &fact{Fact: Fact{Owner: g.self.ID, Name: p.Name, Value: p.Value, Version: 1}, ends: g.now + p.TTL}
+	f := &heldFact{Fact: Fact{Owner: g.self.ID, Name: p.Name, Value: p.Value, Version: 1}, expiresAt: g.now + p.TTL}
 	if old != nil {
 		f.Version = old.Version + 1
 	}
-	note(&g.self.facts, p.Name, f)
-	g.tell(subject{id: g.self.ID, is: p.Name})
-	g.touch()
+	setEntry(&g.self.facts, p.Name, f)
+	g.queueUpdate(updateKey{id: g.self.ID, factName: p.Name})
+	g.markViewDirty()
 }
 
-// learnFact takes a fact of another member's. A member's facts are bounded in number, and end with it.
-func (g *Group) learnFact(f Fact) {
+// applyFact takes a fact of another member's. A member's facts are bounded in number, and end with it.
+func (g *Group) applyFact(f Fact) {
 	m := g.members[f.Owner]
 	if m == nil || m == g.self || m.State > Suspect || f.TTL <= 0 || f.TTL > g.TombstoneTTL ||
 		f.Name == "" || len(f.Name) > MaxFactNameLength || len(f.Value) > MaxFactValueLength {
@@ -64,52 +64,52 @@
 	if old != nil && f.Version <= old.Version || old == nil && len(m.facts) >= MaxFacts {
 		return
 	}
-	note(&m.facts, f.Name, &fact{Fact: f, ends: g.now + f.TTL})
-	g.tell(subject{id: f.Owner, is: f.Name})
-	g.touch()
+	setEntry(&m.facts, f.Name, &heldFact{Fact: f, expiresAt: g.now + f.TTL})
+	g.queueUpdate(updateKey{id: f.Owner, factName: f.Name})
+	g.markViewDirty()
 }
 
-// refresh drops what has expired, tells this member's own facts anew before that, and forgets those long gone.
-func (g *Group) refresh() {
-	if g.now < g.renewAt {
+// expire drops what has expired, tells this member's own facts anew before that, and forgets those long gone.
+func (g *Group) expire() {
+	if g.now < g.nextExpiryAt {
 		return
 	}
-	g.renewAt = g.now + g.ProbeInterval
-	if len(g.members) == 1 && g.now-g.began >= lonely*g.ProbeInterval {
-		g.settle()
+	g.nextExpiryAt = g.now + g.ProbeInterval
+	if len(g.members) == 1 && g.now-g.startedAt >= isolationPeriods*g.ProbeInterval {
+		g.markConverged()
 	}
-	for _, m := range g.all {
+	for _, m := range g.membersByID {
 		for name, f := range m.facts {
-			if f.ends <= g.now {
+			if f.expiresAt <= g.now {
 				delete(m.facts, name)
-				g.touch()
+				g.markViewDirty()
 			}
 		}
 	}
-	for _, m := range slices.Clone(g.all) {
+	for _, m := range slices.Clone(g.membersByID) {
 		if m.State > Suspect && m != g.self && g.now-m.StateSince >= g.TombstoneTTL {
-			g.forget(m)
+			g.removeMember(m)
 		}
 	}
 }
 
-func (g *Group) forget(m *member) {
+func (g *Group) removeMember(m *member) {
 	delete(g.members, m.ID)
-	g.all = slices.DeleteFunc(g.all, func(o *member) bool { return o == m })
-	if i := slices.Index(g.order, m.ID); i >= 0 {
-		g.order = slices.Delete(g.order, i, i+1)
-		if i < g.next {
-			g.next--
+	g.membersByID = slices.DeleteFunc(g.membersByID, func(o *member) bool { return o == m })
+	if i := slices.Index(g.probeOrder, m.ID); i >= 0 {
+		g.probeOrder = slices.Delete(g.probeOrder, i, i+1)
+		if i < g.nextProbeIndex {
+			g.nextProbeIndex--
 		}
 	}
-	g.touch()
+	g.markViewDirty()
 }
 
 // FactKey is a kind of fact: its name on the wire and the form of its values.
 type FactKey[T any] struct {
-	Name string
-	word func(T) string
-	read func(string) (T, error)
+	Name   string
+	format func(T) string
+	parse  func(string) (T, error)
 }
 
 // NewFactKey returns a kind of fact. word must not return an empty text, which takes a fact back.
@@ -131,7 +131,7 @@
 
 // Publish is the event that attaches a value.
 func (k FactKey[T]) Publish(v T, last Micros) PublishFact {
-	return PublishFact{k.Name, k.word(v), last}
+	return PublishFact{k.Name, k.format(v), last}
 }
 
 // Withdraw is the event that takes the value back.
@@ -143,6 +143,6 @@
 	if i < 0 {
 		return v, false
 	}
-	v, err := k.read(m.Facts[i].Value)
+	v, err := k.parse(m.Facts[i].Value)
 	return v, err == nil
 }
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -18,10 +18,10 @@
 	"alderproxy/internal/simnet"
 )
 
-// knows tells by how many of the living a member is held to be gone.
-func (w *town) knows(of int) (n, all int) {
+// countAwareOf tells by how many of the living a member is held to be gone.
+func (w *cluster) countAwareOf(of int) (n, all int) {
 	for _, c := range w.nodes {
-		if !w.net.Alive(simnet.Party(c.i)) {
+		if !w.network.Alive(simnet.Party(c.index)) {
 			continue
 		}
 		all++
@@ -32,7 +32,7 @@
 	return n, all
 }
 
-func middle(xs []float64) (median, most float64) {
+func medianAndMax(xs []float64) (median, most float64) {
 	slices.Sort(xs)
 	return xs[len(xs)/2], xs[len(xs)-1]
 }
@@ -43,15 +43,15 @@
 		var one, half, all, facts []float64
 		var rate, bytes float64
 		for seed := range c.deaths {
-			w := found(t, uint64(seed+1), c.n, lan)
-			w.until(0, c.n, 300*second)
+			w := newCluster(t, uint64(seed+1), c.n, lan)
+			w.waitForAgreement(0, c.n, 300*second)
 			w.run(30 * second)
-			sent, size := w.sent, w.bytes
+			sent, size := w.datagrams, w.bytes
 			w.run(10 * second)
-			rate += float64(w.sent-sent) / 10 / float64(c.n) / float64(c.deaths)
+			rate += float64(w.datagrams-sent) / 10 / float64(c.n) / float64(c.deaths)
 			bytes += float64(w.bytes-size) / 10 / float64(c.n) / float64(c.deaths)
-			w.nodes[1].turn(PublishFact{"list", "v", 600 * second})
-			began := w.net.Now()
+			w.nodes[1].step(PublishFact{"list", "v", 600 * second})
+			began := w.network.Now()
 			for {
 				n := 0
 				for _, o := range w.nodes {
@@ -59,19 +59,19 @@
 						n++
 					}
 				}
-				if n == c.n || w.net.Now()-began > 60*second {
+				if n == c.n || w.network.Now()-began > 60*second {
 					break
 				}
 				w.run(second / 10)
 			}
-			facts = append(facts, float64(w.net.Now()-began)/second)
-			victim := 2 + w.net.Rand().IntN(c.n-2)
+			facts = append(facts, float64(w.network.Now()-began)/second)
+			victim := 2 + w.network.Rand().IntN(c.n-2)
 			w.kill(victim)
-			began = w.net.Now()
+			began = w.network.Now()
 			first, mid := 0.0, 0.0
 			for {
-				n, living := w.knows(victim)
-				at := float64(w.net.Now()-began) / second
+				n, living := w.countAwareOf(victim)
+				at := float64(w.network.Now()-began) / second
 				if n > 0 && first == 0 {
 					first = at
 				}
@@ -84,69 +84,69 @@
 				}
 				w.run(second / 10)
 			}
-			assert.Zero(t, w.wrong())
+			assert.Zero(t, w.falseRemovals())
 		}
-		o, _ := middle(one)
-		h, _ := middle(half)
-		a, most := middle(all)
-		f, late := middle(facts)
+		o, _ := medianAndMax(one)
+		h, _ := medianAndMax(half)
+		a, most := medianAndMax(all)
+		f, late := medianAndMax(facts)
 		t.Logf("%4d members, %d deaths: known to one after %.1f s, half %.1f, all %.1f (most %.1f); a fact is everywhere after %.1f (most %.1f); %.1f datagrams and %.0f bytes a member and second",
 			c.n, c.deaths, o, h, a, most, f, late, rate, bytes)
 	}
 }
 
-// spell is what a hundred minutes or so of a town came to.
-type spell struct {
-	runs    int
-	hours   float64 // of members
-	wrong   int     // members that lived and were taken out of any view, each counted once a run
-	took    []float64
-	rate    float64
-	unknown int // deaths that not all knew within two minutes
+// soakResult is what a hundred minutes or so of a town came to.
+type soakResult struct {
+	runs             int
+	memberHours      float64 // of members
+	falsePositives   int     // members that lived and were taken out of any view, each counted once a run
+	detectionSeconds []float64
+	datagramRate     float64
+	undetected       int // deaths that not all knew within two minutes
 }
 
-// play runs towns of so many members, in each of which everybody stands still once a minute for up to 5 s and one
+// runSoak runs towns of so many members, in each of which everybody stands still once a minute for up to 5 s and one
 // dies at the end.
-func play(t *testing.T, runs, n, minutes int, loss float64, off remedy) (sum spell) {
+func runSoak(t *testing.T, runs, n, minutes int, loss float64, off safeguard) (sum soakResult) {
 	var mu sync.Mutex
 	t.Run(fmt.Sprint(loss, off), func(t *testing.T) {
 		for seed := range uint64(runs) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := newTown(t, seed+1, n, simnet.Link{Least: 300, Most: 5000, Loss: loss}, off)
+				w := newClusterWithout(t, seed+1, n, simnet.Link{Least: 300, Most: 5000, Loss: loss}, off)
 				w.run(120 * second)
-				w.falls = nil
-				sent := w.sent
+				w.removals = nil
+				sent := w.datagrams
 				for i := range n {
 					for k := range minutes {
-						at := Micros(60*k)*second + w.net.Rand().Int64N(55*second)
-						span := w.net.Rand().Int64N(5 * second)
-						w.net.After(-1, at, func() { w.net.Pause(simnet.Party(i), span) })
+						at := Micros(60*k)*second + w.network.Rand().Int64N(55*second)
+						span := w.network.Rand().Int64N(5 * second)
+						w.network.After(-1, at, func() { w.network.Pause(simnet.Party(i), span) })
 					}
 				}
 				w.run(Micros(minutes) * 60 * second)
 				out := map[int]bool{}
-				for _, f := range w.falls {
-					out[f.of] = out[f.of] || !f.true
+				for _, f := range w.removals {
+					out[f.removed] = out[f.removed] || !f.wasDead
 				}
-				rate := float64(w.sent-sent) / float64(n) / float64(60*minutes)
+				rate := float64(w.datagrams-sent) / float64(n) / float64(60*minutes)
 				w.kill(n - 1)
-				began, known := w.net.Now(), false
-				for !known && w.net.Now()-began < 120*second {
+				began, known := w.network.Now(), false
+				for !known && w.network.Now()-began < 120*second {
 					w.run(second / 10)
-					k, all := w.knows(n - 1)
+					k, all := w.countAwareOf(n - 1)
 					known = k == all
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				sum.runs++
-				sum.hours += float64(n*minutes) / 60
-				sum.wrong += len(out)
-				sum.rate += rate / float64(runs)
+				sum.memberHours += float64(n*minutes) / 60
+				sum.falsePositives += len(out)
+				sum.datagramRate += rate / float64(runs)
 				if !known {
-					sum.unknown++
+					sum.undetected++
 				}
-				sum.took = append(sum.took, float64(w.net.Now()-began)/second)
+				sum.detectionSeconds = append(sum.detectionSeconds, float64(w.network.Now()-began)/second)
 			})
 		}
 	})
@@ -154,37 +154,37 @@
 }
 
 // Members that live and are taken out of a view, by hour of members.
-func TestMeasureFalseAccusations(t *testing.T) {
+func TestMeasureFalsePositives(t *testing.T) {
 	for _, c := range []struct {
 		loss float64
 		runs int
 	}{{0, 4}, {0.1, 6}, {0.3, 2}} {
-		s := play(t, c.runs, 50, 60, c.loss, 0)
-		m, most := middle(s.took)
+		s := runSoak(t, c.runs, 50, 60, c.loss, 0)
+		m, most := medianAndMax(s.detectionSeconds)
 		t.Logf("loss %.0f %%, pauses up to 5 s: %d members taken out in vain in %.0f member-hours; a death known to all after %.1f s (most %.1f); %.1f datagrams a member and second",
-			100*c.loss, s.wrong, s.hours, m, most, s.rate)
+			100*c.loss, s.falsePositives, s.memberHours, m, most, s.datagramRate)
 	}
 }
 
 // The same without one remedy each: what it is good for, and what it costs in time until a death is known.
-func TestMeasureRemediesLeftOut(t *testing.T) {
+func TestMeasureSafeguardsDisabled(t *testing.T) {
 	names := []string{"a question put three times", "helpers", "own pause", "own health", "starting anew", "doubt by comparison"}
 	for i := -1; i < len(names); i++ {
-		off, name := remedy(0), "all in force"
+		off, name := safeguard(0), "all in force"
 		if i >= 0 {
 			off, name = 1<<i, "without "+names[i]
 		}
 		for _, loss := range []float64{0.1, 0.3} {
-			s := play(t, 4, 40, 10, loss, off)
-			m, most := middle(s.took)
+			s := runSoak(t, 4, 40, 10, loss, off)
+			m, most := medianAndMax(s.detectionSeconds)
 			t.Logf("%-34s loss %2.0f %%: %3d taken out in vain in %.0f member-hours; a death known to all after %.1f s (most %.1f), %d of %d not within 2 min; %.1f datagrams a member and second",
-				name, 100*loss, s.wrong, s.hours, m, most, s.unknown, s.runs, s.rate)
+				name, 100*loss, s.falsePositives, s.memberHours, m, most, s.undetected, s.runs, s.datagramRate)
 		}
 	}
 }
 
-// processor is how much time of the processor this process has used.
-func processor(t *testing.T) time.Duration {
+// cpuTime is how much time of the processor this process has used.
+func cpuTime(t *testing.T) time.Duration {
 	var u syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -196,14 +196,14 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		w := found(t, 1, n, lan)
-		w.until(0, n, 300*second)
+		w := newCluster(t, 1, n, lan)
+		w.waitForAgreement(0, n, 300*second)
 		w.run(30 * second)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		took := -processor(t)
+		took := -cpuTime(t)
 		w.run(10 * second)
-		took += processor(t)
+		took += cpuTime(t)
 		t.Logf("%4d members: %.2f ms of processor a member and second, %.0f KB a member", n, took.Seconds()*1000/float64(n)/10,
 			float64(after.HeapAlloc-before.HeapAlloc)/float64(n)/1024)
 	}
@@ -215,38 +215,38 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		n := 3 + rng.IntN(28)
-		w := found(t, seed+1, n, simnet.Link{Least: 300, Most: Micros(5000 + rng.IntN(200_000)), Loss: 0.2 * rng.Float64(), Repeat: 0.2 * rng.Float64()})
-		w.until(0, n, 120*second)
+		w := newCluster(t, seed+1, n, simnet.Link{Least: 300, Most: Micros(5000 + rng.IntN(200_000)), Loss: 0.2 * rng.Float64(), Repeat: 0.2 * rng.Float64()})
+		w.waitForAgreement(0, n, 120*second)
 		for range 3 + rng.IntN(6) {
 			at, i, j := Micros(rng.IntN(60))*second, rng.IntN(n), rng.IntN(n)
 			span := Micros(1+rng.IntN(30)) * second
-			w.net.After(-1, at, func() {
-				a, b := parties(i, i+1), parties(j, n)
+			w.network.After(-1, at, func() {
+				a, b := partyRange(i, i+1), partyRange(j, n)
 				switch rng.IntN(4) {
 				case 0:
-					w.net.Pause(simnet.Party(i), span)
+					w.network.Pause(simnet.Party(i), span)
 				case 1:
-					w.net.Cut(a, b)
-					w.net.After(-1, span, func() { w.net.Heal(a, b) })
+					w.network.Cut(a, b)
+					w.network.After(-1, span, func() { w.network.Heal(a, b) })
 				case 2:
-					w.net.Cut(b, a)
-					w.net.After(-1, span, func() { w.net.Heal(b, a) })
+					w.network.Cut(b, a)
+					w.network.After(-1, span, func() { w.network.Heal(b, a) })
 				case 3:
-					if i > 0 && w.net.Alive(simnet.Party(i)) {
+					if i > 0 && w.network.Alive(simnet.Party(i)) {
 						w.kill(i)
-						w.net.After(-1, span, func() { w.revive(i) })
+						w.network.After(-1, span, func() { w.revive(i) })
 					}
 				}
 			})
 		}
 		w.run(95 * second)
-		began := w.net.Now()
-		w.until(0, n, 120*second)
-		settled = append(settled, float64(w.net.Now()-began)/second)
+		began := w.network.Now()
+		w.waitForAgreement(0, n, 120*second)
+		settled = append(settled, float64(w.network.Now()-began)/second)
 		if t.Failed() {
 			t.Fatalf("seed %d, %d members", seed, n)
 		}
 	}
-	m, most := middle(settled)
+	m, most := medianAndMax(settled)
 	t.Logf("200 runs of random faults: views equal %.1f s after the last one (median), %.1f s at most", m, most)
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -98,8 +98,8 @@
 	return [...]string{"unknown", "reachable", "one-way", "through others", "unreachable"}[min(r, Unreachable)]
 }
 
-// settled takes members that have had no occasion to ask each other yet for reachable: that they are is no change.
-func (r Reachability) settled() Reachability { return max(r, Reachable) }
+// presumed takes members that have had no occasion to ask each other yet for reachable: that they are is no change.
+func (r Reachability) presumed() Reachability { return max(r, Reachable) }
 
 // Member is one line of a view.
 type Member struct {
@@ -188,84 +188,84 @@
 
 type member struct {
 	Member
-	heard     Micros        // own word from it
-	hearsUs   Micros        // it told that it had word from us
-	vouched   map[ID]Micros // who told that it answered
-	accusers  map[ID]bool   // of a suspect
-	gone      map[ID]bool   // who told that it died or left
-	suspected Micros
-	refused   bool   // nothing listens at its address
-	claim     *claim // another process of its name
-	facts     map[string]*fact
-	told      window // its messages that came, against repeats
-	returns   int    // times that it was held to be dead, and was not
-	accused   int    // of others by it ...
-	refuted   int    // ... that answered for themselves
+	lastMessageAt      Micros        // own word from it
+	heardFromUsAt      Micros        // it told that it had word from us
+	lastSeenBy         map[ID]Micros // who told that it answered
+	accusers           map[ID]bool   // of a suspect
+	departureReporters map[ID]bool   // who told that it died or left
+	suspicionStartedAt Micros
+	portUnreachable    bool       // nothing listens at its address
+	nameClaim          *nameClaim // another process of its name
+	facts              map[string]*heldFact
+	received           replayWindow // its messages that came, against repeats
+	resurrections      int          // times that it was held to be dead, and was not
+	accusationsMade    int          // of others by it ...
+	accusationsRefuted int          // ... that answered for themselves
 }
 
-type claim struct {
-	from  netip.AddrPort
-	birth uint32
-	until Micros
+type nameClaim struct {
+	addr       netip.AddrPort
+	generation uint32
+	deadline   Micros
 }
 
 // Group is one member's part in a group. Its calls must not overlap.
 type Group struct {
 	Config
-	now, last Micros // the latter: of the newest turn
-	rng       *rand.Rand
-	self      *member
-	members   map[ID]*member
-	all       []*member // by number: what draws chance or acts must not go by the order of a map
-	there     int       // of these, alive or suspect
-	suspects  int
-	order     []ID // of the probes, shuffled anew each round
-	next      int
-	seq       uint32
-	acts      []Action
-	probes    []*probe
-	relays    map[uint32]relay // asked of us
-	rumors    rumors
-	health    int // own slowness: stretches own time-outs
-	rounds    [8]bool
-	round     int
-	probeAt   Micros
-	gossipAt  Micros
-	strayAt   Micros
-	syncAt    Micros
-	judgeAt   Micros // nobody is taken out before
-	renewAt   Micros
-	tokens    float64
-	backlog   []SendMessage // parts of a state that was asked for, as the budget allows
-	differs   Micros        // since when a digest differs
-	sum       uint32        // the digest, while nothing has changed
-	summed    bool
-	view      View
-	settled   bool
-	began     Micros
-	movedAt   Micros // when the digest last changed
-	dirty     Micros // since when the view is out of date; 0: it is not
-	leaving   bool
-	refused   bool
-	repeats   int // datagrams that came before
-	off       remedy
+	now, lastStepAt    Micros // the latter: of the newest turn
+	rng                *rand.Rand
+	self               *member
+	members            map[ID]*member
+	membersByID        []*member // by number: what draws chance or acts must not go by the order of a map
+	aliveCount         int       // of these, alive or suspect
+	suspectCount       int
+	probeOrder         []ID // of the probes, shuffled anew each round
+	nextProbeIndex     int
+	lastProbeNumber    uint32
+	actions            []Action
+	pendingProbes      []*probe
+	indirectProbes     map[uint32]indirectProbe // asked of us
+	updateQueue        updateQueue
+	localHealth        int // own slowness: stretches own time-outs
+	probeOutcomes      [8]bool
+	probesFinished     int
+	nextProbeAt        Micros
+	nextGossipAt       Micros
+	nextReconnectAt    Micros
+	nextSyncAt         Micros
+	noDeathsBefore     Micros // nobody is taken out before
+	nextExpiryAt       Micros
+	sendTokens         float64
+	deferredSends      []SendMessage // parts of a state that was asked for, as the budget allows
+	digestDiffersSince Micros        // since when a digest differs
+	cachedDigest       uint32        // the digest, while nothing has changed
+	digestCached       bool
+	view               View
+	converged          bool
+	startedAt          Micros
+	digestChangedAt    Micros // when the digest last changed
+	viewDirtySince     Micros // since when the view is out of date; 0: it is not
+	leaving            bool
+	nameRefused        bool
+	duplicates         int // datagrams that came before
+	disabled           safeguard
 }
 
-// remedy is one of the measures against taking out who lives. All are in force; measurements leave one out to tell its
+// safeguard is one of the measures against taking out who lives. All are in force; measurements leave one out to tell its
 // price and what it is good for.
-type remedy uint8
+type safeguard uint8
 
 const (
-	askingAgain  remedy = 1 << iota // a question is put three times
-	askingOthers                    // helpers
-	ownPause                        // late turns are nobody else's fault
-	ownHealth                       // own slowness stretches own time limits
-	startingAnew                    // word from a suspect, or a later accusation, starts its time anew
-	comparing                       // doubt by comparison
+	probeRetry         safeguard = 1 << iota // a question is put three times
+	indirectProbing                          // helpers
+	pauseDetection                           // late turns are nobody else's fault
+	localHealthScaling                       // own slowness stretches own time limits
+	suspicionRestart                         // word from a suspect, or a later accusation, starts its time anew
+	accuserComparison                        // doubt by comparison
 )
 
 // Duplicates counts what came more than once, late beyond recognition or under a life that is over.
-func (g *Group) Duplicates() int { return g.repeats }
+func (g *Group) Duplicates() int { return g.duplicates }
 
 // TickInterval is how often Step wants to be called, at least.
 func (c Config) TickInterval() Micros { return c.ProbeInterval / 10 }
@@ -276,130 +276,130 @@
 		return nil, err
 	}
 	g := &Group{
-		Config: c, now: now, last: now, rng: rand.New(rand.NewPCG(c.RandomSeed, uint64(IDFromName(c.Name)))),
-		members: map[ID]*member{}, relays: map[uint32]relay{}, rumors: rumors{}, tokens: float64(c.MaxSendRate),
+		Config: c, now: now, lastStepAt: now, rng: rand.New(rand.NewPCG(c.RandomSeed, uint64(IDFromName(c.Name)))),
+		members: map[ID]*member{}, indirectProbes: map[uint32]indirectProbe{}, updateQueue: updateQueue{}, sendTokens: float64(c.MaxSendRate),
 	}
-	g.self = g.add(Member{ID: IDFromName(c.Name), Name: c.Name, Zone: c.Zone, Addr: c.Addr, Generation: c.Generation, Incarnation: 1, Reachability: Reachable})
-	for i := range g.rounds {
-		g.rounds[i] = true
+	g.self = g.addMember(Member{ID: IDFromName(c.Name), Name: c.Name, Zone: c.Zone, Addr: c.Addr, Generation: c.Generation, Incarnation: 1, Reachability: Reachable})
+	for i := range g.probeOutcomes {
+		g.probeOutcomes[i] = true
 	}
 	// Members that start together do not all probe in the same moment.
-	g.began, g.movedAt = now, now
-	g.probeAt = now + g.rng.Int64N(c.ProbeInterval)
-	g.settled = !slices.ContainsFunc(c.Seeds, func(a netip.AddrPort) bool { return a != c.Addr })
-	g.renewAt = now
-	g.spread(g.self)
+	g.startedAt, g.digestChangedAt = now, now
+	g.nextProbeAt = now + g.rng.Int64N(c.ProbeInterval)
+	g.converged = !slices.ContainsFunc(c.Seeds, func(a netip.AddrPort) bool { return a != c.Addr })
+	g.nextExpiryAt = now
+	g.queueMember(g.self)
 	return g, nil
 }
 
-func (g *Group) do(a Action) { g.acts = append(g.acts, a) }
+func (g *Group) emit(a Action) { g.actions = append(g.actions, a) }
 
-func (g *Group) log(format string, args ...any) { g.do(Log{fmt.Sprintf(format, args...)}) }
+func (g *Group) logf(format string, args ...any) { g.emit(Log{fmt.Sprintf(format, args...)}) }
 
 // Step takes what happened since the last turn and returns what to do. It is called each Turn even if nothing did.
 func (g *Group) Step(now Micros, events ...Event) []Action {
-	g.acts = nil
+	g.actions = nil
 	g.now = max(now, g.now)
-	if g.refused {
+	if g.nameRefused {
 		return nil
 	}
-	gap := g.now - g.last
-	g.last = g.now
-	g.tokens = min(float64(g.MaxSendRate), g.tokens+float64(g.MaxSendRate)*float64(gap)/1e6)
-	if gap > g.ProbeInterval/2 && g.off&ownPause == 0 {
-		g.paused(gap)
+	gap := g.now - g.lastStepAt
+	g.lastStepAt = g.now
+	g.sendTokens = min(float64(g.MaxSendRate), g.sendTokens+float64(g.MaxSendRate)*float64(gap)/1e6)
+	if gap > g.ProbeInterval/2 && g.disabled&pauseDetection == 0 {
+		g.handlePause(gap)
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case MessageReceived:
-			g.receive(e)
+			g.handleMessage(e)
 		case PortUnreachable:
-			g.refusal(e.Addr)
+			g.handlePortUnreachable(e.Addr)
 		case PublishFact:
-			g.publish(e)
+			g.publishFact(e)
 		case Leave:
-			g.leave()
+			g.announceLeave()
 		}
 	}
-	g.probing()
-	g.judge()
-	g.refresh()
-	g.gossip()
-	g.drain()
+	g.runProbes()
+	g.expireSuspicions()
+	g.expire()
+	g.runGossip()
+	g.sendDeferred()
 	g.publishView()
-	return g.acts
+	return g.actions
 }
 
-// paused is called where this member's own turns came late. What it missed is nobody else's fault: every time limit
+// handlePause is called where this member's own turns came late. What it missed is nobody else's fault: every time limit
 // moves by the gap, it says at once that it is there, and asks what has become of the group.
-func (g *Group) paused(gap Micros) {
-	for _, p := range g.probes {
-		p.at, p.askAt, p.end = p.at+gap, p.askAt+gap, p.end+gap
+func (g *Group) handlePause(gap Micros) {
+	for _, p := range g.pendingProbes {
+		p.startedAt, p.nextAttemptAt, p.deadline = p.startedAt+gap, p.nextAttemptAt+gap, p.deadline+gap
 	}
-	for _, m := range g.all {
+	for _, m := range g.membersByID {
 		if m.State == Suspect {
-			m.suspected += gap
+			m.suspicionStartedAt += gap
 		}
-		if m.claim != nil {
-			m.claim.until += gap
+		if m.nameClaim != nil {
+			m.nameClaim.deadline += gap
 		}
 	}
-	if g.dirty > 0 {
-		g.dirty = g.now
+	if g.viewDirtySince > 0 {
+		g.viewDirtySince = g.now
 	}
-	g.health = min(g.health+1, mostHealth)
+	g.localHealth = min(g.localHealth+1, maxLocalHealth)
 	g.self.Incarnation++
-	g.spread(g.self)
+	g.queueMember(g.self)
 	// What came meanwhile is still being read, in whatever order: nobody is judged before.
-	g.gossipAt, g.syncAt, g.judgeAt = 0, g.now, g.now+2*g.ProbeInterval
-	g.differs = 0
-	g.log("this member stood still for %d ms", gap/1000)
+	g.nextGossipAt, g.nextSyncAt, g.noDeathsBefore = 0, g.now, g.now+2*g.ProbeInterval
+	g.digestDiffersSince = 0
+	g.logf("this member stood still for %d ms", gap/1000)
 }
 
-func (g *Group) add(m Member) *member {
+func (g *Group) addMember(m Member) *member {
 	s := &member{Member: m} // maps are made as they are needed: most members of hundreds are neither accused nor asked for
 	s.StateSince = g.now
 	g.members[m.ID] = s
-	at, _ := slices.BinarySearchFunc(g.all, m.ID, func(o *member, id ID) int { return cmp.Compare(o.ID, id) })
-	g.all = slices.Insert(g.all, at, s)
-	g.count(m.State, 1)
+	at, _ := slices.BinarySearchFunc(g.membersByID, m.ID, func(o *member, id ID) int { return cmp.Compare(o.ID, id) })
+	g.membersByID = slices.Insert(g.membersByID, at, s)
+	g.countState(m.State, 1)
 	if g.self != nil {
 		// Anywhere in the rest of the round: a newcomer is found as soon as others.
-		at := g.next + g.rng.IntN(len(g.order)-g.next+1)
-		g.order = slices.Insert(g.order, at, m.ID)
+		at := g.nextProbeIndex + g.rng.IntN(len(g.probeOrder)-g.nextProbeIndex+1)
+		g.probeOrder = slices.Insert(g.probeOrder, at, m.ID)
 	}
-	g.touch()
+	g.markViewDirty()
 	return s
 }
 
-// note puts an entry into a map that may not have been made yet.
-func note[K comparable, V any](m *map[K]V, k K, v V) {
+// setEntry puts an entry into a map that may not have been made yet.
+func setEntry[K comparable, V any](m *map[K]V, k K, v V) {
 	if *m == nil {
 		*m = map[K]V{}
 	}
 	(*m)[k] = v
 }
 
-// count keeps the numbers of those that are there and of suspects.
-func (g *Group) count(s MemberState, by int) {
-	g.summed = false
+// countState keeps the numbers of those that are there and of suspects.
+func (g *Group) countState(s MemberState, by int) {
+	g.digestCached = false
 	if s <= Suspect {
-		g.there += by
+		g.aliveCount += by
 	}
 	if s == Suspect {
-		g.suspects += by
+		g.suspectCount += by
 	}
 }
 
 // size is how many are there, this one included.
-func (g *Group) size() int { return g.there }
+func (g *Group) size() int { return g.aliveCount }
 
-// some draws so many others that fit. Where most do, a few draws find them, whatever the number of members; else all
+// sampleMembers draws so many others that fit. Where most do, a few draws find them, whatever the number of members; else all
 // are looked at.
-func (g *Group) some(n int, fits func(*member) bool) []*member {
+func (g *Group) sampleMembers(n int, fits func(*member) bool) []*member {
 	var out []*member
 	for tries := 0; len(out) < n && tries < 4*n; tries++ {
-		if m := g.all[g.rng.IntN(len(g.all))]; m != g.self && !slices.Contains(out, m) && fits(m) {
+		if m := g.membersByID[g.rng.IntN(len(g.membersByID))]; m != g.self && !slices.Contains(out, m) && fits(m) {
 			out = append(out, m)
 		}
 	}
@@ -407,7 +407,7 @@
 		return out
 	}
 	out = nil
-	for _, m := range g.all {
+	for _, m := range g.membersByID {
 		if m != g.self && fits(m) {
 			out = append(out, m)
 		}
@@ -416,5 +416,5 @@
 	return out[:min(n, len(out))]
 }
 
-// lasting is for how many sendings a rumour is worth telling.
-func (g *Group) lasting() int { return 3 * int(math.Ceil(math.Log2(float64(g.size()+1)))) }
+// retransmitLimit is for how many sendings a rumour is worth telling.
+func (g *Group) retransmitLimit() int { return 3 * int(math.Ceil(math.Log2(float64(g.size()+1)))) }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,91 +7,91 @@
 )
 
 const (
-	helpers    = 3 // members that are asked to ask where no answer came
-	mostHealth = 8
-	healthy    = 4 // of eight rounds in which anybody answered, for a view to be trusted
-	strayEvery = 5 // periods between words to one that is held to be gone, or to an address that may be somebody
+	indirectProbeHelpers = 3 // members that are asked to ask where no answer came
+	maxLocalHealth       = 8
+	minAnsweredProbes    = 4 // of eight rounds in which anybody answered, for a view to be trusted
+	reconnectIntervals   = 5 // periods between words to one that is held to be gone, or to an address that may be somebody
 )
 
 // probe is a question to one member, by this member and then by helpers.
 type probe struct {
-	seq            uint32
-	id             ID
-	at, askAt, end Micros
-	asked          []ID
-	direct         bool // it answered us
-	through        bool // it answered a helper
-	hearsUs        bool // and said that it has word from us
-	denied         []ID // helpers that had no answer either
+	number                             uint32
+	target                             ID
+	startedAt, nextAttemptAt, deadline Micros
+	helpers                            []ID
+	acked                              bool // it answered us
+	indirectlyAcked                    bool // it answered a helper
+	heardUs                            bool // and said that it has word from us
+	nackedBy                           []ID // helpers that had no answer either
 }
 
-// relay is a question that another member asked us to put.
-type relay struct {
-	from  ID
-	seq   uint32
-	about ID
-	end   Micros
+// indirectProbe is a question that another member asked us to put.
+type indirectProbe struct {
+	requester      ID
+	requesterProbe uint32
+	target         ID
+	deadline       Micros
 }
 
-// stretch is a time limit of ours: who was slow itself grants others more.
-func (g *Group) stretch(span Micros) Micros {
-	if g.off&ownHealth != 0 {
+// scaleByLocalHealth is a time limit of ours: who was slow itself grants others more.
+func (g *Group) scaleByLocalHealth(span Micros) Micros {
+	if g.disabled&localHealthScaling != 0 {
 		return span
 	}
-	return span * Micros(2+g.health) / 2
+	return span * Micros(2+g.localHealth) / 2
 }
 
-// probing begins and ends this member's rounds.
-func (g *Group) probing() {
-	g.probes = slices.DeleteFunc(g.probes, func(p *probe) bool {
-		if !p.direct && g.now >= p.askAt {
-			g.askAgain(p)
+// runProbes begins and ends this member's rounds.
+func (g *Group) runProbes() {
+	g.pendingProbes = slices.DeleteFunc(g.pendingProbes, func(p *probe) bool {
+		if !p.acked && g.now >= p.nextAttemptAt {
+			g.retryProbe(p)
 		}
-		if p.direct || g.now >= p.end {
-			g.conclude(p)
+		if p.acked || g.now >= p.deadline {
+			g.finishProbe(p)
 			return true
 		}
 		return false
 	})
-	g.denyLate()
-	if g.now < g.probeAt || g.leaving {
+	g.nackExpired()
+	if g.now < g.nextProbeAt || g.leaving {
 		return
 	}
-	g.probeAt = max(g.probeAt+g.ProbeInterval, g.now+g.ProbeInterval/2)
-	if m := g.nextInRound(); m != nil {
-		g.seq++
-		p := &probe{seq: g.seq, id: m.ID, at: g.now, askAt: g.now + g.stretch(g.ProbeInterval/4), end: g.now + g.stretch(g.ProbeInterval)}
-		g.probes = append(g.probes, p)
-		g.send(m.Addr, Message{Kind: KindPing, ProbeNumber: p.seq, Target: m.ID}, m)
+	g.nextProbeAt = max(g.nextProbeAt+g.ProbeInterval, g.now+g.ProbeInterval/2)
+	if m := g.nextProbeTarget(); m != nil {
+		g.lastProbeNumber++
+		p := &probe{number: g.lastProbeNumber, target: m.ID, startedAt: g.now, nextAttemptAt: g.now + g.scaleByLocalHealth(g.ProbeInterval/4), deadline: g.now + g.scaleByLocalHealth(g.ProbeInterval)}
+		g.pendingProbes = append(g.pendingProbes, p)
+		g.send(m.Addr, Message{Kind: KindPing, ProbeNumber: p.number, Target: m.ID}, m)
 	}
 }
 
-// denyLate tells those who had this member ask for them that no answer came: that they hear so shows them that it is
+// nackExpired tells those who had this member ask for them that no answer came: that they hear so shows them that it is
 // not they who are cut off.
-func (g *Group) denyLate() {
-	for _, seq := range slices.Sorted(maps.Keys(g.relays)) {
-		if r := g.relays[seq]; g.now >= r.end {
-			delete(g.relays, seq)
-			if to := g.members[r.from]; to != nil {
-				g.send(to.Addr, Message{Kind: KindNack, ProbeNumber: r.seq, Target: r.about}, to)
+func (g *Group) nackExpired() {
+	for _, seq := range slices.Sorted(maps.Keys(g.indirectProbes)) {
+		if r := g.indirectProbes[seq]; g.now >= r.deadline {
+			delete(g.indirectProbes, seq)
+			if to := g.members[r.requester]; to != nil {
+				g.send(to.Addr, Message{Kind: KindNack, ProbeNumber: r.requesterProbe, Target: r.target}, to)
 			}
 		}
 	}
 }
 
-// nextInRound is the member to be asked next: all in turn, in an order drawn anew each round, so that the longest
+// nextProbeTarget is the member to be asked next: all in turn, in an order drawn anew each round, so that the longest
 // time until one is asked is two rounds.
-func (g *Group) nextInRound() *member {
-	for range 2*len(g.order) + 1 {
-		if g.next >= len(g.order) {
-			g.next = 0
-			g.rng.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
-			if len(g.order) == 0 {
+func (g *Group) nextProbeTarget() *member {
+	for range 2*len(g.probeOrder) + 1 {
+		if g.nextProbeIndex >= len(g.probeOrder) {
+			g.nextProbeIndex = 0
+			g.rng.Shuffle(len(g.probeOrder), func(i, j int) { g.probeOrder[i], g.probeOrder[j] = g.probeOrder[j], g.probeOrder[i] })
+			if len(g.probeOrder) == 0 {
 				return nil
 			}
 		}
-		m := g.members[g.order[g.next]]
-		g.next++
+		m := g.members[g.probeOrder[g.nextProbeIndex]]
+		g.nextProbeIndex++
 		if m != nil && m.State <= Suspect {
 			return m
 		}
@@ -99,122 +99,122 @@
 	return nil
 }
 
-// askAgain puts a question anew, twice at most, and has others put it: one lost datagram is no silence.
-func (g *Group) askAgain(p *probe) {
-	m := g.members[p.id]
-	p.askAt += (p.end - p.at) / 4
-	if m == nil || p.askAt >= p.end {
+// retryProbe puts a question anew, twice at most, and has others put it: one lost datagram is no silence.
+func (g *Group) retryProbe(p *probe) {
+	m := g.members[p.target]
+	p.nextAttemptAt += (p.deadline - p.startedAt) / 4
+	if m == nil || p.nextAttemptAt >= p.deadline {
 		return
 	}
-	if g.off&askingAgain == 0 {
-		g.send(m.Addr, Message{Kind: KindPing, ProbeNumber: p.seq, Target: m.ID}, m)
+	if g.disabled&probeRetry == 0 {
+		g.send(m.Addr, Message{Kind: KindPing, ProbeNumber: p.number, Target: m.ID}, m)
 	}
-	if len(p.asked) > 0 || g.off&askingOthers != 0 {
+	if len(p.helpers) > 0 || g.disabled&indirectProbing != 0 {
 		return
 	}
-	fit := func(o *member) bool { return o.ID != p.id && o.State == Alive && o.Reachability != Unreachable }
-	for _, h := range g.some(helpers, fit) {
-		p.asked = append(p.asked, h.ID)
-		g.send(h.Addr, Message{Kind: KindPingReq, ProbeNumber: p.seq, Target: p.id, Updates: []Update{g.update(m)}}, h)
+	fit := func(o *member) bool { return o.ID != p.target && o.State == Alive && o.Reachability != Unreachable }
+	for _, h := range g.sampleMembers(indirectProbeHelpers, fit) {
+		p.helpers = append(p.helpers, h.ID)
+		g.send(h.Addr, Message{Kind: KindPingReq, ProbeNumber: p.number, Target: p.target, Updates: []Update{g.updateFor(m)}}, h)
 	}
 }
 
-// conclude ends a round: what came back says how the member and this one hear each other, and whether this one is
+// finishProbe ends a round: what came back says how the member and this one hear each other, and whether this one is
 // heard by anybody at all.
-func (g *Group) conclude(p *probe) {
-	answered := p.direct || p.through || len(p.denied) > 0
-	if g.rounds[g.round%len(g.rounds)] = answered; g.round < 1<<30 {
-		g.round++
+func (g *Group) finishProbe(p *probe) {
+	answered := p.acked || p.indirectlyAcked || len(p.nackedBy) > 0
+	if g.probeOutcomes[g.probesFinished%len(g.probeOutcomes)] = answered; g.probesFinished < 1<<30 {
+		g.probesFinished++
 	}
 	if g.trusted() != g.view.Trusted {
-		g.touch()
+		g.markViewDirty()
 	}
-	m := g.members[p.id]
+	m := g.members[p.target]
 	if m == nil || m.State > Suspect {
 		return
 	}
 	switch {
-	case p.direct:
-		g.health = max(0, g.health-1)
-		if m.hearsUs > 0 && p.hearsUs {
-			g.reach(m, Reachable)
+	case p.acked:
+		g.localHealth = max(0, g.localHealth-1)
+		if m.heardFromUsAt > 0 && p.heardUs {
+			g.setReachability(m, Reachable)
 		}
-	case p.through && p.hearsUs:
-		g.reach(m, ReachableOneWay)
-	case p.through:
-		g.reach(m, ReachableIndirectly)
+	case p.indirectlyAcked && p.heardUs:
+		g.setReachability(m, ReachableOneWay)
+	case p.indirectlyAcked:
+		g.setReachability(m, ReachableIndirectly)
 	default:
-		if len(p.denied) == 0 { // not even a helper spoke: this may be our own trouble
-			g.health = min(g.health+1, mostHealth)
+		if len(p.nackedBy) == 0 { // not even a helper spoke: this may be our own trouble
+			g.localHealth = min(g.localHealth+1, maxLocalHealth)
 		}
 		m.Reachability = Unreachable // no view for this alone: what comes of the suspicion is one
 		g.suspect(m, m.Incarnation, g.self.ID, "no answer to this member")
-		for _, id := range p.denied {
+		for _, id := range p.nackedBy {
 			g.suspect(m, m.Incarnation, id, "")
 		}
 	}
 }
 
-func (g *Group) reach(m *member, r Reachability) {
-	if m.Reachability.settled() != r.settled() {
-		g.touch()
+func (g *Group) setReachability(m *member, r Reachability) {
+	if m.Reachability.presumed() != r.presumed() {
+		g.markViewDirty()
 	}
 	m.Reachability = r
 }
 
 // trusted tells whether anybody answered in enough of the newest rounds. A member that is alone has nobody to ask.
 func (g *Group) trusted() bool {
-	if g.there <= 1 && len(g.members) == 1 {
+	if g.aliveCount <= 1 && len(g.members) == 1 {
 		return true
 	}
 	n := 0
-	for _, ok := range g.rounds {
+	for _, ok := range g.probeOutcomes {
 		if ok {
 			n++
 		}
 	}
-	return n >= healthy
+	return n >= minAnsweredProbes
 }
 
-// receive takes a message: it is word from its sender, whatever else it says.
-func (g *Group) receive(r MessageReceived) {
+// handleMessage takes a message: it is word from its sender, whatever else it says.
+func (g *Group) handleMessage(r MessageReceived) {
 	m := r.Message
 	if m.Sender == g.self.ID {
 		if m.Generation != g.self.Generation && r.From != g.Addr {
-			g.namesake(r.From, m)
+			g.handleNameClash(r.From, m)
 		}
 		return
 	}
 	if m.Kind == KindNameConflict {
-		g.conflict(r.From, m)
+		g.handleNameConflict(r.From, m)
 		return
 	}
 	s := g.members[m.Sender]
-	if s != nil && s.Generation != m.Generation && !g.successor(s, r.From, m) {
+	if s != nil && s.Generation != m.Generation && !g.acceptSuccessor(s, r.From, m) {
 		return
 	}
 	if s != nil && s.Generation == m.Generation {
-		if !s.told.take(m.MessageNumber) {
-			g.repeats++
+		if !s.received.accept(m.MessageNumber) {
+			g.duplicates++
 			return // it changes nothing
 		}
-		g.word(s, r.From, m)
+		g.recordContact(s, r.From, m)
 	}
 	for _, u := range m.Updates {
-		g.learn(u, m.Sender)
+		g.applyUpdate(u, m.Sender)
 	}
 	for _, f := range m.Facts {
-		g.learnFact(f)
+		g.applyFact(f)
 	}
 	if s = g.members[m.Sender]; s == nil {
 		// Somebody that this member knows nothing of asks: it answers, and the answer has the asker tell of itself.
 		if m.Kind == KindPing {
 			g.send(r.From, Message{Kind: KindAck, ProbeNumber: m.ProbeNumber, Target: g.self.ID}, nil)
-			g.send(r.From, Message{Kind: KindSyncRequest, Updates: []Update{g.update(g.self)}, BucketDigests: g.buckets()}, nil)
+			g.send(r.From, Message{Kind: KindSyncRequest, Updates: []Update{g.updateFor(g.self)}, BucketDigests: g.bucketDigests()}, nil)
 		}
 		return
 	}
-	g.compare(s, m)
+	g.compareDigest(s, m)
 	switch m.Kind {
 	case KindPing:
 		if m.Target != g.self.ID && m.Target != 0 {
@@ -224,166 +224,166 @@
 		about := g.members[m.Requester]
 		g.send(r.From, Message{
 			Kind: KindAck, ProbeNumber: m.ProbeNumber, Target: m.Sender, HeardFromProber: true,
-			HeardFromRequester: about != nil && about.heard > 0 && g.now-about.heard < 2*g.ProbeInterval,
+			HeardFromRequester: about != nil && about.lastMessageAt > 0 && g.now-about.lastMessageAt < 2*g.ProbeInterval,
 		}, s)
 	case KindAck:
-		g.acked(s, m)
+		g.handleAck(s, m)
 	case KindPingReq:
-		if t := g.members[m.Target]; t != nil && t != g.self && len(g.relays) < 64 {
-			g.seq++
-			g.relays[g.seq] = relay{m.Sender, m.ProbeNumber, m.Target, g.now + g.ProbeInterval/2}
-			g.send(t.Addr, Message{Kind: KindPing, ProbeNumber: g.seq, Target: t.ID, Requester: m.Sender}, t)
+		if t := g.members[m.Target]; t != nil && t != g.self && len(g.indirectProbes) < 64 {
+			g.lastProbeNumber++
+			g.indirectProbes[g.lastProbeNumber] = indirectProbe{m.Sender, m.ProbeNumber, m.Target, g.now + g.ProbeInterval/2}
+			g.send(t.Addr, Message{Kind: KindPing, ProbeNumber: g.lastProbeNumber, Target: t.ID, Requester: m.Sender}, t)
 		} else {
 			g.send(r.From, Message{Kind: KindNack, ProbeNumber: m.ProbeNumber, Target: m.Target}, s)
 		}
 	case KindIndirectAck, KindNack:
-		for _, p := range g.probes {
-			if p.seq == m.ProbeNumber && p.id == m.Target && slices.Contains(p.asked, m.Sender) {
+		for _, p := range g.pendingProbes {
+			if p.number == m.ProbeNumber && p.target == m.Target && slices.Contains(p.helpers, m.Sender) {
 				if m.Kind == KindIndirectAck {
-					p.through, p.hearsUs = true, p.hearsUs || m.HeardFromProber
-					if t := g.members[p.id]; t != nil {
-						note(&t.vouched, m.Sender, g.now)
-						g.clear(t)
+					p.indirectlyAcked, p.heardUs = true, p.heardUs || m.HeardFromProber
+					if t := g.members[p.target]; t != nil {
+						setEntry(&t.lastSeenBy, m.Sender, g.now)
+						g.restartSuspicion(t)
 					}
-				} else if !slices.Contains(p.denied, m.Sender) {
-					p.denied = append(p.denied, m.Sender)
+				} else if !slices.Contains(p.nackedBy, m.Sender) {
+					p.nackedBy = append(p.nackedBy, m.Sender)
 				}
 			}
 		}
 	case KindSyncRequest:
-		g.answerSync(r.From, s, m)
+		g.answerSyncRequest(r.From, s, m)
 	case KindLeave:
-		g.learn(Update{ID: s.ID, Generation: s.Generation, Incarnation: m.Incarnation, State: Left, Accuser: s.ID}, s.ID)
+		g.applyUpdate(Update{ID: s.ID, Generation: s.Generation, Incarnation: m.Incarnation, State: Left, Accuser: s.ID}, s.ID)
 	}
 }
 
-// word notes that a member spoke to this one.
-func (g *Group) word(s *member, from netip.AddrPort, m Message) {
-	s.heard, s.LastContact, s.refused = g.now, g.now, false
+// recordContact notes that a member spoke to this one.
+func (g *Group) recordContact(s *member, from netip.AddrPort, m Message) {
+	s.lastMessageAt, s.LastContact, s.portUnreachable = g.now, g.now, false
 	// Whoever speaks of itself in a later incarnation has answered what was said of it. That its own news of it went
 	// unheard, on a way that was cut, must not keep it out.
 	if (s.State == Suspect || s.State == Dead) && m.Incarnation > s.Incarnation && m.Kind != KindLeave {
-		g.learn(Update{ID: s.ID, Generation: m.Generation, Incarnation: m.Incarnation, State: Alive, Addr: from, Name: s.Name, Zone: s.Zone}, s.ID)
+		g.applyUpdate(Update{ID: s.ID, Generation: m.Generation, Incarnation: m.Incarnation, State: Alive, Addr: from, Name: s.Name, Zone: s.Zone}, s.ID)
 	}
 	if s.State == Suspect && m.Incarnation >= s.Incarnation {
-		g.clear(s)
+		g.restartSuspicion(s)
 	}
 	if s.State >= Dead && m.Incarnation <= s.Incarnation && m.Kind != KindLeave {
 		// It does not know that it is held to be gone: told so, it says that it is there.
-		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.update(s)}}, s)
+		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(s)}}, s)
 	}
 	if from != s.Addr && m.Incarnation >= s.Incarnation && s.State <= Suspect && m.Kind != KindAck {
 		s.Addr = from
-		g.touch()
+		g.markViewDirty()
 	}
 }
 
-// acked takes an answer: to this member's own question, or to one that it put for another.
-func (g *Group) acked(s *member, m Message) {
-	note(&s.vouched, g.self.ID, g.now)
+// handleAck takes an answer: to this member's own question, or to one that it put for another.
+func (g *Group) handleAck(s *member, m Message) {
+	setEntry(&s.lastSeenBy, g.self.ID, g.now)
 	if m.HeardFromProber {
-		s.hearsUs = g.now
+		s.heardFromUsAt = g.now
 	}
-	if r, ok := g.relays[m.ProbeNumber]; ok && r.about == s.ID {
-		delete(g.relays, m.ProbeNumber)
-		if to := g.members[r.from]; to != nil {
-			g.send(to.Addr, Message{Kind: KindIndirectAck, ProbeNumber: r.seq, Target: s.ID, HeardFromProber: m.HeardFromRequester}, to)
+	if r, ok := g.indirectProbes[m.ProbeNumber]; ok && r.target == s.ID {
+		delete(g.indirectProbes, m.ProbeNumber)
+		if to := g.members[r.requester]; to != nil {
+			g.send(to.Addr, Message{Kind: KindIndirectAck, ProbeNumber: r.requesterProbe, Target: s.ID, HeardFromProber: m.HeardFromRequester}, to)
 		}
 		return
 	}
-	for _, p := range g.probes {
-		if p.seq == m.ProbeNumber && p.id == s.ID {
-			p.direct, p.hearsUs = true, true // it answers our question, so it heard that
+	for _, p := range g.pendingProbes {
+		if p.number == m.ProbeNumber && p.target == s.ID {
+			p.acked, p.heardUs = true, true // it answers our question, so it heard that
 		}
 	}
 }
 
-// refusal is proof that nothing listens where a member was: it is suspected at once, and for a shorter time.
-func (g *Group) refusal(addr netip.AddrPort) {
-	for _, m := range g.all {
-		if m != g.self && m.Addr == addr && m.State <= Suspect && g.now-m.heard > g.ProbeInterval/4 {
-			m.refused = true
+// handlePortUnreachable is proof that nothing listens where a member was: it is suspected at once, and for a shorter time.
+func (g *Group) handlePortUnreachable(addr netip.AddrPort) {
+	for _, m := range g.membersByID {
+		if m != g.self && m.Addr == addr && m.State <= Suspect && g.now-m.lastMessageAt > g.ProbeInterval/4 {
+			m.portUnreachable = true
 			g.suspect(m, m.Incarnation, g.self.ID, "nothing listens at its address")
 		}
 	}
 }
 
-// namesake is called as another process of this one's name speaks. The one that was there first stays: a member
+// handleNameClash is called as another process of this one's name speaks. The one that was there first stays: a member
 // that has others to vouch for it does not give way.
-func (g *Group) namesake(from netip.AddrPort, m Message) {
+func (g *Group) handleNameClash(from netip.AddrPort, m Message) {
 	if m.Generation > g.self.Generation {
-		g.log("another member at %v has this one's name", from)
+		g.logf("another member at %v has this one's name", from)
 		g.send(from, Message{Kind: KindNameConflict, Target: g.self.ID}, nil)
 		return
 	}
 	if m.Kind == KindNameConflict {
-		g.log("the name %s is taken by the member at %v: this one is refused", g.Name, from)
-		g.refused = true
-		g.do(NameTaken{from})
+		g.logf("the name %s is taken by the member at %v: this one is refused", g.Name, from)
+		g.nameRefused = true
+		g.emit(NameTaken{from})
 	}
 }
 
-// successor is called as another process speaks under a member's name, and tells whether it is the member now. It
+// acceptSuccessor is called as another process speaks under a member's name, and tells whether it is the member now. It
 // is once the former one left, died or does not answer; while that is asked, the newcomer is nobody.
-func (g *Group) successor(s *member, from netip.AddrPort, m Message) bool {
+func (g *Group) acceptSuccessor(s *member, from netip.AddrPort, m Message) bool {
 	if m.Generation < s.Generation {
 		// The former one's words, late; or a newcomer whose clock was set back: told of the life that is known here, it
 		// begins a later one.
-		g.repeats++
-		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.update(s)}}, nil)
+		g.duplicates++
+		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(s)}}, nil)
 		return false
 	}
-	if !g.vacant(s, from, m.Generation) {
+	if !g.nameVacant(s, from, m.Generation) {
 		return false
 	}
-	g.renew(s, m.Generation, m.Incarnation, from)
-	s.heard = g.now
+	g.replaceProcess(s, m.Generation, m.Incarnation, from)
+	s.lastMessageAt = g.now
 	return true
 }
 
-// renew makes another process the member of a name.
-func (g *Group) renew(s *member, birth, inc uint32, addr netip.AddrPort) {
-	s.Generation, s.Incarnation, s.Addr, s.told, s.heard, s.refused, s.claim, s.returns = birth, inc, addr, window{}, 0, false, nil, 0
+// replaceProcess makes another process the member of a name.
+func (g *Group) replaceProcess(s *member, birth, inc uint32, addr netip.AddrPort) {
+	s.Generation, s.Incarnation, s.Addr, s.received, s.lastMessageAt, s.portUnreachable, s.nameClaim, s.resurrections = birth, inc, addr, replayWindow{}, 0, false, nil, 0
 	clear(s.facts)
-	g.summed = false
-	g.stand(s, Alive, "started anew")
-	g.spread(s)
+	g.digestCached = false
+	g.setState(s, Alive, "started anew")
+	g.queueMember(s)
 }
 
-// vacant tells whether the member of a name is gone for another process to take its place: that one asks from there.
-func (g *Group) vacant(s *member, from netip.AddrPort, birth uint32) bool {
-	asked := s.claim != nil && s.claim.birth == birth
+// nameVacant tells whether the member of a name is gone for another process to take its place: that one asks from there.
+func (g *Group) nameVacant(s *member, from netip.AddrPort, birth uint32) bool {
+	asked := s.nameClaim != nil && s.nameClaim.generation == birth
 	switch {
-	case s.State >= Dead || s.refused || from == s.Addr: // one address has one process
+	case s.State >= Dead || s.portUnreachable || from == s.Addr: // one address has one process
 		return true
 	case !asked:
-		s.claim = &claim{from, birth, g.now + 2*g.ProbeInterval}
+		s.nameClaim = &nameClaim{from, birth, g.now + 2*g.ProbeInterval}
 		g.send(s.Addr, Message{Kind: KindPing, Target: s.ID}, s)
-	case g.now < s.claim.until:
-	case s.heard < s.claim.until-2*g.ProbeInterval:
+	case g.now < s.nameClaim.deadline:
+	case s.lastMessageAt < s.nameClaim.deadline-2*g.ProbeInterval:
 		return true
 	default:
-		g.log("two members have the name %s: %v stays, %v is refused", s.Name, s.Addr, from)
-		told := Message{Kind: KindNameConflict, Target: s.ID, Updates: []Update{g.update(s)}}
+		g.logf("two members have the name %s: %v stays, %v is refused", s.Name, s.Addr, from)
+		told := Message{Kind: KindNameConflict, Target: s.ID, Updates: []Update{g.updateFor(s)}}
 		g.send(from, told, nil)
 		g.send(s.Addr, told, s)
-		s.claim = nil
+		s.nameClaim = nil
 	}
 	return false
 }
 
-// conflict is word from a third member that two have this one's name, and which of them stays.
-func (g *Group) conflict(from netip.AddrPort, m Message) {
+// handleNameConflict is word from a third member that two have this one's name, and which of them stays.
+func (g *Group) handleNameConflict(from netip.AddrPort, m Message) {
 	for _, u := range m.Updates {
 		if m.Target != g.self.ID || u.ID != g.self.ID {
 			continue
 		}
 		if u.Generation == g.self.Generation {
-			g.log("the member at %v says that another has this one's name; this one stays", from)
+			g.logf("the member at %v says that another has this one's name; this one stays", from)
 		} else {
-			g.log("the name %s is taken by the member at %v: this one is refused", g.Name, u.Addr)
-			g.refused = true
-			g.do(NameTaken{u.Addr})
+			g.logf("the name %s is taken by the member at %v: this one is refused", g.Name, u.Addr)
+			g.nameRefused = true
+			g.emit(NameTaken{u.Addr})
 		}
 	}
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,54 +8,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// touch notes that the view is out of date.
-func (g *Group) touch() {
-	if g.dirty == 0 {
-		g.dirty = g.now
+// markViewDirty notes that the view is out of date.
+func (g *Group) markViewDirty() {
+	if g.viewDirtySince == 0 {
+		g.viewDirtySince = g.now
 	}
 }
 
 // publishView hands out the view as it now is. While accusations are open that others share, evidence is still
 // coming in, and a zone that goes ought to be one change and not one for each member: it waits, but not for long.
 func (g *Group) publishView() {
-	if g.dirty == 0 {
+	if g.viewDirtySince == 0 {
 		return
 	}
-	if g.now-g.dirty < 2*g.SuspicionTimeout {
-		for _, m := range g.all {
-			if m.State == Suspect && len(m.accusers) > 1 && g.patience(m)-(g.now-m.suspected) < 2*g.ProbeInterval {
+	if g.now-g.viewDirtySince < 2*g.SuspicionTimeout {
+		for _, m := range g.membersByID {
+			if m.State == Suspect && len(m.accusers) > 1 && g.suspicionTimeout(m)-(g.now-m.suspicionStartedAt) < 2*g.ProbeInterval {
 				return
 			}
 		}
 	}
-	g.dirty = 0
+	g.viewDirtySince = 0
 	v := g.snapshot()
-	if same(v, g.view) {
+	if equivalent(v, g.view) {
 		return
 	}
 	v.Version = g.view.Version + 1
 	g.view = v
-	g.do(ViewChanged{v})
+	g.emit(ViewChanged{v})
 }
 
 // Look is the view as it is at this moment, with what is no change: who was heard when, and by how many.
 func (g *Group) Look() View { return g.snapshot() }
 
 func (g *Group) snapshot() View {
-	v := View{Version: g.view.Version, Digest: g.digest(), Trusted: g.trusted(), Converged: g.settled}
-	for _, m := range g.all {
+	v := View{Version: g.view.Version, Digest: g.digest(), Trusted: g.trusted(), Converged: g.converged}
+	for _, m := range g.membersByID {
 		line := m.Member
 		if m == g.self {
 			line.SeenByCount = 1
 		}
-		for _, at := range m.vouched {
+		for _, at := range m.lastSeenBy {
 			if g.now-at < 10*g.ProbeInterval {
 				line.SeenByCount++
 			}
 		}
 		for _, f := range m.facts {
 			if f.Value != "" {
-				line.Facts = append(line.Facts, f.told(g.now))
+				line.Facts = append(line.Facts, f.forSending(g.now))
 			}
 		}
 		slices.SortFunc(line.Facts, func(x, y Fact) int { return cmp.Compare(x.Name, y.Name) })
@@ -65,12 +65,12 @@
 	return v
 }
 
-// same tells whether two views differ in nothing that anybody acts on: when a member was last heard is no change.
-func same(x, y View) bool {
+// equivalent tells whether two views differ in nothing that anybody acts on: when a member was last heard is no change.
+func equivalent(x, y View) bool {
 	there := func(m Member) MemberState { return max(m.State, Suspect) }
 	line := func(a, b Member) bool {
 		fact := func(f, h Fact) bool { return f.Name == h.Name && f.Version == h.Version }
-		return a.ID == b.ID && a.Generation == b.Generation && there(a) == there(b) && a.Reachability.settled() == b.Reachability.settled() && a.Addr == b.Addr &&
+		return a.ID == b.ID && a.Generation == b.Generation && there(a) == there(b) && a.Reachability.presumed() == b.Reachability.presumed() && a.Addr == b.Addr &&
 			a.Distrusted == b.Distrusted && slices.EqualFunc(a.Facts, b.Facts, fact)
 	}
 	return x.Digest == y.Digest && x.Trusted == y.Trusted && x.Converged == y.Converged && slices.EqualFunc(x.Members, y.Members, line)
--- a/membership/wire.go
+++ b/membership/wire.go
@@ -50,9 +50,9 @@
 // The form, big-endian: version, kind, flags, counts of buckets, updates and facts (a byte each); group, from, birth,
 // inc, count, seq, target, about, digest (4 bytes each); buckets; updates; facts; 8 bytes that prove the rest.
 const (
-	form     = 1
-	headSize = 6 + 9*4
-	tailSize = 8
+	wireVersion       = 1
+	headerSize        = 6 + 9*4
+	authenticatorSize = 8
 )
 
 // ErrMalformed is behind the errors about datagrams that are not of this form; ErrForeign and ErrUnproven behind those
@@ -78,28 +78,28 @@
 	return &Codec{group: h.Sum32(), key: key}
 }
 
-func (c *Codec) proof(b []byte) []byte {
+func (c *Codec) authenticator(b []byte) []byte {
 	if len(c.key) == 0 {
 		return binary.BigEndian.AppendUint64(nil, xxhash.Sum64(b))
 	}
 	mac := hmac.New(sha256.New, c.key)
 	mac.Write(b)
-	return mac.Sum(nil)[:tailSize]
+	return mac.Sum(nil)[:authenticatorSize]
 }
 
-// size is the bytes of an update on the wire.
-func (u Update) size() int { return 4 + 4 + 4 + 1 + 4 + 6 + 1 + len(u.Name) + 1 + len(u.Zone) }
+// encodedSize is the bytes of an update on the wire.
+func (u Update) encodedSize() int { return 4 + 4 + 4 + 1 + 4 + 6 + 1 + len(u.Name) + 1 + len(u.Zone) }
 
-func (f Fact) size() int { return 4 + 4 + 4 + 1 + len(f.Name) + 1 + len(f.Value) }
+func (f Fact) encodedSize() int { return 4 + 4 + 4 + 1 + len(f.Name) + 1 + len(f.Value) }
 
-// room is how many bytes are left for news.
-func (m *Message) room() int {
-	n := MaxDatagramSize - headSize - tailSize - 4*len(m.BucketDigests)
+// freeBytes is how many bytes are left for news.
+func (m *Message) freeBytes() int {
+	n := MaxDatagramSize - headerSize - authenticatorSize - 4*len(m.BucketDigests)
 	for _, u := range m.Updates {
-		n -= u.size()
+		n -= u.encodedSize()
 	}
 	for _, f := range m.Facts {
-		n -= f.size()
+		n -= f.encodedSize()
 	}
 	return n
 }
@@ -114,7 +114,7 @@
 	if m.HeardFromRequester {
 		flags |= 2
 	}
-	to = append(to, form, byte(m.Kind), flags, byte(len(m.BucketDigests)), byte(len(m.Updates)), byte(len(m.Facts)))
+	to = append(to, wireVersion, byte(m.Kind), flags, byte(len(m.BucketDigests)), byte(len(m.Updates)), byte(len(m.Facts)))
 	for _, v := range []uint32{c.group, uint32(m.Sender), m.Generation, m.Incarnation, m.MessageNumber, m.ProbeNumber, uint32(m.Target), uint32(m.Requester), m.Digest} {
 		to = binary.BigEndian.AppendUint32(to, v)
 	}
@@ -142,18 +142,18 @@
 		to = append(append(to, byte(len(f.Name))), f.Name...)
 		to = append(append(to, byte(len(f.Value))), f.Value...)
 	}
-	return append(to, c.proof(to[start:])...)
+	return append(to, c.authenticator(to[start:])...)
 }
 
-// reader takes a datagram apart. What is not there reads as zero, and bad tells.
-type reader struct {
-	rest []byte
-	bad  bool
+// decoder takes a datagram apart. What is not there reads as zero, and bad tells.
+type decoder struct {
+	rest      []byte
+	malformed bool
 }
 
-func (r *reader) take(n int) []byte {
+func (r *decoder) take(n int) []byte {
 	if n > len(r.rest) {
-		r.bad, r.rest = true, nil
+		r.malformed, r.rest = true, nil
 		return make([]byte, min(n, MaxDatagramSize))
 	}
 	b := r.rest[:n]
@@ -161,13 +161,13 @@
 	return b
 }
 
-func (r *reader) byte() byte  { return r.take(1)[0] }
-func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *decoder) byte() byte     { return r.take(1)[0] }
+func (r *decoder) uint32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
 
-func (r *reader) text(most int) string {
+func (r *decoder) string(most int) string {
 	n := int(r.byte())
 	if n > most {
-		r.bad = true
+		r.malformed = true
 		return ""
 	}
 	return string(r.take(n))
@@ -176,67 +176,67 @@
 // Decode reads a datagram. Nothing of one that fails may be used.
 func (c *Codec) Decode(b []byte) (Message, error) {
 	switch {
-	case len(b) < headSize+tailSize || len(b) > MaxDatagramSize:
+	case len(b) < headerSize+authenticatorSize || len(b) > MaxDatagramSize:
 		return Message{}, ErrMalformed
-	case b[0] != form:
+	case b[0] != wireVersion:
 		return Message{}, ErrUnknownVersion
 	case binary.BigEndian.Uint32(b[6:]) != c.group:
 		return Message{}, ErrOtherGroup
 	}
-	body, proof := b[:len(b)-tailSize], b[len(b)-tailSize:]
-	if !hmac.Equal(c.proof(body), proof) {
+	body, proof := b[:len(b)-authenticatorSize], b[len(b)-authenticatorSize:]
+	if !hmac.Equal(c.authenticator(body), proof) {
 		return Message{}, ErrUnauthenticated
 	}
-	r := &reader{rest: body[1:]}
+	r := &decoder{rest: body[1:]}
 	m := Message{Kind: Kind(r.byte())}
 	flags := r.byte()
 	m.HeardFromProber, m.HeardFromRequester = flags&1 != 0, flags&2 != 0
 	nb, nu, nf := int(r.byte()), int(r.byte()), int(r.byte())
-	r.u32()
-	m.Sender, m.Generation, m.Incarnation, m.MessageNumber, m.ProbeNumber = ID(r.u32()), r.u32(), r.u32(), r.u32(), r.u32()
-	m.Target, m.Requester, m.Digest = ID(r.u32()), ID(r.u32()), r.u32()
-	for i := 0; i < nb && !r.bad; i++ {
-		m.BucketDigests = append(m.BucketDigests, r.u32())
-	}
-	for i := 0; i < nu && !r.bad; i++ {
-		u := Update{ID: ID(r.u32()), Generation: r.u32(), Incarnation: r.u32(), Accuser: ID(r.u32()), State: MemberState(r.byte())}
+	r.uint32()
+	m.Sender, m.Generation, m.Incarnation, m.MessageNumber, m.ProbeNumber = ID(r.uint32()), r.uint32(), r.uint32(), r.uint32(), r.uint32()
+	m.Target, m.Requester, m.Digest = ID(r.uint32()), ID(r.uint32()), r.uint32()
+	for i := 0; i < nb && !r.malformed; i++ {
+		m.BucketDigests = append(m.BucketDigests, r.uint32())
+	}
+	for i := 0; i < nu && !r.malformed; i++ {
+		u := Update{ID: ID(r.uint32()), Generation: r.uint32(), Incarnation: r.uint32(), Accuser: ID(r.uint32()), State: MemberState(r.byte())}
 		ip := [4]byte(r.take(4))
 		u.Addr = netip.AddrPortFrom(netip.AddrFrom4(ip), binary.BigEndian.Uint16(r.take(2)))
-		u.Name, u.Zone = r.text(MaxNameLength), r.text(MaxZoneLength)
-		r.bad = r.bad || u.State > Left
+		u.Name, u.Zone = r.string(MaxNameLength), r.string(MaxZoneLength)
+		r.malformed = r.malformed || u.State > Left
 		m.Updates = append(m.Updates, u)
 	}
-	for i := 0; i < nf && !r.bad; i++ {
-		f := Fact{Owner: ID(r.u32()), Version: r.u32(), TTL: Micros(r.u32()) * 1000}
-		f.Name, f.Value = r.text(MaxFactNameLength), r.text(MaxFactValueLength)
+	for i := 0; i < nf && !r.malformed; i++ {
+		f := Fact{Owner: ID(r.uint32()), Version: r.uint32(), TTL: Micros(r.uint32()) * 1000}
+		f.Name, f.Value = r.string(MaxFactNameLength), r.string(MaxFactValueLength)
 		m.Facts = append(m.Facts, f)
 	}
-	if r.bad || len(r.rest) > 0 || flags > 3 || m.Kind < KindPing || m.Kind > lastKind || m.Sender == 0 {
+	if r.malformed || len(r.rest) > 0 || flags > 3 || m.Kind < KindPing || m.Kind > lastKind || m.Sender == 0 {
 		return Message{}, ErrMalformed
 	}
 	return m, nil
 }
 
-// window remembers the newest 64 messages of a sender, so that each is taken once; of older ones none is.
-type window struct {
-	sent  uint32 // this member's own count
-	top   uint32
-	taken uint64
+// replayWindow remembers the newest 64 messages of a sender, so that each is taken once; of older ones none is.
+type replayWindow struct {
+	sent    uint32 // this member's own count
+	highest uint32
+	seen    uint64
 }
 
-func (w *window) take(n uint32) bool {
-	switch d := int64(n) - int64(w.top); {
+func (w *replayWindow) accept(n uint32) bool {
+	switch d := int64(n) - int64(w.highest); {
 	case d > 0:
 		if d < 64 {
-			w.taken <<= uint(d)
+			w.seen <<= uint(d)
 		} else {
-			w.taken = 0
+			w.seen = 0
 		}
-		w.top, w.taken = n, w.taken|1
-	case d <= -64 || w.taken&(1<<uint(-d)) != 0:
+		w.highest, w.seen = n, w.seen|1
+	case d <= -64 || w.seen&(1<<uint(-d)) != 0:
 		return false
 	default:
-		w.taken |= 1 << uint(-d)
+		w.seen |= 1 << uint(-d)
 	}
 	return true
 }
--- a/membership/wire_test.go
+++ b/membership/wire_test.go
@@ -22,12 +22,12 @@
 	return m
 }
 
-func TestMessagesComeBackAsTheyWere(t *testing.T) {
+func TestCodecRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "a key of the group"} {
 		c := NewCodec("g", []byte(key))
 		m := fullMessage()
 		b := c.AppendEncode(nil, m)
-		assert.Len(t, b, MaxDatagramSize-m.room())
+		assert.Len(t, b, MaxDatagramSize-m.freeBytes())
 		got, err := c.Decode(b)
 		require.NoError(t, err)
 		assert.Equal(t, m, got)
@@ -35,11 +35,11 @@
 }
 
 // What is not of this group, form or key, or was changed on the way, changes nothing: it is not even a message.
-func TestBadDatagramsAreNoMessages(t *testing.T) {
+func TestDecodeRejectsBadDatagrams(t *testing.T) {
 	c := NewCodec("g", []byte("a key of the group"))
 	good := c.AppendEncode(nil, fullMessage())
 	later := c.AppendEncode(nil, fullMessage())
-	later[0] = form + 1
+	later[0] = wireVersion + 1
 	for name, bad := range map[string]struct {
 		b   []byte
 		err error
@@ -69,17 +69,17 @@
 	}
 }
 
-func TestARepeatIsTakenOnce(t *testing.T) {
-	var w window
+func TestReplayWindow(t *testing.T) {
+	var w replayWindow
 	for _, c := range []struct {
 		n    uint32
 		want bool
 	}{{1, true}, {1, false}, {3, true}, {2, true}, {2, false}, {100, true}, {36, false}, {37, true}, {37, false}, {99, true}, {200, true}, {100, false}} {
-		assert.Equal(t, c.want, w.take(c.n), "message %d", c.n)
+		assert.Equal(t, c.want, w.accept(c.n), "message %d", c.n)
 	}
 }
 
-func TestSettingsThatNobodyCanWorkWith(t *testing.T) {
+func TestConfigValidate(t *testing.T) {
 	good := testConfig(1)
 	require.NoError(t, good.Validate())
 	for name, spoil := range map[string]func(*Config){
@@ -97,10 +97,10 @@
 func FuzzRead(f *testing.F) {
 	c := NewCodec("g", nil)
 	f.Add(c.AppendEncode(nil, fullMessage()))
-	f.Add(c.AppendEncode(nil, Message{Kind: KindSyncRequest, Sender: 1, BucketDigests: make([]uint32, buckets)}))
+	f.Add(c.AppendEncode(nil, Message{Kind: KindSyncRequest, Sender: 1, BucketDigests: make([]uint32, bucketCount)}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > tailSize { // past the checksum, or nothing else would be found
-			b = append(b[:len(b)-tailSize:len(b)-tailSize], c.proof(b[:len(b)-tailSize])...)
+		if len(b) > authenticatorSize { // past the checksum, or nothing else would be found
+			b = append(b[:len(b)-authenticatorSize:len(b)-authenticatorSize], c.authenticator(b[:len(b)-authenticatorSize])...)
 		}
 		m, err := c.Decode(b)
 		if err != nil {
