--- a/membership.go
+++ b/membership.go
@@ -16,11 +16,11 @@
 
 // The membership of a platform's gossip group.
 const (
-	platformPeriod  = time.Second
-	platformHold    = 8 * platformPeriod // how long a suspected member is kept
-	platformForget  = time.Hour          // after which a dead member is forgotten
-	platformBudget  = 30                 // datagrams a second
-	platformMembers = "tier"             // the group's name
+	platformProbeInterval    = time.Second
+	platformSuspicionTimeout = 8 * platformProbeInterval // how long a suspected member is kept
+	platformTombstoneTTL     = time.Hour                 // after which a dead member is forgotten
+	platformMaxSendRate      = 30                        // datagrams a second
+	platformMembers          = "tier"                    // the group's name
 )
 
 // platformMembership is the configuration of a member of the platform's gossip group. The platform has no key.
@@ -29,13 +29,13 @@
 		Listen: edge.Peers.Listen,
 		Group:  platformMembers,
 		Member: membership.Config{
-			Name:   edge.Name,
-			Addr:   edge.Peers.All[edge.Settings.InstanceIndex],
-			Seeds:  edge.Peers.All,
-			Period: platformPeriod.Microseconds(),
-			Hold:   platformHold.Microseconds(),
-			Budget: platformBudget,
-			Forget: platformForget.Microseconds(),
+			Name:             edge.Name,
+			Addr:             edge.Peers.All[edge.Settings.InstanceIndex],
+			Seeds:            edge.Peers.All,
+			ProbeInterval:    platformProbeInterval.Microseconds(),
+			SuspicionTimeout: platformSuspicionTimeout.Microseconds(),
+			MaxSendRate:      platformMaxSendRate,
+			TombstoneTTL:     platformTombstoneTTL.Microseconds(),
 		},
 	}
 }
@@ -73,7 +73,7 @@
 		return fmt.Errorf("membership: %w", err)
 	}
 	log := p.log.WithField("instance", c.Member.Name)
-	node, err := gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Now: now})
+	node, err := gossip.Open(gossip.Config{Member: c.Member, Group: c.Group, Key: key, Conn: conn, Log: log, Clock: now})
 	if err != nil {
 		_ = conn.Close()
 		return err
@@ -81,7 +81,7 @@
 	p.gossip = node
 	log.WithField("listen", conn.LocalAddr().String()).WithField("address", c.Member.Addr.String()).Info("reachable for members")
 	if search := p.config.OpenSearch; search != nil {
-		self := membership.NameID(c.Member.Name)
+		self := membership.IDFromName(c.Member.Name)
 		search.Share = func() (number, fleet int) { return node.View().Share(self, search.Number, search.Fleet) }
 	}
 	return nil
@@ -95,7 +95,7 @@
 func (p *program) followQuota(stopping <-chan struct{}) {
 	var applied quota
 	for {
-		changed := p.gossip.Changed()
+		changed := p.gossip.ViewChanged()
 		number, fleet := p.config.OpenSearch.Share()
 		if now := (quota{number, fleet}); now != applied {
 			applied = now
@@ -157,8 +157,8 @@
 		if now := p.servedState(); now != published || time.Since(publishedAt) > factLifetime/3 {
 			published = now
 			publishedAt = time.Now()
-			p.publishFact(membership.Document, now.version)
-			p.publishFact(membership.Stores, now.stores)
+			p.publishFact(membership.DocumentVersion, now.version)
+			p.publishFact(membership.EndpointListDigest, now.stores)
 		}
 		select {
 		case <-ticker.C:
@@ -168,9 +168,9 @@
 	}
 }
 
-func (p *program) publishFact(key membership.Key[uint64], value uint64) {
+func (p *program) publishFact(key membership.FactKey[uint64], value uint64) {
 	if value > 0 {
-		p.gossip.Tell(key.Publish(value, factLifetime.Microseconds()))
+		p.gossip.PublishFact(key.Publish(value, factLifetime.Microseconds()))
 	}
 }
 
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -296,7 +296,7 @@
 // sent returns how many datagrams and bytes some members have sent.
 func (r *cluster) sent(names []string) (datagrams, bytes uint64) {
 	for _, name := range names {
-		counts := r.instances[name].members().Counts
+		counts := r.instances[name].members().Datagrams
 		datagrams += counts.Sent
 		bytes += counts.SentBytes
 	}
