--- a/broker/broker.go
+++ b/broker/broker.go
@@ -119,19 +119,19 @@
 	RetryDeadline time.Time
 
 	broker *Broker
-	part   *part
-	try    int
-	sent   time.Time
-	timer  *timer
+	part   *activePart
+	number    int
+	sentAt   time.Time
+	deadlineTimer  *timer
 	state  atomic.Int32
-	over   bool // owner's: its outcome was told
-	ended  policy.Status
+	finished   bool // owner's: its outcome was told
+	status  policy.Status
 }
 
 const (
-	queued int32 = iota
-	begun
-	revoked
+	attemptQueued int32 = iota
+	attemptStarted
+	attemptWithdrawn
 )
 
 // Start is called before the first byte is written. False means that it must not be written: it was given up, its
@@ -142,16 +142,16 @@
 	if a.Query.canceled.Load() || !now.Before(a.Deadline) || !a.RetryDeadline.IsZero() && !now.Before(a.RetryDeadline) {
 		return false
 	}
-	return a.state.CompareAndSwap(queued, begun)
+	return a.state.CompareAndSwap(attemptQueued, attemptStarted)
 }
 
 // Withdraw takes an attempt back for good and tells whether it has never run: whether it had not been begun.
 func (a *Attempt) Withdraw() (never bool) {
-	return a.state.CompareAndSwap(queued, revoked) || a.state.Load() == revoked
+	return a.state.CompareAndSwap(attemptQueued, attemptWithdrawn) || a.state.Load() == attemptWithdrawn
 }
 
 // Finish hands in the attempt's outcome. Only the first counts.
-func (a *Attempt) Finish(o AttemptResult) { a.broker.post(finished{a, o}) }
+func (a *Attempt) Finish(o AttemptResult) { a.broker.post(attemptFinished{a, o}) }
 
 // Config is what a broker needs.
 type Config struct {
@@ -159,7 +159,7 @@
 	Seed      uint64
 	Transport Transport
 	Log       *logrus.Entry
-	Queue     int    // length of the owner's queue; 0: a default
+	QueueLength     int    // length of the owner's queue; 0: a default
 	Terms     *Terms // to begin with, in place of Settings; nil: Settings alone
 	Gate      Gate   // nil: always open
 }
@@ -168,68 +168,68 @@
 type Broker struct {
 	terms  atomic.Pointer[Terms] // the owner's to change
 	gate   Gate
-	to     Transport
+	transport     Transport
 	log    *logrus.Entry
 	policy *policy.Aggregator
 	epoch  time.Time
-	queue  chan any
-	stop   chan struct{}
-	done   chan struct{}
-	once   sync.Once
-	idle   chan struct{} // closed when a drain has ended and nothing is open
+	messages  chan any
+	stopping   chan struct{}
+	stopped   chan struct{}
+	closeOnce   sync.Once
+	drained   chan struct{} // closed when a drain has ended and nothing is open
 
 	// The rest is the owner's.
-	set     policy.Settings // of the terms
-	queries map[uint64]*query
-	parts   map[uint64]*part
-	byQuery map[*Query]*query
-	open    int // queries and parts held
-	nextID  uint64
-	timers  timers
-	events  []policy.Event
-	cutoff  time.Time // of a drain; zero: none
-	cutOffs ratelog.Line
-	notSent ratelog.Line
-}
-
-type query struct {
+	settings     policy.Settings // of the terms
+	queriesByID map[uint64]*activeQuery
+	partsByID   map[uint64]*activePart
+	queriesBySubmission map[*Query]*activeQuery
+	openItems    int // queries and parts held
+	lastID  uint64
+	timers  timerHeap
+	pendingEvents  []policy.Event
+	drainDeadline  time.Time // of a drain; zero: none
+	expiryLog ratelog.Line
+	sendErrorLog ratelog.Line
+}
+
+type activeQuery struct {
 	*Query
 	id      uint64
-	version uint64    // of the terms it was taken by
-	last    time.Time // from about then on it ends because its time is up
-	timer   *timer
-	parts   []*part
-	cls     policy.Class // as it was taken
+	termsVersion uint64    // of the terms it was taken by
+	answerDeadline    time.Time // from about then on it ends because its time is up
+	deadlineTimer   *timer
+	parts   []*activePart
+	class     policy.Class // as it was taken
 }
 
-type part struct {
+type activePart struct {
 	id    uint64
-	q     *query
+	query     *activeQuery
 	spec  Part
-	tries []*Attempt
-	value []byte
-	in    bool
+	attempts []*Attempt
+	body []byte
+	answered    bool
 }
 
 // What comes through the queue.
 type (
-	finished struct {
-		a *Attempt
-		o AttemptResult
+	attemptFinished struct {
+		attempt *Attempt
+		result AttemptResult
 	}
-	probed struct {
+	healthCheckFinished struct {
 		server uint32
-		at     time.Time
-		o      AttemptResult
+		startedAt     time.Time
+		result      AttemptResult
 	}
-	cancel  struct{ q *Query }
-	members struct{ servers []policy.Endpoint }
-	change  struct{ terms *Terms }
-	drain   struct{ cutoff time.Time }
+	queryCanceled  struct{ query *Query }
+	endpointsUpdated struct{ endpoints []policy.Endpoint }
+	termsChanged  struct{ terms *Terms }
+	drainStarted   struct{ deadline time.Time }
 )
 
-// ErrTwoSteps refuses settings whose classes bring a second step after the first answer.
-var ErrTwoSteps = errors.New("classes with a second step are not supported")
+// ErrFetchPhaseUnsupported refuses settings whose classes bring a second step after the first answer.
+var ErrFetchPhaseUnsupported = errors.New("classes with a second step are not supported")
 
 // New checks the settings and starts the owner.
 func New(c Config) (*Broker, error) {
@@ -243,14 +243,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("start decisions: %w", err)
 	}
-	if c.Queue <= 0 {
-		c.Queue = 1024
+	if c.QueueLength <= 0 {
+		c.QueueLength = 1024
 	}
 	b := &Broker{
-		set: c.Terms.Settings, gate: c.Gate, to: c.Transport, log: c.Log, policy: p, epoch: time.Now(),
-		queue: make(chan any, c.Queue), stop: make(chan struct{}), done: make(chan struct{}),
-		idle: make(chan struct{}), queries: map[uint64]*query{}, parts: map[uint64]*part{},
-		byQuery: map[*Query]*query{},
+		settings: c.Terms.Settings, gate: c.Gate, transport: c.Transport, log: c.Log, policy: p, epoch: time.Now(),
+		messages: make(chan any, c.QueueLength), stopping: make(chan struct{}), stopped: make(chan struct{}),
+		drained: make(chan struct{}), queriesByID: map[uint64]*activeQuery{}, partsByID: map[uint64]*activePart{},
+		queriesBySubmission: map[*Query]*activeQuery{},
 	}
 	b.terms.Store(c.Terms)
 	go b.run()
@@ -261,7 +261,7 @@
 func (t *Terms) Check() error {
 	for _, class := range t.Settings.Classes {
 		if class.FetchParts > 0 {
-			return fmt.Errorf("class %s: %w", class.Name, ErrTwoSteps)
+			return fmt.Errorf("class %s: %w", class.Name, ErrFetchPhaseUnsupported)
 		}
 	}
 	return t.Settings.Check()
@@ -276,7 +276,7 @@
 	if err := t.Check(); err != nil {
 		return err
 	}
-	b.post(change{t})
+	b.post(termsChanged{t})
 	return nil
 }
 
@@ -284,9 +284,9 @@
 // connection and nothing else. After Close it drops what comes.
 func (b *Broker) post(item any) bool {
 	select {
-	case b.queue <- item:
+	case b.messages <- item:
 		return true
-	case <-b.stop:
+	case <-b.stopping:
 		return false
 	}
 }
@@ -301,119 +301,119 @@
 		q.canceled.Store(true)
 	}
 	for _, q := range queries { // each may wait for the owner
-		b.post(cancel{q})
+		b.post(queryCanceled{q})
 	}
 }
 
 // UpdateEndpoints hands in the whole server list as it now is.
-func (b *Broker) UpdateEndpoints(servers []policy.Endpoint) { b.post(members{servers}) }
+func (b *Broker) UpdateEndpoints(servers []policy.Endpoint) { b.post(endpointsUpdated{servers}) }
 
 // Drain makes the broker end every query by cutoff and returns a channel that closes once nothing is open.
 func (b *Broker) Drain(cutoff time.Time) <-chan struct{} {
-	b.post(drain{cutoff})
-	return b.idle
+	b.post(drainStarted{cutoff})
+	return b.drained
 }
 
 // Close stops the owner. Open queries get no answer: drain first.
 func (b *Broker) Close() {
-	b.once.Do(func() { close(b.stop) })
-	<-b.done
+	b.closeOnce.Do(func() { close(b.stopping) })
+	<-b.stopped
 }
 
-// micros is a moment on the clock that decisions use: the system's at the start, never running backwards.
-func (b *Broker) micros(t time.Time) policy.Micros {
+// policyTime is a moment on the clock that decisions use: the system's at the start, never running backwards.
+func (b *Broker) policyTime(t time.Time) policy.Micros {
 	return b.epoch.UnixMicro() + t.Sub(b.epoch).Microseconds()
 }
 
-func span(m policy.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func duration(m policy.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 func (b *Broker) run() {
-	defer close(b.done)
+	defer close(b.stopped)
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for {
-		wake.Reset(b.timers.wait(time.Now()))
+		wake.Reset(b.timers.untilNext(time.Now()))
 		select {
-		case <-b.stop:
+		case <-b.stopping:
 			return
-		case item := <-b.queue:
-			b.take(item)
+		case item := <-b.messages:
+			b.handle(item)
 		case <-wake.C:
 		}
-		b.drainQueue()
+		b.handleQueued()
 		now := time.Now()
-		for fire := b.timers.due(now); fire != nil; fire = b.timers.due(now) {
+		for fire := b.timers.popDue(now); fire != nil; fire = b.timers.popDue(now) {
 			fire(now)
 		}
 		// What carrying out brings about at once (an attempt that cannot be sent) is told in a step of its own.
-		for len(b.events) > 0 {
+		for len(b.pendingEvents) > 0 {
 			b.step(now)
 		}
-		if !b.cutoff.IsZero() && len(b.queries) == 0 {
+		if !b.drainDeadline.IsZero() && len(b.queriesByID) == 0 {
 			select {
-			case <-b.idle:
+			case <-b.drained:
 			default:
-				close(b.idle)
+				close(b.drained)
 			}
 		}
 	}
 }
 
-// drainQueue takes what else is there already, so that one turn sees all of it, as one tick would.
-func (b *Broker) drainQueue() {
-	for range cap(b.queue) {
+// handleQueued takes what else is there already, so that one turn sees all of it, as one tick would.
+func (b *Broker) handleQueued() {
+	for range cap(b.messages) {
 		select {
-		case item := <-b.queue:
-			b.take(item)
+		case item := <-b.messages:
+			b.handle(item)
 		default:
 			return
 		}
 	}
 }
 
-func (b *Broker) emit(e policy.Event) { b.events = append(b.events, e) }
+func (b *Broker) emit(e policy.Event) { b.pendingEvents = append(b.pendingEvents, e) }
 
-func (b *Broker) take(item any) {
+func (b *Broker) handle(item any) {
 	now := time.Now()
 	switch it := item.(type) {
 	case *Query:
-		b.takeQuery(it, now)
-	case cancel:
-		if q := b.byQuery[it.q]; q != nil {
+		b.admit(it, now)
+	case queryCanceled:
+		if q := b.queriesBySubmission[it.query]; q != nil {
 			b.emit(policy.ClientCanceled{Query: q.id})
-			b.forget(q, now)
+			b.remove(q, now)
 		}
-	case finished:
-		b.outcome(it.a, it.o, now)
-	case probed:
+	case attemptFinished:
+		b.finishAttempt(it.attempt, it.result, now)
+	case healthCheckFinished:
 		b.emit(policy.HealthCheckResult{
-			Server: it.server, Status: it.o.Status, Elapsed: now.Sub(it.at).Microseconds(),
-			Report: it.o.Report,
+			Server: it.server, Status: it.result.Status, Elapsed: now.Sub(it.startedAt).Microseconds(),
+			Report: it.result.Report,
 		})
-	case members:
-		b.emit(policy.EndpointList{Endpoints: it.servers})
-	case change:
-		b.set = it.terms.Settings
+	case endpointsUpdated:
+		b.emit(policy.EndpointList{Endpoints: it.endpoints})
+	case termsChanged:
+		b.settings = it.terms.Settings
 		b.terms.Store(it.terms)
-		b.emit(policy.Reconfigure{Settings: b.set})
-	case drain:
-		if b.cutoff.IsZero() {
-			b.cutoff = it.cutoff
-			b.timers.add(it.cutoff, b.cut)
+		b.emit(policy.Reconfigure{Settings: b.settings})
+	case drainStarted:
+		if b.drainDeadline.IsZero() {
+			b.drainDeadline = it.deadline
+			b.timers.add(it.deadline, b.expireOpenQueries)
 		}
 	}
 }
 
-func (b *Broker) takeQuery(spec *Query, now time.Time) {
+func (b *Broker) admit(spec *Query, now time.Time) {
 	if spec.canceled.Load() {
 		return // nobody waits for an answer
 	}
 	advice := time.Duration(0)
-	if b.set.SendRetryAfter {
-		advice = span(b.set.MaxRetryAfter)
+	if b.settings.SendRetryAfter {
+		advice = duration(b.settings.MaxRetryAfter)
 	}
 	// The module leaves the limit on what is held to its owner. Holding on to more would use up the memory.
-	if b.set.MaxOpen > 0 && b.open >= b.set.MaxOpen || !b.cutoff.IsZero() && !now.Before(b.cutoff) {
+	if b.settings.MaxOpen > 0 && b.openItems >= b.settings.MaxOpen || !b.drainDeadline.IsZero() && !now.Before(b.drainDeadline) {
 		spec.Responder.Respond(Response{Status: Rejected, RetryAfter: advice})
 		return
 	}
@@ -433,125 +433,125 @@
 		spec.Responder.Respond(Response{Status: Rejected, StaleTerms: true})
 		return
 	}
-	b.nextID++
-	q := &query{Query: spec, id: b.nextID, last: spec.Deadline, version: terms.Version}
-	if spec.Class >= 0 && spec.Class < len(b.set.Classes) {
-		q.cls = b.set.Classes[spec.Class]
+	b.lastID++
+	q := &activeQuery{Query: spec, id: b.lastID, answerDeadline: spec.Deadline, termsVersion: terms.Version}
+	if spec.Class >= 0 && spec.Class < len(b.settings.Classes) {
+		q.class = b.settings.Classes[spec.Class]
 		// Where an answer past the aim earns nothing, the decisions stop there.
-		if c := q.cls; c.LateWeight <= 0 && now.Add(span(c.LatencyObjective)).Before(q.last) {
-			q.last = now.Add(span(c.LatencyObjective))
+		if c := q.class; c.LateWeight <= 0 && now.Add(duration(c.LatencyObjective)).Before(q.answerDeadline) {
+			q.answerDeadline = now.Add(duration(c.LatencyObjective))
 		}
 	}
-	b.queries[q.id], b.byQuery[spec] = q, q
-	b.open += 1 + len(spec.Parts)
+	b.queriesByID[q.id], b.queriesBySubmission[spec] = q, q
+	b.openItems += 1 + len(spec.Parts)
 	b.emit(policy.Query{
-		ID: q.id, Number: q.id, Class: spec.Class, Deadline: b.micros(spec.Deadline),
+		ID: q.id, Number: q.id, Class: spec.Class, Deadline: b.policyTime(spec.Deadline),
 		Parts: len(spec.Parts), Retry: spec.Retry,
 	})
 	for _, s := range spec.Parts {
-		b.nextID++
-		p := &part{id: b.nextID, q: q, spec: s}
+		b.lastID++
+		p := &activePart{id: b.lastID, query: q, spec: s}
 		q.parts = append(q.parts, p)
-		b.parts[p.id] = p
+		b.partsByID[p.id] = p
 		b.emit(policy.Part{ID: p.id, Number: q.id, Shard: s.Shard, Key: s.AffinityKey, Weight: s.Weight, CostHint: s.CostHint})
 	}
 	// The module ends every query in time. Should it ever not, the client still gets its one answer.
-	q.timer = b.timers.add(spec.Deadline.Add(-time.Millisecond), func(now time.Time) { b.cutOff(q, now) })
+	q.deadlineTimer = b.timers.add(spec.Deadline.Add(-time.Millisecond), func(now time.Time) { b.expire(q, now) })
 }
 
-// cutOff ends a query for which the decisions have no more time.
-func (b *Broker) cutOff(q *query, now time.Time) {
-	if b.queries[q.id] != q {
+// expire ends a query for which the decisions have no more time.
+func (b *Broker) expire(q *activeQuery, now time.Time) {
+	if b.queriesByID[q.id] != q {
 		return
 	}
 	ending := Rejected
 	for _, p := range q.parts {
-		for _, a := range p.tries {
-			if a.state.Load() == begun && q.cls.Idempotency != policy.Idempotent {
+		for _, a := range p.attempts {
+			if a.state.Load() == attemptStarted && q.class.Idempotency != policy.Idempotent {
 				ending = Failed
 			}
 		}
 	}
-	if more, due := b.cutOffs.Due(now); due {
+	if more, due := b.expiryLog.Due(now); due {
 		b.log.WithFields(logrus.Fields{"query": q.ID, "refused": ending == Rejected, "more": more}).Warn("query cut off at its end of time")
 	}
 	b.emit(policy.ClientCanceled{Query: q.id})
-	b.forget(q, now)
-	q.Responder.Respond(Response{Status: ending, DeadlineExceeded: true, Version: q.version})
+	b.remove(q, now)
+	q.Responder.Respond(Response{Status: ending, DeadlineExceeded: true, Version: q.termsVersion})
 }
 
-// cut ends what a drain finds open at its cutoff.
-func (b *Broker) cut(now time.Time) {
-	open := make([]*query, 0, len(b.queries))
-	for _, q := range b.queries {
+// expireOpenQueries ends what a drain finds open at its cutoff.
+func (b *Broker) expireOpenQueries(now time.Time) {
+	open := make([]*activeQuery, 0, len(b.queriesByID))
+	for _, q := range b.queriesByID {
 		open = append(open, q)
 	}
-	slices.SortFunc(open, func(x, y *query) int { return int(int64(x.id) - int64(y.id)) })
+	slices.SortFunc(open, func(x, y *activeQuery) int { return int(int64(x.id) - int64(y.id)) })
 	for _, q := range open {
-		b.cutOff(q, now)
+		b.expire(q, now)
 	}
 }
 
-// forget takes a query that is over out of the tables. Its attempts that wait to be written never are, whether the
+// remove takes a query that is over out of the tables. Its attempts that wait to be written never are, whether the
 // settings allow to cancel others or not: nobody has seen them. The rest stay until each has its outcome.
-func (b *Broker) forget(q *query, now time.Time) {
-	delete(b.queries, q.id)
-	delete(b.byQuery, q.Query)
-	b.open -= 1 + len(q.parts)
-	b.timers.drop(q.timer)
+func (b *Broker) remove(q *activeQuery, now time.Time) {
+	delete(b.queriesByID, q.id)
+	delete(b.queriesBySubmission, q.Query)
+	b.openItems -= 1 + len(q.parts)
+	b.timers.cancel(q.deadlineTimer)
 	for _, p := range q.parts {
-		p.value = nil // an attempt that is still out holds its part
-		for _, a := range p.tries {
-			if !a.over && a.Withdraw() {
-				b.abandon(a, policy.Canceled, now)
+		p.body = nil // an attempt that is still out holds its part
+		for _, a := range p.attempts {
+			if !a.finished && a.Withdraw() {
+				b.cancelAttempt(a, policy.Canceled, now)
 			}
 		}
-		b.settle(p)
+		b.releasePart(p)
 	}
 }
 
-// settle drops a part that is over and of which no attempt is out.
-func (b *Broker) settle(p *part) {
-	live := func(a *Attempt) bool { return !a.over }
-	if b.queries[p.q.id] != p.q && !slices.ContainsFunc(p.tries, live) {
-		delete(b.parts, p.id)
+// releasePart drops a part that is over and of which no attempt is out.
+func (b *Broker) releasePart(p *activePart) {
+	live := func(a *Attempt) bool { return !a.finished }
+	if b.queriesByID[p.query.id] != p.query && !slices.ContainsFunc(p.attempts, live) {
+		delete(b.partsByID, p.id)
 	}
 }
 
-// outcome tells the end of an attempt. Only the first end counts: a store's answer may cross a time-out.
-func (b *Broker) outcome(a *Attempt, o AttemptResult, now time.Time) {
-	if a.over {
+// finishAttempt tells the end of an attempt. Only the first end counts: a store's answer may cross a time-out.
+func (b *Broker) finishAttempt(a *Attempt, o AttemptResult, now time.Time) {
+	if a.finished {
 		return
 	}
-	a.over, a.ended = true, o.Status
-	b.timers.drop(a.timer)
-	if o.Status == policy.OK && b.queries[a.part.q.id] == a.part.q && !a.part.in {
-		a.part.in, a.part.value = true, o.Value
+	a.finished, a.status = true, o.Status
+	b.timers.cancel(a.deadlineTimer)
+	if o.Status == policy.OK && b.queriesByID[a.part.query.id] == a.part.query && !a.part.answered {
+		a.part.answered, a.part.body = true, o.Value
 	}
 	b.emit(policy.AttemptResult{
-		Part: a.part.id, Attempt: a.try, Server: a.Server, Status: o.Status,
-		Elapsed: now.Sub(a.sent).Microseconds(), Report: o.Report,
+		Part: a.part.id, Attempt: a.number, Server: a.Server, Status: o.Status,
+		Elapsed: now.Sub(a.sentAt).Microseconds(), Report: o.Report,
 	})
-	b.settle(a.part)
+	b.releasePart(a.part)
 }
 
-// abandon ends the wait for an attempt, with status where it may have run.
-func (b *Broker) abandon(a *Attempt, status policy.Status, now time.Time) {
-	if a.over {
+// cancelAttempt ends the wait for an attempt, with status where it may have run.
+func (b *Broker) cancelAttempt(a *Attempt, status policy.Status, now time.Time) {
+	if a.finished {
 		return
 	}
 	if a.Withdraw() && status == policy.TimedOut {
 		status = policy.ConnectFailed // it was never written: it waited for a connection all the time
 	}
-	b.to.Cancel(a)
-	b.outcome(a, AttemptResult{Status: status, Report: policy.NoLoadReport}, now)
+	b.transport.Cancel(a)
+	b.finishAttempt(a, AttemptResult{Status: status, Report: policy.NoLoadReport}, now)
 }
 
 // step hands the decisions what has happened and carries out what they return. A panic there must not take
 // the other queries with it: it is logged, and each query still ends by its time.
 func (b *Broker) step(now time.Time) {
-	events := b.events
-	b.events = nil
+	events := b.pendingEvents
+	b.pendingEvents = nil
 	var acts []policy.Action
 	func() {
 		defer func() {
@@ -559,135 +559,135 @@
 				b.log.WithField("stack", string(debug.Stack())).Errorf("decisions panicked: %v", r)
 			}
 		}()
-		acts = b.policy.Step(b.micros(now), events)
+		acts = b.policy.Step(b.policyTime(now), events)
 	}()
-	b.carryOut(acts, now)
+	b.execute(acts, now)
 }
 
-func (b *Broker) carryOut(acts []policy.Action, now time.Time) {
+func (b *Broker) execute(acts []policy.Action, now time.Time) {
 	var order []uint32
 	calls := map[uint32][]*Attempt{}
 	for _, act := range acts {
 		switch act := act.(type) {
 		case policy.SendAttempt:
-			if a := b.attempt(act, now); a != nil {
+			if a := b.newAttempt(act, now); a != nil {
 				if len(calls[act.Server]) == 0 {
 					order = append(order, act.Server)
 				}
 				calls[act.Server] = append(calls[act.Server], a)
 			}
 		case policy.CancelAttempt:
-			if p := b.parts[act.Part]; p != nil && act.Attempt >= 0 && act.Attempt < len(p.tries) {
-				b.abandon(p.tries[act.Attempt], policy.Canceled, now)
+			if p := b.partsByID[act.Part]; p != nil && act.Attempt >= 0 && act.Attempt < len(p.attempts) {
+				b.cancelAttempt(p.attempts[act.Attempt], policy.Canceled, now)
 			}
 		case policy.Answer:
-			b.finish(act.Query, Response{Status: Served, Complete: act.Complete}, now)
+			b.respond(act.Query, Response{Status: Served, Complete: act.Complete}, now)
 		case policy.Reject:
-			b.finish(act.Query, Response{Status: Rejected, RetryAfter: span(act.RetryAfter)}, now)
+			b.respond(act.Query, Response{Status: Rejected, RetryAfter: duration(act.RetryAfter)}, now)
 		case policy.Fail:
-			b.finish(act.Query, Response{Status: Failed}, now)
+			b.respond(act.Query, Response{Status: Failed}, now)
 		case policy.CloseIdleConnections:
-			b.to.CloseIdleConnections(act.Server)
+			b.transport.CloseIdleConnections(act.Server)
 		case policy.HealthCheck:
-			b.probe(act.Server, now)
+			b.checkHealth(act.Server, now)
 		case policy.SetTimer:
-			b.timers.add(now.Add(span(act.After)), func(time.Time) { b.emit(policy.Timer{}) })
+			b.timers.add(now.Add(duration(act.After)), func(time.Time) { b.emit(policy.Timer{}) })
 		case policy.Log:
 			b.log.Info(act.Text)
 		}
 	}
 	for _, server := range order {
-		for call := range slices.Chunk(calls[server], max(1, b.set.MaxBatchSize)) {
+		for call := range slices.Chunk(calls[server], max(1, b.settings.MaxBatchSize)) {
 			b.send(server, call, now)
 		}
 	}
 }
 
-// attempt books a Send. What may not be sent is told as moot, which proves that it never ran.
-func (b *Broker) attempt(act policy.SendAttempt, now time.Time) *Attempt {
-	p := b.parts[act.Part]
+// newAttempt books a Send. What may not be sent is told as moot, which proves that it never ran.
+func (b *Broker) newAttempt(act policy.SendAttempt, now time.Time) *Attempt {
+	p := b.partsByID[act.Part]
 	if p == nil {
 		b.log.WithField("part", act.Part).Error("decisions sent a part that is over")
 		return nil
 	}
-	until := now.Add(span(act.Timeout))
-	if act.Timeout == 0 || until.After(p.q.Deadline) {
-		until = p.q.Deadline
+	until := now.Add(duration(act.Timeout))
+	if act.Timeout == 0 || until.After(p.query.Deadline) {
+		until = p.query.Deadline
 	}
 	a := &Attempt{
-		Query: p.q.Query, Shard: p.spec.Shard, Server: act.Server, Deadline: until,
-		broker: b, part: p, try: len(p.tries), sent: now,
+		Query: p.query.Query, Shard: p.spec.Shard, Server: act.Server, Deadline: until,
+		broker: b, part: p, number: len(p.attempts), sentAt: now,
 	}
-	a.RetryDeadline = p.repeatBy()
-	p.tries = append(p.tries, a)
-	if b.queries[p.q.id] != p.q || !until.After(now) || b.set.MaxAttempts > 0 && a.try >= b.set.MaxAttempts {
+	a.RetryDeadline = p.retryDeadline()
+	p.attempts = append(p.attempts, a)
+	if b.queriesByID[p.query.id] != p.query || !until.After(now) || b.settings.MaxAttempts > 0 && a.number >= b.settings.MaxAttempts {
 		a.Withdraw()
-		b.outcome(a, AttemptResult{Status: policy.Withdrawn, Report: policy.NoLoadReport}, now)
+		b.finishAttempt(a, AttemptResult{Status: policy.Withdrawn, Report: policy.NoLoadReport}, now)
 		return nil
 	}
-	a.timer = b.timers.add(until, func(now time.Time) { b.abandon(a, policy.TimedOut, now) })
+	a.deadlineTimer = b.timers.add(until, func(now time.Time) { b.cancelAttempt(a, policy.TimedOut, now) })
 	return a
 }
 
-// repeatBy is when a further attempt must have been written, where what may have run is dropped by stores for a while
+// retryDeadline is when a further attempt must have been written, where what may have run is dropped by stores for a while
 // only; zero: at no time. It waits for connections meanwhile, so the decisions' own look at the window is not enough.
-func (p *part) repeatBy() (at time.Time) {
-	if p.q.cls.Idempotency != policy.IdempotentByKey {
+func (p *activePart) retryDeadline() (at time.Time) {
+	if p.query.class.Idempotency != policy.IdempotentByKey {
 		return at
 	}
-	for _, a := range p.tries {
-		never := a.state.Load() == revoked || a.over && (a.ended == policy.Rejected || a.ended == policy.ConnectFailed || a.ended == policy.Withdrawn)
-		if !never && (at.IsZero() || a.sent.Before(at)) {
-			at = a.sent
+	for _, a := range p.attempts {
+		never := a.state.Load() == attemptWithdrawn || a.finished && (a.status == policy.Rejected || a.status == policy.ConnectFailed || a.status == policy.Withdrawn)
+		if !never && (at.IsZero() || a.sentAt.Before(at)) {
+			at = a.sentAt
 		}
 	}
 	if !at.IsZero() {
-		at = at.Add(span(p.q.cls.DeduplicationWindow))
+		at = at.Add(duration(p.query.class.DeduplicationWindow))
 	}
 	return at
 }
 
 func (b *Broker) send(server uint32, call []*Attempt, now time.Time) {
-	err := b.to.Send(server, call)
+	err := b.transport.Send(server, call)
 	if err == nil {
 		return
 	}
-	if more, due := b.notSent.Due(now); due {
+	if more, due := b.sendErrorLog.Due(now); due {
 		b.log.WithError(err).WithFields(logrus.Fields{"server": server, "more": more}).Warn("attempt not sent")
 	}
 	for _, a := range call {
 		a.Withdraw()
-		b.outcome(a, AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport}, now)
+		b.finishAttempt(a, AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport}, now)
 	}
 }
 
-func (b *Broker) probe(server uint32, now time.Time) {
+func (b *Broker) checkHealth(server uint32, now time.Time) {
 	var once sync.Once
-	b.to.CheckHealth(server, func(o AttemptResult) {
-		once.Do(func() { b.post(probed{server, now, o}) })
+	b.transport.CheckHealth(server, func(o AttemptResult) {
+		once.Do(func() { b.post(healthCheckFinished{server, now, o}) })
 	})
 }
 
-// finish gives a query its final answer.
-func (b *Broker) finish(id uint64, answer Response, now time.Time) {
-	q := b.queries[id]
+// respond gives a query its final answer.
+func (b *Broker) respond(id uint64, answer Response, now time.Time) {
+	q := b.queriesByID[id]
 	if q == nil {
 		return
 	}
 	if answer.Status == Served {
 		for _, p := range q.parts {
-			if p.in {
-				answer.Parts = append(answer.Parts, PartResult{p.spec.Shard, p.value})
+			if p.answered {
+				answer.Parts = append(answer.Parts, PartResult{p.spec.Shard, p.body})
 			}
 		}
 	} else {
-		answer.DeadlineExceeded = time.Until(q.last) <= span(3*b.set.Tick)
-		vain := func(p *part) bool {
-			return !p.in && slices.ContainsFunc(p.tries, func(a *Attempt) bool { return a.over && a.ended != policy.Rejected })
+		answer.DeadlineExceeded = time.Until(q.answerDeadline) <= duration(3*b.settings.Tick)
+		vain := func(p *activePart) bool {
+			return !p.answered && slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return a.finished && a.status != policy.Rejected })
 		}
 		answer.PartsFailed = slices.ContainsFunc(q.parts, vain)
 	}
-	b.forget(q, now)
-	answer.Version = q.version
+	b.remove(q, now)
+	answer.Version = q.termsVersion
 	q.Responder.Respond(answer)
 }
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -111,8 +111,8 @@
 	learn(t, b, to, 50)
 	b.Close()
 	assert.Less(t, len(b.timers), 10) // the decisions' own
-	assert.Empty(t, b.queries)
-	assert.Empty(t, b.parts)
+	assert.Empty(t, b.queriesByID)
+	assert.Empty(t, b.partsByID)
 }
 
 func TestTimeOutTellsWhetherItMayHaveRun(t *testing.T) {
@@ -191,7 +191,7 @@
 	set := settings(policy.Idempotent)
 	set.Classes[0].FetchParts = 1
 	_, err := New(Config{Settings: set})
-	assert.ErrorIs(t, err, ErrTwoSteps)
+	assert.ErrorIs(t, err, ErrFetchPhaseUnsupported)
 }
 
 // A change of terms under an open query: it is answered as it was taken, what was read by the old terms and comes
@@ -228,7 +228,7 @@
 	old := b.Terms()
 	two := &Terms{Version: 2, Settings: settings(policy.Idempotent)}
 	two.Settings.Classes[0].FetchParts = 1
-	assert.ErrorIs(t, b.SetTerms(two), ErrTwoSteps)
+	assert.ErrorIs(t, b.SetTerms(two), ErrFetchPhaseUnsupported)
 	assert.Error(t, b.SetTerms(&Terms{Version: 3}))
 	_, s := submit(b, 20*time.Millisecond)
 	<-s
@@ -293,7 +293,7 @@
 		<-next
 		assert.Empty(t, s)
 		b.Close()
-		assert.Empty(t, b.parts, "its attempt is held for good")
+		assert.Empty(t, b.partsByID, "its attempt is held for good")
 	}
 }
 
@@ -310,7 +310,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	b, err := New(Config{Settings: settings(policy.Idempotent), Transport: to, Log: logrus.NewEntry(log), Queue: 1})
+	b, err := New(Config{Settings: settings(policy.Idempotent), Transport: to, Log: logrus.NewEntry(log), QueueLength: 1})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	b.UpdateEndpoints([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
@@ -353,7 +353,7 @@
 	learn(t, b, to, 20)
 	var q *Query
 	to.sending = func(a *Attempt) {
-		if a.try == 1 {
+		if a.number == 1 {
 			b.Cancel(q)
 			assert.False(t, a.Start(), "the owner has yet to hear of it")
 		}
@@ -363,7 +363,7 @@
 	require.True(t, b.Submit(q))
 	require.True(t, (<-to.sent).Start())
 	second := <-to.sent
-	assert.Equal(t, 1, second.try)
+	assert.Equal(t, 1, second.number)
 	assert.False(t, second.Start())
 	for range 2 { // both are given up
 		<-to.given
@@ -389,7 +389,7 @@
 		}
 		first.Finish(AttemptResult{Status: c.status, Report: policy.NoLoadReport})
 		second := <-to.sent
-		time.Sleep(time.Until(first.sent.Add(110 * time.Millisecond))) // the rule is about time
+		time.Sleep(time.Until(first.sentAt.Add(110 * time.Millisecond))) // the rule is about time
 		assert.Equal(t, !c.late, second.Start(), c.status)
 	}
 }
