--- /dev/null
+++ b/broker/dispatch.go
@@ -0,0 +1,155 @@
+package broker
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"alderproxy/policy"
+)
+
+// execute carries out the actions of one step in their order. Attempts are sent last, those to the same server in shared
+// calls.
+func (b *Broker) execute(actions []policy.Action, now time.Time) {
+	var servers []uint32
+	attemptsByServer := map[uint32][]*Attempt{}
+	for _, action := range actions {
+		send, isSend := action.(policy.SendAttempt)
+		if !isSend {
+			b.executeAction(action, now)
+			continue
+		}
+		a := b.newAttempt(send, now)
+		if a == nil {
+			continue
+		}
+		if len(attemptsByServer[send.Server]) == 0 {
+			servers = append(servers, send.Server)
+		}
+		attemptsByServer[send.Server] = append(attemptsByServer[send.Server], a)
+	}
+	for _, server := range servers {
+		for call := range slices.Chunk(attemptsByServer[server], max(1, b.settings.MaxBatchSize)) {
+			b.send(server, call, now)
+		}
+	}
+}
+
+// executeAction carries out any action other than policy.SendAttempt.
+func (b *Broker) executeAction(action policy.Action, now time.Time) {
+	switch action := action.(type) {
+	case policy.CancelAttempt:
+		if p := b.partsByID[action.Part]; p != nil && action.Attempt >= 0 && action.Attempt < len(p.attempts) {
+			b.cancelAttempt(p.attempts[action.Attempt], policy.Canceled, now)
+		}
+	case policy.Answer:
+		b.respond(action.Query, Response{Status: Served, Complete: action.Complete}, now)
+	case policy.Reject:
+		b.respond(action.Query, Response{Status: Rejected, RetryAfter: duration(action.RetryAfter)}, now)
+	case policy.Fail:
+		b.respond(action.Query, Response{Status: Failed}, now)
+	case policy.CloseIdleConnections:
+		b.transport.CloseIdleConnections(action.Server)
+	case policy.HealthCheck:
+		b.checkHealth(action.Server, now)
+	case policy.SetTimer:
+		b.timers.add(now.Add(duration(action.After)), func(time.Time) { b.emit(policy.Timer{}) })
+	case policy.Log:
+		b.log.Info(action.Text)
+	}
+}
+
+// newAttempt records an attempt that the decisions ordered. It returns nil for one that must not be sent, which the
+// decisions then see as withdrawn.
+func (b *Broker) newAttempt(order policy.SendAttempt, now time.Time) *Attempt {
+	p := b.partsByID[order.Part]
+	if p == nil {
+		b.log.WithField("part", order.Part).Error("decisions sent an attempt of an unknown part")
+		return nil
+	}
+	deadline := now.Add(duration(order.Timeout))
+	if order.Timeout == 0 || deadline.After(p.query.Deadline) {
+		deadline = p.query.Deadline
+	}
+	a := &Attempt{
+		Query:         p.query.Query,
+		Shard:         p.spec.Shard,
+		Server:        order.Server,
+		Deadline:      deadline,
+		RetryDeadline: p.retryDeadline(),
+		broker:        b,
+		part:          p,
+		number:        len(p.attempts),
+		sentAt:        now,
+	}
+	p.attempts = append(p.attempts, a)
+	overLimit := b.settings.MaxAttempts > 0 && a.number >= b.settings.MaxAttempts
+	if overLimit || !b.isOpen(p.query) || !deadline.After(now) {
+		a.Withdraw()
+		b.finishAttempt(a, withoutAnswer(policy.Withdrawn), now)
+		return nil
+	}
+	a.deadlineTimer = b.timers.add(deadline, func(now time.Time) { b.cancelAttempt(a, policy.TimedOut, now) })
+	return a
+}
+
+// send hands a call to the transport.
+func (b *Broker) send(server uint32, call []*Attempt, now time.Time) {
+	err := b.transport.Send(server, call)
+	if err == nil {
+		return
+	}
+	if suppressed, due := b.sendErrorLog.Due(now); due {
+		b.log.WithError(err).WithFields(logrus.Fields{"server": server, "more": suppressed}).Warn("attempt not sent")
+	}
+	for _, a := range call {
+		a.Withdraw()
+		b.finishAttempt(a, withoutAnswer(policy.ConnectFailed), now)
+	}
+}
+
+// checkHealth has the transport request a server's load report.
+func (b *Broker) checkHealth(server uint32, now time.Time) {
+	var once sync.Once
+	b.transport.CheckHealth(server, func(result AttemptResult) {
+		once.Do(func() { b.post(healthCheckFinished{server, now, result}) })
+	})
+}
+
+// finishAttempt reports an attempt's outcome to the decisions. A later one is ignored: an answer may cross a timeout.
+func (b *Broker) finishAttempt(a *Attempt, result AttemptResult, now time.Time) {
+	if a.finished {
+		return
+	}
+	a.finished = true
+	a.status = result.Status
+	b.timers.cancel(a.deadlineTimer)
+	p := a.part
+	if result.Status == policy.OK && b.isOpen(p.query) && !p.answered {
+		p.answered = true
+		p.body = result.Value
+	}
+	b.emit(policy.AttemptResult{
+		Part:    p.id,
+		Attempt: a.number,
+		Server:  a.Server,
+		Status:  result.Status,
+		Elapsed: now.Sub(a.sentAt).Microseconds(),
+		Report:  result.Report,
+	})
+	b.releasePart(p)
+}
+
+// cancelAttempt ends the wait for an attempt. The status is that of an attempt that was started.
+func (b *Broker) cancelAttempt(a *Attempt, status policy.Status, now time.Time) {
+	if a.finished {
+		return
+	}
+	if a.Withdraw() && status == policy.TimedOut {
+		status = policy.ConnectFailed // it has waited for a connection all the time
+	}
+	b.transport.Cancel(a)
+	b.finishAttempt(a, withoutAnswer(status), now)
+}
--- /dev/null
+++ b/broker/eventloop.go
@@ -0,0 +1,141 @@
+package broker
+
+import (
+	"runtime/debug"
+	"time"
+
+	"alderproxy/policy"
+)
+
+// message is what another goroutine asks of the event loop or reports to it.
+type message interface {
+	// handle is called by the event loop.
+	handle(b *Broker, now time.Time)
+}
+
+// The messages to the event loop.
+type (
+	querySubmitted   struct{ query *Query }
+	queryCanceled    struct{ query *Query }
+	endpointsUpdated struct{ endpoints []policy.Endpoint }
+	termsChanged     struct{ terms *Terms }
+	drainStarted     struct{ deadline time.Time }
+
+	attemptFinished struct {
+		attempt *Attempt
+		result  AttemptResult
+	}
+
+	healthCheckFinished struct {
+		server    uint32
+		startedAt time.Time
+		result    AttemptResult
+	}
+)
+
+// post puts a message into the queue of the event loop. While the queue is full it blocks, which delays the caller's own
+// connection only. After Close it drops the message and returns false.
+func (b *Broker) post(m message) bool {
+	select {
+	case b.messages <- m:
+		return true
+	case <-b.stopping:
+		return false
+	}
+}
+
+// run is the event loop.
+func (b *Broker) run() {
+	defer close(b.stopped)
+	wakeup := time.NewTimer(maxTimerWait)
+	defer wakeup.Stop()
+	for {
+		wakeup.Reset(b.timers.untilNext(time.Now()))
+		select {
+		case <-b.stopping:
+			return
+		case m := <-b.messages:
+			m.handle(b, time.Now())
+		case <-wakeup.C:
+		}
+		b.handleQueued()
+		now := time.Now()
+		b.runDueTimers(now)
+		// Carrying out actions can cause events at once, as when an attempt cannot be sent. They get a step of their own.
+		for len(b.pendingEvents) > 0 {
+			b.step(now)
+		}
+		b.signalDrained()
+	}
+}
+
+// handleQueued handles the messages that wait already, so that the decisions see all of them in one step.
+func (b *Broker) handleQueued() {
+	for range cap(b.messages) {
+		select {
+		case m := <-b.messages:
+			m.handle(b, time.Now())
+		default:
+			return
+		}
+	}
+}
+
+func (b *Broker) runDueTimers(now time.Time) {
+	for callback := b.timers.popDue(now); callback != nil; callback = b.timers.popDue(now) {
+		callback(now)
+	}
+}
+
+// emit queues an event for the next step of the decisions.
+func (b *Broker) emit(e policy.Event) { b.pendingEvents = append(b.pendingEvents, e) }
+
+// step reports the pending events to the decisions and carries out the actions that they return.
+func (b *Broker) step(now time.Time) {
+	events := b.pendingEvents
+	b.pendingEvents = nil
+	b.execute(b.decide(events, now), now)
+}
+
+// decide runs one step of the decisions. It recovers from a panic, which must not take other queries with it: the timer of
+// each query still ends it at its deadline.
+func (b *Broker) decide(events []policy.Event, now time.Time) []policy.Action {
+	defer func() {
+		if r := recover(); r != nil {
+			b.log.WithField("stack", string(debug.Stack())).Errorf("decisions panicked: %v", r)
+		}
+	}()
+	return b.policy.Step(b.policyTime(now), events)
+}
+
+func (m querySubmitted) handle(b *Broker, now time.Time) { b.admit(m.query, now) }
+
+func (m queryCanceled) handle(b *Broker, now time.Time) {
+	if q := b.queriesBySubmission[m.query]; q != nil {
+		b.emit(policy.ClientCanceled{Query: q.id})
+		b.remove(q, now)
+	}
+}
+
+func (m attemptFinished) handle(b *Broker, now time.Time) { b.finishAttempt(m.attempt, m.result, now) }
+
+func (m healthCheckFinished) handle(b *Broker, now time.Time) {
+	b.emit(policy.HealthCheckResult{
+		Server:  m.server,
+		Status:  m.result.Status,
+		Elapsed: now.Sub(m.startedAt).Microseconds(),
+		Report:  m.result.Report,
+	})
+}
+
+func (m endpointsUpdated) handle(b *Broker, _ time.Time) {
+	b.emit(policy.EndpointList{Endpoints: m.endpoints})
+}
+
+func (m termsChanged) handle(b *Broker, _ time.Time) {
+	b.settings = m.terms.Settings
+	b.terms.Store(m.terms)
+	b.emit(policy.Reconfigure{Settings: b.settings})
+}
+
+func (m drainStarted) handle(b *Broker, _ time.Time) { b.startDrain(m.deadline) }
--- /dev/null
+++ b/broker/transport.go
@@ -0,0 +1,32 @@
+package broker
+
+import "alderproxy/policy"
+
+// Transport sends attempts to stores. The event loop calls its methods, so none may block. For every attempt that Send has
+// accepted and that was not canceled, the transport calls Attempt.Finish once. Finish and the callback of a health check
+// may wait for the event loop, so they must not be called from within a method of the transport.
+type Transport interface {
+	// Send starts attempts that share one call. If it returns an error, none of them is sent.
+	Send(server uint32, call []*Attempt) error
+	// Cancel is called once nobody waits for an attempt any longer.
+	Cancel(a *Attempt)
+	// CloseIdleConnections closes the idle connections to a server.
+	CloseIdleConnections(server uint32)
+	// CheckHealth requests a server's load report and calls done once.
+	CheckHealth(server uint32, done func(AttemptResult))
+}
+
+// AttemptResult is the outcome of an attempt or of a health check.
+type AttemptResult struct {
+	// Status is the outcome.
+	Status policy.Status
+	// Report is the load report that came with the answer, or policy.NoLoadReport.
+	Report policy.LoadReport
+	// Value is the body of the answer to an attempt.
+	Value []byte
+}
+
+// withoutAnswer is the result of an attempt that no store has answered.
+func withoutAnswer(status policy.Status) AttemptResult {
+	return AttemptResult{Status: status, Report: policy.NoLoadReport}
+}
