--- a/storepool/conn.go
+++ b/storepool/conn.go
@@ -20,171 +20,171 @@
 	errIdle   = errors.New("connection idle")
 )
 
-// item is something to write: a call, a probe, or the id of a part that is given up.
-type item struct {
-	call   []*broker.Attempt
-	probe  *probe
-	cancel string
+// writeRequest is something to write: a call, a probe, or the id of a part that is given up.
+type writeRequest struct {
+	attempts   []*broker.Attempt
+	healthCheck  *healthCheck
+	cancelID string
 }
 
-// conn is one connection to a store. One goroutine dials and writes, a second reads: an answer may come
+// connection is one connection to a store. One goroutine dials and writes, a second reads: an answer may come
 // while a write waits for a peer that does not read.
-type conn struct {
+type connection struct {
 	pool   *Pool
-	to     Store
-	opened time.Time
-	wake   chan struct{} // has something once there is something to write
-	gone   chan struct{} // closed with the connection
+	store     Store
+	createdAt time.Time
+	writeReady   chan struct{} // has something once there is something to write
+	closed   chan struct{} // closed with the connection
 
 	mu     sync.Mutex
-	out    []item // to be written
-	nc     net.Conn
-	err    error // why it was closed; nil while open
-	last   bool  // nothing new may be put on it
+	writeQueue    []writeRequest // to be written
+	netConn     net.Conn
+	closeCause    error // why it was closed; nil while open
+	retired   bool  // nothing new may be put on it
 	fenced bool  // nor may anything that waits to be written go out on it, but the word that a part is given up
-	calls  map[string]*sent
-	stale  map[string]bool // ids given up here: a late answer could be taken for that of a new attempt
-	probes []*probe        // written, in order
-	busy   int             // attempts queued or out
-	used   time.Time
-	waits  time.Time // since when something is out and nothing has come; zero: nothing is
+	inFlight  map[string]*inFlightAttempt
+	canceledIDs  map[string]bool // ids given up here: a late answer could be taken for that of a new attempt
+	healthChecks []*healthCheck        // written, in order
+	inFlightCount   int             // attempts queued or out
+	lastUsed   time.Time
+	awaitingSince  time.Time // since when something is out and nothing has come; zero: nothing is
 }
 
-// sent is an attempt on a connection.
-type sent struct {
+// inFlightAttempt is an attempt on a connection.
+type inFlightAttempt struct {
 	*broker.Attempt
 	written bool // its frame is out whole: from then on it may have run
 }
 
-// mostOut bounds what waits to be written on one connection: its calls, and as many words about given up ones again.
-func (c *conn) mostOut() int { return 4*c.pool.limits.Load().MaxInFlight + 16 }
+// maxWriteQueue bounds what waits to be written on one connection: its calls, and as many words about given up ones again.
+func (c *connection) maxWriteQueue() int { return 4*c.pool.limits.Load().MaxInFlight + 16 }
 
-// put has an item written, unless the other side does not read and too much waits already. The lock is held.
-func (c *conn) put(it item) bool {
-	if len(c.out) >= c.mostOut() {
+// enqueueLocked has an item written, unless the other side does not read and too much waits already. The lock is held.
+func (c *connection) enqueueLocked(it writeRequest) bool {
+	if len(c.writeQueue) >= c.maxWriteQueue() {
 		return false
 	}
-	c.out = append(c.out, it)
+	c.writeQueue = append(c.writeQueue, it)
 	select {
-	case c.wake <- struct{}{}:
+	case c.writeReady <- struct{}{}:
 	default: // the writer is still to look
 	}
 	return true
 }
 
-// pop takes off the next item to write.
-func (c *conn) pop() (it item, ok bool) {
+// dequeue takes off the next item to write.
+func (c *connection) dequeue() (it writeRequest, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.out) == 0 {
-		c.out = nil // what a burst took is given back
+	if len(c.writeQueue) == 0 {
+		c.writeQueue = nil // what a burst took is given back
 		return it, false
 	}
-	it, c.out[0] = c.out[0], item{}
-	c.out = c.out[1:]
+	it, c.writeQueue[0] = c.writeQueue[0], writeRequest{}
+	c.writeQueue = c.writeQueue[1:]
 	return it, true
 }
 
-// staleLook is how often a connection looks whether the list may be gone by again: a new call to an agent takes about as
+// staleEndpointsPollInterval is how often a connection looks whether the list may be gone by again: a new call to an agent takes about as
 // long.
-const staleLook = time.Millisecond
+const staleEndpointsPollInterval = time.Millisecond
 
-// maxStale bounds the ids remembered for one connection. A connection that has more takes nothing new.
-const maxStale = 512
+// maxCanceledIDs bounds the ids remembered for one connection. A connection that has more takes nothing new.
+const maxCanceledIDs = 512
 
-func newConn(p *Pool, to Store) *conn {
+func newConnection(p *Pool, to Store) *connection {
 	now := time.Now()
-	return &conn{
-		pool: p, to: to, opened: now, used: now, wake: make(chan struct{}, 1),
-		gone: make(chan struct{}), calls: map[string]*sent{}, stale: map[string]bool{},
+	return &connection{
+		pool: p, store: to, createdAt: now, lastUsed: now, writeReady: make(chan struct{}, 1),
+		closed: make(chan struct{}), inFlight: map[string]*inFlightAttempt{}, canceledIDs: map[string]bool{},
 	}
 }
 
-// silent tells that an answer is due on the connection and nothing has come for long. A way that leads nowhere any
+// unresponsiveLocked tells that an answer is due on the connection and nothing has come for long. A way that leads nowhere any
 // more looks like that, and TCP does not tell: what else is put on it is lost, for as long as something is. The
 // lock is held.
-func (c *conn) silent() bool {
-	return !c.waits.IsZero() && time.Since(c.waits) > c.pool.connectTimeout()/2
+func (c *connection) unresponsiveLocked() bool {
+	return !c.awaitingSince.IsZero() && time.Since(c.awaitingSince) > c.pool.connectTimeout()/2
 }
 
-// fit is how well a connection must suit a call.
-type fit uint8
+// requirement is how well a connection must suit a call.
+type requirement uint8
 
 const (
-	anyRoom fit = iota // it has room
-	sound              // and is not silent
-	apart              // and no other call is out on it
+	hasCapacity requirement = iota // it has room
+	isResponsive              // and is not silent
+	isUnused              // and no other call is out on it
 )
 
-// push queues an item if the connection can take it now and fits.
-func (c *conn) push(it item, want fit) bool {
+// tryEnqueue queues an item if the connection can take it now and fits.
+func (c *connection) tryEnqueue(it writeRequest, want requirement) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.err != nil || c.last || c.busy >= c.pool.limits.Load().MaxInFlight && it.call != nil ||
-		want >= sound && c.silent() || want == apart && c.busy > 0 {
+	if c.closeCause != nil || c.retired || c.inFlightCount >= c.pool.limits.Load().MaxInFlight && it.attempts != nil ||
+		want >= isResponsive && c.unresponsiveLocked() || want == isUnused && c.inFlightCount > 0 {
 		return false
 	}
 	// Nobody looked for so long (a process that stood still): its store may have closed it by now.
-	if it.call != nil && c.nc != nil && c.busy == 0 && time.Since(c.used) >= c.pool.idleLimit() {
-		c.last = true
+	if it.attempts != nil && c.netConn != nil && c.inFlightCount == 0 && time.Since(c.lastUsed) >= c.pool.idleLimit() {
+		c.retired = true
 		go c.close(errIdle)
 		return false
 	}
-	for _, a := range it.call {
-		if id := PartID(a); c.stale[id] || c.calls[id] != nil {
+	for _, a := range it.attempts {
+		if id := PartID(a); c.canceledIDs[id] || c.inFlight[id] != nil {
 			return false
 		}
 	}
-	if !c.put(it) {
+	if !c.enqueueLocked(it) {
 		return false
 	}
-	c.used = time.Now()
-	c.busy += len(it.call)
-	for _, a := range it.call {
-		c.calls[PartID(a)] = &sent{Attempt: a}
+	c.lastUsed = time.Now()
+	c.inFlightCount += len(it.attempts)
+	for _, a := range it.attempts {
+		c.inFlight[PartID(a)] = &inFlightAttempt{Attempt: a}
 	}
 	return true
 }
 
 // cancel tells the store that nobody waits for an attempt, if it is on this connection.
-func (c *conn) cancel(a *broker.Attempt) bool {
+func (c *connection) cancel(a *broker.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := PartID(a)
-	s := c.calls[id]
+	s := c.inFlight[id]
 	if s == nil || s.Attempt != a {
 		return false
 	}
-	delete(c.calls, id)
-	c.busy--
+	delete(c.inFlight, id)
+	c.inFlightCount--
 	if a.Withdraw() { // never written: the store knows nothing of it
 		return true
 	}
-	c.stale[id] = true
-	c.last = c.last || len(c.stale) >= maxStale
-	if c.busy == 0 && (c.last || c.silent()) { // nothing new comes on it, and its store may never answer
+	c.canceledIDs[id] = true
+	c.retired = c.retired || len(c.canceledIDs) >= maxCanceledIDs
+	if c.inFlightCount == 0 && (c.retired || c.unresponsiveLocked()) { // nothing new comes on it, and its store may never answer
 		go c.close(errIdle)
 		return true
 	}
 	if len(c.pool.codec.AppendCancel(nil, id)) == 0 {
-		c.last = true
+		c.retired = true
 		go c.close(errClosed) // not from here: other attempts' ends may wait for the owner
 		return true
 	}
-	c.put(item{cancel: id}) // to a peer that does not read the word is lost, as it would be on the way
+	c.enqueueLocked(writeRequest{cancelID: id}) // to a peer that does not read the word is lost, as it would be on the way
 	return true
 }
 
-// stopSending takes back what was not written yet. Nothing new goes out on the connection.
-func (c *conn) stopSending() {
+// fence takes back what was not written yet. Nothing new goes out on the connection.
+func (c *connection) fence() {
 	c.mu.Lock()
-	c.last, c.fenced = true, true
+	c.retired, c.fenced = true, true
 	var never []*broker.Attempt
-	for id, s := range c.calls {
+	for id, s := range c.inFlight {
 		if !s.written && s.Withdraw() { // from here the writer can't begin it any more
 			never = append(never, s.Attempt)
-			delete(c.calls, id)
-			c.busy--
+			delete(c.inFlight, id)
+			c.inFlightCount--
 		}
 	}
 	c.mu.Unlock()
@@ -193,33 +193,33 @@
 	}
 }
 
-// done tells that the connection takes nothing new and nothing is out on it any more.
-func (c *conn) done() bool {
+// drained tells that the connection takes nothing new and nothing is out on it any more.
+func (c *connection) drained() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last && c.busy+len(c.out)+len(c.probes) == 0
+	return c.retired && c.inFlightCount+len(c.writeQueue)+len(c.healthChecks) == 0
 }
 
 // retire lets what is out come to its end and takes nothing new.
-func (c *conn) retire() {
+func (c *connection) retire() {
 	c.mu.Lock()
-	c.last = true
+	c.retired = true
 	c.mu.Unlock()
 	c.closeIfIdle(0)
 }
 
-// closeIdle takes an idle connection out of use at once, so that the next call opens a new one: the owner's next Send
+// retireIdle takes an idle connection out of use at once, so that the next call opens a new one: the owner's next Send
 // follows so closely that a close from another goroutine would come too late. A probe that is out may still end.
-func (c *conn) closeIdle() {
+func (c *connection) retireIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.err != nil || c.busy > 0 && !c.silent() {
+	if c.closeCause != nil || c.inFlightCount > 0 && !c.unresponsiveLocked() {
 		return
 	}
-	if c.last = true; c.busy > 0 { // silent: what is out comes to its end
+	if c.retired = true; c.inFlightCount > 0 { // silent: what is out comes to its end
 		return
 	}
-	if len(c.probes) == 0 && len(c.out) == 0 {
+	if len(c.healthChecks) == 0 && len(c.writeQueue) == 0 {
 		go c.close(errIdle)
 	} else {
 		time.AfterFunc(c.pool.connectTimeout(), func() { c.close(errIdle) })
@@ -227,18 +227,18 @@
 }
 
 // idleSince is when an idle connection was last used; not ok where it is not idle.
-func (c *conn) idleSince() (at time.Time, ok bool) {
+func (c *connection) idleSince() (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.used, c.err == nil && !c.last && c.nc != nil && c.busy+len(c.out)+len(c.probes) == 0
+	return c.lastUsed, c.closeCause == nil && !c.retired && c.netConn != nil && c.inFlightCount+len(c.writeQueue)+len(c.healthChecks) == 0
 }
 
 // closeIfIdle closes the connection if nothing is out on it and it was not used for that long, or takes nothing new.
-func (c *conn) closeIfIdle(unused time.Duration) {
+func (c *connection) closeIfIdle(unused time.Duration) {
 	c.mu.Lock()
-	idle := c.busy == 0 && (c.last || time.Since(c.used) >= unused || c.silent()) && len(c.out) == 0
+	idle := c.inFlightCount == 0 && (c.retired || time.Since(c.lastUsed) >= unused || c.unresponsiveLocked()) && len(c.writeQueue) == 0
 	if idle {
-		c.last = true // before the lock is let go: no call may slip in between
+		c.retired = true // before the lock is let go: no call may slip in between
 	}
 	c.mu.Unlock()
 	if idle {
@@ -247,23 +247,23 @@
 }
 
 // close ends the connection and everything that is out on it. What was not written whole has never run.
-func (c *conn) close(why error) {
+func (c *connection) close(why error) {
 	c.mu.Lock()
-	if c.err != nil {
+	if c.closeCause != nil {
 		c.mu.Unlock()
 		return
 	}
-	c.err, c.last = why, true
-	if c.nc != nil {
-		c.nc.Close()
+	c.closeCause, c.retired = why, true
+	if c.netConn != nil {
+		c.netConn.Close()
 	}
-	close(c.gone)
+	close(c.closed)
 	type end struct {
 		a *broker.Attempt
 		s policy.Status
 	}
 	var over []end
-	for id, s := range c.calls {
+	for id, s := range c.inFlight {
 		if s.written {
 			over = append(over, end{s.Attempt, policy.ConnectionBroken})
 		} else if s.Withdraw() {
@@ -271,70 +271,70 @@
 		} else {
 			continue // being written: the writer sees the error and tells which it was
 		}
-		delete(c.calls, id)
+		delete(c.inFlight, id)
 	}
-	probes := c.probes
-	for _, it := range c.out {
-		if it.probe != nil {
-			probes = append(probes, it.probe)
+	probes := c.healthChecks
+	for _, it := range c.writeQueue {
+		if it.healthCheck != nil {
+			probes = append(probes, it.healthCheck)
 		}
 	}
-	c.probes, c.out = nil, nil
+	c.healthChecks, c.writeQueue = nil, nil
 	c.mu.Unlock()
 	ours := errors.Is(why, errIdle) || errors.Is(why, errClosed)
-	if line := c.pool.forget(c, len(over) > 0 && !ours); line != nil && !ours {
+	if line := c.pool.remove(c, len(over) > 0 && !ours); line != nil && !ours {
 		if more, due := line.Due(time.Now()); due {
-			c.pool.log.WithFields(logrus.Fields{"store": c.to.Name, "out": len(over), "more": more}).WithError(why).Info("store connection ended")
+			c.pool.log.WithFields(logrus.Fields{"store": c.store.Name, "out": len(over), "more": more}).WithError(why).Info("store connection ended")
 		}
 	}
 	status := policy.ConnectionBroken
-	if c.nc == nil {
+	if c.netConn == nil {
 		status = policy.ConnectFailed
 	}
 	for _, e := range over {
 		e.a.Finish(broker.AttemptResult{Status: e.s, Report: policy.NoLoadReport})
 	}
 	for _, p := range probes {
-		p.end(broker.AttemptResult{Status: status, Report: policy.NoLoadReport})
+		p.finish(broker.AttemptResult{Status: status, Report: policy.NoLoadReport})
 	}
 }
 
-func (c *conn) run(dial Dial) {
-	defer c.pool.ended() // closed or not, it is dialled to the end
-	nc, err := dial(c.to.Addr, c.pool.connectTimeout())
+func (c *connection) run(dial Dial) {
+	defer c.pool.connectionReleased() // closed or not, it is dialled to the end
+	nc, err := dial(c.store.Addr, c.pool.connectTimeout())
 	if err != nil {
 		c.close(fmt.Errorf("connect: %w", err))
 		return
 	}
 	c.mu.Lock()
-	if c.err != nil {
+	if c.closeCause != nil {
 		c.mu.Unlock()
 		nc.Close()
 		return
 	}
-	c.nc = nc
+	c.netConn = nc
 	c.mu.Unlock()
-	go c.read(nc)
+	go c.readLoop(nc)
 	var buf []byte
 	for {
-		it, ok := c.pop()
-		if !ok && c.done() {
+		it, ok := c.dequeue()
+		if !ok && c.drained() {
 			c.close(errIdle)
 			return
 		}
 		if !ok {
 			select {
-			case <-c.gone:
+			case <-c.closed:
 				return
-			case <-c.wake:
+			case <-c.writeReady:
 			}
 			continue
 		}
-		for it.call != nil && c.pool.EndpointsStale != nil && c.pool.EndpointsStale() {
+		for it.attempts != nil && c.pool.EndpointsStale != nil && c.pool.EndpointsStale() {
 			select {
-			case <-c.gone:
+			case <-c.closed:
 				return
-			case <-time.After(staleLook):
+			case <-time.After(staleEndpointsPollInterval):
 			}
 		}
 		if buf, err = c.write(nc, it, buf[:0]); err != nil {
@@ -344,14 +344,14 @@
 	}
 }
 
-// takeBack ends an attempt that was put on the connection and must not be written any more.
-func (c *conn) takeBack(a *broker.Attempt) {
+// withdrawQueued ends an attempt that was put on the connection and must not be written any more.
+func (c *connection) withdrawQueued(a *broker.Attempt) {
 	c.mu.Lock()
-	s := c.calls[PartID(a)]
+	s := c.inFlight[PartID(a)]
 	ours := s != nil && s.Attempt == a
 	if ours {
-		delete(c.calls, PartID(a))
-		c.busy--
+		delete(c.inFlight, PartID(a))
+		c.inFlightCount--
 	}
 	c.mu.Unlock()
 	if ours {
@@ -360,39 +360,39 @@
 }
 
 // write sends one item. The outcome of a call whose last byte did not go out is that it never ran.
-func (c *conn) write(nc net.Conn, it item, buf []byte) ([]byte, error) {
+func (c *connection) write(nc net.Conn, it writeRequest, buf []byte) ([]byte, error) {
 	now := time.Now()
 	var begun []*broker.Attempt
 	switch {
-	case it.cancel != "":
-		buf = c.pool.codec.AppendCancel(buf, it.cancel)
-	case it.probe != nil:
+	case it.cancelID != "":
+		buf = c.pool.codec.AppendCancel(buf, it.cancelID)
+	case it.healthCheck != nil:
 		c.mu.Lock()
-		if c.err != nil || c.fenced {
+		if c.closeCause != nil || c.fenced {
 			c.mu.Unlock()
-			it.probe.end(broker.AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
+			it.healthCheck.finish(broker.AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
 			return buf, nil
 		}
-		c.probes = append(c.probes, it.probe)
+		c.healthChecks = append(c.healthChecks, it.healthCheck)
 		c.mu.Unlock()
 		buf = c.pool.codec.AppendHealthCheck(buf)
 	default:
-		for _, a := range it.call {
+		for _, a := range it.attempts {
 			if a.Start() {
 				begun = append(begun, a)
 			} else if a.Withdraw() {
-				c.takeBack(a)
+				c.withdrawQueued(a)
 			}
 		}
 		if len(begun) == 0 {
 			return buf, nil
 		}
-		buf = c.pool.codec.AppendCall(buf, c.to, begun, now)
+		buf = c.pool.codec.AppendCall(buf, c.store, begun, now)
 	}
-	if it.cancel == "" {
+	if it.cancelID == "" {
 		c.mu.Lock()
-		if c.waits.IsZero() {
-			c.waits = now
+		if c.awaitingSince.IsZero() {
+			c.awaitingSince = now
 		}
 		c.mu.Unlock()
 	}
@@ -403,12 +403,12 @@
 	var over []*broker.Attempt
 	c.mu.Lock()
 	for _, a := range begun {
-		s := c.calls[PartID(a)]
+		s := c.inFlight[PartID(a)]
 		if s == nil || s.Attempt != a {
 			continue // answered or given up meanwhile
 		}
-		if s.written = whole; !whole || c.err != nil {
-			delete(c.calls, PartID(a))
+		if s.written = whole; !whole || c.closeCause != nil {
+			delete(c.inFlight, PartID(a))
 			over = append(over, a)
 		}
 	}
@@ -423,13 +423,13 @@
 	return buf, err
 }
 
-// read takes answers until the connection ends.
-func (c *conn) read(nc net.Conn) {
+// readLoop takes answers until the connection ends.
+func (c *connection) readLoop(nc net.Conn) {
 	r := bufio.NewReaderSize(nc, 4<<10)
 	for {
-		m, err := c.next(nc, r)
+		m, err := c.readMessage(nc, r)
 		if err == nil {
-			err = c.take(m, r.Buffered() > 0)
+			err = c.handleMessage(m, r.Buffered() > 0)
 		}
 		if err != nil {
 			c.close(fmt.Errorf("read: %w", err))
@@ -438,8 +438,8 @@
 	}
 }
 
-// next waits for a message. Silence is no error: it is what an idle connection and a hung store have in common.
-func (c *conn) next(nc net.Conn, r *bufio.Reader) (Message, error) {
+// readMessage waits for a message. Silence is no error: it is what an idle connection and a hung store have in common.
+func (c *connection) readMessage(nc net.Conn, r *bufio.Reader) (Message, error) {
 	for {
 		nc.SetReadDeadline(time.Now().Add(c.pool.idleLimit() / 8))
 		_, err := r.Peek(1)
@@ -456,43 +456,43 @@
 	return c.pool.codec.Read(r)
 }
 
-// take hands on what a store said. What nobody waits for any more is passed over. more tells that something stands
+// handleMessage hands on what a store said. What nobody waits for any more is passed over. more tells that something stands
 // behind it already: where nothing else is out, it belongs to nothing, and the connection serves no further use.
-func (c *conn) take(m Message, more bool) error {
-	var s *sent
+func (c *connection) handleMessage(m Message, more bool) error {
+	var s *inFlightAttempt
 	known := true
-	var p *probe
+	var p *healthCheck
 	c.mu.Lock()
 	switch m.Kind {
 	case Answer:
 		if m.ID == "" {
-			for m.ID = range c.calls { // the only one
+			for m.ID = range c.inFlight { // the only one
 			}
 		}
-		if s = c.calls[m.ID]; s != nil {
-			delete(c.calls, m.ID)
-			c.busy--
+		if s = c.inFlight[m.ID]; s != nil {
+			delete(c.inFlight, m.ID)
+			c.inFlightCount--
 		}
-		known = s != nil || c.stale[m.ID]
-		delete(c.stale, m.ID)
-		c.used = time.Now()
+		known = s != nil || c.canceledIDs[m.ID]
+		delete(c.canceledIDs, m.ID)
+		c.lastUsed = time.Now()
 	case LoadReport:
-		if len(c.probes) > 0 {
-			p, c.probes = c.probes[0], c.probes[1:]
+		if len(c.healthChecks) > 0 {
+			p, c.healthChecks = c.healthChecks[0], c.healthChecks[1:]
 		}
 	}
-	c.waits = time.Time{}
-	if len(c.calls)+len(c.probes) > 0 {
-		c.waits = time.Now()
+	c.awaitingSince = time.Time{}
+	if len(c.inFlight)+len(c.healthChecks) > 0 {
+		c.awaitingSince = time.Now()
 	}
-	c.last = c.last || m.Last || more && len(c.calls)+len(c.stale)+len(c.probes) == 0
-	retired := c.last
+	c.retired = c.retired || m.Last || more && len(c.inFlight)+len(c.canceledIDs)+len(c.healthChecks) == 0
+	retired := c.retired
 	c.mu.Unlock()
 	switch {
 	case s != nil:
 		s.Finish(m.Outcome)
 	case p != nil:
-		p.end(m.Outcome)
+		p.finish(m.Outcome)
 	case m.Kind == LoadReport:
 		return fmt.Errorf("%w: a load report that nobody asked for", ErrMalformed)
 	case !known: // a spoilt id: the answer that it stands for will not come
--- a/storepool/conn_test.go
+++ b/storepool/conn_test.go
@@ -51,8 +51,8 @@
 }
 
 // waiting is a connection that is not up yet.
-func waiting(streams int) *conn {
-	return newConn(New(Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: streams}, nil, testserver.Log()), Store{})
+func waiting(streams int) *connection {
+	return newConnection(New(Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: streams}, nil, testserver.Log()), Store{})
 }
 
 // A store that ends every connection costs one log line a second, which tells how many it stands for.
@@ -62,7 +62,7 @@
 	p.UpdateEndpoints([]Store{{Name: "s", Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
 	began := time.Now()
 	for range 200 {
-		newConn(p, Store{Name: "s", Endpoint: policy.Endpoint{ID: 1}}).close(io.ErrUnexpectedEOF)
+		newConnection(p, Store{Name: "s", Endpoint: policy.Endpoint{ID: 1}}).close(io.ErrUnexpectedEOF)
 	}
 	most := 1 + int(time.Since(began)/ratelog.Every)
 	assert.LessOrEqual(t, len(lines.AllEntries()), most)
@@ -74,21 +74,21 @@
 func TestQueuedCallIsTakenBackWhenItsStoreDrains(t *testing.T) {
 	to, _ := attempts(t)
 	c, a := waiting(32), <-to
-	require.True(t, c.push(item{call: []*broker.Attempt{a}}, anyRoom))
-	c.stopSending()
+	require.True(t, c.tryEnqueue(writeRequest{attempts: []*broker.Attempt{a}}, hasCapacity))
+	c.fence()
 	assert.False(t, a.Start(), "it could still be written")
-	assert.False(t, c.push(item{cancel: "x"}, anyRoom), "something new could still go out")
+	assert.False(t, c.tryEnqueue(writeRequest{cancelID: "x"}, hasCapacity), "something new could still go out")
 	assert.NotSame(t, a, <-to)
 }
 
 func TestStreamsLimitAndNamesOnAConnection(t *testing.T) {
 	to, _ := attempts(t)
 	c, a := waiting(1), <-to
-	call := item{call: []*broker.Attempt{a}}
-	require.True(t, c.push(call, anyRoom))
-	assert.False(t, c.push(call, anyRoom), "more than the connection carries")
+	call := writeRequest{attempts: []*broker.Attempt{a}}
+	require.True(t, c.tryEnqueue(call, hasCapacity))
+	assert.False(t, c.tryEnqueue(call, hasCapacity), "more than the connection carries")
 	c.pool.SetLimits(Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: 9})
-	assert.False(t, c.push(call, anyRoom), "two parts of one name")
+	assert.False(t, c.tryEnqueue(call, hasCapacity), "two parts of one name")
 	assert.False(t, c.cancel(&broker.Attempt{Query: a.Query}), "another attempt of that name")
 }
 
@@ -100,10 +100,10 @@
 			select {
 			case a := <-to:
 				c := waiting(32)
-				require.True(t, c.push(item{call: []*broker.Attempt{a}}, anyRoom))
+				require.True(t, c.tryEnqueue(writeRequest{attempts: []*broker.Attempt{a}}, hasCapacity))
 				if written {
 					require.True(t, a.Start())
-					c.calls[PartID(a)].written = true
+					c.inFlight[PartID(a)].written = true
 				}
 				c.close(errClosed)
 			case answer := <-answers:
@@ -119,14 +119,14 @@
 func TestConnectionThatBroughtWhatIsNotOursServesNoFurtherUse(t *testing.T) {
 	to, _ := attempts(t)
 	c, a := waiting(32), <-to
-	require.True(t, c.push(item{call: []*broker.Attempt{a}}, anyRoom))
-	c.pop() // as if written
-	assert.ErrorIs(t, c.take(Message{Kind: Answer, ID: "other"}, false), ErrMalformed)
-	c.stale["late"] = true
-	assert.NoError(t, c.take(Message{Kind: Answer, ID: "late"}, true), "a late answer is ordinary")
-	assert.NoError(t, c.err)
-	assert.NoError(t, c.take(Message{Kind: Answer, ID: PartID(a)}, true))
-	assert.Error(t, c.err, "it is still open")
+	require.True(t, c.tryEnqueue(writeRequest{attempts: []*broker.Attempt{a}}, hasCapacity))
+	c.dequeue() // as if written
+	assert.ErrorIs(t, c.handleMessage(Message{Kind: Answer, ID: "other"}, false), ErrMalformed)
+	c.canceledIDs["late"] = true
+	assert.NoError(t, c.handleMessage(Message{Kind: Answer, ID: "late"}, true), "a late answer is ordinary")
+	assert.NoError(t, c.closeCause)
+	assert.NoError(t, c.handleMessage(Message{Kind: Answer, ID: PartID(a)}, true))
+	assert.Error(t, c.closeCause, "it is still open")
 }
 
 // Between the list and the wire lie calls and probes that wait: for their connection to come up, behind a frame that is
@@ -153,15 +153,15 @@
 			w := waiting(32)
 			p := w.pool
 			p.UpdateEndpoints([]Store{ready})
-			p.stores[1].conns = []*conn{w}
+			p.stores[1].connections = []*connection{w}
 			var probed *broker.AttemptResult
-			pr := &probe{done: func(o broker.AttemptResult) { probed = &o }}
-			require.True(t, w.push(item{call: []*broker.Attempt{a}}, anyRoom))
-			require.True(t, w.push(item{probe: pr}, anyRoom))
+			pr := &healthCheck{done: func(o broker.AttemptResult) { probed = &o }}
+			require.True(t, w.tryEnqueue(writeRequest{attempts: []*broker.Attempt{a}}, hasCapacity))
+			require.True(t, w.tryEnqueue(writeRequest{healthCheck: pr}, hasCapacity))
 			p.UpdateEndpoints(c.list)
 			assert.False(t, a.Start(), "the call can still be written")
-			assert.False(t, w.push(item{call: []*broker.Attempt{{Query: a.Query, Shard: 9}}}, anyRoom))
-			for it, ok := w.pop(); ok; it, ok = w.pop() {
+			assert.False(t, w.tryEnqueue(writeRequest{attempts: []*broker.Attempt{{Query: a.Query, Shard: 9}}}, hasCapacity))
+			for it, ok := w.dequeue(); ok; it, ok = w.dequeue() {
 				_, err := w.write(nil, it, nil) // nothing is written: there is nothing to write to
 				assert.NoError(t, err)
 			}
@@ -188,7 +188,7 @@
 	open := func() int {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.open
+		return p.openConnections
 	}
 	p.UpdateEndpoints([]Store{{Name: "s", Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}})
 	to, _ := attempts(t)
@@ -243,7 +243,7 @@
 				case <-time.After(5 * time.Second):
 					assert.Fail(t, "it is held")
 				}
-				assert.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.open == 0 }, 5*time.Second, time.Millisecond)
+				assert.Eventually(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.openConnections == 0 }, 5*time.Second, time.Millisecond)
 			})
 		}
 	}
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -94,11 +94,11 @@
 
 	mu     sync.Mutex
 	dial   Dial
-	stores map[uint32]*store
-	// leaving are connections to stores, or to processes of them, that the list has no more. They take nothing new and end
+	stores map[uint32]*storeConnections
+	// retiring are connections to stores, or to processes of them, that the list has no more. They take nothing new and end
 	// once what is out on them has.
-	leaving []*conn
-	open    int // connections, those that are to end included
+	retiring []*connection
+	openConnections    int // connections, those that are to end included
 	closed  bool
 }
 
@@ -112,27 +112,27 @@
 	p.dial = dial
 }
 
-// store is what the pool keeps for one store. The pool's lock guards it.
-type store struct {
+// storeConnections is what the pool keeps for one store. The pool's lock guards it.
+type storeConnections struct {
 	Store
-	conns []*conn
-	broke time.Time // when a connection last broke under a call
-	ends  ratelog.Line
+	connections []*connection
+	brokenAt time.Time // when a connection last broke under a call
+	closeLog  ratelog.Line
 }
 
-// apartFor is how long after a connection broke under a call calls to that store leave on connections of their own:
+// isolationDuration is how long after a connection broke under a call calls to that store leave on connections of their own:
 // a reset ends all that is out on a connection, and where one came more may.
 const (
-	apartFor = 10 * time.Second
-	// maxSpread is how many connections to one store are opened for calls to leave apart, or not to follow others into
+	isolationDuration = 10 * time.Second
+	// maxIsolatedConnections is how many connections to one store are opened for calls to leave apart, or not to follow others into
 	// silence. Beyond it calls share what there is.
-	maxSpread = 8
+	maxIsolatedConnections = 8
 )
 
 // New returns a pool that knows no store.
 func New(limits Limits, codec Codec, log *logrus.Entry) *Pool {
 	dial := func(addr string, limit time.Duration) (net.Conn, error) { return net.DialTimeout("tcp", addr, limit) }
-	p := &Pool{codec: codec, log: log, stores: map[uint32]*store{}, dial: dial}
+	p := &Pool{codec: codec, log: log, stores: map[uint32]*storeConnections{}, dial: dial}
 	p.limits.Store(&limits)
 	return p
 }
@@ -155,42 +155,42 @@
 // when it was queued.
 func (p *Pool) UpdateEndpoints(list []Store) {
 	p.mu.Lock()
-	var retire, drop []*conn
+	var retire, drop []*connection
 	named := map[uint32]bool{}
 	for _, s := range list {
 		named[s.ID] = true
 		st := p.stores[s.ID]
 		if st == nil {
-			st = &store{}
+			st = &storeConnections{}
 			p.stores[s.ID] = st
 		} else if st.Addr != s.Addr || st.StartedAt != s.StartedAt || st.RingPosition != s.RingPosition {
 			// A fresh process knows nothing of connections to the old one, and at a machine that had vanished
 			// these look open until something is written to them.
-			keep := st.conns[:0:0]
-			for _, c := range st.conns {
-				if st.Addr == s.Addr && st.RingPosition == s.RingPosition && c.opened.UnixMicro() > s.StartedAt {
+			keep := st.connections[:0:0]
+			for _, c := range st.connections {
+				if st.Addr == s.Addr && st.RingPosition == s.RingPosition && c.createdAt.UnixMicro() > s.StartedAt {
 					keep = append(keep, c)
 				} else { // nor may what waits there go to the old one
 					drop, retire = append(drop, c), append(retire, c)
 				}
 			}
-			st.conns = keep
+			st.connections = keep
 		}
 		st.Store = s
 		if s.State != policy.Ready {
-			drop = append(drop, st.conns...)
+			drop = append(drop, st.connections...)
 		}
 	}
 	for id, st := range p.stores {
 		if !named[id] {
-			drop, retire = append(drop, st.conns...), append(retire, st.conns...)
+			drop, retire = append(drop, st.connections...), append(retire, st.connections...)
 			delete(p.stores, id)
 		}
 	}
-	p.leaving = append(p.leaving, retire...)
+	p.retiring = append(p.retiring, retire...)
 	p.mu.Unlock()
 	for _, c := range drop {
-		c.stopSending()
+		c.fence()
 	}
 	for _, c := range retire {
 		c.retire()
@@ -199,10 +199,10 @@
 
 // Send queues a call on a connection with room, or on a new one.
 func (p *Pool) Send(server uint32, call []*broker.Attempt) error {
-	return p.queue(server, item{call: call})
+	return p.enqueue(server, writeRequest{attempts: call})
 }
 
-func (p *Pool) queue(server uint32, it item) error {
+func (p *Pool) enqueue(server uint32, it writeRequest) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	st := p.stores[server]
@@ -211,69 +211,69 @@
 	}
 	left := 1 // connections that may be opened
 	if p.ConnectionAllowance != nil {
-		left = p.ConnectionAllowance() - p.open
+		left = p.ConnectionAllowance() - p.openConnections
 	}
 	if left < 0 {
-		p.yield(nil)
+		p.evictIdleLocked(nil)
 	}
-	want := sound
-	if it.call != nil && time.Since(st.broke) < apartFor {
-		want = apart
+	want := isResponsive
+	if it.attempts != nil && time.Since(st.brokenAt) < isolationDuration {
+		want = isUnused
 	}
-	if p.put(st, it, want) || len(st.conns) >= maxSpread && p.put(st, it, anyRoom) {
+	if p.enqueueOnExistingLocked(st, it, want) || len(st.connections) >= maxIsolatedConnections && p.enqueueOnExistingLocked(st, it, hasCapacity) {
 		return nil
 	}
-	if most := p.limits.Load().MaxConnections; most > 0 && len(st.conns) >= most {
-		return fmt.Errorf("store %s: all %d connections are busy", st.Name, len(st.conns))
+	if most := p.limits.Load().MaxConnections; most > 0 && len(st.connections) >= most {
+		return fmt.Errorf("store %s: all %d connections are busy", st.Name, len(st.connections))
 	}
-	if left <= 0 && !p.yield(st) {
-		return fmt.Errorf("store %s: no room for another connection beside %d", st.Name, p.open)
+	if left <= 0 && !p.evictIdleLocked(st) {
+		return fmt.Errorf("store %s: no room for another connection beside %d", st.Name, p.openConnections)
 	}
-	c := newConn(p, st.Store)
-	if !c.push(it, anyRoom) {
-		return fmt.Errorf("store %s: call of %d parts is over the limit", st.Name, len(it.call))
+	c := newConnection(p, st.Store)
+	if !c.tryEnqueue(it, hasCapacity) {
+		return fmt.Errorf("store %s: call of %d parts is over the limit", st.Name, len(it.attempts))
 	}
-	st.conns = append(st.conns, c)
-	p.open++
+	st.connections = append(st.connections, c)
+	p.openConnections++
 	go c.run(p.dial)
 	return nil
 }
 
-// yield has the idle connection that was used longest ago end, except those to one store, and tells whether there is
+// evictIdleLocked has the idle connection that was used longest ago end, except those to one store, and tells whether there is
 // one. The lock is held, so nothing is put on it meanwhile.
-func (p *Pool) yield(but *store) bool {
-	var oldest *conn
+func (p *Pool) evictIdleLocked(but *storeConnections) bool {
+	var oldest *connection
 	var since time.Time
 	for _, st := range p.stores {
 		if st == but {
 			continue
 		}
-		for _, c := range st.conns {
+		for _, c := range st.connections {
 			if at, idle := c.idleSince(); idle && (oldest == nil || at.Before(since)) {
 				oldest, since = c, at
 			}
 		}
 	}
 	if oldest != nil {
-		oldest.closeIdle()
+		oldest.retireIdle()
 	}
 	return oldest != nil
 }
 
-func (p *Pool) put(st *store, it item, want fit) bool {
-	return slices.ContainsFunc(st.conns, func(c *conn) bool { return c.push(it, want) })
+func (p *Pool) enqueueOnExistingLocked(st *storeConnections, it writeRequest, want requirement) bool {
+	return slices.ContainsFunc(st.connections, func(c *connection) bool { return c.tryEnqueue(it, want) })
 }
 
 // Cancel tells the store that an attempt is given up.
 func (p *Pool) Cancel(a *broker.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var own []*conn
+	var own []*connection
 	if st := p.stores[a.Server]; st != nil {
-		own = st.conns
+		own = st.connections
 	}
-	on := func(c *conn) bool { return c.cancel(a) }
-	_ = slices.ContainsFunc(own, on) || slices.ContainsFunc(p.leaving, on)
+	on := func(c *connection) bool { return c.cancel(a) }
+	_ = slices.ContainsFunc(own, on) || slices.ContainsFunc(p.retiring, on)
 }
 
 // CloseIdleConnections closes the idle connections to a store.
@@ -281,26 +281,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if st := p.stores[server]; st != nil {
-		for _, c := range st.conns {
-			c.closeIdle()
+		for _, c := range st.connections {
+			c.retireIdle()
 		}
 	}
 }
 
 // CheckHealth asks a store for its load. The answer, or that none came, is told from another goroutine.
 func (p *Pool) CheckHealth(server uint32, done func(broker.AttemptResult)) {
-	pr := &probe{done: done}
+	pr := &healthCheck{done: done}
 	if len(p.codec.AppendHealthCheck(nil)) == 0 {
-		go pr.end(broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport})
+		go pr.finish(broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport})
 		return
 	}
-	if err := p.queue(server, item{probe: pr}); err != nil {
-		go pr.end(broker.AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
+	if err := p.enqueue(server, writeRequest{healthCheck: pr}); err != nil {
+		go pr.finish(broker.AttemptResult{Status: policy.ConnectFailed, Report: policy.NoLoadReport})
 		return
 	}
 	// The settings name no time-out for probes: the one for connecting says how long silence means silence.
 	time.AfterFunc(p.connectTimeout(), func() {
-		pr.end(broker.AttemptResult{Status: policy.TimedOut, Report: policy.NoLoadReport})
+		pr.finish(broker.AttemptResult{Status: policy.TimedOut, Report: policy.NoLoadReport})
 	})
 }
 
@@ -308,9 +308,9 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	all := slices.Clone(p.leaving)
+	all := slices.Clone(p.retiring)
 	for _, st := range p.stores {
-		all = append(all, st.conns...)
+		all = append(all, st.connections...)
 	}
 	p.mu.Unlock()
 	for _, c := range all {
@@ -318,41 +318,41 @@
 	}
 }
 
-// forget takes a closed connection out of its store. broke tells that a call was out on it. It returns the log line about
+// remove takes a closed connection out of its store. broke tells that a call was out on it. It returns the log line about
 // such ends, of which a store can cause any number; nil: its store is gone.
-func (p *Pool) forget(c *conn, broke bool) *ratelog.Line {
+func (p *Pool) remove(c *connection, broke bool) *ratelog.Line {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(p.leaving, c); i >= 0 {
-		p.leaving = slices.Delete(p.leaving, i, i+1)
+	if i := slices.Index(p.retiring, c); i >= 0 {
+		p.retiring = slices.Delete(p.retiring, i, i+1)
 	}
-	st := p.stores[c.to.ID]
+	st := p.stores[c.store.ID]
 	if st == nil {
 		return nil
 	}
 	if broke {
-		st.broke = time.Now()
+		st.brokenAt = time.Now()
 	}
-	for i, o := range st.conns {
+	for i, o := range st.connections {
 		if o == c {
-			st.conns = append(st.conns[:i:i], st.conns[i+1:]...)
+			st.connections = append(st.connections[:i:i], st.connections[i+1:]...)
 			break
 		}
 	}
-	return &st.ends
+	return &st.closeLog
 }
 
-// ended notes that a connection has given its descriptor back.
-func (p *Pool) ended() {
+// connectionReleased notes that a connection has given its descriptor back.
+func (p *Pool) connectionReleased() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConnections--
 }
 
-// probe is one question for load.
-type probe struct {
+// healthCheck is one question for load.
+type healthCheck struct {
 	once sync.Once
 	done func(broker.AttemptResult)
 }
 
-func (p *probe) end(o broker.AttemptResult) { p.once.Do(func() { p.done(o) }) }
+func (p *healthCheck) finish(o broker.AttemptResult) { p.once.Do(func() { p.done(o) }) }
