--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -88,7 +88,7 @@
 	overLimit := b.settings.MaxAttempts > 0 && a.number >= b.settings.MaxAttempts
 	if overLimit || !b.isOpen(p.query) || !deadline.After(now) {
 		a.Withdraw()
-		b.finishAttempt(a, withoutAnswer(policy.Withdrawn), now)
+		b.finishAttempt(a, Unanswered(policy.Withdrawn), now)
 		return nil
 	}
 	a.deadlineTimer = b.timers.add(deadline, func(now time.Time) { b.cancelAttempt(a, policy.TimedOut, now) })
@@ -106,7 +106,7 @@
 	}
 	for _, a := range call {
 		a.Withdraw()
-		b.finishAttempt(a, withoutAnswer(policy.ConnectFailed), now)
+		b.finishAttempt(a, Unanswered(policy.ConnectFailed), now)
 	}
 }
 
@@ -151,5 +151,5 @@
 		status = policy.ConnectFailed // it has waited for a connection all the time
 	}
 	b.transport.Cancel(a)
-	b.finishAttempt(a, withoutAnswer(status), now)
+	b.finishAttempt(a, Unanswered(status), now)
 }
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -26,7 +26,7 @@
 	Value []byte
 }
 
-// withoutAnswer is the result of an attempt that no store has answered.
-func withoutAnswer(status policy.Status) AttemptResult {
+// Unanswered returns the result of an attempt or health check that no store has answered.
+func Unanswered(status policy.Status) AttemptResult {
 	return AttemptResult{Status: status, Report: policy.NoLoadReport}
 }
--- /dev/null
+++ b/storepool/healthcheck.go
@@ -0,0 +1,33 @@
+package storepool
+
+import (
+	"sync"
+	"time"
+
+	"alderproxy/broker"
+	"alderproxy/policy"
+)
+
+// healthCheck is a request for a store's load report.
+type healthCheck struct {
+	once sync.Once
+	done func(broker.AttemptResult)
+}
+
+// Finish reports the outcome. Every call after the first is ignored.
+func (h *healthCheck) Finish(result broker.AttemptResult) { h.once.Do(func() { h.done(result) }) }
+
+// CheckHealth requests a store's load report. It calls done from another goroutine, with the report or without an answer.
+func (p *Pool) CheckHealth(server uint32, done func(broker.AttemptResult)) {
+	check := &healthCheck{done: done}
+	if len(p.codec.AppendHealthCheck(nil)) == 0 {
+		go check.Finish(broker.Unanswered(policy.ServerError))
+		return
+	}
+	if err := p.enqueue(server, writeRequest{healthCheck: check}); err != nil {
+		go check.Finish(broker.Unanswered(policy.ConnectFailed))
+		return
+	}
+	// The settings have no timeout for health checks, so the one for connecting applies.
+	time.AfterFunc(p.connectTimeout(), func() { check.Finish(broker.Unanswered(policy.TimedOut)) })
+}
