--- a/alderproxy.go
+++ b/alderproxy.go
@@ -220,7 +220,7 @@
 	go func() {
 		defer close(done)
 		if p.openSearch != nil {
-			p.openSearch.Stop(began.Add(platform.ServeOn), began.Add(platform.CutAfter))
+			p.openSearch.Shutdown(began.Add(platform.ServeOn), began.Add(platform.CutAfter))
 		}
 	}()
 	if p.aggregator != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -131,7 +131,7 @@
 
 func search(s *inifile.Section, number, fleet int) *opensearch.Config {
 	o := &opensearch.Config{
-		Listen: s.Addr("listen"), MaxConns: s.Int("max_conns", 256, 1, 1<<20), Number: number, Fleet: fleet,
+		Listen: s.Addr("listen"), MaxConnections: s.Int("max_conns", 256, 1, 1<<20), InstanceIndex: number, InstanceCount: fleet,
 		Limits: storepool.Limits{
 			MaxInFlight: 1, MaxConnections: s.Int("conns_per_store", 16, 1, 4096),
 			ConnectTimeout: s.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute).Microseconds(),
--- a/membership.go
+++ b/membership.go
@@ -82,7 +82,7 @@
 	log.WithField("listen", conn.LocalAddr().String()).WithField("address", c.Member.Addr.String()).Info("reachable for members")
 	if search := p.config.OpenSearch; search != nil {
 		self := membership.IDFromName(c.Member.Name)
-		search.Share = func() (number, fleet int) { return node.View().Share(self, search.Number, search.Fleet) }
+		search.Quota = func() (number, fleet int) { return node.View().Share(self, search.InstanceIndex, search.InstanceCount) }
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 	var applied quota
 	for {
 		changed := p.gossip.ViewChanged()
-		number, fleet := p.config.OpenSearch.Share()
+		number, fleet := p.config.OpenSearch.Quota()
 		if now := (quota{number, fleet}); now != applied {
 			applied = now
 			if err := p.applyQuota(); err != nil {
@@ -125,13 +125,13 @@
 		if err != nil {
 			return err
 		}
-		return p.openSearch.Use(search)
+		return p.openSearch.SetTerms(search)
 	}
 	terms, err := p.config.OpenSearch.Terms(0, p.config.Own)
 	if err != nil {
 		return err
 	}
-	return p.openSearch.Use(terms)
+	return p.openSearch.SetTerms(terms)
 }
 
 const (
--- /dev/null
+++ b/opensearch/codec.go
@@ -0,0 +1,57 @@
+package opensearch
+
+import (
+	"bufio"
+	"fmt"
+	"net/http"
+	"time"
+
+	"alderproxy/broker"
+	"alderproxy/httpwire"
+	"alderproxy/policy"
+	"alderproxy/storepool"
+)
+
+// maxResponseBytes bounds the body of a store's response.
+const maxResponseBytes = 4 << 20
+
+// codec writes searches to stores and reads their responses. HTTP/1.1 carries one search at a time on a connection, so
+// responses need no ids, and a search is canceled by closing its connection.
+type codec struct{}
+
+// AppendCall appends the search of one part. The settings allow one part a call.
+func (codec) AppendCall(to []byte, store storepool.Store, call []*broker.Attempt, now time.Time) []byte {
+	attempt := call[0]
+	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false",
+		attempt.Query.FrontData.(*searchTarget).index, attempt.Shard, max(1, attempt.Deadline.Sub(now).Milliseconds()))
+	extra := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.PartID(attempt)}}
+	return httpwire.AppendRequest(to, http.MethodPost, target, store.Addr, extra, attempt.Query.Payload)
+}
+
+// AppendCancel appends nothing: a search is canceled by closing its connection.
+func (codec) AppendCancel(to []byte, _ string) []byte { return to }
+
+// AppendHealthCheck appends nothing: the API has no cheap request for a load report.
+func (codec) AppendHealthCheck(to []byte) []byte { return to }
+
+// Read reads a response. A success whose body names a failed shard is a server error, as is any other status but 429, which
+// means that the store has rejected the search before it ran.
+func (codec) Read(r *bufio.Reader) (storepool.Message, error) {
+	resp, err := httpwire.ReadResponseUpTo(r, maxResponseBytes)
+	if err != nil {
+		return storepool.Message{}, err
+	}
+	outcome := broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport}
+	switch {
+	case resp.Status == http.StatusTooManyRequests:
+		outcome.Status = policy.Rejected
+	case resp.Status == http.StatusOK:
+		if _, err := parseResult(resp.Body); err == nil {
+			outcome.Status = policy.OK
+			outcome.Value = resp.Body
+		}
+	case resp.Status < http.StatusOK:
+		return storepool.Message{}, fmt.Errorf("%w: status %d", storepool.ErrMalformed, resp.Status)
+	}
+	return storepool.Message{Kind: storepool.Answer, Last: resp.Close, Outcome: outcome}, nil
+}
--- /dev/null
+++ b/opensearch/item.go
@@ -0,0 +1,179 @@
+package opensearch
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"alderproxy/broker"
+	"alderproxy/httpwire"
+)
+
+// unknownConfigRetryAfter is the Retry-After of searches before any version of the shared document is known.
+const unknownConfigRetryAfter = time.Second
+
+// searchItem is one search of a request: its query and the query's response, or why it has none.
+type searchItem struct {
+	*searchRequest
+
+	query    *broker.Query
+	response broker.Response
+	failure  *apiError
+	batch    *searchBatch // nil: not submitted yet
+}
+
+// searchBatch is the searches that a request waits for. The last response ends the wait.
+type searchBatch struct {
+	exchange   *httpwire.Exchange
+	unanswered atomic.Int32
+}
+
+// Respond takes the query's response. It does not block.
+func (it *searchItem) Respond(response broker.Response) {
+	it.response = response
+	if it.batch.unanswered.Add(-1) == 0 {
+		it.batch.exchange.CancelWait()
+	}
+}
+
+// pending reports whether the item has to be submitted: for the first time, or again under other terms.
+func (it *searchItem) pending() bool {
+	return it.failure == nil && (it.batch == nil || it.response.StaleTerms)
+}
+
+// newItem makes an item of a search. What is wrong with it is the item's failure.
+func (f *front) newItem(x *httpwire.Exchange, t *broker.Terms, indexName string, body []byte, params map[string]string) *searchItem {
+	it := &searchItem{}
+	if f.replicatedConfig && t.Version == 0 { // whether the index exists is not known yet
+		it.failure = configStale(unknownConfigRetryAfter)
+		return it
+	}
+	index := t.FrontData.(indices)[indexName]
+	if len(index.shards) == 0 {
+		it.failure = newError(http.StatusNotFound, kindIndexNotFound, fmt.Errorf("no such index [%s]", indexName))
+		return it
+	}
+	var err error
+	if it.searchRequest, err = parseSearch(body, params); err != nil {
+		kind := kindParsing
+		if errors.Is(err, errUnsupported) {
+			kind = kindIllegalArgument
+		}
+		it.failure = newError(http.StatusBadRequest, kind, err)
+		return it
+	}
+	timeout := time.Duration(t.Settings.Classes[index.class].Timeout) * time.Microsecond
+	if it.timeout > 0 {
+		timeout = min(timeout, it.timeout)
+	}
+	it.query = &broker.Query{
+		ID:        f.queryIDPrefix + strconv.FormatUint(f.queryCount.Add(1), 10),
+		Class:     index.class,
+		Payload:   it.body,
+		Deadline:  x.Start.Add(timeout),
+		FrontData: &searchTarget{indexName},
+		Responder: it,
+		Terms:     t,
+	}
+	weight := 1 / float64(len(index.shards))
+	for _, shard := range index.shards {
+		it.query.Parts = append(it.query.Parts, broker.Part{Shard: shard, Weight: weight})
+	}
+	return it
+}
+
+// submitAndWait parses the request by the present terms, submits its items and waits until all have their response. Where
+// the terms changed meanwhile, so that the broker rejects an item, that item is parsed and submitted again. The result is
+// nil where the client has gone.
+func (f *front) submitAndWait(x *httpwire.Exchange, parse func(*broker.Terms) ([]*searchItem, error)) []*searchItem {
+	items, _ := parse(f.broker.Terms())
+	for {
+		batch, submitted := newBatch(x, items)
+		if len(submitted) == 0 {
+			return items
+		}
+		if x.ClientGone() {
+			return nil
+		}
+		batch.unanswered.Store(int32(len(submitted)))
+		if gone := f.submitBatch(x, submitted); gone {
+			return nil
+		}
+		if !slices.ContainsFunc(submitted, func(it *searchItem) bool { return it.response.StaleTerms }) {
+			return items
+		}
+		x.ResetWait()
+		again, _ := parse(f.broker.Terms())
+		for i, it := range items {
+			if it.failure == nil && it.response.StaleTerms {
+				items[i] = again[i]
+			}
+		}
+	}
+}
+
+// newBatch returns a batch of the items that have to be submitted.
+func newBatch(x *httpwire.Exchange, items []*searchItem) (*searchBatch, []*searchItem) {
+	batch := &searchBatch{exchange: x}
+	var pending []*searchItem
+	for _, it := range items {
+		if it.pending() {
+			it.batch = batch
+			pending = append(pending, it)
+		}
+	}
+	return batch, pending
+}
+
+// submitBatch submits items and waits for their responses. It cancels them and returns true where the client has gone.
+func (f *front) submitBatch(x *httpwire.Exchange, items []*searchItem) (gone bool) {
+	var queries []*broker.Query
+	for _, it := range items {
+		queries = append(queries, it.query)
+		if !f.broker.Submit(it.query) {
+			it.Respond(broker.Response{Status: broker.Rejected})
+		}
+	}
+	if x.AwaitClientGone() {
+		f.broker.Cancel(queries...)
+		return true
+	}
+	return false
+}
+
+// render returns the body of an item's response, or its error.
+func (f *front) render(x *httpwire.Exchange, it *searchItem) ([]byte, *apiError) {
+	response := it.response
+	switch {
+	case it.failure != nil:
+		return nil, it.failure
+	case response.Status == broker.Served:
+		body, err := it.merge(response.Parts, len(it.query.Parts), time.Since(x.Start).Milliseconds())
+		if err != nil {
+			return nil, newError(http.StatusBadGateway, kindSearchPhase, err)
+		}
+		return body, nil
+	case response.GateClosed:
+		return nil, configStale(response.RetryAfter)
+	}
+	failure := unservedError(response)
+	failure.retryAfter = response.RetryAfter
+	return nil, failure
+}
+
+// unservedError returns the error of a query that was rejected or failed.
+func unservedError(response broker.Response) *apiError {
+	switch {
+	case response.DeadlineExceeded:
+		return newError(http.StatusGatewayTimeout, kindTimeout, errors.New("the query's deadline passed before all parts were answered"))
+	case response.PartsFailed:
+		return newError(http.StatusServiceUnavailable, kindSearchPhase, errors.New("parts of the query failed"))
+	case response.Status == broker.Rejected:
+		return newError(http.StatusTooManyRequests, kindRejected, errors.New("the broker admits no more queries now"))
+	}
+	return newError(http.StatusServiceUnavailable, kindSearchPhase, errors.New("the query failed"))
+}
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -33,8 +33,8 @@
 	stores [2]*testserver.Store
 }
 
-// terms are the shared sections of all tests.
-const terms = `
+// documentTemplate are the shared sections of all tests.
+const documentTemplate = `
 [layout]
 slices = 2
 [limits]
@@ -55,9 +55,10 @@
 slices = 0, 1
 `
 
-func start(t *testing.T, maxOpen int) *rig {
+func startRig(t *testing.T, maxOpen int) *rig {
+	t.Helper()
 	r := &rig{config: &Config{
-		Listen: "127.0.0.1:0", MaxConns: 256, Fleet: 1,
+		Listen: "127.0.0.1:0", MaxConnections: 256, InstanceCount: 1,
 		Limits: storepool.Limits{MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000, IdleTimeout: 15_000_000},
 	}}
 	for i := range r.stores {
@@ -68,13 +69,14 @@
 		})
 	}
 	var err error
-	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(terms, maxOpen)), nil, testserver.Log())
+	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(documentTemplate, maxOpen)), nil, testserver.Log())
 	require.NoError(t, err)
 	t.Cleanup(func() { r.server.Close(); r.broker.Close(); r.pool.Close() })
 	return r
 }
 
 func (r *rig) terms(t *testing.T, version uint64, text string) *broker.Terms {
+	t.Helper()
 	d, err := document.Parse("test", text)
 	require.NoError(t, err)
 	terms, err := r.config.Terms(version, d)
@@ -82,14 +84,15 @@
 	return terms
 }
 
-func (r *rig) ask(t *testing.T, target, body string) *testserver.Client {
+func (r *rig) search(t *testing.T, target, body string) *testserver.Client {
+	t.Helper()
 	c := testserver.Dial(t, r.Addr())
 	c.Send("POST", target, body)
 	return c
 }
 
-// answer is what the tests look at in a response.
-type answer struct {
+// responseBody is what the tests look at in a response.
+type responseBody struct {
 	Status int
 	Error  struct{ Type, Reason string }
 	Shards struct{ Total, Successful, Failed int } `json:"_shards"`
@@ -103,23 +106,24 @@
 			ID string `json:"_id"`
 		}
 	}
-	Responses []answer
+	Responses []responseBody
 }
 
-func (a answer) ids() (ids string) {
+func (a responseBody) ids() (ids string) {
 	for _, h := range a.Hits.Hits {
 		ids += h.ID
 	}
 	return ids
 }
 
-func read(t *testing.T, body []byte) (a answer) {
+func decode(t *testing.T, body []byte) (a responseBody) {
+	t.Helper()
 	require.NoError(t, json.Unmarshal(body, &a), "%s", body)
 	return a
 }
 
 func TestMerge(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	for _, c := range []struct{ name, query, body, ids string }{
 		{"by score", "", `{"query":{"match_all":{}}}`, "acbd"},
 		{"empty body", "", ``, "acbd"},
@@ -131,21 +135,21 @@
 		{"sort descending", "", `{"sort":[{"price":"desc"},{"name":{"order":"desc"}}]}`, "acdb"},
 		{"missing last", "", `{"sort":[{"x":{"missing":"_last"}}],"track_total_hits":true}`, "bdca"},
 	} {
-		resp := r.ask(t, "/catalogue/_search"+c.query, c.body).Read()
+		resp := r.search(t, "/catalogue/_search"+c.query, c.body).Read()
 		require.Equal(t, 200, resp.Status, c.name)
-		a := read(t, resp.Body)
+		a := decode(t, resp.Body)
 		assert.Equal(t, c.ids, a.ids(), c.name)
 		assert.Equal(t, 4, a.Hits.Total.Value, c.name)
 		assert.Equal(t, "eq", a.Hits.Total.Relation, c.name)
-		assert.Equal(t, 1.5, a.Hits.MaxScore, c.name)
+		assert.InDelta(t, 1.5, a.Hits.MaxScore, 0, c.name)
 		assert.Equal(t, 2, a.Shards.Successful, c.name)
 	}
 }
 
 func TestStoresGetTheQueryAsItCame(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	query := `{"match" : {"name":"éß \u00e9"}}`
-	require.Equal(t, 200, r.ask(t, "/catalogue/_search", `{"from":5,"size":3,"query":`+query+`}`).Read().Status)
+	require.Equal(t, 200, r.search(t, "/catalogue/_search", `{"from":5,"size":3,"query":`+query+`}`).Read().Status)
 	var part string
 	select {
 	case part = <-r.stores[0].Parts:
@@ -162,17 +166,17 @@
 		for both, want := range map[bool]int{false: c.One, true: c.Query} {
 			t.Run(fmt.Sprintf("%s/both=%v", c.Fault, both), func(t *testing.T) {
 				t.Parallel()
-				r := start(t, 1000)
+				r := startRig(t, 1000)
 				for range 6 { // until the decisions know what is late
-					require.Equal(t, 200, r.ask(t, "/catalogue/_search", `{}`).Read().Status)
+					require.Equal(t, 200, r.search(t, "/catalogue/_search", `{}`).Read().Status)
 				}
 				r.stores[0].SetFault(c.Fault)
 				if both {
 					r.stores[1].SetFault(c.Fault)
 				}
-				resp := r.ask(t, "/catalogue/_search", `{}`).Read()
+				resp := r.search(t, "/catalogue/_search", `{}`).Read()
 				assert.Equal(t, want, resp.Status, "%s", resp.Body)
-				a := read(t, resp.Body)
+				a := decode(t, resp.Body)
 				if want == 200 {
 					assert.Equal(t, "acbd", a.ids())
 					assert.Zero(t, a.Shards.Failed)
@@ -187,15 +191,15 @@
 }
 
 // A class that takes half of its parts is answered from these, and the answer tells of the failed shard.
-func TestPartialAnswerTellsOfTheFailedShard(t *testing.T) {
+func TestPartialResponseCountsTheFailedShard(t *testing.T) {
 	for _, fault := range []testserver.Fault{testserver.Error, testserver.Partial, testserver.Late} {
-		r := start(t, 1000)
+		r := startRig(t, 1000)
 		for _, s := range r.stores {
 			s.SetFaultAt(1, fault)
 		}
-		resp := r.ask(t, "/families/_search", `{}`).Read()
+		resp := r.search(t, "/families/_search", `{}`).Read()
 		require.Equal(t, 200, resp.Status)
-		a := read(t, resp.Body)
+		a := decode(t, resp.Body)
 		assert.Equal(t, "ab", a.ids())
 		assert.Equal(t, 1, a.Shards.Failed)
 		assert.Equal(t, 1, a.Shards.Successful)
@@ -203,8 +207,8 @@
 }
 
 func TestMultiSearchMixesClasses(t *testing.T) {
-	r := start(t, 1000)
-	resp := r.ask(t, "/_msearch", strings.Join([]string{
+	r := startRig(t, 1000)
+	resp := r.search(t, "/_msearch", strings.Join([]string{
 		`{"index":"catalogue"}`, `{"size":1}`,
 		`{"index":"nowhere"}`, `{}`,
 		`{"index":"families"}`, `{"sort":"price"}`,
@@ -213,7 +217,7 @@
 		`{"index":"families","routing":"x"}`, `{}`,
 	}, "\n")+"\n").Read()
 	require.Equal(t, 200, resp.Status)
-	a := read(t, resp.Body)
+	a := decode(t, resp.Body)
 	require.Len(t, a.Responses, 6)
 	for i, want := range []struct {
 		status int
@@ -226,13 +230,13 @@
 
 // Each item has a budget of its own: one that finds no room is refused while the other is out. The stores
 // say nothing, since a first item that was answered quickly would leave room for the second.
-func TestMultiSearchItemIsRefusedAlone(t *testing.T) {
-	r := start(t, 3)
+func TestMultiSearchItemIsRejectedAlone(t *testing.T) {
+	r := startRig(t, 3)
 	for _, s := range r.stores {
 		s.SetFault(testserver.Silent)
 	}
-	resp := r.ask(t, "/catalogue/_msearch", "{}\n{}\n{}\n{}\n").Read()
-	a := read(t, resp.Body)
+	resp := r.search(t, "/catalogue/_msearch", "{}\n{}\n{}\n{}\n").Read()
+	a := decode(t, resp.Body)
 	require.Len(t, a.Responses, 2, "%s", resp.Body)
 	assert.Equal(t, 504, a.Responses[0].Status)
 	assert.Equal(t, 429, a.Responses[1].Status)
@@ -241,14 +245,14 @@
 
 // A change of terms takes effect at once, and what was taken before is answered as it was taken.
 func TestTermsChangeUnderWay(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.Hold())
 	}
-	before := r.ask(t, "/catalogue/_search", `{}`)
+	before := r.search(t, "/catalogue/_search", `{}`)
 	testserver.Next(t, r.stores[0])
-	require.NoError(t, r.Use(r.terms(t, 2, `
+	require.NoError(t, r.SetTerms(r.terms(t, 2, `
 [layout]
 slices = 2
 [team sales]
@@ -259,18 +263,18 @@
 class = sales/lookup
 slices = 0-1
 `)))
-	assert.Equal(t, 404, r.ask(t, "/catalogue/_search", `{}`).Read().Status, "the index is no more")
+	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).Read().Status, "the index is no more")
 	for _, f := range release {
 		f()
 	}
 	assert.Equal(t, 200, before.Read().Status)
-	assert.Equal(t, 200, r.ask(t, "/sales/_search", `{}`).Read().Status)
+	assert.Equal(t, 200, r.search(t, "/sales/_search", `{}`).Read().Status)
 	assert.Equal(t, uint64(2), r.Version())
 }
 
 // Changes under load: every search has one answer, none of them refused for the change.
 func TestSearchesWhileTermsChangeQuickly(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	for _, s := range r.stores { // what comes there is of no matter, and a full channel would hold the store up
 		go func() {
 			for range s.Parts {
@@ -283,8 +287,10 @@
 			c, count := testserver.Dial(t, r.Addr()), map[int]int{}
 			for range 100 {
 				c.Send("POST", "/_msearch", "{\"index\":\"catalogue\"}\n{}\n{\"index\":\"families\"}\n{}\n")
-				for _, a := range read(t, c.Read().Body).Responses {
-					count[a.Status]++
+				var a responseBody
+				assert.NoError(t, json.Unmarshal(c.Read().Body, &a))
+				for _, item := range a.Responses {
+					count[item.Status]++
 				}
 			}
 			done <- count
@@ -300,7 +306,7 @@
 			}
 		case <-time.After(time.Millisecond):
 			version++
-			require.NoError(t, r.Use(r.terms(t, version, fmt.Sprintf(terms, 500+version%2))))
+			require.NoError(t, r.SetTerms(r.terms(t, version, fmt.Sprintf(documentTemplate, 500+version%2))))
 		}
 	}
 	assert.Equal(t, map[int]int{200: 800}, sum)
@@ -311,43 +317,43 @@
 func TestClosedGate(t *testing.T) {
 	r := &rig{}
 	s := testserver.NewSearchStore(t, docs)
-	r.config = &Config{Listen: "127.0.0.1:0", Fleet: 1, Limits: storepool.Limits{
+	r.config = &Config{Listen: "127.0.0.1:0", InstanceCount: 1, Limits: storepool.Limits{
 		MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000,
 		IdleTimeout: 15_000_000,
 	}, Stores: []storepool.Store{{Addr: s.Addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready}}}}
 	var open atomic.Bool
 	open.Store(true)
 	var err error
-	r.Service, err = Start(r.config, r.terms(t, 3, fmt.Sprintf(terms, 10)), func(t *broker.Terms) (bool, time.Duration) {
+	r.Service, err = Start(r.config, r.terms(t, 3, fmt.Sprintf(documentTemplate, 10)), func(t *broker.Terms) (bool, time.Duration) {
 		return open.Load() && t.Version == 3, 1500 * time.Millisecond
 	}, testserver.Log())
 	require.NoError(t, err)
 	t.Cleanup(func() { r.server.Close(); r.broker.Close(); r.pool.Close() })
-	resp := r.ask(t, "/catalogue/_search", `{}`).Read()
+	resp := r.search(t, "/catalogue/_search", `{}`).Read()
 	assert.Equal(t, 200, resp.Status)
 	assert.Equal(t, "3", resp.Header.Get("X-Config-Version"))
 	open.Store(false)
-	resp = r.ask(t, "/catalogue/_search", `{}`).Read()
+	resp = r.search(t, "/catalogue/_search", `{}`).Read()
 	assert.Equal(t, 503, resp.Status)
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
-	assert.Equal(t, "cluster_block_exception", read(t, resp.Body).Error.Type)
+	assert.Equal(t, "cluster_block_exception", decode(t, resp.Body).Error.Type)
 	c := testserver.Dial(t, r.Addr())
 	c.Send("GET", "/healthz", "")
 	assert.Equal(t, 503, c.Read().Status)
 }
 
-func TestStopAnswersWhatWasTaken(t *testing.T) {
-	r := start(t, 1000)
+func TestShutdownAnswersAcceptedSearches(t *testing.T) {
+	r := startRig(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.Hold())
 	}
-	c := r.ask(t, "/catalogue/_search", `{}`)
+	c := r.search(t, "/catalogue/_search", `{}`)
 	testserver.Next(t, r.stores[0])
 	stopped := make(chan struct{})
 	now := time.Now()
-	go func() { r.Stop(now.Add(300*time.Millisecond), now.Add(2*time.Second)); close(stopped) }()
-	require.Eventually(t, r.leave.Load, 5*time.Second, time.Millisecond)
+	go func() { r.Shutdown(now.Add(300*time.Millisecond), now.Add(2*time.Second)); close(stopped) }()
+	require.Eventually(t, r.draining.Load, 5*time.Second, time.Millisecond)
 	late := testserver.Dial(t, r.Addr()) // still served for a moment
 	late.Send("GET", "/healthz", "")
 	assert.Equal(t, 503, late.Read().Status)
@@ -360,56 +366,56 @@
 	<-stopped
 }
 
-func TestRefusal(t *testing.T) {
-	r := start(t, 3)
+func TestRejection(t *testing.T) {
+	r := startRig(t, 3)
 	for _, s := range r.stores {
 		defer s.Hold()()
 	}
-	r.ask(t, "/catalogue/_search", `{}`)
+	r.search(t, "/catalogue/_search", `{}`)
 	select {
 	case <-r.stores[0].Parts:
 	case <-r.stores[1].Parts:
 	}
-	resp := r.ask(t, "/catalogue/_search", `{}`).Read()
+	resp := r.search(t, "/catalogue/_search", `{}`).Read()
 	assert.Equal(t, 429, resp.Status)
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
-	assert.Equal(t, "rejected_execution_exception", read(t, resp.Body).Error.Type)
+	assert.Equal(t, "rejected_execution_exception", decode(t, resp.Body).Error.Type)
 }
 
 func TestTimeoutOfTheQueryIsItsDeadline(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	for _, s := range r.stores {
 		defer s.Hold()()
 	}
-	resp := r.ask(t, "/catalogue/_search", `{"timeout":"100ms"}`).Read()
+	resp := r.search(t, "/catalogue/_search", `{"timeout":"100ms"}`).Read()
 	assert.Equal(t, 504, resp.Status)
 }
 
-func TestClientThatLeavesClosesItsSearches(t *testing.T) {
-	r := start(t, 1000)
+func TestClientThatDisconnectsCancelsItsSearches(t *testing.T) {
+	r := startRig(t, 1000)
 	for _, s := range r.stores {
 		s.SetFault(testserver.Silent)
 	}
-	c := r.ask(t, "/catalogue/_search", `{}`)
+	c := r.search(t, "/catalogue/_search", `{}`)
 	testserver.Next(t, r.stores[0])
 	c.Close()
 	<-r.stores[0].Closed
 }
 
 // A client leaves while its searches wait for a connection to come up: they never go out.
-func TestSearchesOfAClientThatLeftDoNotGoOutOnALateConnection(t *testing.T) {
-	r := start(t, 1000)
+func TestSearchesOfAClientThatDisconnectedAreNotSentOnALateConnection(t *testing.T) {
+	r := startRig(t, 1000)
 	began, hold := make(chan struct{}, 64), make(chan struct{})
 	r.pool.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
 		began <- struct{}{}
 		<-hold
-		return net.DialTimeout("tcp", addr, limit)
+		return (&net.Dialer{Timeout: limit}).Dial("tcp", addr)
 	})
-	c := r.ask(t, "/_msearch", "{\"index\":\"catalogue\"}\n{\"size\":7}\n{\"index\":\"families\"}\n{\"size\":7}\n")
+	c := r.search(t, "/_msearch", "{\"index\":\"catalogue\"}\n{\"size\":7}\n{\"index\":\"families\"}\n{\"size\":7}\n")
 	<-began
 	c.Close()
 	require.Eventually(t, func() bool { return r.server.Connections() == 0 }, 5*time.Second, time.Millisecond)
-	next := r.ask(t, "/catalogue/_search", `{"size":3}`)
+	next := r.search(t, "/catalogue/_search", `{"size":3}`)
 	close(hold)
 	assert.Equal(t, 200, next.Read().Status)
 	for _, s := range r.stores {
@@ -420,11 +426,11 @@
 }
 
 // A process that was held up reads searches whose client has left meanwhile: see the platform's test of this name.
-func TestRequestReadAfterItsClientHasLeftDoesNotGoOut(t *testing.T) {
-	r := start(t, 1000)
+func TestRequestReadAfterItsClientHasDisconnectedIsNotSent(t *testing.T) {
+	r := startRig(t, 1000)
 	for target, body := range map[string]string{"/catalogue/_search": `{"size":7}`, "/_msearch": "{\"index\":\"catalogue\"}\n{\"size\":7}\n"} {
 		release := testserver.AskAndLeave(t, r.server.Handle, func(c *testserver.Client) { c.Send("POST", target, body) })
-		assert.Equal(t, 200, r.ask(t, "/catalogue/_search", `{"size":3}`).Read().Status)
+		assert.Equal(t, 200, r.search(t, "/catalogue/_search", `{"size":3}`).Read().Status)
 		for _, s := range r.stores {
 			for len(s.Parts) > 0 {
 				assert.NotContains(t, <-s.Parts, `"size":7`)
@@ -435,7 +441,7 @@
 }
 
 func TestBadRequestsReachNoStore(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	for _, c := range []struct {
 		target, body string
 		status       int
@@ -458,9 +464,9 @@
 		{"/_msearch", "{\"index\":\n{}\n", 400, "parse_exception"},
 		{"/catalogue/_search", strings.Repeat(" ", 65<<10), 413, "parse_exception"},
 	} {
-		resp := r.ask(t, c.target, c.body).Read()
+		resp := r.search(t, c.target, c.body).Read()
 		assert.Equal(t, c.status, resp.Status, "%s %.30s", c.target, c.body)
-		assert.Equal(t, c.kind, read(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
+		assert.Equal(t, c.kind, decode(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
 	}
 	assert.Empty(t, r.stores[0].Parts)
 	assert.Empty(t, r.stores[1].Parts)
@@ -468,7 +474,7 @@
 
 // What an instance could not serve is named before it is asked to.
 func TestTermsThatThisFrontCannotServe(t *testing.T) {
-	r := start(t, 1000)
+	r := startRig(t, 1000)
 	for text, want := range map[string]string{
 		"[layout]\nslices = 2\ncells = 2\n[class a]\naim = 1s\ngive_up = 2s\n[index i]\nclass = a\nslices = 0-1\n": "index i: no store here holds slice 1",
 		"[layout]\nslices = 2\n": "Classes is empty",
@@ -486,6 +492,6 @@
 		if s, err := parseSearch(b, nil); err == nil {
 			assert.NoError(t, json.Unmarshal(s.body, new(map[string]any)), "%s", s.body)
 		}
-		parseResult(b) // must not panic
+		_, _ = parseResult(b) // must not panic
 	})
 }
--- /dev/null
+++ b/opensearch/sort.go
@@ -0,0 +1,164 @@
+package opensearch
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+	"strings"
+
+	"alderproxy/internal/jsonscan"
+)
+
+// sortKey is one key of a sort.
+type sortKey struct {
+	field        string
+	descending   bool
+	missingFirst bool
+}
+
+// parseSort reads a sort in any of its forms: a name, an object, or a list of these.
+func parseSort(raw []byte) ([]sortKey, error) {
+	var keys []sortKey
+	appendKeys := func(raw []byte) (err error) {
+		keys, err = appendSortKeys(keys, raw)
+		return err
+	}
+	var err error
+	if raw[0] == '[' {
+		err = jsonscan.Array(raw, appendKeys)
+	} else {
+		err = appendKeys(raw)
+	}
+	if err != nil {
+		return nil, err
+	}
+	for _, key := range keys {
+		if key.field == "_geo_distance" || key.field == "_script" || key.field == "_shard_doc" {
+			return nil, unsupported("sort by " + key.field)
+		}
+	}
+	return keys, nil
+}
+
+// appendSortKeys reads the name of a field, or an object with one key for each field.
+func appendSortKeys(keys []sortKey, raw []byte) ([]sortKey, error) {
+	if raw[0] == '"' {
+		name, err := jsonscan.String(raw)
+		return append(keys, newSortKey(name)), err
+	}
+	err := jsonscan.Object(raw, func(name string, raw []byte) error {
+		key := newSortKey(name)
+		err := key.parse(raw)
+		keys = append(keys, key)
+		return err
+	})
+	return keys, err
+}
+
+// newSortKey returns a key in the field's default order.
+func newSortKey(field string) sortKey {
+	return sortKey{field: field, descending: field == "_score"}
+}
+
+// parse reads the order of a key, or an object with its options.
+func (k *sortKey) parse(raw []byte) error {
+	if raw[0] == '"' {
+		return k.parseOrder(raw)
+	}
+	return jsonscan.Object(raw, func(option string, raw []byte) error {
+		switch option {
+		case "order":
+			return k.parseOrder(raw)
+		case "missing":
+			k.missingFirst = string(raw) == `"_first"`
+		case "mode", "unmapped_type", "format", "numeric_type": // the stores apply these
+		default:
+			return unsupported("sort option " + option)
+		}
+		return nil
+	})
+}
+
+func (k *sortKey) parseOrder(raw []byte) error {
+	order, err := jsonscan.String(raw)
+	if err == nil && order != "asc" && order != "desc" {
+		err = fmt.Errorf("order %q", order)
+	}
+	k.descending = order == "desc"
+	return err
+}
+
+// compare orders hits as the query asks: by its sort, or else by falling score.
+func (s *searchRequest) compare(x, y hit) int {
+	if len(s.sort) == 0 {
+		return cmp.Compare(y.score, x.score)
+	}
+	for i, key := range s.sort {
+		if order := key.compare(x.sort[i], y.sort[i]); order != 0 {
+			return order
+		}
+	}
+	return 0
+}
+
+// compare orders two sort values. Missing ones come last unless the key has them come first, in either order.
+func (k *sortKey) compare(a, b []byte) int {
+	missingA, missingB := string(a) == "null", string(b) == "null"
+	switch {
+	case missingA && missingB:
+		return 0
+	case missingA == k.missingFirst && missingA != missingB:
+		return -1
+	case missingA != missingB:
+		return 1
+	}
+	if k.descending {
+		return -compareValues(a, b)
+	}
+	return compareValues(a, b)
+}
+
+// compareValues compares sort values. Integers are compared as such: dates in nanoseconds and long ids differ where
+// floating-point numbers do not.
+func compareValues(a, b []byte) int {
+	if a[0] == '"' || b[0] == '"' {
+		x, errX := jsonscan.String(a)
+		y, errY := jsonscan.String(b)
+		if errX != nil || errY != nil {
+			return bytes.Compare(a, b)
+		}
+		return strings.Compare(x, y)
+	}
+	if x, okX := parseInteger(a); okX {
+		if y, okY := parseInteger(b); okY {
+			return cmp.Compare(x, y)
+		}
+	}
+	x, errX := jsonscan.Number(a)
+	y, errY := jsonscan.Number(b)
+	if errX != nil || errY != nil {
+		return bytes.Compare(a, b)
+	}
+	return cmp.Compare(x, y)
+}
+
+// maxIntegerDigits is how many decimal digits always fit into an int64.
+const maxIntegerDigits = 18
+
+// parseInteger reads an integer without fraction or exponent.
+func parseInteger(raw []byte) (v int64, ok bool) {
+	digits, negative := bytes.CutPrefix(raw, []byte("-"))
+	if len(digits) == 0 || len(digits) > maxIntegerDigits {
+		return 0, false
+	}
+	for _, c := range digits {
+		if c < '0' || c > '9' {
+			return 0, false
+		}
+		v = v*10 + int64(c-'0')
+	}
+	if negative {
+		v = -v
+	}
+	return v, true
+}
--- /dev/null
+++ b/opensearch/timevalue.go
@@ -0,0 +1,38 @@
+package opensearch
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// timeUnit is a unit of OpenSearch's time values.
+type timeUnit struct {
+	suffix   string
+	duration time.Duration
+}
+
+// timeUnits are in an order in which no suffix hides a longer one.
+var timeUnits = []timeUnit{
+	{"nanos", time.Nanosecond},
+	{"micros", time.Microsecond},
+	{"ms", time.Millisecond},
+	{"s", time.Second},
+	{"m", time.Minute},
+	{"h", time.Hour},
+	{"d", 24 * time.Hour},
+}
+
+// parseTime reads a time value such as 500ms. A value of more than a day counts as a day.
+func parseTime(text string) (time.Duration, error) {
+	for _, unit := range timeUnits {
+		if digits, ok := strings.CutSuffix(text, unit.suffix); ok {
+			n, err := strconv.ParseUint(digits, 10, 32)
+			if err == nil && n > 0 {
+				return time.Duration(min(n, uint64(24*time.Hour/unit.duration))) * unit.duration, nil
+			}
+		}
+	}
+	return 0, fmt.Errorf("%q is no time value", text)
+}
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -190,7 +190,7 @@
 	s.version = v.Number
 	s.document = d
 	if s.program.openSearch != nil {
-		if err := s.program.openSearch.Use(search); err != nil {
+		if err := s.program.openSearch.SetTerms(search); err != nil {
 			return err
 		}
 	}
@@ -226,7 +226,7 @@
 	if c := s.platform.Load(); c != nil {
 		edge = &broker.Terms{Settings: c.Settings}
 	}
-	return opensearch.Unknown(), edge, nil
+	return opensearch.UnknownTerms(), edge, nil
 }
 
 // Init bootstraps a new group in an instance's data directory. The group's first version is the given document, which this
