--- a/adminserver.go
+++ b/adminserver.go
@@ -10,11 +10,11 @@
 
 // startAdmin starts the admin server on the parts that are on. They have been started before.
 func (p *program) startAdmin() error {
-	token, err := readSecret(p.config.TokenFile)
+	token, err := readSecret(p.config.AdminTokenFile)
 	if err != nil {
 		return fmt.Errorf("instance.admin_token_file: %w", err)
 	}
-	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", p.config.Admin)
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", p.config.AdminAddr)
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
--- a/alderproxy.go
+++ b/alderproxy.go
@@ -89,9 +89,9 @@
 		}
 	}
 	if named := os.Getenv("EDGE_CONFIG"); named != "" {
-		c.Gatherer = named
+		c.PlatformConfigPath = named
 	}
-	if c.Gatherer == "" && c.OpenSearch == nil {
+	if c.PlatformConfigPath == "" && c.OpenSearch == nil {
 		return nil, errors.New("nothing to serve: EDGE_CONFIG names no configuration and the OpenSearch front is off")
 	}
 	return c, nil
@@ -166,7 +166,7 @@
 	if err := p.startMembership(edge); err != nil {
 		return err
 	}
-	if p.config.Admin != "" {
+	if p.config.AdminAddr != "" {
 		if err := p.startAdmin(); err != nil {
 			return err
 		}
@@ -182,7 +182,7 @@
 	var terms *broker.Terms
 	if p.config.OpenSearch != nil {
 		var err error
-		if terms, err = p.config.OpenSearch.Terms(0, p.config.Own); err != nil {
+		if terms, err = p.config.OpenSearch.Terms(0, p.config.Document); err != nil {
 			return err
 		}
 	}
@@ -269,10 +269,10 @@
 
 // loadPlatformConfig reads the platform's configuration; nil: the instance has none.
 func (p *program) loadPlatformConfig() (*platform.Config, error) {
-	if p.config.Gatherer == "" {
+	if p.config.PlatformConfigPath == "" {
 		return nil, nil
 	}
-	text, err := os.ReadFile(p.config.Gatherer)
+	text, err := os.ReadFile(p.config.PlatformConfigPath)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
--- a/cmd/alderproxy/operate.go
+++ b/cmd/alderproxy/operate.go
@@ -108,7 +108,7 @@
 			if err != nil {
 				return err
 			}
-			text := file.Shared
+			text := file.DocumentText
 			if shared != "" {
 				if text, err = readText(shared); err != nil {
 					return err
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -26,14 +26,14 @@
 			if file.Agreement == nil {
 				return errors.New("the file has no [agreement]")
 			}
-			r, err := raftnode.Examine(file.Folder, file.ID)
+			r, err := raftnode.Examine(file.DataDirectory, file.ID)
 			if err != nil {
 				return err
 			}
 			out := c.OutOrStdout()
 			v := r.State.Active()
 			fmt.Fprintf(out, "folder %s of %s: %d versions, the newest is %d (%s) by %s; the log ends at entry %d of term %d\n",
-				file.Folder, r.Name, len(r.State.Versions), v.Number, v.Digest, v.Author, r.Last, r.Term)
+				file.DataDirectory, r.Name, len(r.State.Versions), v.Number, v.Digest, v.Author, r.Last, r.Term)
 			if r.State.Pending != nil {
 				fmt.Fprintf(out, "change %s by %s is pending: it will be dropped\n", r.State.Pending.Request, r.State.Pending.Author)
 			}
@@ -47,7 +47,7 @@
 			if !sure {
 				return errors.New("nothing was done: give --i-may-lose-changes to go on")
 			}
-			if err := raftnode.RecoverUnsafe(file.Folder, file.ID, file.Agreement.Address); err != nil {
+			if err := raftnode.RecoverUnsafe(file.DataDirectory, file.ID, file.Agreement.Address); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%s is the only member of a new group; start it, and add the others\n", r.Name)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,18 +41,18 @@
 	require.NoError(t, err)
 	assert.Equal(t, "json", c.Log.Format)
 	assert.Equal(t, Agreement{
-		Listen: "127.0.0.1:7401", Address: "127.0.0.1:7401", StaleAfter: 2 * time.Second, Speed: 1,
-		Keep: 1000, SnapshotAfter: 200,
+		Listen: "127.0.0.1:7401", Address: "127.0.0.1:7401", StalenessBound: 2 * time.Second, Speed: 1,
+		KeepVersions: 1000, SnapshotAfter: 200,
 	}, *c.Agreement)
 	require.Len(t, c.OpenSearch.Stores, 2)
 	assert.Equal(t, 1, c.OpenSearch.Stores[1].RingPosition)
-	assert.Len(t, c.Own.Indices, 1)
-	assert.NotEmpty(t, c.Shared)
+	assert.Len(t, c.Document.Indices, 1)
+	assert.NotEmpty(t, c.DocumentText)
 	alone, err := Parse("f", "[log]\n")
 	require.NoError(t, err)
 	assert.Nil(t, alone.OpenSearch)
 	assert.Nil(t, alone.Agreement)
-	assert.Empty(t, alone.Shared)
+	assert.Empty(t, alone.DocumentText)
 }
 
 func TestFaults(t *testing.T) {
@@ -83,5 +83,5 @@
 	c, err := Parse("n1.ini", text)
 	require.NoError(t, err)
 	assert.Len(t, c.OpenSearch.Stores, 1024)
-	assert.Len(t, c.Own.Indices, 1024)
+	assert.Len(t, c.Document.Indices, 1024)
 }
--- a/membership.go
+++ b/membership.go
@@ -24,8 +24,8 @@
 )
 
 // platformMembership is the configuration of a member of the platform's gossip group. The platform has no key.
-func platformMembership(edge *platform.Config) *config.Members {
-	return &config.Members{
+func platformMembership(edge *platform.Config) *config.Membership {
+	return &config.Membership{
 		Listen: edge.Peers.Listen,
 		Group:  platformMembers,
 		Member: membership.Config{
@@ -43,9 +43,9 @@
 // startMembership makes this instance a member of the fleet that its file or the platform's configuration names, if any.
 func (p *program) startMembership(edge *platform.Config) error {
 	switch {
-	case p.config.Members != nil:
-		return p.startGossip(p.config.Members, nil)
-	case p.config.PeersTell && edge != nil && len(edge.Peers.All) > 0:
+	case p.config.Membership != nil:
+		return p.startGossip(p.config.Membership, nil)
+	case p.config.PlatformMembership && edge != nil && len(edge.Peers.All) > 0:
 		return p.startGossip(platformMembership(edge), platformClock())
 	}
 	return nil
@@ -59,7 +59,7 @@
 }
 
 // startGossip starts the gossip node. A nil clock stands for the node's own.
-func (p *program) startGossip(c *config.Members, now func() membership.Micros) error {
+func (p *program) startGossip(c *config.Membership, now func() membership.Micros) error {
 	key, err := readSecret(c.KeyFile)
 	if err != nil {
 		return fmt.Errorf("membership.key_file: %w", err)
@@ -127,7 +127,7 @@
 		}
 		return p.openSearch.SetTerms(search)
 	}
-	terms, err := p.config.OpenSearch.Terms(0, p.config.Own)
+	terms, err := p.config.OpenSearch.Terms(0, p.config.Document)
 	if err != nil {
 		return err
 	}
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -74,12 +74,12 @@
 	log := p.log.WithField("instance", p.config.ID)
 	node := raftnode.Config{
 		Name:           p.config.ID,
-		DataDirectory:  p.config.Folder,
+		DataDirectory:  p.config.DataDirectory,
 		Address:        c.Address,
 		Key:            key,
-		Voters:         c.Follow,
-		StalenessBound: c.StaleAfter,
-		ServeWhenStale: c.ServeStale,
+		Voters:         c.Voters,
+		StalenessBound: c.StalenessBound,
+		ServeWhenStale: c.ServeWhenStale,
 		Speed:          c.Speed,
 		SnapshotAfter:  c.SnapshotAfter,
 		Log:            log,
@@ -87,7 +87,7 @@
 		Activate:       shared.activate,
 		OnStep:         p.onChangeStep,
 	}
-	if len(c.Follow) > 0 {
+	if len(c.Voters) > 0 {
 		err = shared.follow(node)
 	} else {
 		err = shared.vote(node, c.Listen)
@@ -235,7 +235,7 @@
 	if c.Agreement == nil {
 		return "", errors.New("the instance's file has no [agreement]")
 	}
-	if len(c.Agreement.Follow) > 0 {
+	if len(c.Agreement.Voters) > 0 {
 		return "", errors.New("this instance follows others (agreement.follow): it cannot begin a group")
 	}
 	d, err := document.Parse("document", text)
@@ -251,5 +251,5 @@
 		}
 	}
 	digest = document.Digest(text)
-	return digest, raftnode.Bootstrap(c.Folder, c.ID, c.Agreement.Address, text, digest, author, c.Agreement.Keep, time.Now())
+	return digest, raftnode.Bootstrap(c.DataDirectory, c.ID, c.Agreement.Address, text, digest, author, c.Agreement.KeepVersions, time.Now())
 }
