--- a/admin/client.go
+++ b/admin/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"crypto/rand"
 	"encoding/hex"
 	"encoding/json"
@@ -10,84 +11,87 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	"time"
 
 	"alderproxy/gossip"
 	"alderproxy/raftnode"
 	"alderproxy/sharedconfig"
 )
 
-// Client talks to one instance's pages.
-type Client struct {
-	Addr  string
-	Token string
-}
-
-// ErrRefused is behind what an instance refused; ErrUnreachable behind calls that had no answer.
+// Errors of calls.
 var (
-	ErrRefused     = errors.New("refused")
+	// ErrRejected is wrapped by the errors of requests that the instance rejected.
+	ErrRejected = errors.New("refused")
+	// ErrUnreachable is wrapped by the errors of calls that got no usable response.
 	ErrUnreachable = errors.New("no answer")
 )
 
-// NewRequest makes a name for a change.
-func NewRequest() string {
-	var b [8]byte
-	rand.Read(b[:]) // never fails, as its documentation says
-	return hex.EncodeToString(b[:])
+// Client calls the admin server of one instance.
+type Client struct {
+	Addr  string
+	Token string // empty: none
 }
 
-var web = &http.Client{Timeout: orderLimit + 10*time.Second}
+var httpClient = &http.Client{Timeout: commandTimeout + clientGracePeriod}
+
+// NewRequestID returns an id for a change.
+func NewRequestID() string {
+	var id [8]byte
+	_, _ = rand.Read(id[:]) // never fails, as its documentation says
+	return hex.EncodeToString(id[:])
+}
 
-func (c Client) call(method, path string, body, into any) (status int, err error) {
+// call sends a request with a JSON body and decodes the JSON response.
+func (c Client) call(method, path string, body, into any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return 0, err
+		return err
 	}
-	req, err := http.NewRequest(method, "http://"+c.Addr+path, bytes.NewReader(text))
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.Addr+path, bytes.NewReader(text))
 	if err != nil {
-		return 0, err
+		return err
 	}
 	if c.Token != "" {
-		req.Header.Set("Authorization", "Bearer "+c.Token)
+		request.Header.Set("Authorization", "Bearer "+c.Token)
 	}
-	resp, err := web.Do(req)
+	response, err := httpClient.Do(request)
 	if err != nil {
-		var u *url.Error
-		if errors.As(err, &u) {
-			err = u.Err
+		var withURL *url.Error
+		if errors.As(err, &withURL) {
+			err = withURL.Err
 		}
-		return 0, fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
+		return fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = response.Body.Close() }() // it was only read
 	var raw json.RawMessage
-	if err := json.NewDecoder(resp.Body).Decode(&raw); err != nil {
-		return resp.StatusCode, fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
+	if err := json.NewDecoder(response.Body).Decode(&raw); err != nil {
+		return fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
 	}
-	var p problem
-	if resp.StatusCode != http.StatusOK && json.Unmarshal(raw, &p) == nil && p.Error != "" {
-		return resp.StatusCode, fmt.Errorf("%w: %s", ErrRefused, p.Error)
+	var failure errorBody
+	if response.StatusCode != http.StatusOK && json.Unmarshal(raw, &failure) == nil && failure.Error != "" {
+		return fmt.Errorf("%w: %s", ErrRejected, failure.Error)
 	}
-	return resp.StatusCode, json.Unmarshal(raw, into)
+	return json.Unmarshal(raw, into)
 }
 
-// Status is how the instance sees its group.
+// Status returns how the instance sees its group.
 func (c Client) Status() (s raftnode.Status, err error) {
-	_, err = c.call("GET", "/v1/status", nil, &s)
+	err = c.call(http.MethodGet, "/v1/status", nil, &s)
 	return s, err
 }
 
-// Members is how the instance sees its fleet. after, where it is not 0, is the number of a view: the instance waits a
-// few seconds for another one.
+// Members returns the instance's view of its fleet. Where after is not 0, the instance waits up to five seconds for a view
+// of another version.
 func (c Client) Members(after uint64) (s gossip.Status, err error) {
 	path := "/v1/members"
 	if after > 0 {
 		path += "?after=" + strconv.FormatUint(after, 10)
 	}
-	_, err = c.call("GET", path, nil, &s)
+	err = c.call(http.MethodGet, path, nil, &s)
 	return s, err
 }
 
-// Show is a version; 0: the active one. Local: as this instance has it, without asking the others.
+// Show returns a version of the shared document; 0: the active one. local reads the instance's own state, which a majority
+// need not confirm.
 func (c Client) Show(version uint64, local bool) (v sharedconfig.Version, err error) {
 	q := url.Values{}
 	if version > 0 {
@@ -96,28 +100,28 @@
 	if local {
 		q.Set("local", "1")
 	}
-	_, err = c.call("GET", "/v1/config?"+q.Encode(), nil, &v)
+	err = c.call(http.MethodGet, "/v1/config?"+q.Encode(), nil, &v)
 	return v, err
 }
 
-// History is the versions that are kept, without their texts, the oldest first.
+// History returns the versions in the history without their texts, the oldest first. local is as in Show.
 func (c Client) History(local bool) (all []sharedconfig.Version, err error) {
 	path := "/v1/config/history"
 	if local {
 		path += "?local=1"
 	}
-	_, err = c.call("GET", path, nil, &all)
+	err = c.call(http.MethodGet, path, nil, &all)
 	return all, err
 }
 
-// Put asks for a change.
-func (c Client) Put(p Put) (o sharedconfig.Outcome, err error) {
-	_, err = c.call("POST", "/v1/config", p, &o)
+// Put changes the shared document and returns the outcome.
+func (c Client) Put(change ConfigChange) (o sharedconfig.Outcome, err error) {
+	err = c.call(http.MethodPost, "/v1/config", change, &o)
 	return o, err
 }
 
-// Order asks for a change of the members or of the lead.
-func (c Client) Order(order raftnode.Command) (o sharedconfig.Outcome, err error) {
-	_, err = c.call("POST", "/v1/instances", order, &o)
+// Execute has the leader execute a command about the members or the leadership, and returns the outcome.
+func (c Client) Execute(command raftnode.Command) (o sharedconfig.Outcome, err error) {
+	err = c.call(http.MethodPost, "/v1/instances", command, &o)
 	return o, err
 }
--- /dev/null
+++ b/admin/config.go
@@ -0,0 +1,146 @@
+package admin
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"alderproxy/document"
+	"alderproxy/raftnode"
+	"alderproxy/sharedconfig"
+)
+
+// The limits on the texts of a change, in bytes.
+const (
+	maxRequestIDBytes = 64
+	maxAuthorBytes    = 128
+	maxReasonBytes    = 1024
+)
+
+// ConfigChange is a change of the shared document: to a text, or, where Restores is set, back to an earlier version.
+type ConfigChange struct {
+	Request  string `json:"request"` // identifies the change: a retry with the same id does not make it twice
+	Expect   uint64 `json:"expect"`  // the version that it replaces
+	Text     string `json:"text,omitempty"`
+	Restores uint64 `json:"restores,omitempty"` // the version that it brings back; 0: none
+	Author   string `json:"author"`
+	Reason   string `json:"reason"`
+}
+
+func (c *ConfigChange) validate() error {
+	if c.Request == "" || len(c.Request) > maxRequestIDBytes || len(c.Author) > maxAuthorBytes || len(c.Reason) > maxReasonBytes {
+		return errors.New("a request's name of at most 64 bytes is needed, an author of at most 128 and a reason of at most 1,024")
+	}
+	return nil
+}
+
+func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, s.config.Status())
+}
+
+// readState returns the group's state as a majority confirms it, or, with local=1, as this instance has it. Where it cannot,
+// it writes the error and returns false.
+func (s *Server) readState(w http.ResponseWriter, r *http.Request) (sharedconfig.State, bool) {
+	if r.FormValue("local") == "1" {
+		return s.config.State(), true
+	}
+	state, err := s.config.Read(readTimeout)
+	if err != nil {
+		writeError(w, http.StatusServiceUnavailable, err)
+		return state, false
+	}
+	return state, true
+}
+
+func (s *Server) handleShow(w http.ResponseWriter, r *http.Request) {
+	state, ok := s.readState(w, r)
+	if !ok {
+		return
+	}
+	version := state.Active()
+	if text := r.FormValue("version"); text != "" {
+		number, err := strconv.ParseUint(text, 10, 64)
+		if version, ok = state.Version(number); err != nil || !ok {
+			writeError(w, http.StatusNotFound, fmt.Errorf("version %q is not kept", text))
+			return
+		}
+	}
+	writeJSON(w, http.StatusOK, version)
+}
+
+func (s *Server) handleHistory(w http.ResponseWriter, r *http.Request) {
+	state, ok := s.readState(w, r)
+	if !ok {
+		return
+	}
+	history := make([]sharedconfig.Version, len(state.Versions))
+	for i, version := range state.Versions {
+		version.Text = ""
+		history[i] = version
+	}
+	writeJSON(w, http.StatusOK, history)
+}
+
+func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
+	var change ConfigChange
+	if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
+		writeError(w, http.StatusBadRequest, err)
+		return
+	}
+	if err := change.validate(); err != nil {
+		writeError(w, http.StatusBadRequest, err)
+		return
+	}
+	if change.Restores > 0 {
+		state, ok := s.readState(w, r)
+		if !ok {
+			return
+		}
+		version, found := state.Version(change.Restores)
+		if !found {
+			writeError(w, http.StatusNotFound, fmt.Errorf("version %d is not kept", change.Restores))
+			return
+		}
+		change.Text = version.Text
+	}
+	if _, err := document.Parse("document", change.Text); err != nil { // no other instance need check it
+		writeError(w, http.StatusUnprocessableEntity, err)
+		return
+	}
+	s.execute(w, raftnode.Command{Change: &sharedconfig.Change{
+		Request:  change.Request,
+		Expect:   change.Expect,
+		Text:     change.Text,
+		Digest:   document.Digest(change.Text),
+		Author:   change.Author,
+		Reason:   change.Reason,
+		At:       time.Now().UnixMilli(),
+		Restores: change.Restores,
+	}})
+}
+
+func (s *Server) handleInstances(w http.ResponseWriter, r *http.Request) {
+	var command raftnode.Command
+	if err := json.NewDecoder(r.Body).Decode(&command); err != nil || command.Change != nil {
+		writeError(w, http.StatusBadRequest, errors.Join(err, errors.New("no order about instances")))
+		return
+	}
+	s.execute(w, command)
+}
+
+// outcomeStatus maps the outcomes of commands to HTTP statuses.
+var outcomeStatus = map[sharedconfig.Status]int{
+	sharedconfig.Done:     http.StatusOK,
+	sharedconfig.Conflict: http.StatusConflict,
+	sharedconfig.Busy:     http.StatusConflict,
+	sharedconfig.Refused:  http.StatusUnprocessableEntity,
+	sharedconfig.Unknown:  http.StatusServiceUnavailable,
+}
+
+func (s *Server) execute(w http.ResponseWriter, command raftnode.Command) {
+	outcome := s.config.Execute(command, commandTimeout)
+	writeJSON(w, outcomeStatus[outcome.Status], outcome)
+}
--- a/adminserver.go
+++ b/adminserver.go
@@ -18,9 +18,9 @@
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	parts := admin.Parts{Fleet: p.gossip}
+	parts := admin.Services{Gossip: p.gossip}
 	if p.sharedConfig != nil {
-		parts.Agreement = p.sharedConfig.node
+		parts.Config = p.sharedConfig.node
 	}
 	p.admin = admin.Start(listener, parts, string(token), p.log.WithField("instance", p.config.ID))
 	return nil
--- /dev/null
+++ b/cmd/alderproxy/check.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"alderproxy/config"
+	"alderproxy/document"
+	"alderproxy/inifile"
+)
+
+func checkCommand() *cobra.Command {
+	var isDocument bool
+	c := &cobra.Command{
+		Use:   "check FILE...",
+		Short: "Tell all that is wrong with instances' files or documents",
+		Args:  checkArgs(cobra.MinimumNArgs(1)),
+		RunE: func(c *cobra.Command, files []string) error {
+			out := &output{to: c.OutOrStdout()}
+			count := 0
+			for _, path := range files {
+				faults := faultsOf(checkFile(path, isDocument))
+				for _, fault := range faults {
+					out.printf("%v\n", fault)
+				}
+				count += len(faults)
+			}
+			if out.err == nil && count > 0 {
+				return fmt.Errorf("faults found: %d", count)
+			}
+			return out.err
+		},
+	}
+	c.Flags().BoolVar(&isDocument, "shared", false, "the files hold shared sections only, as the agreed document does")
+	return c
+}
+
+func checkFile(path string, isDocument bool) error {
+	if !isDocument {
+		_, err := config.Load(path)
+		return err
+	}
+	text, err := readText(path)
+	if err != nil {
+		return err
+	}
+	_, err = document.Parse(path, text)
+	return err
+}
+
+// faultsOf returns the faults of a file, each as an error of its own.
+func faultsOf(err error) []error {
+	var faults inifile.Faults
+	switch {
+	case errors.As(err, &faults):
+		var all []error
+		for _, fault := range faults {
+			all = append(all, fault)
+		}
+		return all
+	case err != nil:
+		return []error{err}
+	}
+	return nil
+}
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -23,10 +23,11 @@
 
 const first = "[class lookup]\naim = 1s\ngive_up = 2s\n"
 
-// instance is one that operators reach, without fronts. It cannot serve documents with an index.
+// instance starts an instance with an admin server and without fronts. It cannot serve documents with an index.
 func instance(t *testing.T, token string) (addr string) {
+	t.Helper()
 	folder := t.TempDir()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
 	n, err := raftnode.Open(raftnode.Config{
@@ -39,11 +40,11 @@
 		},
 	})
 	require.NoError(t, err)
-	t.Cleanup(func() { n.Close() })
-	l, err = net.Listen("tcp", "127.0.0.1:0")
+	t.Cleanup(func() { assert.NoError(t, n.Close()) })
+	l, err = new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := admin.Start(l, admin.Parts{Agreement: n}, token, testserver.Log())
-	t.Cleanup(func() { s.Close() })
+	s := admin.Start(l, admin.Services{Config: n}, token, testserver.Log())
+	t.Cleanup(func() { assert.NoError(t, s.Close()) })
 	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
 	return s.Addr()
 }
--- /dev/null
+++ b/cmd/alderproxy/client.go
@@ -0,0 +1,89 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"os/user"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"alderproxy/admin"
+	"alderproxy/sharedconfig"
+)
+
+// adminCommand is the flags of a command that calls an instance's admin server.
+type adminCommand struct {
+	addr      string
+	tokenFile string
+	json      bool
+}
+
+func (a *adminCommand) addFlags(c *cobra.Command) {
+	c.PersistentFlags().StringVar(&a.addr, "admin", "127.0.0.1:9400", "an instance's operators' address")
+	c.PersistentFlags().StringVar(&a.tokenFile, "token-file", "", "a file with the operators' token")
+	c.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON")
+}
+
+func (a *adminCommand) client() (admin.Client, error) {
+	client := admin.Client{Addr: a.addr}
+	if a.tokenFile != "" {
+		text, err := os.ReadFile(a.tokenFile)
+		if err != nil {
+			return client, err
+		}
+		client.Token = strings.TrimSpace(string(text))
+	}
+	return client, nil
+}
+
+// print writes a value as JSON where the flags ask for that, else as text by the given function.
+func (a *adminCommand) print(to io.Writer, value any, text func(*output)) error {
+	if a.json {
+		return writeJSON(to, value)
+	}
+	out := &output{to: to}
+	text(out)
+	return out.err
+}
+
+// printOutcome prints the outcome of a change or of a command about instances. One that was not done is an error.
+func (a *adminCommand) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
+	if outcome.Status == sharedconfig.Done || a.json {
+		err := a.print(to, outcome, func(out *output) { printDone(out, outcome) })
+		if err != nil || outcome.Status == sharedconfig.Done {
+			return err
+		}
+	}
+	switch {
+	case outcome.Status == sharedconfig.Unknown && outcome.Request != "":
+		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Why, outcome.Request)
+	case outcome.Status == sharedconfig.Unknown:
+		return fmt.Errorf("unknown whether it was done: %s", outcome.Why)
+	case outcome.Instance != "":
+		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.Instance, outcome.Why)
+	}
+	return fmt.Errorf("%s: %s", outcome.Status, outcome.Why)
+}
+
+func printDone(out *output, outcome sharedconfig.Outcome) {
+	switch {
+	case outcome.Version > 0 && outcome.Why != "":
+		out.printf("version %d is active: %s\n", outcome.Version, outcome.Why)
+	case outcome.Version > 0:
+		out.printf("version %d is active\n", outcome.Version)
+	case outcome.Why != "":
+		out.printf("%s\n", outcome.Why)
+	default:
+		out.printf("done\n")
+	}
+}
+
+// defaultAuthor is the name under which the history records a change where none is given.
+func defaultAuthor() string {
+	if account, err := user.Current(); err == nil {
+		return account.Username
+	}
+	return "unknown"
+}
--- /dev/null
+++ b/cmd/alderproxy/config.go
@@ -0,0 +1,204 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"time"
+
+	"github.com/pmezard/go-difflib/difflib"
+	"github.com/spf13/cobra"
+
+	"alderproxy/admin"
+	"alderproxy/sharedconfig"
+)
+
+// diffContext is how many unchanged lines a diff prints around a change.
+const diffContext = 3
+
+func configCommand() *cobra.Command {
+	var a adminCommand
+	c := &cobra.Command{Use: "config", Short: "Read and change the agreed document"}
+	a.addFlags(c)
+	c.AddCommand(a.showCommand(), a.diffCommand(), a.putCommand(), a.historyCommand(), a.rollbackCommand())
+	return c
+}
+
+func (a *adminCommand) showCommand() *cobra.Command {
+	var version uint64
+	var local bool
+	c := &cobra.Command{
+		Use:   "show",
+		Short: "Print the active version, or another one",
+		Args:  checkArgs(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error {
+			client, err := a.client()
+			if err != nil {
+				return err
+			}
+			shown, err := client.Show(version, local)
+			if err != nil {
+				return err
+			}
+			return a.print(c.OutOrStdout(), shown, func(out *output) { out.printf("%s", shown.Text) })
+		},
+	}
+	c.Flags().Uint64Var(&version, "version", 0, "the version (default: the active one)")
+	addLocalFlag(c, &local)
+	return c
+}
+
+// documentDiff is the difference between the active version and a file.
+type documentDiff struct {
+	Version uint64 `json:"version"`
+	Diff    string `json:"diff"`
+}
+
+func (a *adminCommand) diffCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "diff FILE",
+		Short: "Print what putting a file would change",
+		Args:  checkArgs(cobra.ExactArgs(1)),
+		RunE: func(c *cobra.Command, files []string) error {
+			client, err := a.client()
+			if err != nil {
+				return err
+			}
+			text, err := readText(files[0])
+			if err != nil {
+				return err
+			}
+			active, err := client.Show(0, false)
+			if err != nil {
+				return err
+			}
+			diff, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
+				A:        difflib.SplitLines(active.Text),
+				B:        difflib.SplitLines(text),
+				FromFile: fmt.Sprintf("version %d", active.Number),
+				ToFile:   files[0],
+				Context:  diffContext,
+			})
+			if err != nil {
+				return err
+			}
+			return a.print(c.OutOrStdout(), documentDiff{active.Number, diff}, func(out *output) { out.printf("%s", diff) })
+		},
+	}
+}
+
+// changeFlags are the flags of commands that change the document.
+type changeFlags struct {
+	expect  uint64
+	author  string
+	reason  string
+	request string
+}
+
+func (f *changeFlags) addTo(c *cobra.Command) {
+	c.Flags().Uint64Var(&f.expect, "expect", 0, "the version that the change is made for (default: the active one)")
+	c.Flags().StringVar(&f.author, "author", defaultAuthor(), "who makes it")
+	c.Flags().StringVar(&f.reason, "reason", "", "why")
+	c.Flags().StringVar(&f.request, "request", "", "the name of a change that was asked for before: it is not made twice")
+}
+
+// change sends a change and prints its outcome.
+func (a *adminCommand) change(c *cobra.Command, flags changeFlags, change admin.ConfigChange) error {
+	client, err := a.client()
+	if err != nil {
+		return err
+	}
+	change.Expect = flags.expect
+	if change.Expect == 0 {
+		active, err := client.Show(0, false)
+		if err != nil {
+			return err
+		}
+		change.Expect = active.Number
+	}
+	change.Request = flags.request
+	if change.Request == "" {
+		change.Request = admin.NewRequestID()
+	}
+	change.Author = flags.author
+	change.Reason = flags.reason
+	outcome, err := client.Put(change)
+	if errors.Is(err, admin.ErrUnreachable) {
+		outcome = sharedconfig.Outcome{Request: change.Request, Why: err.Error()}
+	} else if err != nil {
+		return err
+	}
+	return a.printOutcome(c.OutOrStdout(), outcome)
+}
+
+func (a *adminCommand) putCommand() *cobra.Command {
+	var flags changeFlags
+	c := &cobra.Command{
+		Use:   "put FILE",
+		Short: "Replace the agreed document: everywhere or nowhere",
+		Args:  checkArgs(cobra.ExactArgs(1)),
+		RunE: func(c *cobra.Command, files []string) error {
+			text, err := readText(files[0])
+			if err != nil {
+				return err
+			}
+			return a.change(c, flags, admin.ConfigChange{Text: text})
+		},
+	}
+	flags.addTo(c)
+	return c
+}
+
+func (a *adminCommand) rollbackCommand() *cobra.Command {
+	var flags changeFlags
+	c := &cobra.Command{
+		Use:   "rollback VERSION",
+		Short: "Bring back a version that is kept, as a new one",
+		Args:  checkArgs(cobra.ExactArgs(1)),
+		RunE: func(c *cobra.Command, given []string) error {
+			version, err := strconv.ParseUint(given[0], 10, 64)
+			if err != nil || version == 0 {
+				return usageError{fmt.Errorf("%q is no version", given[0])}
+			}
+			if flags.reason == "" {
+				flags.reason = fmt.Sprintf("back to version %d", version)
+			}
+			return a.change(c, flags, admin.ConfigChange{Restores: version})
+		},
+	}
+	flags.addTo(c)
+	return c
+}
+
+func (a *adminCommand) historyCommand() *cobra.Command {
+	var local bool
+	c := &cobra.Command{
+		Use:   "history",
+		Short: "List the versions that are kept",
+		Args:  checkArgs(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error {
+			client, err := a.client()
+			if err != nil {
+				return err
+			}
+			versions, err := client.History(local)
+			if err != nil {
+				return err
+			}
+			return a.print(c.OutOrStdout(), versions, func(out *output) {
+				var rows []string
+				for _, v := range versions {
+					at := time.UnixMilli(v.At).UTC().Format(time.DateTime)
+					rows = append(rows, fmt.Sprintf("%d\t%s\t%s\t%s\t%s", v.Number, at, v.Author, v.Digest, v.Reason))
+				}
+				out.table("VERSION\tTIME\tAUTHOR\tDIGEST\tREASON", rows)
+			})
+		},
+	}
+	addLocalFlag(c, &local)
+	return c
+}
+
+func addLocalFlag(c *cobra.Command, local *bool) {
+	c.Flags().BoolVar(local, "local", false, "as this instance has it, without asking the others")
+}
--- /dev/null
+++ b/cmd/alderproxy/output.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"text/tabwriter"
+)
+
+// output writes a command's result and keeps the first error of writing.
+type output struct {
+	to  io.Writer
+	err error
+}
+
+func (o *output) printf(format string, values ...any) {
+	if o.err == nil {
+		_, o.err = fmt.Fprintf(o.to, format, values...)
+	}
+}
+
+// table writes a header and rows, all with cells that are separated by tabs, in aligned columns.
+func (o *output) table(header string, rows []string) {
+	if o.err != nil {
+		return
+	}
+	columns := tabwriter.NewWriter(o.to, 0, 8, 2, ' ', 0)
+	for _, line := range append([]string{header}, rows...) {
+		if _, o.err = fmt.Fprintln(columns, line); o.err != nil {
+			return
+		}
+	}
+	o.err = columns.Flush()
+}
+
+// writeJSON writes a value as indented JSON.
+func writeJSON(to io.Writer, value any) error {
+	encoder := json.NewEncoder(to)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
--- a/cmd/alderproxy/root.go
+++ b/cmd/alderproxy/root.go
@@ -9,123 +9,94 @@
 	"github.com/spf13/cobra"
 
 	"alderproxy"
-	"alderproxy/config"
-	"alderproxy/document"
-	"alderproxy/inifile"
 )
 
 // Exit statuses.
 const (
-	exitDone    = 0
-	exitRefused = 1 // with a reason in one line
-	exitUsage   = 2 // wrong usage
+	exitDone   = 0
+	exitFailed = 1 // with the reason in one line
+	exitUsage  = 2 // the program was called wrongly
 )
 
-// usage marks errors about how the program was called.
-type usage struct{ error }
+// usageError is an error about how the program was called.
+type usageError struct{ error }
 
-// run is the whole program: it returns the exit status.
-func run(args []string, out, errs io.Writer) int {
-	root := root()
-	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
-	err := root.Execute()
-	var wrong usage
+// Unwrap returns the error itself.
+func (e usageError) Unwrap() error { return e.error }
+
+// run runs the program and returns its exit status.
+func run(args []string, stdout, stderr io.Writer) int {
+	c := rootCommand()
+	c.SetArgs(args)
+	c.SetOut(stdout)
+	c.SetErr(stderr)
+	err := c.Execute()
+	var usage usageError
 	switch {
 	case err == nil:
 		return exitDone
-	case errors.As(err, &wrong):
-		fmt.Fprintf(errs, "alderproxy: %v (see alderproxy --help)\n", err)
+	case errors.As(err, &usage):
+		_, _ = fmt.Fprintf(stderr, "alderproxy: %v (see alderproxy --help)\n", err)
 		return exitUsage
 	}
-	fmt.Fprintln(errs, "alderproxy:", err)
-	return exitRefused
+	_, _ = fmt.Fprintln(stderr, "alderproxy:", err)
+	return exitFailed
 }
 
-func root() *cobra.Command {
-	var path string
-	serve := func(*cobra.Command, []string) error { return alderproxy.Serve(alderproxy.Options{ConfigPath: path}) }
+func rootCommand() *cobra.Command {
+	var configPath string
+	serve := func(*cobra.Command, []string) error {
+		return alderproxy.Serve(alderproxy.Options{ConfigPath: configPath})
+	}
 	root := &cobra.Command{
-		Use: "alderproxy", Short: "A broker between the services of many teams",
+		Use:   "alderproxy",
+		Short: "A broker between the services of many teams",
 		Long: "alderproxy takes queries, fans each one out over sharded, replicated stores, and gives every query exactly one\n" +
 			"final answer in time. Without a command it serves.",
-		Args: args(cobra.NoArgs), RunE: serve, SilenceErrors: true, SilenceUsage: true, Version: version(),
+		Args:          checkArgs(cobra.NoArgs),
+		RunE:          serve,
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		Version:       version(),
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
-	cmd := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM", Args: args(cobra.NoArgs), RunE: serve}
-	for _, c := range []*cobra.Command{root, cmd} {
-		c.Flags().StringVar(&path, "config", "", "the instance's file (default: $ALDERPROXY_CONFIG, else deploy/alderproxy.ini)")
-		c.MarkFlagFilename("config", "ini")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	serveCommand := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM", Args: checkArgs(cobra.NoArgs), RunE: serve}
+	for _, c := range []*cobra.Command{root, serveCommand} {
+		addConfigFlag(c, &configPath, "the instance's file (default: $ALDERPROXY_CONFIG, else deploy/alderproxy.ini)")
 	}
-	root.AddCommand(cmd, check(), initialize(), configuration(), instances(), members(), recovery())
+	root.AddCommand(serveCommand, checkCommand(), initCommand(), configCommand(), instancesCommand(), membersCommand(), recoverCommand())
 	return root
 }
 
-// args makes what cobra says of arguments an error of usage.
-func args(check cobra.PositionalArgs) cobra.PositionalArgs {
+// addConfigFlag adds the flag that names the instance's file.
+func addConfigFlag(c *cobra.Command, path *string, usage string) {
+	c.Flags().StringVar(path, "config", "", usage)
+	if err := c.MarkFlagFilename("config", "ini"); err != nil {
+		panic(err) // the flag does not exist
+	}
+}
+
+// checkArgs turns errors about a command's arguments into usage errors.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, given []string) error {
 		if err := check(c, given); err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		return nil
 	}
 }
 
-// version is the module's, and the revision that it was built from where the build knows it.
+// version returns the module's version, the revision that it was built from, where the build knows it, and Go's version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
 	text := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			text += " " + s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			text += " " + setting.Value
 		}
 	}
 	return text + " " + info.GoVersion
 }
-
-func check() *cobra.Command {
-	var shared bool
-	c := &cobra.Command{
-		Use: "check FILE...", Short: "Tell all that is wrong with instances' files or documents",
-		Args: args(cobra.MinimumNArgs(1)), RunE: func(c *cobra.Command, files []string) error {
-			faults := 0
-			for _, path := range files {
-				err := checkFile(path, shared)
-				var all inifile.Faults
-				switch {
-				case errors.As(err, &all):
-					for _, f := range all {
-						fmt.Fprintln(c.OutOrStdout(), f.Error())
-					}
-					faults += len(all)
-				case err != nil:
-					fmt.Fprintln(c.OutOrStdout(), err)
-					faults++
-				}
-			}
-			if faults > 0 {
-				return fmt.Errorf("faults found: %d", faults)
-			}
-			return nil
-		},
-	}
-	c.Flags().BoolVar(&shared, "shared", false, "the files hold shared sections only, as the agreed document does")
-	return c
-}
-
-func checkFile(path string, shared bool) error {
-	if !shared {
-		_, err := config.Load(path)
-		return err
-	}
-	text, err := readText(path)
-	if err != nil {
-		return err
-	}
-	_, err = document.Parse(path, text)
-	return err
-}
--- a/cmd/alderproxy/files.go
+++ b/cmd/alderproxy/textfile.go
@@ -8,7 +8,7 @@
 	"alderproxy/inifile"
 )
 
-// readText reads a file of at most the size that a document may have; - is standard input.
+// readText reads a file, or standard input where the path is -, up to one byte more than a file may have.
 func readText(path string) (string, error) {
 	f := os.Stdin
 	if path != "-" {
@@ -16,7 +16,7 @@
 		if f, err = os.Open(path); err != nil {
 			return "", err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // it was only read
 	}
 	text, err := io.ReadAll(io.LimitReader(f, inifile.MaxSize+1))
 	if err != nil {
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -153,7 +153,7 @@
 	for _, name := range voters[1:] {
 		r.instances[name].start("")
 		add := &sharedconfig.Member{Name: name, Addr: r.instances[name].peerProxy.Addr()}
-		o, err := first.client().Order(raftnode.Command{Add: add})
+		o, err := first.client().Execute(raftnode.Command{Add: add})
 		require.NoError(r.t, err)
 		require.Equal(r.t, sharedconfig.Done, o.Status, o.Why)
 	}
@@ -323,15 +323,15 @@
 	return sendOnce(i.platformAddr, lookupRequest(id))
 }
 
-func configPut(request string, expect uint64, worth int) admin.Put {
-	return admin.Put{Request: request, Expect: expect, Text: fmt.Sprintf(documentTemplate, worth), Author: "test"}
+func configPut(request string, expect uint64, worth int) admin.ConfigChange {
+	return admin.ConfigChange{Request: request, Expect: expect, Text: fmt.Sprintf(documentTemplate, worth), Author: "test"}
 }
 
 // transferLeadershipToN1 waits until n1 leads.
 func (r *cluster) transferLeadershipToN1() {
 	name := "n1"
 	require.Eventually(r.t, func() bool {
-		o, err := r.instances["n2"].client().Order(raftnode.Command{HandOver: &name})
+		o, err := r.instances["n2"].client().Execute(raftnode.Command{HandOver: &name})
 		s, err2 := r.instances[name].client().Status()
 		return err == nil && err2 == nil && o.Status == sharedconfig.Done && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -131,7 +131,7 @@
 		"index catalogue.slices: 1 is not below 1":                 strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 1", 1),
 		"settings: Classes is empty":                               "[layout]\nslices = 2\n",
 	} {
-		o, err := r.instances["n3"].client().Put(admin.Put{Request: what, Expect: 6, Text: text, Author: "test"})
+		o, err := r.instances["n3"].client().Put(admin.ConfigChange{Request: what, Expect: 6, Text: text, Author: "test"})
 		if err == nil {
 			assert.Equal(t, sharedconfig.Refused, o.Status)
 			assert.NotEmpty(t, o.Instance)
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -35,7 +35,7 @@
 
 // configNode is a voter or a follower of the replicated configuration.
 type configNode interface {
-	admin.Agreement
+	admin.ConfigNode
 	// Gate reports whether queries may be admitted by a version now, and if not, after which time to retry.
 	Gate(version uint64) (open bool, retryAfter time.Duration)
 	// ServedVersion returns the version that this instance serves; 0: none.
