--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -69,7 +69,7 @@
 			now += Micros(rapid.IntRange(0, 5).Draw(t, "passes"))
 			g := Grant{uint64(rapid.IntRange(1, 6).Draw(t, "version")), now + Micros(rapid.IntRange(1, 10).Draw(t, "for"))}
 			all = append(all, g)
-			l = l.with(g, now)
+			l = l.withGrant(g, now)
 			for v := uint64(0); v <= 7; v++ {
 				want := slices.ContainsFunc(all, func(g Grant) bool { return v > 0 && g.Version <= v && now < g.Until })
 				require.Equal(t, want, l.Holds(now, v), "version %d at %d of %v by %v", v, now, all, l.Grants)
--- /dev/null
+++ b/sharedconfig/entry.go
@@ -0,0 +1,46 @@
+package sharedconfig
+
+import (
+	"encoding/json"
+	"fmt"
+)
+
+// Entry is an entry of the replicated log. Exactly one field is set.
+type Entry struct {
+	Found   *Bootstrap `json:"found,omitempty"`
+	Propose *Change    `json:"propose,omitempty"`
+	Decide  *Decision  `json:"decide,omitempty"`
+	Retire  *Retire    `json:"retire,omitempty"`
+}
+
+// Bootstrap creates a group with its first version.
+type Bootstrap struct {
+	Group string `json:"group"`
+	Keep  int    `json:"keep"` // number of versions retained in the history
+	First Change `json:"first"`
+}
+
+// Decision commits or rejects the pending change.
+type Decision struct {
+	Request  string `json:"request"`
+	Accept   bool   `json:"accept"`
+	Instance string `json:"instance,omitempty"` // name of the instance that rejected it
+	Why      string `json:"why,omitempty"`      // reason of a rejection
+}
+
+// Retire records the ID of a removed instance, which must never become a member again.
+type Retire struct {
+	Folder string `json:"folder"`
+}
+
+// Encode returns the entry in its form in the log, which DecodeEntry reads.
+func (e Entry) Encode() ([]byte, error) { return json.Marshal(e) }
+
+// DecodeEntry parses an entry of the log.
+func DecodeEntry(text []byte) (Entry, error) {
+	var e Entry
+	if err := json.Unmarshal(text, &e); err != nil {
+		return e, fmt.Errorf("entry of the log: %w", err)
+	}
+	return e, nil
+}
--- /dev/null
+++ b/sharedconfig/events.go
@@ -0,0 +1,122 @@
+package sharedconfig
+
+// Event is an input of a Core or Follower: one of the types that implement it in this package.
+type Event interface{ event() }
+
+// Applied reports that entries of the log were applied at this instance. It carries the state after them and the
+// outcomes of the changes that they concern.
+type Applied struct {
+	State    State
+	Outcomes []Outcome
+}
+
+// Role reports whether this instance leads, and in which term. A leader is not ready until Ready reports the term.
+type Role struct {
+	Leading bool
+	Term    uint64
+}
+
+// Ready reports that this instance has applied all entries that were committed before the term in which it leads. A
+// leader makes no decisions before that.
+type Ready struct{ Term uint64 }
+
+// MemberList carries the group's members by the latest configuration in the log, including this instance if it is a
+// member.
+type MemberList struct{ Members []Member }
+
+// ChangeRequested is a caller's request for a change. It is answered by one Reply.
+type ChangeRequested struct {
+	Call   uint64
+	Change Change
+}
+
+// AppendFailed reports that an entry was not appended to the log, or that its fate is unknown.
+type AppendFailed struct{ Request string }
+
+// CheckResult is a member's answer to Check.
+type CheckResult struct {
+	Request  string
+	Folder   string // instance ID of the member
+	Accepted bool
+	TimedOut bool   // the member did not answer; Accepted has no meaning then
+	Reason   string // of a rejection or of a missing answer
+}
+
+// LeaseRequested is a member's request for a lease. It is answered by one AnswerLeaseRequest.
+type LeaseRequested struct {
+	Call   uint64
+	Folder string // instance ID of the member
+}
+
+// Verified is the answer to Verify: whether a majority still took this instance for the leader of the term.
+type Verified struct {
+	Seq  uint64
+	OK   bool
+	Term uint64
+}
+
+// LeaseGranted is the leader's answer to RequestLease. The other fields have no meaning if OK is false.
+type LeaseGranted struct {
+	Seq     uint64
+	OK      bool
+	Version uint64 // version that the leader confirms
+	Removed bool   // this instance was removed from the group
+}
+
+// AddRequested is a caller's request to add a member, or to change the address of one. It is answered by one Reply.
+type AddRequested struct {
+	Call   uint64
+	Member Member
+}
+
+// RemoveRequested is a caller's request to remove a member. It is answered by one Reply.
+type RemoveRequested struct {
+	Call uint64
+	Name string
+}
+
+// MembershipChanged is the answer to ChangeMembership: whether the new configuration was committed.
+type MembershipChanged struct {
+	Seq    uint64
+	OK     bool
+	Reason string // why it was not committed, as far as known
+}
+
+// CaughtUp reports that a member without a vote has the whole log as it was at the time of WaitForCatchUp.
+type CaughtUp struct{ Folder string }
+
+// Tick reports only that time has passed.
+type Tick struct{}
+
+// ReplyReceived is a voter's answer to PollVoter. If OK is false, the voter has no lease itself and only Why is set.
+type ReplyReceived struct {
+	Seq     uint64   `json:"-"`
+	OK      bool     `json:"ok"`
+	Why     string   `json:"why,omitempty"`
+	Group   string   `json:"group,omitempty"`
+	Version uint64   `json:"version,omitempty"` // active version, which the voter's lease covers
+	Left    Micros   `json:"left,omitempty"`    // remaining duration of that lease on the voter's clock
+	Active  *Version `json:"active,omitempty"`  // nil: the poll named the same version
+	Voters  []Member `json:"voters,omitempty"`
+}
+
+// CallTimedOut reports that a voter did not answer a poll, or that its answer was invalid.
+type CallTimedOut struct{ Seq uint64 }
+
+func (Applied) event()           {}
+func (Role) event()              {}
+func (Ready) event()             {}
+func (MemberList) event()        {}
+func (ChangeRequested) event()   {}
+func (AppendFailed) event()      {}
+func (CheckResult) event()       {}
+func (LeaseRequested) event()    {}
+func (Verified) event()          {}
+func (LeaseGranted) event()      {}
+func (AddRequested) event()      {}
+func (RemoveRequested) event()   {}
+func (MembershipChanged) event() {}
+func (CaughtUp) event()          {}
+func (Tick) event()              {}
+func (ReplyReceived) event()     {}
+func (CallTimedOut) event()      {}
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -1,232 +1,189 @@
 package sharedconfig
 
 import (
-	"cmp"
-	"fmt"
 	"maps"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// PollRequest is what an instance without a vote asks a voter.
-type PollRequest struct {
-	Have   uint64 `json:"have"` // the version that it has; 0: none
-	Digest string `json:"digest"`
-}
-
-// ReplyReceived is a voter's answer. Where OK is false it tells nothing but Why: this voter has no lease itself.
-type ReplyReceived struct {
-	Seq     uint64   `json:"-"`
-	OK      bool     `json:"ok"`
-	Why     string   `json:"why,omitempty"`
-	Group   string   `json:"group,omitempty"`
-	Version uint64   `json:"version,omitempty"` // which the voter's lease covers
-	Left    Micros   `json:"left,omitempty"`    // of that lease, on the voter's clock
-	Active  *Version `json:"active,omitempty"`  // nil: the asker has it
-	Voters  []Member `json:"voters,omitempty"`
-}
-
-// CallTimedOut says that a voter did not answer an ask, or that the answer could not be used.
-type CallTimedOut struct{ Seq uint64 }
-
-func (ReplyReceived) event() {}
-func (CallTimedOut) event()  {}
-
-// PollVoter asks the voter at an address: one Told or Silent, if any.
-type PollVoter struct {
-	Seq     uint64
-	Voter   Member // of one known by the file alone the address is known
-	Request PollRequest
-}
-
-func (PollVoter) action() {}
-
-// Answer is what a voter with this state and lease tells an instance that follows.
-func Answer(s State, l Lease, now Micros, roster []Member, a PollRequest) ReplyReceived {
-	v := s.Active()
-	if !l.Holds(now, v.Number) {
-		return ReplyReceived{Why: cmp.Or(l.Reason(now, v.Number), "no lease")}
-	}
-	t := ReplyReceived{OK: true, Group: s.Group, Version: v.Number, Left: l.Until(v.Number) - now}
-	for _, m := range roster {
-		if m.Voter {
-			t.Voters = append(t.Voters, m)
-		}
-	}
-	if a.Have != v.Number || a.Digest != v.Digest {
-		t.Active = &v
-	}
-	return t
-}
+// pollRetryDivisor is how much more often a follower polls while a poll is unanswered or its lease has expired.
+const pollRetryDivisor = 4
 
-// Follower decides for an instance without a vote, of which there may be hundreds: it takes the agreed document and its
-// lease from any voter that has one. What is left of the voter's lease when it answers counts from when the ask left,
-// so that a follower's lease never outlasts the one that it came from: the bound on staleness is the voters' own,
-// and no majority is asked for it. Its calls must not overlap.
+// Follower makes the decisions of an instance without a vote, of which there may be hundreds. It polls the voters, one
+// at a time, for the active version and a lease. Its lease ends no later than the voter's: the remaining duration that
+// the voter reports counts from the time at which the poll was sent. So the staleness bound holds for followers too,
+// without load on the leader. Calls of its methods must not overlap.
 type Follower struct {
-	settings    Settings
-	now    Micros
-	actions   []Action
-	seedVoters  []Member // by its own file: addresses alone
-	knownVoters []Member // by the newest answer
-	active Version
-	group  string // empty: nobody has told yet
-	lease  Lease
-
-	pendingPolls    map[uint64]pendingPoll
-	lastPoll uint64
-	polledAt Micros
-	failedAt  map[string]Micros // when a voter last failed, by address
-	loggedGroup string            // the newest group that was not this one's, as it was logged
+	stepState
+	settings     Settings
+	seedVoters   []Member // from the settings, with addresses only
+	knownVoters  []Member // by the latest reply
+	active       Version
+	group        string // ID of the group; empty before the first reply
+	loggedGroup  string // the latest other group that was logged
+	lease        Lease
+	pendingPolls map[uint64]pendingPoll
+	lastPoll     uint64 // sequence number
+	polledAt     Micros
+	failedAt     map[string]Micros // time of a voter's last failure by address
 }
 
+// pendingPoll is a poll that may still be answered.
 type pendingPoll struct {
 	sentAt Micros
-	voter Member
+	voter  Member
 }
 
-// NewFollower returns the decisions of an instance that served by a version last (Number 0: by none) and knows these
-// addresses of voters.
-func NewFollower(set Settings, voters []string, last Version) *Follower {
+// NewFollower returns the decisions of an instance that knows the addresses of some voters. last is the version that it
+// served before its start, with the number 0 if there is none.
+func NewFollower(settings Settings, voters []string, last Version) *Follower {
 	f := &Follower{
-		settings: set, active: last, lease: Lease{Serve: set.ServeWhenStale}, pendingPolls: map[uint64]pendingPoll{}, polledAt: -set.LeaseInterval,
-		failedAt: map[string]Micros{},
+		settings:     settings,
+		active:       last,
+		lease:        Lease{Serve: settings.ServeWhenStale},
+		pendingPolls: map[uint64]pendingPoll{},
+		polledAt:     -settings.LeaseInterval,
+		failedAt:     map[string]Micros{},
 	}
-	for _, a := range voters {
-		f.seedVoters = append(f.seedVoters, Member{Addr: a, Voter: true})
+	for _, addr := range voters {
+		f.seedVoters = append(f.seedVoters, Member{Addr: addr, Voter: true})
 	}
 	return f
 }
 
-// Active is the version that this instance knows to be the newest.
+// Active returns the latest version that this instance knows.
 func (f *Follower) Active() Version { return f.active }
 
-// Group is the one that is followed; empty: nobody has told yet.
+// Group returns the ID of the group that this instance follows. It is empty before the first reply.
 func (f *Follower) Group() string { return f.group }
 
-// Voters are those known, in the order in which this instance asks them.
+// Voters returns the known voters in this instance's order of preference.
 func (f *Follower) Voters() []Member { return f.votersByPreference() }
 
-// Step takes what happened and returns what to do now, in order.
+// Step handles events that have occurred up to the time now and returns the resulting actions.
 func (f *Follower) Step(now Micros, events []Event) []Action {
-	f.now, f.actions = max(now, f.now), nil
+	f.begin(now)
 	for _, e := range events {
 		switch e := e.(type) {
 		case ReplyReceived:
 			f.handleReply(e)
 		case CallTimedOut:
-			if a, out := f.pendingPolls[e.Seq]; out {
-				delete(f.pendingPolls, e.Seq)
-				f.markFailed(a.voter)
-			}
+			f.handleCallTimedOut(e)
 		}
 	}
 	f.poll()
 	return f.actions
 }
 
-func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
-
-func (f *Follower) markFailed(m Member) { f.failedAt[m.Addr] = f.now }
-
-// poll asks for a lease as often as a voter does. A voter that has not answered the last ask by then is passed over
-// for as long as the bound, since there is only so much time.
+// poll polls the preferred voter when a poll is due.
 func (f *Follower) poll() {
-	every := f.settings.LeaseInterval
-	if len(f.pendingPolls) > 0 || f.lastPoll == 0 || !f.lease.Holds(f.now, f.active.Number) {
-		every /= 4 // there is something to catch up on
-	}
-	if f.now < f.polledAt+every {
+	if f.now < f.polledAt+f.pollInterval() {
 		return
 	}
-	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
-		a := f.pendingPolls[seq]
-		if f.now-a.sentAt >= f.settings.LeaseInterval/2 {
-			f.markFailed(a.voter)
-		}
-		if f.now-a.sentAt >= f.settings.StalenessBound { // an answer would be worth nothing
-			delete(f.pendingPolls, seq)
-		}
-	}
-	all := f.votersByPreference()
-	if len(all) == 0 {
+	f.expirePolls()
+	voters := f.votersByPreference()
+	if len(voters) == 0 {
 		return
 	}
 	f.lastPoll++
 	f.polledAt = f.now
-	f.pendingPolls[f.lastPoll] = pendingPoll{f.now, all[0]}
-	a := PollRequest{Have: f.active.Number, Digest: f.active.Digest}
-	if f.group == "" { // what it had may be of a group that was begun anew since
-		a = PollRequest{}
+	f.pendingPolls[f.lastPoll] = pendingPoll{sentAt: f.now, voter: voters[0]}
+	f.emit(PollVoter{Seq: f.lastPoll, Voter: voters[0], Request: f.pollRequest()})
+}
+
+func (f *Follower) pollInterval() Micros {
+	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Holds(f.now, f.active.Number)
+	if isCurrent {
+		return f.settings.LeaseInterval
 	}
-	f.emit(PollVoter{f.lastPoll, all[0], a})
+	return f.settings.LeaseInterval / pollRetryDivisor
 }
 
-// votersByPreference is the voters in the order in which this instance wants them: its own, drawn from its folder's name, so that
-// all instances spread over the voters; those that failed within the bound come last, the one that failed longest ago
-// first. Addresses by its own file count while no voter is known to work.
-func (f *Follower) votersByPreference() []Member {
-	all := slices.Clone(f.knownVoters)
-	fresh := slices.ContainsFunc(all, func(m Member) bool { return !f.failedRecently(m) })
-	if !fresh {
-		for _, s := range f.seedVoters {
-			if !slices.ContainsFunc(all, func(m Member) bool { return m.Addr == s.Addr }) {
-				all = append(all, s)
-			}
+// expirePolls marks voters as failed that have not answered within half a lease interval. A poll older than the
+// staleness bound is dropped, since a reply could grant no lease any more.
+func (f *Follower) expirePolls() {
+	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
+		pending := f.pendingPolls[seq]
+		age := f.now - pending.sentAt
+		if age >= f.settings.LeaseInterval/2 {
+			f.markFailed(pending.voter)
 		}
-	}
-	weight := func(m Member) uint64 { return xxhash.Sum64String(f.settings.InstanceID + " " + m.Addr) }
-	slices.SortFunc(all, func(x, y Member) int {
-		if a, b := f.failedRecently(x), f.failedRecently(y); a || b {
-			if a != b {
-				return map[bool]int{true: 1, false: -1}[a]
-			}
-			return cmp.Or(cmp.Compare(f.failedAt[x.Addr], f.failedAt[y.Addr]), cmp.Compare(weight(x), weight(y)))
+		if age >= f.settings.StalenessBound {
+			delete(f.pendingPolls, seq)
 		}
-		return cmp.Or(cmp.Compare(weight(x), weight(y)), cmp.Compare(x.Addr, y.Addr))
-	})
-	return all
+	}
+}
+
+// pollRequest names the version that this instance has. Before the first reply it names none, since the version may be
+// of a group that was bootstrapped again since.
+func (f *Follower) pollRequest() PollRequest {
+	if f.group == "" {
+		return PollRequest{}
+	}
+	return PollRequest{Have: f.active.Number, Digest: f.active.Digest}
 }
 
-func (f *Follower) failedRecently(m Member) bool {
-	at, known := f.failedAt[m.Addr]
-	return known && f.now-at < f.settings.StalenessBound
+func (f *Follower) handleCallTimedOut(e CallTimedOut) {
+	pending, isPending := f.pendingPolls[e.Seq]
+	if !isPending {
+		return
+	}
+	delete(f.pendingPolls, e.Seq)
+	f.markFailed(pending.voter)
 }
 
 func (f *Follower) handleReply(e ReplyReceived) {
-	a, out := f.pendingPolls[e.Seq]
-	if !out {
-		return // it came twice, or too late
+	pending, isPending := f.pendingPolls[e.Seq]
+	if !isPending { // a duplicate, or too late
+		return
 	}
 	delete(f.pendingPolls, e.Seq)
-	switch {
-	case !e.OK:
-		f.markFailed(a.voter)
+	if !e.OK {
+		f.markFailed(pending.voter)
 		return
-	case f.group != "" && e.Group != f.group:
-		f.markFailed(a.voter)
-		if f.loggedGroup != e.Group {
-			f.loggedGroup = e.Group
-			f.emit(Log{fmt.Sprintf("the voter at %s is of group %s and not of %s: it is not followed; if the group was begun anew, restart this instance", a.voter.Addr, e.Group, f.group)})
-		}
+	}
+	isFirstReply := f.group == ""
+	if !isFirstReply && e.Group != f.group {
+		f.rejectGroup(pending.voter, e.Group)
 		return
 	}
-	delete(f.failedAt, a.voter.Addr)
-	first := f.group == ""
 	f.group = e.Group
 	if len(e.Voters) > 0 {
 		f.knownVoters = e.Voters
 	}
-	maps.DeleteFunc(f.failedAt, func(_ string, at Micros) bool { return f.now-at >= f.settings.StalenessBound })
-	// Versions never go back, but for the first answer: what was kept may be of a group that was begun anew.
-	if v := e.Active; v != nil && (v.Number > f.active.Number || first && (v.Number != f.active.Number || v.Digest != f.active.Digest)) {
-		f.active = *v
-		f.emit(Activate{*v})
+	f.clearFailures(pending.voter)
+	if e.Active != nil && f.replacesActive(*e.Active, isFirstReply) {
+		f.active = *e.Active
+		f.emit(Activate{Version: f.active})
+	}
+	f.extendLease(pending.sentAt, e)
+}
+
+// rejectGroup ignores a voter of another group and logs that once for each group.
+func (f *Follower) rejectGroup(voter Member, group string) {
+	f.markFailed(voter)
+	if f.loggedGroup == group {
+		return
+	}
+	f.loggedGroup = group
+	f.logf("ignoring the voter at %s: it belongs to group %s and not to %s; if the group was bootstrapped again, restart this instance",
+		voter.Addr, group, f.group)
+}
+
+// replacesActive reports whether a version replaces the one that this instance has. Numbers only grow, except with the
+// first reply: the stored version may be of a group that was bootstrapped again since.
+func (f *Follower) replacesActive(version Version, isFirstReply bool) bool {
+	if version.Number > f.active.Number {
+		return true
 	}
-	left := min(e.Left, f.settings.StalenessBound)
-	if until := a.sentAt + left - left/clockSlack; until > f.now {
-		f.lease = f.lease.with(Grant{e.Version, until}, f.now)
-		f.emit(NewLease{f.lease})
+	return isFirstReply && (version.Number != f.active.Number || version.Digest != f.active.Digest)
+}
+
+// extendLease adds the grant of a reply to a poll that was sent at the given time.
+func (f *Follower) extendLease(sentAt Micros, e ReplyReceived) {
+	until := grantUntil(sentAt, min(e.Left, f.settings.StalenessBound))
+	if until <= f.now {
+		return
 	}
+	f.lease = f.lease.withGrant(Grant{Version: e.Version, Until: until}, f.now)
+	f.emit(NewLease{Lease: f.lease})
 }
--- /dev/null
+++ b/sharedconfig/follower_voters.go
@@ -0,0 +1,65 @@
+package sharedconfig
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// votersByPreference returns the voters in the order in which this instance polls them. The order is derived from the
+// instance ID, which spreads the instances over the voters. Voters that failed within the staleness bound come last,
+// the earliest failure first. Seed voters are included only if all known voters have failed.
+func (f *Follower) votersByPreference() []Member {
+	voters := slices.Clone(f.knownVoters)
+	hasWorkingVoter := slices.ContainsFunc(voters, func(voter Member) bool { return !f.failedRecently(voter) })
+	if !hasWorkingVoter {
+		voters = f.appendSeedVoters(voters)
+	}
+	slices.SortFunc(voters, f.compareVoters)
+	return voters
+}
+
+func (f *Follower) appendSeedVoters(voters []Member) []Member {
+	for _, seed := range f.seedVoters {
+		isKnown := slices.ContainsFunc(voters, func(voter Member) bool { return voter.Addr == seed.Addr })
+		if !isKnown {
+			voters = append(voters, seed)
+		}
+	}
+	return voters
+}
+
+func (f *Follower) compareVoters(a, b Member) int {
+	aFailed, bFailed := f.failedRecently(a), f.failedRecently(b)
+	byHash := cmp.Compare(f.preferenceHash(a), f.preferenceHash(b))
+	switch {
+	case aFailed && !bFailed:
+		return 1
+	case bFailed && !aFailed:
+		return -1
+	case aFailed && bFailed:
+		return cmp.Or(cmp.Compare(f.failedAt[a.Addr], f.failedAt[b.Addr]), byHash)
+	}
+	return cmp.Or(byHash, cmp.Compare(a.Addr, b.Addr))
+}
+
+func (f *Follower) preferenceHash(voter Member) uint64 {
+	return xxhash.Sum64String(f.settings.InstanceID + " " + voter.Addr)
+}
+
+func (f *Follower) markFailed(voter Member) { f.failedAt[voter.Addr] = f.now }
+
+func (f *Follower) failedRecently(voter Member) bool {
+	failedAt, hasFailed := f.failedAt[voter.Addr]
+	return hasFailed && f.now-failedAt < f.settings.StalenessBound
+}
+
+// clearFailures forgets the failure of a voter that has answered, and failures older than the staleness bound.
+func (f *Follower) clearFailures(voter Member) {
+	delete(f.failedAt, voter.Addr)
+	maps.DeleteFunc(f.failedAt, func(_ string, failedAt Micros) bool {
+		return f.now-failedAt >= f.settings.StalenessBound
+	})
+}
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -1,64 +1,80 @@
 package sharedconfig
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 )
 
-// Lease says until when an instance may take queries by which versions. A grant for version v that was asked for at
-// t says that at t, or later, v was the active one: whatever replaced it did so after t, so that v and all that came
-// after it may be served until t plus the bound. Values are never changed.
-type Lease struct {
-	Grants  []Grant // by version, ascending; each of them ends later than the ones before
-	Serve   bool    // go on when no grant holds: the operators prefer service to agreement
-	Removed bool    // the instance is no member any more
-}
+// clockDriftDivisor shortens a lease by one part in this many, in case the clocks of two instances run at different
+// speeds.
+const clockDriftDivisor = 100
 
-// Grant is one of them.
+// Grant confirms a version until a point in time. A grant for version v that was requested at time t states that v
+// was the active version at t or later. Any newer version became active after t, so v and all newer versions may be
+// served until t plus the staleness bound.
 type Grant struct {
 	Version uint64
 	Until   Micros
 }
 
-// Until is when the newest grant that covers a version ends, or 0.
+// grantUntil returns the end of a grant of the given duration. It counts from the time of the request: however late the
+// response arrives, the version was active then or later.
+func grantUntil(requestedAt, duration Micros) Micros {
+	return requestedAt + duration - duration/clockDriftDivisor
+}
+
+// covers reports whether g allows everything that other allows.
+func (g Grant) covers(other Grant) bool {
+	return g.Version <= other.Version && g.Until >= other.Until
+}
+
+// Lease is what an instance was granted: which versions it may serve and until when. A Lease is immutable.
+type Lease struct {
+	Grants  []Grant // by ascending version; each ends later than those before it
+	Serve   bool    // serve without a valid grant too: availability is preferred to the staleness bound
+	Removed bool    // the instance was removed from the group
+}
+
+// Until returns the end of the latest grant that covers a version, or 0 if there is none.
 func (l Lease) Until(version uint64) Micros {
 	until := Micros(0)
-	for _, g := range l.Grants {
-		if g.Version <= version {
-			until = max(until, g.Until)
+	for _, grant := range l.Grants {
+		if grant.Version <= version {
+			until = max(until, grant.Until)
 		}
 	}
 	return until
 }
 
-// Holds tells whether a version is covered at a moment.
+// Holds reports whether a grant covers a version at the time now.
 func (l Lease) Holds(now Micros, version uint64) bool {
 	return version > 0 && !l.Removed && now < l.Until(version)
 }
 
-// Allows tells whether queries may be taken by a version at a moment.
+// Allows reports whether queries may be accepted under a version at the time now.
 func (l Lease) Allows(now Micros, version uint64) bool {
 	return l.Holds(now, version) || l.Serve && version > 0 && !l.Removed
 }
 
-// with adds a grant and drops those that it covers or that have ended.
-func (l Lease) with(g Grant, now Micros) Lease {
-	var kept []Grant
-	for _, o := range l.Grants {
-		if o.Until > now && !(g.Version <= o.Version && g.Until >= o.Until) {
-			kept = append(kept, o)
+// withGrant returns the lease with a grant added, without the grants that it covers or that have expired.
+func (l Lease) withGrant(grant Grant, now Micros) Lease {
+	var grants []Grant
+	for _, other := range l.Grants {
+		if other.Until > now && !grant.covers(other) {
+			grants = append(grants, other)
 		}
 	}
-	covered := slices.ContainsFunc(kept, func(o Grant) bool { return o.Version <= g.Version && o.Until >= g.Until })
-	if !covered {
-		kept = append(kept, g)
-		slices.SortFunc(kept, func(a, b Grant) int { return int(int64(a.Version) - int64(b.Version)) })
+	if !slices.ContainsFunc(grants, func(other Grant) bool { return other.covers(grant) }) {
+		grants = append(grants, grant)
+		slices.SortFunc(grants, func(a, b Grant) int { return cmp.Compare(a.Version, b.Version) })
 	}
-	l.Grants = kept
+	l.Grants = grants
 	return l
 }
 
-// Reason says in words why an instance does not serve, or serves without agreement; empty: it serves as agreed.
+// Reason returns, in words, why an instance does not serve a version or serves it without a valid grant. It is empty if
+// a grant covers the version.
 func (l Lease) Reason(now Micros, version uint64) string {
 	switch {
 	case l.Removed:
--- /dev/null
+++ b/sharedconfig/membership.go
@@ -0,0 +1,206 @@
+package sharedconfig
+
+import (
+	"fmt"
+	"slices"
+)
+
+// membershipChange is a membership change in progress. There is one at a time.
+type membershipChange struct {
+	call     uint64
+	member   Member
+	remove   bool
+	seq      uint64 // of its ChangeMembership; 0: it waits for the new member to catch up
+	deadline Micros
+}
+
+// handleAddRequested adds a member, at first without a vote until it has caught up with the log; or it changes the
+// address of a member, which keeps its vote.
+func (c *Core) handleAddRequested(e AddRequested) {
+	member := e.Member
+	current, known := c.findMember(func(m Member) bool { return m.Name == member.Name })
+	occupant, occupied := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
+	switch {
+	case !c.acceptMembershipRequest(e.Call):
+	case c.state.IsRetired(member.Folder):
+		c.refuse(e.Call, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
+	case known && current.Folder != member.Folder:
+		c.refuse(e.Call, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
+	case occupied:
+		c.refuse(e.Call, "%s is the address of %s", member.Addr, occupant.Name)
+	case known && current.Addr == member.Addr && current.Voter:
+		c.emit(Reply{Call: e.Call, Outcome: Outcome{Status: Done, Why: member.Name + " is a member already"}})
+	default:
+		member.Voter = known && current.Voter
+		c.beginMembershipChange(membershipChange{call: e.Call, member: member})
+		c.submitMembershipChange()
+	}
+}
+
+// handleRemoveRequested removes a member. Its instance ID is retired first, so that it cannot become a member again
+// whatever the outcome of the removal itself is.
+func (c *Core) handleRemoveRequested(e RemoveRequested) {
+	member, known := c.findMember(func(m Member) bool { return m.Name == e.Name })
+	remaining := c.voterCount() - 1
+	switch {
+	case !c.acceptMembershipRequest(e.Call):
+	case !known:
+		c.refuse(e.Call, "there is no instance %s", e.Name)
+	case member.Voter && remaining == 0:
+		c.refuse(e.Call, "%s is the last instance with a vote", member.Name)
+	case member.Voter && c.reachableVoters(member.Folder) <= remaining/2:
+		c.refuse(e.Call, "without %s no majority would be reachable: %d of %d",
+			member.Name, c.reachableVoters(member.Folder), remaining)
+	default:
+		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
+		c.emit(Append{Entry: Entry{Retire: &Retire{Folder: member.Folder}}})
+		c.submitMembershipChange()
+	}
+}
+
+// acceptMembershipRequest reports whether a membership change may begin. If not, it answers the call.
+func (c *Core) acceptMembershipRequest(call uint64) bool {
+	switch {
+	case !c.leading || !c.ready:
+		c.emit(Reply{Call: call, Outcome: Outcome{Why: reasonNotLeader}})
+		return false
+	case c.membershipChange != nil:
+		reason := "the change of " + c.membershipChange.member.Name + " is under way"
+		c.emit(Reply{Call: call, Outcome: Outcome{Status: Busy, Why: reason}})
+		return false
+	}
+	return true
+}
+
+func (c *Core) refuse(call uint64, format string, args ...any) {
+	c.emit(Reply{Call: call, Outcome: Outcome{Status: Refused, Why: fmt.Sprintf(format, args...)}})
+}
+
+func (c *Core) beginMembershipChange(change membershipChange) {
+	change.deadline = c.now + c.settings.CatchUpTimeout
+	c.membershipChange = &change
+}
+
+func (c *Core) submitMembershipChange() {
+	c.lastSeq++
+	change := c.membershipChange
+	change.seq = c.lastSeq
+	c.emit(ChangeMembership{Seq: change.seq, Member: change.member, Remove: change.remove})
+}
+
+func (c *Core) handleMembershipChanged(e MembershipChanged) {
+	change := c.membershipChange
+	if change == nil || change.seq != e.Seq {
+		return
+	}
+	switch {
+	case !e.OK: // it may have been committed nevertheless
+		c.finishMembershipChange(Unknown, e.Reason)
+	case change.remove || change.member.Voter:
+		c.finishMembershipChange(Done, "")
+	default: // the new member has yet to catch up
+		change.seq = 0
+	}
+}
+
+func (c *Core) finishMembershipChange(status Status, reason string) {
+	if c.membershipChange == nil {
+		return
+	}
+	c.emit(Reply{Call: c.membershipChange.call, Outcome: Outcome{Status: status, Why: reason}})
+	c.membershipChange = nil
+}
+
+// advanceMembership completes removals and has members without a vote report when they have caught up, including those
+// that an earlier leader began with. It also ends a membership change after its deadline.
+func (c *Core) advanceMembership() {
+	for _, member := range c.members {
+		isRetired := c.state.IsRetired(member.Folder)
+		if isRetired && c.membershipChange == nil {
+			c.beginMembershipChange(membershipChange{member: member, remove: true})
+			c.submitMembershipChange()
+		}
+		if !isRetired && !member.Voter {
+			c.requestCatchUp(member)
+		}
+	}
+	c.expireMembershipChange()
+}
+
+// requestCatchUp asks a member without a vote to report when it has caught up, again after each check timeout.
+func (c *Core) requestCatchUp(member Member) {
+	requestedAt, requested := c.catchUpRequestedAt[member.Folder]
+	if requested && c.now < requestedAt+c.settings.CheckTimeout {
+		return
+	}
+	c.catchUpRequestedAt[member.Folder] = c.now
+	c.emit(WaitForCatchUp{Member: member})
+}
+
+func (c *Core) expireMembershipChange() {
+	change := c.membershipChange
+	if change == nil || c.now < change.deadline {
+		return
+	}
+	reason := reasonNotCommitted
+	if change.seq == 0 {
+		reason = change.member.Name + " is a member and has no vote yet: it has not caught up in time and gets one as soon as it has"
+	}
+	c.finishMembershipChange(Unknown, reason)
+}
+
+// handleCaughtUp gives a member a vote. If another membership change is in progress, the member is asked again later.
+func (c *Core) handleCaughtUp(e CaughtUp) {
+	member, isMember := c.findMember(func(m Member) bool { return m.Folder == e.Folder })
+	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.Folder) {
+		return
+	}
+	member.Voter = true
+	change := c.membershipChange
+	switch {
+	case change == nil: // an earlier leader added it
+		c.beginMembershipChange(membershipChange{member: member})
+	case change.seq == 0 && change.member.Folder == member.Folder:
+		change.member = member
+	default:
+		return
+	}
+	c.logf("instance %s has caught up: giving it a vote", member.Name)
+	c.submitMembershipChange()
+}
+
+// reachableVoters returns the number of voters, apart from the one with the given instance ID, that are this instance or
+// have recently requested a lease.
+func (c *Core) reachableVoters(except string) int {
+	count := 0
+	for _, member := range c.members {
+		if !member.Voter || member.Folder == except {
+			continue
+		}
+		heardAt, heard := c.lastHeard[member.Folder]
+		isRecent := heard && heardAt+c.settings.ReachableFor > c.now
+		if member.Folder == c.settings.InstanceID || isRecent {
+			count++
+		}
+	}
+	return count
+}
+
+func (c *Core) voterCount() int {
+	count := 0
+	for _, member := range c.members {
+		if member.Voter {
+			count++
+		}
+	}
+	return count
+}
+
+// findMember returns the first member that matches.
+func (c *Core) findMember(matches func(Member) bool) (Member, bool) {
+	i := slices.IndexFunc(c.members, matches)
+	if i < 0 {
+		return Member{}, false
+	}
+	return c.members[i], true
+}
--- /dev/null
+++ b/sharedconfig/settings.go
@@ -0,0 +1,39 @@
+package sharedconfig
+
+// Settings are the parameters of a Core or Follower.
+type Settings struct {
+	InstanceID     string // identifies the instance by its data directory, for as long as that exists
+	StalenessBound Micros // how long a version may be served after it was replaced
+	ServeWhenStale bool   // keep serving without a lease instead of rejecting queries
+	Removed        bool   // the instance learned before that it was removed from the group
+	LeaseInterval  Micros // time between two lease requests
+	CheckTimeout   Micros // how long members have to check a change
+	CatchUpTimeout Micros // how long a membership change may take, including a new member's catching up with the log
+	ReachableFor   Micros // a member counts as reachable for this long after a lease request
+	ChangeTimeout  Micros // how long a caller waits for the decision on a change
+}
+
+// Bounds and defaults of Settings that Defaults derives.
+const (
+	minLeaseInterval Micros = 20_000
+	maxLeaseInterval Micros = 500_000
+	minReachableFor  Micros = 200_000
+
+	defaultCheckTimeout   Micros = 1_000_000
+	defaultCatchUpTimeout Micros = 10_000_000
+	defaultChangeTimeout  Micros = 5_000_000
+)
+
+// Defaults returns the settings of an instance for a staleness bound.
+func Defaults(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
+	return Settings{
+		InstanceID:     instanceID,
+		StalenessBound: stalenessBound,
+		ServeWhenStale: serveWhenStale,
+		LeaseInterval:  min(max(stalenessBound/10, minLeaseInterval), maxLeaseInterval),
+		CheckTimeout:   defaultCheckTimeout,
+		CatchUpTimeout: defaultCatchUpTimeout,
+		ReachableFor:   max(2*stalenessBound/5, minReachableFor),
+		ChangeTimeout:  defaultChangeTimeout,
+	}
+}
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -1,110 +1,31 @@
-// Package sharedconfig decides how a few instances hold one configuration: a change in two steps, the lease without which
-// none serves, and who is a member. It has no clock, input or output. Core takes events and returns actions, as the
-// decisions in policy do; State is what the log of the group makes of its entries, the same at every instance.
-//
-// All times are microseconds on a clock of the instance's own that may start anywhere, never runs backwards and goes
-// on while the process is stopped or the machine sleeps.
 package sharedconfig
 
 import (
-	"encoding/json"
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
 )
 
-// Micros is a span or a moment in microseconds.
-type Micros = int64
-
-// Version is one version of the document.
-type Version struct {
-	Number   uint64 `json:"number"` // from 1
-	Digest   string `json:"digest"`
-	Author   string `json:"author"`
-	Reason   string `json:"reason"`
-	At       int64  `json:"at"` // when the change was asked for, in milliseconds since 1970, by the clock of who took it
-	Request  string `json:"request"`
-	Restores uint64 `json:"restores,omitempty"` // the version that a roll back brought back
-	Text     string `json:"text,omitempty"`
-}
-
-// Change is what somebody asks for.
-type Change struct {
-	Request  string `json:"request"` // names the change: one that comes again is the same
-	Expect   uint64 `json:"expect"`  // the version it was made for
-	Text     string `json:"text"`
-	Digest   string `json:"digest"`
-	Author   string `json:"author"`
-	Reason   string `json:"reason"`
-	At       int64  `json:"at"`
-	Restores uint64 `json:"restores,omitempty"`
-}
-
-// Status is what became of a change.
-type Status string
-
-// What becomes of a change.
-const (
-	Unknown  Status = ""         // not known here; the same request may be asked for again
-	Done     Status = "done"     // Version is active, everywhere that holds a lease
-	Pending  Status = "pending"  // proposed, not decided yet
-	Conflict Status = "conflict" // made for another version than the active one
-	Busy     Status = "busy"     // another change is under way
-	Refused  Status = "refused"  // Instance said no: Why
-)
-
-// Outcome tells it.
-type Outcome struct {
-	Request  string `json:"request"`
-	Status   Status `json:"status"`
-	Version  uint64 `json:"version,omitempty"`
-	Instance string `json:"instance,omitempty"`
-	Why      string `json:"why,omitempty"`
-}
-
-// Entry is an entry of the log. Exactly one field is set.
-type Entry struct {
-	Found   *Bootstrap `json:"found,omitempty"`
-	Propose *Change    `json:"propose,omitempty"`
-	Decide  *Decision  `json:"decide,omitempty"`
-	Retire  *Retire    `json:"retire,omitempty"`
-}
-
-// Bootstrap begins a group with its first version.
-type Bootstrap struct {
-	Group string `json:"group"`
-	Keep  int    `json:"keep"` // versions kept in the history
-	First Change `json:"first"`
-}
-
-// Decision ends the change that is pending.
-type Decision struct {
-	Request  string `json:"request"`
-	Accept   bool   `json:"accept"`
-	Instance string `json:"instance,omitempty"` // who said no
-	Why      string `json:"why,omitempty"`
-}
+// maxOutcomes is the number of decided changes whose outcomes are retained. A request that is repeated after its outcome
+// was dropped counts as a new change, which then conflicts with the active version.
+const maxOutcomes = 1024
 
-// Retire notes a folder whose instance was removed: it must never be a member again.
-type Retire struct {
-	Folder string `json:"folder"`
-}
+// minRetainedVersions is the smallest length of the history: the active version and the one that it replaced.
+const minRetainedVersions = 2
 
-// State is what the entries so far have made. Values reached through it are never changed: a copy stays what it is.
+// State is the result of the log's entries up to a point. Methods return new states and never modify what a state
+// refers to, so a copy stays valid.
 type State struct {
-	Group    string    `json:"group"`
-	Keep     int       `json:"keep"`
-	Versions []Version `json:"versions"` // by number; the last is active
+	Group    string    `json:"group"`    // ID of the group; empty before the bootstrap
+	Keep     int       `json:"keep"`     // number of versions retained
+	Versions []Version `json:"versions"` // by ascending number; the last one is active
 	Pending  *Change   `json:"pending,omitempty"`
-	Outcomes []Outcome `json:"outcomes"` // of the newest changes, in the order they ended
-	Retired  []string  `json:"retired,omitempty"`
+	Outcomes []Outcome `json:"outcomes"`          // of the latest changes, in the order of their decisions
+	Retired  []string  `json:"retired,omitempty"` // IDs of removed instances
 }
 
-// maxOutcomes is how many ended changes are known by their request. One that is asked for again later than that
-// would be a new one, and then fails on the version that it expects.
-const maxOutcomes = 1024
-
-// Active is the version in force; its number is 0 before the group is founded.
+// Active returns the active version. Its number is 0 before the bootstrap.
 func (s State) Active() Version {
 	if len(s.Versions) == 0 {
 		return Version{}
@@ -112,39 +33,42 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// Version finds a kept version.
+// Version returns a retained version by its number.
 func (s State) Version(number uint64) (Version, bool) {
-	i, ok := slices.BinarySearchFunc(s.Versions, number, func(v Version, n uint64) int {
-		return int(int64(v.Number) - int64(n))
+	i, found := slices.BinarySearchFunc(s.Versions, number, func(v Version, number uint64) int {
+		return cmp.Compare(v.Number, number)
 	})
-	if !ok {
+	if !found {
 		return Version{}, false
 	}
 	return s.Versions[i], true
 }
 
-// Outcome is what became of a request, as far as it is known.
+// Outcome returns the outcome of a request. Its status is Unknown if the request is not known or no longer retained.
 func (s State) Outcome(request string) Outcome {
 	if s.Pending != nil && s.Pending.Request == request {
 		return Outcome{Request: request, Status: Pending}
 	}
-	for i := len(s.Outcomes) - 1; i >= 0; i-- {
-		if s.Outcomes[i].Request == request {
-			return s.Outcomes[i]
+	for _, outcome := range slices.Backward(s.Outcomes) {
+		if outcome.Request == request {
+			return outcome
 		}
 	}
 	return Outcome{Request: request}
 }
 
-// IsRetired tells whether a folder's instance was removed for good.
-func (s State) IsRetired(folder string) bool { return slices.Contains(s.Retired, folder) }
+// IsRetired reports whether the instance of the given ID was removed from the group.
+func (s State) IsRetired(instanceID string) bool { return slices.Contains(s.Retired, instanceID) }
 
-// Apply makes one entry, and tells what became of the change that it concerns. Every instance that applies the same
-// entries has the same state. It must depend on nothing else: neither on settings nor on what this program can read.
+// Apply returns the state after an entry and the outcome of the change that the entry concerns, if any.
+//
+// The result depends on the state and the entry alone, since all replicas must get the same one. That includes the
+// wording of outcomes, which are stored: replicas that run different releases would diverge if it changed.
 func (s State) Apply(e Entry) (State, Outcome) {
 	switch {
 	case e.Found != nil && len(s.Versions) == 0:
-		s.Group, s.Keep = e.Found.Group, max(2, e.Found.Keep)
+		s.Group = e.Found.Group
+		s.Keep = max(minRetainedVersions, e.Found.Keep)
 		return s.activate(e.Found.First)
 	case e.Propose != nil && len(s.Versions) > 0:
 		return s.propose(*e.Propose)
@@ -156,83 +80,99 @@
 	return s, Outcome{}
 }
 
-func (s State) propose(c Change) (State, Outcome) {
-	if known := s.Outcome(c.Request); known.Status != Unknown {
+func (s State) propose(change Change) (State, Outcome) {
+	if known := s.Outcome(change.Request); known.Status != Unknown {
 		return s, known
 	}
-	o := Outcome{Request: c.Request}
+	outcome := Outcome{Request: change.Request}
 	active := s.Active()
 	switch {
-	case s.Pending != nil:
-		o.Status, o.Why = Busy, "change "+s.Pending.Request+" is under way" // not kept: it may be asked for again
-		return s, o
-	case c.Expect != active.Number:
-		o.Status, o.Why = Conflict, fmt.Sprintf("version %d is active and not %d", active.Number, c.Expect)
-		return s.recordOutcome(o), o
-	case c.Digest == active.Digest && c.Text == active.Text:
-		o.Status, o.Version, o.Why = Done, active.Number, "nothing to change"
-		return s.recordOutcome(o), o
+	case s.Pending != nil: // not recorded, so that the request may be repeated
+		outcome.Status = Busy
+		outcome.Why = "change " + s.Pending.Request + " is under way"
+		return s, outcome
+	case change.Expect != active.Number:
+		outcome.Status = Conflict
+		outcome.Why = fmt.Sprintf("version %d is active and not %d", active.Number, change.Expect)
+		return s.recordOutcome(outcome), outcome
+	case change.Digest == active.Digest && change.Text == active.Text:
+		outcome.Status = Done
+		outcome.Version = active.Number
+		outcome.Why = "nothing to change"
+		return s.recordOutcome(outcome), outcome
 	}
-	s.Pending = &c
-	o.Status = Pending
-	return s, o
+	s.Pending = &change
+	outcome.Status = Pending
+	return s, outcome
 }
 
-func (s State) decide(d Decision) (State, Outcome) {
-	if s.Pending == nil || s.Pending.Request != d.Request {
-		return s, s.Outcome(d.Request)
+func (s State) decide(decision Decision) (State, Outcome) {
+	if s.Pending == nil || s.Pending.Request != decision.Request {
+		return s, s.Outcome(decision.Request)
 	}
-	c := *s.Pending
+	change := *s.Pending
 	s.Pending = nil
-	if !d.Accept {
-		o := Outcome{Request: d.Request, Status: Refused, Instance: d.Instance, Why: d.Why}
-		return s.recordOutcome(o), o
+	if !decision.Accept {
+		outcome := Outcome{
+			Request:  decision.Request,
+			Status:   Refused,
+			Instance: decision.Instance,
+			Why:      decision.Why,
+		}
+		return s.recordOutcome(outcome), outcome
 	}
-	return s.activate(c)
+	return s.activate(change)
+}
+
+func (s State) activate(change Change) (State, Outcome) {
+	version := Version{
+		Number:   s.Active().Number + 1,
+		Digest:   change.Digest,
+		Author:   change.Author,
+		Reason:   change.Reason,
+		At:       change.At,
+		Request:  change.Request,
+		Restores: change.Restores,
+		Text:     change.Text,
+	}
+	s.Versions = appendBounded(s.Versions, version, s.Keep)
+	outcome := Outcome{Request: change.Request, Status: Done, Version: version.Number}
+	return s.recordOutcome(outcome), outcome
 }
 
-func (s State) activate(c Change) (State, Outcome) {
-	v := Version{
-		Number: s.Active().Number + 1, Digest: c.Digest, Author: c.Author, Reason: c.Reason, At: c.At,
-		Request: c.Request, Restores: c.Restores, Text: c.Text,
-	}
-	s.Versions = append(slices.Clip(s.Versions), v)
-	if len(s.Versions) > s.Keep {
-		s.Versions = slices.Clone(s.Versions[len(s.Versions)-s.Keep:])
-	}
-	o := Outcome{Request: c.Request, Status: Done, Version: v.Number}
-	return s.recordOutcome(o), o
+func (s State) recordOutcome(outcome Outcome) State {
+	s.Outcomes = appendBounded(s.Outcomes, outcome, maxOutcomes)
+	return s
 }
 
-func (s State) recordOutcome(o Outcome) State {
-	s.Outcomes = append(slices.Clip(s.Outcomes), o)
-	if len(s.Outcomes) > maxOutcomes {
-		s.Outcomes = slices.Clone(s.Outcomes[len(s.Outcomes)-maxOutcomes:])
+// appendBounded returns a slice with item appended and only the last limit items left. It does not modify the items'
+// own array.
+func appendBounded[T any](items []T, item T, limit int) []T {
+	items = append(slices.Clip(items), item)
+	if len(items) > limit {
+		items = slices.Clone(items[len(items)-limit:])
 	}
+	return items
+}
+
+// Recover returns the state of a new group that continues from this one without its other members, whose IDs are in
+// retired. A pending change is dropped, since the members that had to check it are gone.
+func (s State) Recover(group string, retired []string) State {
+	s.Group = group
+	s.Pending = nil
+	s.Retired = append(slices.Clip(s.Retired), retired...)
 	return s
 }
 
-// Check tells whether a state that was read back hangs together.
+// Check reports whether a state that was read from storage is consistent.
 func (s State) Check() error {
 	for i, v := range s.Versions {
 		if i > 0 && v.Number != s.Versions[i-1].Number+1 || v.Number == 0 {
 			return fmt.Errorf("version %d stands where another belongs", v.Number)
 		}
 	}
-	if len(s.Versions) > 0 && (s.Group == "" || s.Keep < 2) {
+	if len(s.Versions) > 0 && (s.Group == "" || s.Keep < minRetainedVersions) {
 		return errors.New("versions without a group")
 	}
 	return nil
 }
-
-// Encode and DecodeEntry are an entry's form in the log.
-func (e Entry) Encode() ([]byte, error) { return json.Marshal(e) }
-
-// DecodeEntry reads an entry.
-func DecodeEntry(text []byte) (Entry, error) {
-	var e Entry
-	if err := json.Unmarshal(text, &e); err != nil {
-		return e, fmt.Errorf("entry of the log: %w", err)
-	}
-	return e, nil
-}
