--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -39,7 +39,7 @@
 	verificationSeq  uint64           // 0: none is in flight
 
 	membershipChange   *membershipChange // in progress
-	lastHeard          map[string]Micros // time of the last lease request by instance ID
+	lastRequestFrom    map[string]Micros // time of the last lease request by instance ID
 	catchUpRequestedAt map[string]Micros // time of the last WaitForCatchUp by instance ID
 }
 
@@ -51,7 +51,7 @@
 		lease:              Lease{Serve: settings.ServeWhenStale, Removed: settings.Removed},
 		leaseRequests:      map[uint64]Micros{},
 		leaseRequestedAt:   -settings.LeaseInterval,
-		lastHeard:          map[string]Micros{},
+		lastRequestFrom:    map[string]Micros{},
 		catchUpRequestedAt: map[string]Micros{},
 	}
 }
@@ -138,7 +138,7 @@
 	c.waitingLeases = nil
 	c.verifyingLeases = nil
 	c.verificationSeq = 0
-	clear(c.lastHeard)
+	clear(c.lastRequestFrom)
 	clear(c.catchUpRequestedAt)
 }
 
--- /dev/null
+++ b/sharedconfig/follower_test.go
@@ -0,0 +1,73 @@
+package sharedconfig
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// stepForPoll has a follower handle events and returns the poll that it sends, or a zero one.
+func stepForPoll(f *Follower, now Micros, events ...Event) PollVoter {
+	var poll PollVoter
+	for _, action := range f.Step(now, events) {
+		if p, ok := action.(PollVoter); ok {
+			poll = p
+		}
+	}
+	return poll
+}
+
+// grantingReply returns a voter's reply with a full lease. Its active version has the digest "d".
+func grantingReply(seq uint64, group string, version uint64, voters []Member) ReplyReceived {
+	return ReplyReceived{
+		Seq:     seq,
+		OK:      true,
+		Group:   group,
+		Version: version,
+		Left:    modelStalenessBound,
+		Active:  &Version{Number: version, Digest: "d"},
+		Voters:  voters,
+	}
+}
+
+func TestFollowersSpreadAndFailOver(t *testing.T) {
+	const bound = modelStalenessBound
+	voters := []Member{
+		{Name: "n0", Addr: "a0", Voter: true},
+		{Name: "n1", Addr: "a1", Voter: true},
+		{Name: "n2", Addr: "a2", Voter: true},
+	}
+	preferred, failedOverTo := map[string]int{}, map[string]int{}
+	for i := range 300 {
+		settings := Defaults(fmt.Sprint("w", i), bound, false)
+		f := NewFollower(settings, []string{"a0"}, Version{Number: 7, Digest: "of another group"})
+
+		first := stepForPoll(f, 0)
+		require.Equal(t, PollRequest{}, first.Request, "it takes the version of the existing group")
+		require.Equal(t, "a0", first.Voter.Addr)
+
+		second := stepForPoll(f, 100_000, grantingReply(first.Seq, "g", 3, voters))
+		require.Equal(t, PollRequest{Have: 3, Digest: "d"}, second.Request)
+		require.Equal(t, uint64(3), f.Active().Number)
+		preferred[second.Voter.Addr]++
+
+		third := stepForPoll(f, 200_000, CallTimedOut{Seq: second.Seq})
+		require.NotEqual(t, second.Voter.Addr, third.Voter.Addr)
+		failedOverTo[third.Voter.Addr]++
+
+		late := ReplyReceived{Seq: second.Seq, OK: true, Group: "g", Version: 3, Left: bound}
+		require.Empty(t, f.Step(201_000, []Event{late}), "a poll counts once")
+
+		stepForPoll(f, 300_000, grantingReply(third.Seq, "other", 9, nil))
+		require.Equal(t, uint64(3), f.Active().Number, "of another group")
+
+		fourth := stepForPoll(f, 300_000+bound, ReplyReceived{Seq: 99})
+		stepForPoll(f, 300_001+bound, grantingReply(fourth.Seq, "g", 2, voters))
+		require.Equal(t, uint64(3), f.Active().Number, "versions do not go back")
+	}
+	for _, voter := range voters {
+		require.InDelta(t, 100, preferred[voter.Addr], 40)
+		require.InDelta(t, 100, failedOverTo[voter.Addr], 40)
+	}
+}
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -56,7 +56,7 @@
 		c.emit(AnswerLeaseRequest{Call: e.Call})
 		return
 	}
-	c.lastHeard[e.Folder] = c.now
+	c.lastRequestFrom[e.Folder] = c.now
 	c.waitingLeases = append(c.waitingLeases, e)
 }
 
--- /dev/null
+++ b/sharedconfig/lease_test.go
@@ -0,0 +1,53 @@
+package sharedconfig
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// TestLeaseMatchesAllGrants compares a lease, which drops grants that no longer matter, with all grants.
+func TestLeaseMatchesAllGrants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var lease Lease
+		var all []Grant
+		now := Micros(1)
+		for range rapid.IntRange(1, 30).Draw(t, "grants") {
+			now += Micros(rapid.IntRange(0, 5).Draw(t, "passes"))
+			grant := Grant{
+				Version: uint64(rapid.IntRange(1, 6).Draw(t, "version")),
+				Until:   now + Micros(rapid.IntRange(1, 10).Draw(t, "for")),
+			}
+			all = append(all, grant)
+			lease = lease.withGrant(grant, now)
+			for version := uint64(0); version <= 7; version++ {
+				want := slices.ContainsFunc(all, func(g Grant) bool {
+					return version > 0 && g.Version <= version && now < g.Until
+				})
+				require.Equal(t, want, lease.Holds(now, version), "version %d at %d of %v by %v", version, now, all, lease.Grants)
+			}
+		}
+	})
+}
+
+func TestLeaseAllowsAndReason(t *testing.T) {
+	serving := Lease{Serve: true}
+	assert.True(t, serving.Allows(1, 3))
+	assert.False(t, serving.Allows(1, 0), "no version is known yet")
+	assert.False(t, Lease{Serve: true, Removed: true}.Allows(1, 3))
+
+	granted := Lease{Grants: []Grant{{Version: 1, Until: 10}}}
+	assert.False(t, granted.Allows(10, 1))
+	assert.True(t, granted.Allows(9, 1))
+
+	for reason, lease := range map[string]Lease{
+		"": granted,
+		"this instance was removed from its group":                    {Removed: true},
+		"nobody has confirmed that version 2 is still the active one": {},
+	} {
+		assert.Equal(t, reason, lease.Reason(9, 2))
+	}
+}
--- a/sharedconfig/measure_test.go
+++ b/sharedconfig/measure_test.go
@@ -9,34 +9,39 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// 200 instances without a vote over three voters, through everything that befalls these: how long any serves under a
-// version that was replaced, and how far the voters share them.
+// TestMeasureFollowers measures, with many followers of three voters under the voters' faults, how long replaced versions
+// are served and how evenly the followers spread over the voters.
 func TestMeasureFollowers(t *testing.T) {
-	stale, served, voters := Micros(0), 0, 0
-	const runs, steps, followers = 10, 3000, 200
+	const (
+		runs          = 10
+		voterCount    = 3
+		followerCount = 200
+	)
+	longestStaleness := Micros(0)
+	voterSteps, followerSteps := 0, 0
 	for seed := range uint64(runs) {
-		m := newModel(t, 900+seed, 3)
-		m.followers(followers)
-		for range steps {
-			m.faults()
-			m.step()
-		}
-		stale, voters = max(stale, m.stale), voters+m.served
-		for _, f := range m.follow {
-			served += f.served
+		m := newModel(t, 900+seed, voterCount)
+		m.addFollowers(followerCount)
+		m.run(modelSteps)
+		longestStaleness = max(longestStaleness, m.longestStaleness)
+		voterSteps += m.servedSteps
+		for _, f := range m.followers {
+			followerSteps += f.servedSteps
 		}
 	}
 	t.Logf("%d runs of %d followers: longest service under a replaced version %d ms of %d; voters could serve at %.2f of all moments, followers at %.2f",
-		runs, followers, stale/1000, bound/1000, float64(voters)/(runs*3*steps), float64(served)/(runs*followers*steps))
-	assert.LessOrEqual(t, stale, Micros(bound))
-	shares := map[string]int{}
-	m := newModel(t, 1, 3)
-	m.followers(followers)
-	for _, f := range m.follow {
-		f.knownVoters = m.roster
-		shares[f.votersByPreference()[0].Addr]++
+		runs, followerCount, longestStaleness/1000, modelStalenessBound/1000,
+		float64(voterSteps)/(runs*voterCount*modelSteps), float64(followerSteps)/(runs*followerCount*modelSteps))
+	assert.LessOrEqual(t, longestStaleness, modelStalenessBound)
+
+	preferred := map[string]int{}
+	m := newModel(t, 1, voterCount)
+	m.addFollowers(followerCount)
+	for _, f := range m.followers {
+		f.knownVoters = m.members
+		preferred[f.votersByPreference()[0].Addr]++
 	}
-	t.Logf("shares of the voters: %v", shares)
-	all := []int{shares["a0"], shares["a1"], shares["a2"]}
-	assert.Greater(t, slices.Min(all), followers/5)
+	t.Logf("shares of the voters: %v", preferred)
+	counts := []int{preferred["a0"], preferred["a1"], preferred["a2"]}
+	assert.Greater(t, slices.Min(counts), followerCount/5)
 }
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -23,11 +23,11 @@
 	switch {
 	case !c.acceptMembershipRequest(e.Call):
 	case c.state.IsRetired(member.Folder):
-		c.refuse(e.Call, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
+		c.reject(e.Call, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
 	case known && current.Folder != member.Folder:
-		c.refuse(e.Call, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
+		c.reject(e.Call, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
 	case occupied:
-		c.refuse(e.Call, "%s is the address of %s", member.Addr, occupant.Name)
+		c.reject(e.Call, "%s is the address of %s", member.Addr, occupant.Name)
 	case known && current.Addr == member.Addr && current.Voter:
 		c.emit(Reply{Call: e.Call, Outcome: Outcome{Status: Done, Why: member.Name + " is a member already"}})
 	default:
@@ -45,11 +45,11 @@
 	switch {
 	case !c.acceptMembershipRequest(e.Call):
 	case !known:
-		c.refuse(e.Call, "there is no instance %s", e.Name)
+		c.reject(e.Call, "there is no instance %s", e.Name)
 	case member.Voter && remaining == 0:
-		c.refuse(e.Call, "%s is the last instance with a vote", member.Name)
+		c.reject(e.Call, "%s is the last instance with a vote", member.Name)
 	case member.Voter && c.reachableVoters(member.Folder) <= remaining/2:
-		c.refuse(e.Call, "without %s no majority would be reachable: %d of %d",
+		c.reject(e.Call, "without %s no majority would be reachable: %d of %d",
 			member.Name, c.reachableVoters(member.Folder), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (c *Core) refuse(call uint64, format string, args ...any) {
+func (c *Core) reject(call uint64, format string, args ...any) {
 	c.emit(Reply{Call: call, Outcome: Outcome{Status: Refused, Why: fmt.Sprintf(format, args...)}})
 }
 
@@ -177,8 +177,8 @@
 		if !member.Voter || member.Folder == except {
 			continue
 		}
-		heardAt, heard := c.lastHeard[member.Folder]
-		isRecent := heard && heardAt+c.settings.ReachableFor > c.now
+		requestedAt, hasRequested := c.lastRequestFrom[member.Folder]
+		isRecent := hasRequested && requestedAt+c.settings.ReachableFor > c.now
 		if member.Folder == c.settings.InstanceID || isRecent {
 			count++
 		}
--- /dev/null
+++ b/sharedconfig/model_invariants_test.go
@@ -0,0 +1,100 @@
+package sharedconfig
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// modelSteps is the number of steps of a run of the model.
+const modelSteps = 3000
+
+func (m *model) run(steps int) {
+	for range steps {
+		m.injectFaults()
+		m.step()
+	}
+}
+
+// TestModel checks over random runs that the staleness bound holds, that a change has one outcome on all instances, and
+// that callers are answered with that outcome.
+func TestModel(t *testing.T) {
+	done, refused, unknown := 0, 0, 0
+	longestStaleness := Micros(0)
+	for seed := range uint64(60) {
+		m := newModel(t, seed, 3+2*int(seed%2))
+		m.run(modelSteps)
+		final := m.stateAfter(len(m.log))
+		require.NoError(t, final.Check())
+		require.Greater(t, m.servedSteps, 200, "seed %d: no instance ever served", seed)
+		longestStaleness = max(longestStaleness, m.longestStaleness)
+		requireDistinctRequests(t, seed, final.Versions)
+		for call, outcome := range m.replies {
+			switch outcome.Status {
+			case Unknown:
+				unknown++
+				continue
+			case Done:
+				done++
+			case Refused, Conflict:
+				refused++
+			default:
+				t.Fatalf("seed %d: call %d was answered %v", seed, call, outcome)
+			}
+			recorded := final.Outcome(m.calls[call].Request)
+			require.Equal(t, recorded, outcome, "seed %d: the answer to call %d was not true", seed, call)
+		}
+		for _, n := range m.nodes {
+			require.LessOrEqual(t, n.version, final.Active().Number)
+		}
+	}
+	t.Logf("done %d, refused %d, unknown %d; longest service under a replaced version %d ms of %d",
+		done, refused, unknown, longestStaleness/1000, modelStalenessBound/1000)
+	require.Greater(t, done, 200)
+	require.Greater(t, refused, 50)
+	require.Greater(t, unknown, 50)
+	require.Greater(t, longestStaleness, modelStalenessBound/2, "the test came nowhere near the bound")
+}
+
+func requireDistinctRequests(t *testing.T, seed uint64, versions []Version) {
+	t.Helper()
+	count := map[string]int{}
+	for _, version := range versions {
+		count[version.Request]++
+		require.Equal(t, 1, count[version.Request], "seed %d: change %s was made twice", seed, version.Request)
+	}
+}
+
+// TestFollowerModel checks that followers keep the staleness bound under the voters' faults, and that they serve about
+// as much as the voters do.
+func TestFollowerModel(t *testing.T) {
+	const (
+		runs          = 8
+		voterCount    = 3
+		followerCount = 12
+	)
+	longestStaleness := Micros(0)
+	voterSteps := 0
+	var followerSteps []int
+	for seed := range uint64(runs) {
+		m := newModel(t, 500+seed, voterCount)
+		m.addFollowers(followerCount)
+		m.run(modelSteps)
+		longestStaleness = max(longestStaleness, m.longestStaleness)
+		voterSteps += m.servedSteps
+		for _, f := range m.followers {
+			followerSteps = append(followerSteps, f.servedSteps)
+		}
+	}
+	total := 0
+	for _, steps := range followerSteps {
+		total += steps
+	}
+	t.Logf("longest service under a replaced version %d ms of %d; voters could serve at %.2f of all moments, followers at %.2f, the worst one at %.2f",
+		longestStaleness/1000, modelStalenessBound/1000,
+		float64(voterSteps)/(runs*voterCount*modelSteps), float64(total)/(runs*followerCount*modelSteps),
+		float64(slices.Min(followerSteps))/modelSteps)
+	require.Greater(t, longestStaleness, modelStalenessBound/2, "the test came nowhere near the bound")
+	require.Greater(t, float64(total)/followerCount, 0.8*float64(voterSteps)/voterCount, "followers serve less than the voters do")
+}
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -3,484 +3,325 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"testing"
-
-	"github.com/stretchr/testify/require"
 )
 
-// model is a group without sockets: a log that a majority holds, instances that lose, delay and repeat messages, are
-// cut off, stopped and started again, and leaders that do not know yet that they no longer lead.
-type model struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     Micros
-	log     []Entry
-	at      []Micros // when each was agreed on
-	term    uint64
-	leader  int // who really leads; -1: nobody
-	nodes   []*mnode
-	mail    []letter
-	calls   map[uint64]Change
-	replies map[uint64]Outcome
-	nextID  uint64
-	roster  []Member
-	lossy   int // messages lost, of 100
-	stale   Micros
-	seqs    map[uint64]uint64 // asks for leases by call
-	served  int               // moments at which an instance might serve
-	follow  []*mfollower
-}
+// modelStalenessBound is the staleness bound of all instances of a model.
+const modelStalenessBound Micros = 1_000_000
 
-// mfollower is an instance without a vote.
-type mfollower struct {
-	*Follower
-	skew    Micros
-	events  []Event
-	version uint64
-	lease   Lease
-	paused  Micros
-	served  int
-}
+// maxClockOffset is the largest difference between an instance's clock and the model's.
+const maxClockOffset = 1 << 40
 
-// followers adds instances that follow the first voter's address, and hear of the others from it.
-func (m *model) followers(n int) {
-	for i := range n {
-		m.follow = append(m.follow, &mfollower{
-			Follower: NewFollower(Defaults(fmt.Sprint("w", i), bound, false), []string{"a0", "nowhere"}, Version{}),
-			skew:     Micros(m.rng.IntN(1 << 40)),
-		})
-	}
-}
+// model simulates a group without sockets: a log that a majority replicates, instances that are paused, restarted and
+// partitioned, messages that are lost, delayed and duplicated, and leaders that learn late that they no longer lead.
+type model struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         Micros
+	log         []Entry
+	committedAt []Micros // time of each entry of the log
+	term        uint64
+	leader      int // index of the node that really leads; -1: none
+	nodes       []*modelNode
+	members     []Member
+	followers   []*modelFollower
+	messages    []message // in flight
+	lossPercent int
 
-func (m *model) followStep(f *mfollower) {
-	switch m.rng.IntN(2000) {
-	case 0:
-		f.paused = m.now + Micros(m.rng.IntN(3*bound))
-	case 1: // started again with nothing
-		*f = mfollower{Follower: NewFollower(f.settings, []string{"a1", "a0"}, Version{}), skew: f.skew, served: f.served}
-	}
-	if f.paused > m.now {
-		return
-	}
-	events := f.events
-	f.events = nil
-	for _, a := range f.Step(m.now+f.skew, events) {
-		switch a := a.(type) {
-		case Activate:
-			f.version = a.Version.Number
-		case NewLease:
-			f.lease = a.Lease
-		case PollVoter:
-			i := slices.IndexFunc(m.roster, func(o Member) bool { return o.Addr == a.Voter.Addr })
-			if i < 0 {
-				continue
-			}
-			life := f.Follower
-			m.between(i, i, func(o *mnode) {
-				if o.cut && m.rng.IntN(2) == 0 { // a voter cut off from the others may still be reached
-					return
-				}
-				t := Answer(o.State(), o.Lease(), m.now+o.skew, m.roster, a.Request)
-				t.Seq = a.Seq
-				m.post(i, 0, func(*mnode) {
-					if f.Follower == life {
-						f.events = append(f.events, t)
-					}
-				})
-			})
-		}
-	}
-	if f.lease.Holds(m.now+f.skew, f.version) {
-		f.served++
-	}
+	calls            map[uint64]Change
+	replies          map[uint64]Outcome
+	leaseRequestSeqs map[uint64]uint64 // sequence numbers of lease requests by call
+	nextID           uint64            // the last one used for a call or request
+
+	servedSteps      int    // sum over the nodes of the steps in which they could serve
+	longestStaleness Micros // longest time for which a replaced version was served
 }
 
-type mnode struct {
+// modelNode is a member of the group.
+type modelNode struct {
 	*Core
-	name    string
-	folder  string
-	skew    Micros
-	applied int
-	events  []Event
-	version uint64
-	role    Role
-	paused  Micros // until then
-	lagging Micros // applies nothing until then, though it has the entries
-	cut     bool
-	no      bool // says no to every change
+	name           string
+	instanceID     string
+	clockOffset    Micros
+	applied        int // number of the log's entries
+	events         []Event
+	version        uint64 // active version
+	pausedUntil    Micros // does not run
+	laggingUntil   Micros // applies no entries
+	partitioned    bool
+	rejectsChanges bool
 }
 
-type letter struct {
-	due  Micros
-	to   int
-	work func(*mnode)
+// message is a message in flight to a node. With duplicates there are several for one message.
+type message struct {
+	dueAt   Micros
+	to      int
+	deliver func(*modelNode)
 }
 
-const bound = 1_000_000
-
-func newModel(t *testing.T, seed uint64, n int) *model {
+func newModel(t *testing.T, seed uint64, nodeCount int) *model {
+	t.Helper()
 	m := &model{
-		t: t, rng: rand.New(rand.NewPCG(seed, 7)), leader: -1, calls: map[uint64]Change{}, replies: map[uint64]Outcome{},
-		seqs: map[uint64]uint64{},
-	}
-	m.append(Entry{Found: &Bootstrap{Group: "g", Keep: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
-	for i := range n {
-		folder := fmt.Sprint("f", i)
-		m.roster = append(m.roster, Member{Name: fmt.Sprint("n", i), Folder: folder, Addr: fmt.Sprint("a", i), Voter: true})
-		m.nodes = append(m.nodes, &mnode{
-			Core: New(Defaults(folder, bound, false), State{}), name: fmt.Sprint("n", i), folder: folder,
-			skew: Micros(m.rng.IntN(1 << 40)),
-		})
+		t:                t,
+		rng:              rand.New(rand.NewPCG(seed, 7)),
+		leader:           -1,
+		calls:            map[uint64]Change{},
+		replies:          map[uint64]Outcome{},
+		leaseRequestSeqs: map[uint64]uint64{},
+	}
+	m.commit(Entry{Found: &Bootstrap{Group: "g", Keep: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
+	for i := range nodeCount {
+		name := fmt.Sprint("n", i)
+		instanceID := fmt.Sprint("f", i)
+		m.members = append(m.members, Member{Name: name, Folder: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
+		m.nodes = append(m.nodes, newModelNode(name, instanceID, Micros(m.rng.IntN(maxClockOffset))))
 	}
 	return m
 }
 
-func (m *model) append(e Entry) {
-	m.log = append(m.log, e)
-	m.at = append(m.at, m.now)
+func newModelNode(name, instanceID string, clockOffset Micros) *modelNode {
+	return &modelNode{
+		Core:        New(Defaults(instanceID, modelStalenessBound, false), State{}),
+		name:        name,
+		instanceID:  instanceID,
+		clockOffset: clockOffset,
+	}
 }
 
-// majority tells whether a node reaches one.
-func (m *model) majority(i int) bool {
-	n := 0
-	for _, o := range m.nodes {
-		if !o.cut && o.paused <= m.now {
-			n++
-		}
-	}
-	return !m.nodes[i].cut && m.nodes[i].paused <= m.now && n > len(m.nodes)/2
+func (m *model) commit(e Entry) {
+	m.log = append(m.log, e)
+	m.committedAt = append(m.committedAt, m.now)
 }
 
-func (m *model) post(to int, delay Micros, work func(*mnode)) {
-	if m.rng.IntN(100) < m.lossy {
-		return
-	}
-	for range 1 + m.rng.IntN(10)/9 { // one in ten comes twice
-		m.mail = append(m.mail, letter{m.now + delay + Micros(m.rng.IntN(50_000)), to, work})
+// stateAfter returns the state after the first entries of the log.
+func (m *model) stateAfter(entries int) State {
+	var state State
+	for _, e := range m.log[:entries] {
+		state, _ = state.Apply(e)
 	}
+	return state
 }
 
-// between sends a message; one that a cut stands in the way of is lost.
-func (m *model) between(from, to int, work func(*mnode)) {
-	if from == to || !m.nodes[from].cut && !m.nodes[to].cut {
-		m.post(to, 0, work)
+func (m *model) isConnected(n *modelNode) bool { return !n.partitioned && n.pausedUntil <= m.now }
+
+// reachesMajority reports whether a node is connected to a majority.
+func (m *model) reachesMajority(i int) bool {
+	connected := 0
+	for _, n := range m.nodes {
+		if m.isConnected(n) {
+			connected++
+		}
 	}
+	return m.isConnected(m.nodes[i]) && connected > len(m.nodes)/2
 }
 
+// elect makes a random node that reaches a majority the leader of a new term.
 func (m *model) elect() {
 	m.leader = -1
 	for _, i := range m.rng.Perm(len(m.nodes)) {
-		if m.majority(i) {
+		if m.reachesMajority(i) {
 			m.term++
 			m.leader = i
-			m.post(i, Micros(m.rng.IntN(100_000)), func(n *mnode) { n.events = append(n.events, Role{true, m.term}) })
+			delay := Micros(m.rng.IntN(100_000))
+			m.send(i, delay, func(n *modelNode) { n.events = append(n.events, Role{Leading: true, Term: m.term}) })
 			return
 		}
 	}
 }
 
-// faults draws what goes wrong in this step.
-func (m *model) faults() {
-	i := m.rng.IntN(len(m.nodes))
-	n := m.nodes[i]
-	if m.rng.IntN(40) == 0 {
-		m.change()
-	}
-	switch m.rng.IntN(500) {
-	case 0:
-		n.cut = true
-	case 9, 10, 11, 12, 13, 14:
-		n.cut = false
-	case 4: // stopped: neither runs nor loses its clock
-		n.paused = m.now + Micros(m.rng.IntN(5*bound))
-	case 15, 16, 17:
-		n.lagging = m.now + Micros(m.rng.IntN(4*bound))
-	case 5:
-		m.lossy = m.rng.IntN(60)
-	case 6: // killed and started again from what it had
-		*n = mnode{Core: New(Defaults(n.folder, bound, false), State{}), name: n.name, folder: n.folder, skew: n.skew}
-		if m.leader == i {
-			m.leader = -1
-		}
-	case 7:
-		n.no = !n.no && m.rng.IntN(2) == 0
-	case 8, 18:
-		m.elect() // a leader is overthrown and does not know
+// send puts a message in flight that may be lost, delayed or duplicated.
+func (m *model) send(to int, delay Micros, deliver func(*modelNode)) {
+	if m.rng.IntN(100) < m.lossPercent {
+		return
 	}
-	if m.leader < 0 || !m.majority(m.leader) {
-		m.elect()
+	copies := 1 + m.rng.IntN(10)/9 // one message in ten is duplicated
+	for range copies {
+		m.messages = append(m.messages, message{
+			dueAt:   m.now + delay + Micros(m.rng.IntN(50_000)),
+			to:      to,
+			deliver: deliver,
+		})
 	}
 }
 
-func (m *model) change() {
-	m.nextID++
-	c := Change{
-		Request: fmt.Sprint("r", m.nextID), Text: fmt.Sprint(m.nextID), Digest: fmt.Sprint(m.nextID),
-		Expect: uint64(m.state(len(m.log)).Active().Number),
+// sendBetween sends a message unless a partition separates the two nodes.
+func (m *model) sendBetween(from, to int, deliver func(*modelNode)) {
+	if from == to || !m.nodes[from].partitioned && !m.nodes[to].partitioned {
+		m.send(to, 0, deliver)
 	}
-	if m.rng.IntN(4) == 0 && m.nextID > 3 { // an earlier one asked for again
-		c = m.calls[uint64(m.rng.IntN(int(m.nextID-2))+1)]
-		if c.Request == "" {
-			return
+}
+
+// step advances the clock, delivers messages, runs all instances and checks the staleness bound.
+func (m *model) step() {
+	m.now += Micros(1000 + m.rng.IntN(20_000))
+	m.deliverMessages()
+	for i, n := range m.nodes {
+		if n.pausedUntil <= m.now {
+			m.stepNode(i, n)
 		}
 	}
-	m.calls[m.nextID] = c
-	call := m.nextID
-	to := m.rng.IntN(len(m.nodes))
-	if m.leader >= 0 && m.rng.IntN(10) > 0 {
-		to = m.leader
-	}
-	m.nodes[to].events = append(m.nodes[to].events, ChangeRequested{call, c})
-	if m.rng.IntN(3) == 0 { // another one for the same version at the same time
-		m.nextID++
-		d := Change{Request: fmt.Sprint("r", m.nextID), Text: fmt.Sprint(m.nextID), Digest: fmt.Sprint(m.nextID), Expect: c.Expect}
-		m.calls[m.nextID] = d
-		m.nodes[to].events = append(m.nodes[to].events, ChangeRequested{m.nextID, d})
+	for _, f := range m.followers {
+		m.stepFollower(f)
 	}
+	m.checkStaleness()
 }
 
-func (m *model) state(upTo int) (s State) {
-	for _, e := range m.log[:upTo] {
-		s, _ = s.Apply(e)
+func (m *model) deliverMessages() {
+	messages := m.messages
+	m.messages = nil
+	for _, msg := range messages {
+		if msg.dueAt > m.now {
+			m.messages = append(m.messages, msg)
+		} else {
+			msg.deliver(m.nodes[msg.to])
+		}
 	}
-	return s
 }
 
-func (m *model) step() {
-	m.now += Micros(1000 + m.rng.IntN(20_000))
-	mail := m.mail
-	m.mail = nil
-	for _, l := range mail {
-		switch {
-		case l.due > m.now:
-			m.mail = append(m.mail, l)
-		default:
-			l.work(m.nodes[l.to])
-		}
+func (m *model) stepNode(i int, n *modelNode) {
+	for n.applied < len(m.log) && !n.partitioned && n.laggingUntil <= m.now && m.rng.IntN(3) > 0 {
+		state, outcome := n.State().Apply(m.log[n.applied])
+		n.applied++
+		n.events = append(n.events, Applied{State: state, Outcomes: []Outcome{outcome}}, MemberList{Members: m.members})
+		m.runNode(i, n)
 	}
-	for i, n := range m.nodes {
-		if n.paused > m.now {
-			continue
-		}
-		for n.applied < len(m.log) && !n.cut && n.lagging <= m.now && m.rng.IntN(3) > 0 {
-			s, o := n.State().Apply(m.log[n.applied])
-			n.applied++
-			n.events = append(n.events, Applied{s, []Outcome{o}}, MemberList{m.roster})
-			for _, a := range n.Step(m.now+n.skew, n.events) {
-				m.carryOut(i, a)
-			}
-			n.events = nil
-		}
-		if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.ready {
-			n.events = append(n.events, Ready{m.term})
-		}
-		if n.leading && m.leader != i && m.rng.IntN(20) == 0 { // it learns at last
-			n.events = append(n.events, Role{false, m.term})
-		}
-		n.events = append(n.events, Tick{})
-		events := n.events
-		n.events = nil
-		for _, a := range n.Step(m.now+n.skew, events) {
-			m.carryOut(i, a)
-		}
+	if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.ready {
+		n.events = append(n.events, Ready{Term: m.term})
 	}
-	for _, f := range m.follow {
-		m.followStep(f)
+	if n.leading && m.leader != i && m.rng.IntN(20) == 0 { // learns that it no longer leads
+		n.events = append(n.events, Role{Leading: false, Term: m.term})
 	}
-	m.check()
+	n.events = append(n.events, Tick{})
+	m.runNode(i, n)
 }
 
-func (m *model) carryOut(i int, a Action) {
+// runNode has a node handle its events and executes the resulting actions.
+func (m *model) runNode(i int, n *modelNode) {
+	events := n.events
+	n.events = nil
+	for _, action := range n.Step(m.now+n.clockOffset, events) {
+		m.execute(i, action)
+	}
+}
+
+func (m *model) execute(i int, action Action) {
 	n := m.nodes[i]
-	switch a := a.(type) {
+	switch a := action.(type) {
 	case Append:
-		leads := m.leader == i && m.majority(i) && n.term == m.term
-		survives := m.rng.IntN(10) == 0 // an entry whose leader falls before it knows may come to be all the same
-		if leads {
-			m.append(a.Entry)
-		}
-		if !leads || survives {
-			m.post(i, 0, func(n *mnode) { n.events = append(n.events, AppendFailed{a.Request}, Role{false, m.term}) })
-			if leads {
-				m.elect()
-			}
-		}
+		m.appendEntry(i, a)
 	case Check:
-		for j, o := range m.nodes {
-			if o.folder == a.Member.Folder {
-				m.between(i, j, func(o *mnode) {
-					v := CheckResult{Request: a.Change.Request, Folder: o.folder, Accepted: !o.no, Reason: "no"}
-					m.between(j, i, func(n *mnode) { n.events = append(n.events, v) })
-				})
-			}
-		}
+		m.sendCheck(i, a)
 	case RequestLease:
-		if m.leader >= 0 { // or who was the leader when it was last heard of
-			to := m.leader
-			if m.rng.IntN(10) == 0 {
-				to = m.rng.IntN(len(m.nodes))
-			}
-			m.nextID++
-			call := 1_000_000 + m.nextID*100 + uint64(i)
-			seq := a.Seq
-			m.between(i, to, func(o *mnode) { o.events = append(o.events, LeaseRequested{call, n.folder}) })
-			m.seqs[call] = seq
-		}
+		m.sendLeaseRequest(i, a)
 	case AnswerLeaseRequest:
-		j := int(a.Call % 100)
-		seq := m.seqs[a.Call]
-		m.between(i, j, func(o *mnode) {
-			o.events = append(o.events, LeaseGranted{Seq: seq, OK: a.OK, Version: a.Version, Removed: a.Removed})
-		})
+		m.sendLeaseAnswer(i, a)
 	case Verify:
-		ok, term := m.leader == i && m.majority(i), m.term
-		m.post(i, 0, func(n *mnode) { n.events = append(n.events, Verified{a.Seq, ok, term}) })
+		verified := Verified{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
+		m.send(i, 0, func(n *modelNode) { n.events = append(n.events, verified) })
 	case Activate:
 		n.version = a.Version.Number
 	case Reply:
-		if _, twice := m.replies[a.Call]; twice {
+		if _, answered := m.replies[a.Call]; answered {
 			m.t.Fatalf("call %d was answered twice", a.Call)
 		}
 		m.replies[a.Call] = a.Outcome
 	}
 }
 
-// check asserts the bound: whoever holds a lease for a version that was replaced does so no longer than the bound.
-func (m *model) check() {
-	replaced := map[uint64]Micros{}
-	s := State{}
-	for i, e := range m.log {
-		before := s.Active().Number
-		if s, _ = s.Apply(e); s.Active().Number != before {
-			replaced[before] = m.at[i]
-		}
-	}
-	serves := func(name string, version uint64) {
-		if at, old := replaced[version]; old {
-			m.stale = max(m.stale, m.now-at)
-			if m.now-at > bound {
-				m.t.Fatalf("%s serves version %d, which was replaced %d us ago", name, version, m.now-at)
-			}
-		}
+// appendEntry commits an entry if the node leads. A leader may fail after that, so that it does not learn of it.
+func (m *model) appendEntry(i int, a Append) {
+	n := m.nodes[i]
+	leads := m.leader == i && m.reachesMajority(i) && n.term == m.term
+	fails := m.rng.IntN(10) == 0
+	if leads {
+		m.commit(a.Entry)
 	}
-	for _, n := range m.nodes {
-		if n.paused <= m.now && n.Lease().Holds(m.now+n.skew, n.version) {
-			m.served++
-			serves(n.name, n.version)
-		}
+	if leads && !fails {
+		return
 	}
-	for _, f := range m.follow {
-		if f.paused <= m.now && f.lease.Holds(m.now+f.skew, f.version) {
-			serves(f.settings.InstanceID, f.version)
-		}
+	m.send(i, 0, func(n *modelNode) {
+		n.events = append(n.events, AppendFailed{Request: a.Request}, Role{Leading: false, Term: m.term})
+	})
+	if leads {
+		m.elect()
 	}
 }
 
-// TestModel holds the rules over random runs: the bound on staleness, one outcome a change at every instance, and
-// answers to callers that are true.
-func TestModel(t *testing.T) {
-	done, refused, unknown, stale := 0, 0, 0, Micros(0)
-	for seed := range uint64(60) {
-		m := newModel(t, seed, 3+2*int(seed%2))
-		for range 3000 {
-			m.faults()
-			m.step()
-		}
-		final := m.state(len(m.log))
-		require.NoError(t, final.Check())
-		require.Greater(t, m.served, 200, "seed %d: nobody ever served", seed)
-		stale = max(stale, m.stale)
-		made := map[string]int{}
-		for _, v := range final.Versions {
-			made[v.Request]++
-			require.Equal(t, 1, made[v.Request], "seed %d: change %s was made twice", seed, v.Request)
+func (m *model) sendCheck(i int, a Check) {
+	for j, n := range m.nodes {
+		if n.instanceID != a.Member.Folder {
+			continue
 		}
-		for call, o := range m.replies {
-			now := final.Outcome(m.calls[call].Request)
-			switch o.Status {
-			case Unknown:
-				unknown++
-				continue
-			case Done:
-				done++
-			case Refused, Conflict:
-				refused++
-			default:
-				t.Fatalf("seed %d: call %d was answered %v", seed, call, o)
+		m.sendBetween(i, j, func(n *modelNode) {
+			result := CheckResult{
+				Request:  a.Change.Request,
+				Folder:   n.instanceID,
+				Accepted: !n.rejectsChanges,
+				Reason:   "no",
 			}
-			require.Equal(t, now, o, "seed %d: the answer to call %d was not true", seed, call)
-		}
-		versions := []uint64{}
-		for _, n := range m.nodes {
-			versions = append(versions, n.version)
-		}
-		require.LessOrEqual(t, slices.Max(versions), final.Active().Number)
+			m.sendBetween(j, i, func(n *modelNode) { n.events = append(n.events, result) })
+		})
 	}
-	t.Logf("done %d, refused %d, unknown %d; longest service under a replaced version %d ms of %d", done, refused, unknown, stale/1000, bound/1000)
-	require.Greater(t, done, 200)
-	require.Greater(t, refused, 50)
-	require.Greater(t, unknown, 50)
-	require.Greater(t, stale, Micros(bound/2), "the test came nowhere near the bound")
 }
 
-// Those without a vote keep the same bound through everything that befalls the voters, and serve.
-func TestModelOfFollowers(t *testing.T) {
-	stale, served, least, voters := Micros(0), 0, 1<<30, 0
-	const runs = 8
-	for seed := range uint64(runs) {
-		m := newModel(t, 500+seed, 3)
-		m.followers(12)
-		for range 3000 {
-			m.faults()
-			m.step()
-		}
-		stale = max(stale, m.stale)
-		voters += m.served
-		for _, f := range m.follow {
-			served += f.served
-			least = min(least, f.served)
-		}
+// leaseCallBase separates the calls of lease requests from those of changes. The last two digits are the sender.
+const leaseCallBase = 1_000_000
+
+// sendLeaseRequest sends a lease request to the leader, or to another node if the sender's view is outdated.
+func (m *model) sendLeaseRequest(i int, a RequestLease) {
+	if m.leader < 0 {
+		return
+	}
+	to := m.leader
+	if m.rng.IntN(10) == 0 {
+		to = m.rng.IntN(len(m.nodes))
 	}
-	t.Logf("longest service under a replaced version %d ms of %d; voters could serve at %.2f of all moments, followers at %.2f, the worst one at %.2f",
-		stale/1000, bound/1000, float64(voters)/(runs*3*3000), float64(served)/(runs*12*3000), float64(least)/3000)
-	require.Greater(t, stale, Micros(bound/2), "the test came nowhere near the bound")
-	require.Greater(t, float64(served)/12, 0.8*float64(voters)/3, "they serve about as much as the voters do")
+	m.nextID++
+	call := leaseCallBase + m.nextID*100 + uint64(i)
+	m.leaseRequestSeqs[call] = a.Seq
+	sender := m.nodes[i]
+	m.sendBetween(i, to, func(n *modelNode) {
+		n.events = append(n.events, LeaseRequested{Call: call, Folder: sender.instanceID})
+	})
 }
 
-func TestFollowersSpreadAndMoveOn(t *testing.T) {
-	voters := []Member{{Name: "n0", Addr: "a0", Voter: true}, {Name: "n1", Addr: "a1", Voter: true}, {Name: "n2", Addr: "a2", Voter: true}}
-	asked, moved := map[string]int{}, map[string]int{}
-	for i := range 300 {
-		f := NewFollower(Defaults(fmt.Sprint("w", i), bound, false), []string{"a0"}, Version{Number: 7, Digest: "of another group"})
-		one := func(now Micros, events ...Event) (a PollVoter) {
-			for _, act := range f.Step(now, events) {
-				if ask, ok := act.(PollVoter); ok {
-					a = ask
-				}
-			}
-			return a
+func (m *model) sendLeaseAnswer(i int, a AnswerLeaseRequest) {
+	to := int(a.Call % 100)
+	granted := LeaseGranted{Seq: m.leaseRequestSeqs[a.Call], OK: a.OK, Version: a.Version, Removed: a.Removed}
+	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, granted) })
+}
+
+// checkStaleness fails the test if an instance holds a lease for a version that was replaced longer ago than the
+// staleness bound.
+func (m *model) checkStaleness() {
+	replacedAt := map[uint64]Micros{}
+	state := State{}
+	for i, e := range m.log {
+		before := state.Active().Number
+		state, _ = state.Apply(e)
+		if state.Active().Number != before {
+			replacedAt[before] = m.committedAt[i]
+		}
+	}
+	checkVersion := func(name string, version uint64) {
+		at, replaced := replacedAt[version]
+		if !replaced {
+			return
+		}
+		m.longestStaleness = max(m.longestStaleness, m.now-at)
+		if m.now-at > modelStalenessBound {
+			m.t.Fatalf("%s serves version %d, which was replaced %d us ago", name, version, m.now-at)
+		}
+	}
+	for _, n := range m.nodes {
+		if n.pausedUntil <= m.now && n.Lease().Holds(m.now+n.clockOffset, n.version) {
+			m.servedSteps++
+			checkVersion(n.name, n.version)
 		}
-		first := one(0)
-		require.Equal(t, PollRequest{}, first.Request, "it takes the version of the group that is there")
-		require.Equal(t, "a0", first.Voter.Addr)
-		told := ReplyReceived{Seq: first.Seq, OK: true, Group: "g", Version: 3, Left: bound, Active: &Version{Number: 3, Digest: "d"}, Voters: voters}
-		a := one(100_000, told)
-		require.Equal(t, PollRequest{3, "d"}, a.Request)
-		require.Equal(t, uint64(3), f.Active().Number)
-		asked[a.Voter.Addr]++
-		b := one(200_000, CallTimedOut{Seq: a.Seq}) // it died
-		require.NotEqual(t, a.Voter.Addr, b.Voter.Addr)
-		moved[b.Voter.Addr]++
-		require.Empty(t, f.Step(201_000, []Event{ReplyReceived{Seq: a.Seq, OK: true, Group: "g", Version: 3, Left: bound}}), "an ask counts once")
-		one(300_000, ReplyReceived{Seq: b.Seq, OK: true, Group: "other", Version: 9, Left: bound, Active: &Version{Number: 9}})
-		require.Equal(t, uint64(3), f.Active().Number, "of another group")
-		c := one(300_000+bound, ReplyReceived{Seq: 99})
-		one(300_001+bound, ReplyReceived{Seq: c.Seq, OK: true, Group: "g", Version: 2, Left: bound, Active: &Version{Number: 2}, Voters: voters})
-		require.Equal(t, uint64(3), f.Active().Number, "versions do not go back")
 	}
-	for _, m := range voters {
-		require.InDelta(t, 100, asked[m.Addr], 40)
-		require.InDelta(t, 100, moved[m.Addr], 40)
+	for _, f := range m.followers {
+		if f.pausedUntil <= m.now && f.lease.Holds(m.now+f.clockOffset, f.version) {
+			checkVersion(f.settings.InstanceID, f.version)
+		}
 	}
 }
--- /dev/null
+++ b/sharedconfig/state_test.go
@@ -0,0 +1,70 @@
+package sharedconfig
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// TestStateInvariants applies random entries in random order, with repetitions. Versions must be numbered without a gap,
+// a request must be made once, a reported outcome must stay true, and copies of a state must stay as they were.
+func TestStateInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		keep := rapid.IntRange(2, 5).Draw(t, "keep")
+		first := Change{Request: "first", Text: "0", Digest: "0"}
+		state, _ := State{}.Apply(Entry{Found: &Bootstrap{Group: "g", Keep: keep, First: first}})
+		reported := map[string]Outcome{}
+		made := map[string]bool{"first": true}
+		for range rapid.IntRange(1, 40).Draw(t, "entries") {
+			entry := drawEntry(t, state)
+			before, versions := state, slices.Clone(state.Versions)
+			next, outcome := state.Apply(entry)
+			require.Equal(t, versions, before.Versions, "a copy was changed")
+			require.NoError(t, next.Check())
+			require.LessOrEqual(t, len(next.Versions), keep)
+			require.Equal(t, "g", next.Group)
+			requireValidActivation(t, state, next, entry, made)
+			if outcome.Status == Done || outcome.Status == Refused || outcome.Status == Conflict {
+				if earlier, known := reported[outcome.Request]; known {
+					require.Equal(t, earlier, outcome)
+				}
+				reported[outcome.Request] = outcome
+				require.Equal(t, outcome, next.Outcome(outcome.Request))
+			}
+			state = next
+		}
+	})
+}
+
+func drawEntry(t *rapid.T, state State) Entry {
+	request := fmt.Sprint("r", rapid.IntRange(0, 9).Draw(t, "request"))
+	switch rapid.IntRange(0, 3).Draw(t, "kind") {
+	case 0, 1:
+		text := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "text"))
+		expect := state.Active().Number - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
+		return Entry{Propose: &Change{Request: request, Text: text, Digest: text, Expect: expect}}
+	case 2:
+		return Entry{Decide: &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Why: "no"}}
+	default:
+		return Entry{Found: &Bootstrap{Group: "other"}}
+	}
+}
+
+// requireValidActivation checks that an entry activates at most the next version, and only by committing a pending
+// change that was not made before. It records the change in made.
+func requireValidActivation(t *rapid.T, state, next State, entry Entry, made map[string]bool) {
+	active := next.Active()
+	switch active.Number {
+	case state.Active().Number:
+	case state.Active().Number + 1:
+		require.False(t, made[active.Request], "made twice")
+		committed := entry.Decide != nil && entry.Decide.Accept && state.Pending != nil && state.Pending.Request == active.Request
+		require.True(t, committed, "active without both entries")
+		made[active.Request] = true
+	default:
+		t.Fatalf("version %d follows %d", active.Number, state.Active().Number)
+	}
+}
