--- a/gossip/fleet.go
+++ b/gossip/fleet.go
@@ -231,7 +231,7 @@
 		case e := <-n.orders:
 			events = append(events, e)
 		case to := <-n.looks:
-			to <- n.group.Look()
+			to <- n.group.Snapshot()
 			continue
 		case <-ticker.C:
 		case <-n.stop:
--- /dev/null
+++ b/membership/dissemination.go
@@ -0,0 +1,204 @@
+package membership
+
+import (
+	"cmp"
+	"math"
+	"net/netip"
+	"slices"
+)
+
+const (
+	// retransmitMultiplier times the binary logarithm of the group's size is the retransmit limit.
+	retransmitMultiplier = 3
+	// gossipFanout is the number of members that receive each round of gossip.
+	gossipFanout = 2
+	// gossipsPerProbeInterval is the number of gossip rounds in a probe interval.
+	gossipsPerProbeInterval = 4
+	// gossipReserveDivisor gives the share of the send budget that gossip leaves to acks: one part in so many.
+	gossipReserveDivisor = 4
+	// minUpdateBytes is the free space of a message below which no update is looked for.
+	minUpdateBytes = 20
+	// reconnectIntervals is the mean number of probe intervals between two attempts to reach a dead member or a seed.
+	reconnectIntervals = 5
+	// The time between two reconnects varies at random from minReconnectPercent of the mean, by reconnectJitterPercent.
+	minReconnectPercent    = 80
+	reconnectJitterPercent = 40
+	// isolatedReconnectFanout is the number of seeds that a member which knows nobody contacts at a time.
+	isolatedReconnectFanout = 3
+)
+
+// updateKey is the subject of a queued update: a member, one accuser's suspicion of it, or one of its facts.
+type updateKey struct {
+	id       ID
+	accuser  ID     // 0: not a suspicion
+	factName string // empty: not a fact
+}
+
+// queuedUpdate is an update or fact that is below its retransmit limit. What is sent is the subject's state at the time
+// of sending.
+type queuedUpdate struct {
+	updateKey
+	transmissions int
+}
+
+// updateQueue holds what is to be disseminated.
+type updateQueue map[updateKey]*queuedUpdate
+
+// leastSentFirst returns the queue in the order of sending.
+func (q updateQueue) leastSentFirst() []*queuedUpdate {
+	sorted := make([]*queuedUpdate, 0, len(q))
+	for _, queued := range q {
+		sorted = append(sorted, queued)
+	}
+	slices.SortFunc(sorted, func(x, y *queuedUpdate) int {
+		return cmp.Or(
+			cmp.Compare(x.transmissions, y.transmissions),
+			cmp.Compare(x.id, y.id),
+			cmp.Compare(x.accuser, y.accuser),
+			cmp.Compare(x.factName, y.factName),
+		)
+	})
+	return sorted
+}
+
+// queueMember queues the state of a member for dissemination.
+func (g *Group) queueMember(member *memberRecord) { g.queueUpdate(updateKey{id: member.ID}) }
+
+// queueUpdate queues a subject for dissemination and resets its transmissions.
+func (g *Group) queueUpdate(key updateKey) { g.updateQueue[key] = &queuedUpdate{updateKey: key} }
+
+// retransmitLimit returns how often an update is sent before it is dropped from the queue.
+func (g *Group) retransmitLimit() int {
+	return retransmitMultiplier * int(math.Ceil(math.Log2(float64(g.presentCount+1))))
+}
+
+// runGossip sends the gossip, the reconnects and the synchronization requests that are due.
+func (g *Group) runGossip() {
+	if g.leaving {
+		return
+	}
+	// Gossip leaves a part of the send budget to acks.
+	reserve := float64(g.MaxSendRate) / gossipReserveDivisor
+	if g.now >= g.nextGossipAt && len(g.updateQueue) > 0 && g.sendTokens > reserve {
+		g.nextGossipAt = g.now + g.ProbeInterval/gossipsPerProbeInterval
+		for _, member := range g.sampleMembers(gossipFanout, isPresent) {
+			g.send(member.Addr, Message{Kind: KindGossip}, member)
+		}
+	}
+	if g.now >= g.nextReconnectAt {
+		percent := Micros(minReconnectPercent + g.rng.IntN(reconnectJitterPercent))
+		g.nextReconnectAt = g.now + reconnectIntervals*g.ProbeInterval*percent/100
+		g.reconnect()
+	}
+	if g.nextSyncAt > 0 && g.now >= g.nextSyncAt {
+		g.nextSyncAt = 0
+		for _, member := range g.sampleMembers(1, isResponsive) {
+			g.requestSync(member.Addr, member)
+		}
+	}
+}
+
+// reconnect contacts a dead member, which may be back, or seeds that are no known member's address. A member that knows
+// nobody contacts several seeds, and more often.
+func (g *Group) reconnect() {
+	dead := g.sampleMembers(1, func(member *memberRecord) bool { return member.State == Dead })
+	seeds := g.unknownSeeds()
+	fanout := 1
+	if g.presentCount <= 1 {
+		fanout = isolatedReconnectFanout
+		g.nextReconnectAt = g.now + g.ProbeInterval
+	}
+	if len(dead) > 0 && (len(seeds) == 0 || g.rng.IntN(2) == 0) {
+		member := dead[0]
+		updates := []Update{g.updateFor(member), g.updateFor(g.self)}
+		g.send(member.Addr, Message{Kind: KindGossip, Updates: updates}, member)
+		return
+	}
+	for range min(fanout, len(seeds)) {
+		seed := seeds[g.rng.IntN(len(seeds))]
+		g.requestSync(seed, nil)
+	}
+}
+
+// unknownSeeds returns the configured seeds that are not the address of a known member.
+func (g *Group) unknownSeeds() []netip.AddrPort {
+	known := map[netip.AddrPort]bool{g.Addr: true}
+	for _, member := range g.membersByID {
+		known[member.Addr] = true
+	}
+	var seeds []netip.AddrPort
+	for _, seed := range g.Seeds {
+		if !known[seed] {
+			seeds = append(seeds, seed)
+		}
+	}
+	return seeds
+}
+
+// announceLeave sends a leave message to several members, since some messages may be lost.
+func (g *Group) announceLeave() {
+	g.leaving = true
+	g.self.State = Left
+	for _, member := range g.sampleMembers(g.retransmitLimit(), isPresent) {
+		g.send(member.Addr, Message{Kind: KindLeave}, member)
+	}
+}
+
+// piggyback fills the free space of a message with queued updates, those sent least first. A suspect is notified of the
+// suspicion before all else, so that it can refute it.
+func (g *Group) piggyback(message *Message, recipient *memberRecord) {
+	if recipient != nil && recipient.State == Suspect {
+		accusation := g.updateFor(recipient)
+		accusation.Accuser = g.self.ID
+		message.addUpdate(accusation)
+	}
+	if len(g.updateQueue) == 0 || message.freeBytes() < minUpdateBytes {
+		return
+	}
+	limit := g.retransmitLimit()
+	for _, queued := range g.updateQueue.leastSentFirst() {
+		if message.freeBytes() < minUpdateBytes {
+			return
+		}
+		if g.isObsolete(queued) {
+			delete(g.updateQueue, queued.updateKey)
+			continue
+		}
+		if !g.addQueued(message, queued) {
+			continue
+		}
+		queued.transmissions++
+		if queued.transmissions >= limit {
+			delete(g.updateQueue, queued.updateKey)
+		}
+	}
+}
+
+// isObsolete reports whether the subject of a queued update no longer exists.
+func (g *Group) isObsolete(queued *queuedUpdate) bool {
+	member := g.members[queued.id]
+	switch {
+	case member == nil:
+		return true
+	case queued.accuser != 0:
+		return member.State != Suspect
+	case queued.factName != "":
+		fact := member.facts[queued.factName]
+		return fact == nil || fact.expiresAt <= g.now
+	}
+	return false
+}
+
+// addQueued adds a queued update to a message and reports whether it fitted.
+func (g *Group) addQueued(message *Message, queued *queuedUpdate) bool {
+	member := g.members[queued.id]
+	if queued.factName != "" {
+		return message.addFact(member.facts[queued.factName].withRemainingTTL(g.now))
+	}
+	update := g.updateFor(member)
+	update.Accuser = queued.accuser
+	if queued.accuser != 0 {
+		update.State = Suspect
+	}
+	return message.addUpdate(update)
+}
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -3,18 +3,28 @@
 import (
 	"encoding/binary"
 	"hash/fnv"
-	"slices"
-	"strconv"
 )
 
-// Fact is a small value that a member attaches to itself. Of two of one name the higher version is the newer.
+// microsPerMilli is the number of microseconds in a millisecond.
+const microsPerMilli = 1000
+
+// Fact is a small named value that a member publishes about itself. Of two facts of the same owner and name the one with
+// the higher version is the newer.
 type Fact struct {
-	Owner       ID
-	Name, Value string
-	Version     uint32
-	TTL         Micros // until it expires
+	Owner   ID
+	Name    string
+	Value   string // empty: the fact was withdrawn
+	Version uint32
+	// TTL is the remaining time until the fact expires. It is a duration since the members' clocks differ.
+	TTL Micros
+}
+
+// isValid reports whether the name and value are within the limits.
+func (f Fact) isValid() bool {
+	return f.Name != "" && len(f.Name) <= MaxFactNameLength && len(f.Value) <= MaxFactValueLength
 }
 
+// heldFact is a fact with its time of expiry on this member's clock.
 type heldFact struct {
 	Fact
 	expiresAt Micros
@@ -26,123 +36,64 @@
 	return h.Sum32()
 }
 
-// forSending words a fact for others. What is left of its time travels with it, since clocks differ.
-func (f *heldFact) forSending(now Micros) Fact {
-	t := f.Fact
-	t.TTL = f.expiresAt - now
-	return t
+// withRemainingTTL returns the fact as it is sent now.
+func (f *heldFact) withRemainingTTL(now Micros) Fact {
+	fact := f.Fact
+	fact.TTL = f.expiresAt - now
+	return fact
 }
 
-// publishFact attaches a fact to this member. What is too long, or one too many, is logged and dropped.
-func (g *Group) publishFact(p PublishFact) {
-	old := g.self.facts[p.Name]
-	switch {
-	case p.Name == "" || len(p.Name) > MaxFactNameLength || len(p.Value) > MaxFactValueLength || p.TTL < 0:
-		g.logf("fact %q of %d bytes for %d ms cannot be told", p.Name, len(p.Value), p.TTL/1000)
+// publishFact attaches a fact to this member. A fact beyond the limits is logged and dropped.
+func (g *Group) publishFact(event PublishFact) {
+	fact := Fact{Owner: g.self.ID, Name: event.Name, Value: event.Value, Version: 1, TTL: event.TTL}
+	previous := g.self.facts[event.Name]
+	if !fact.isValid() || event.TTL < 0 {
+		g.logf("fact %q of %d bytes with a TTL of %d ms is invalid", event.Name, len(event.Value), event.TTL/microsPerMilli)
 		return
-	case old == nil && len(g.self.facts) >= MaxFacts:
-		g.logf("fact %q is one too many", p.Name)
+	}
+	if previous == nil && len(g.self.facts) >= MaxFacts {
+		g.logf("fact %q exceeds the limit of %d facts", event.Name, MaxFacts)
 		return
 	}
-	f := &heldFact{Fact: Fact{Owner: g.self.ID, Name: p.Name, Value: p.Value, Version: 1}, expiresAt: g.now + p.TTL}
-	if old != nil {
-		f.Version = old.Version + 1
+	if previous != nil {
+		fact.Version = previous.Version + 1
 	}
-	setEntry(&g.self.facts, p.Name, f)
-	g.queueUpdate(updateKey{id: g.self.ID, factName: p.Name})
-	g.markViewDirty()
+	g.holdFact(g.self, fact)
 }
 
-// applyFact takes a fact of another member's. A member's facts are bounded in number, and end with it.
-func (g *Group) applyFact(f Fact) {
-	m := g.members[f.Owner]
-	if m == nil || m == g.self || m.State > Suspect || f.TTL <= 0 || f.TTL > g.TombstoneTTL ||
-		f.Name == "" || len(f.Name) > MaxFactNameLength || len(f.Value) > MaxFactValueLength {
+// applyFact merges a fact of another member. A fact is ignored if it is invalid, not newer than the one held, one too
+// many or of a member that is not present.
+func (g *Group) applyFact(fact Fact) {
+	owner := g.members[fact.Owner]
+	if owner == nil || owner == g.self || !owner.State.Present() {
 		return
 	}
-	old := m.facts[f.Name]
-	if old != nil && f.Version <= old.Version || old == nil && len(m.facts) >= MaxFacts {
+	if !fact.isValid() || fact.TTL <= 0 || fact.TTL > g.TombstoneTTL {
 		return
 	}
-	setEntry(&m.facts, f.Name, &heldFact{Fact: f, expiresAt: g.now + f.TTL})
-	g.queueUpdate(updateKey{id: f.Owner, factName: f.Name})
-	g.markViewDirty()
-}
-
-// expire drops what has expired, tells this member's own facts anew before that, and forgets those long gone.
-func (g *Group) expire() {
-	if g.now < g.nextExpiryAt {
+	previous := owner.facts[fact.Name]
+	if previous != nil && fact.Version <= previous.Version {
 		return
 	}
-	g.nextExpiryAt = g.now + g.ProbeInterval
-	if len(g.members) == 1 && g.now-g.startedAt >= isolationPeriods*g.ProbeInterval {
-		g.markConverged()
-	}
-	for _, m := range g.membersByID {
-		for name, f := range m.facts {
-			if f.expiresAt <= g.now {
-				delete(m.facts, name)
-				g.markViewDirty()
-			}
-		}
-	}
-	for _, m := range slices.Clone(g.membersByID) {
-		if m.State > Suspect && m != g.self && g.now-m.StateSince >= g.TombstoneTTL {
-			g.removeMember(m)
-		}
+	if previous == nil && len(owner.facts) >= MaxFacts {
+		return
 	}
+	g.holdFact(owner, fact)
 }
 
-func (g *Group) removeMember(m *member) {
-	delete(g.members, m.ID)
-	g.membersByID = slices.DeleteFunc(g.membersByID, func(o *member) bool { return o == m })
-	if i := slices.Index(g.probeOrder, m.ID); i >= 0 {
-		g.probeOrder = slices.Delete(g.probeOrder, i, i+1)
-		if i < g.nextProbeIndex {
-			g.nextProbeIndex--
-		}
-	}
+// holdFact stores a fact of a member and queues it for dissemination.
+func (g *Group) holdFact(owner *memberRecord, fact Fact) {
+	setEntry(&owner.facts, fact.Name, &heldFact{Fact: fact, expiresAt: g.now + fact.TTL})
+	g.queueUpdate(updateKey{id: owner.ID, factName: fact.Name})
 	g.markViewDirty()
 }
 
-// FactKey is a kind of fact: its name on the wire and the form of its values.
-type FactKey[T any] struct {
-	Name   string
-	format func(T) string
-	parse  func(string) (T, error)
-}
-
-// NewFactKey returns a kind of fact. word must not return an empty text, which takes a fact back.
-func NewFactKey[T any](name string, word func(T) string, read func(string) (T, error)) FactKey[T] {
-	return FactKey[T]{name, word, read}
-}
-
-// NumericFactKey returns a kind of fact whose values are numbers.
-func NumericFactKey(name string) FactKey[uint64] {
-	return NewFactKey(name, func(v uint64) string { return strconv.FormatUint(v, 36) },
-		func(s string) (uint64, error) { return strconv.ParseUint(s, 36, 64) })
-}
-
-// What members tell of themselves.
-var (
-	DocumentVersion    = NumericFactKey("document") // the version of the agreed document that it serves by
-	EndpointListDigest = NumericFactKey("stores")   // the digest of the list of stores that it serves by
-)
-
-// Publish is the event that attaches a value.
-func (k FactKey[T]) Publish(v T, last Micros) PublishFact {
-	return PublishFact{k.Name, k.format(v), last}
-}
-
-// Withdraw is the event that takes the value back.
-func (k FactKey[T]) Withdraw(last Micros) PublishFact { return PublishFact{Name: k.Name, TTL: last} }
-
-// Value is a member's value. One that cannot be read, as a later version of the program may word it, is none.
-func (k FactKey[T]) Value(m Member) (v T, ok bool) {
-	i := slices.IndexFunc(m.Facts, func(f Fact) bool { return f.Name == k.Name })
-	if i < 0 {
-		return v, false
+// expireFacts removes the facts of a member that have expired.
+func (g *Group) expireFacts(member *memberRecord) {
+	for name, fact := range member.facts {
+		if fact.expiresAt <= g.now {
+			delete(member.facts, name)
+			g.markViewDirty()
+		}
 	}
-	v, err := k.parse(m.Facts[i].Value)
-	return v, err == nil
 }
--- /dev/null
+++ b/membership/indirect_probe.go
@@ -0,0 +1,119 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+)
+
+const (
+	// indirectProbeHelpers is the number of members that are asked to ping a target that sent no ack.
+	indirectProbeHelpers = 3
+	// maxIndirectProbes bounds the probes that this member runs for others at a time.
+	maxIndirectProbes = 64
+)
+
+// indirectProbe is a ping that this member sent as a helper of another one.
+type indirectProbe struct {
+	requester ID
+	// requesterProbe is the number of the requester's probe.
+	requesterProbe uint32
+	target         ID
+	deadline       Micros
+}
+
+// sendPingReqs asks helpers to ping the target of a probe.
+func (g *Group) sendPingReqs(p *probe, target *memberRecord) {
+	eligible := func(member *memberRecord) bool { return member.ID != p.target && isResponsive(member) }
+	for _, helper := range g.sampleMembers(indirectProbeHelpers, eligible) {
+		p.helpers = append(p.helpers, helper.ID)
+		pingReq := Message{
+			Kind:        KindPingReq,
+			ProbeNumber: p.number,
+			Target:      p.target,
+			Updates:     []Update{g.updateFor(target)},
+		}
+		g.send(helper.Addr, pingReq, helper)
+	}
+}
+
+// handlePingReq pings the target on the requester's behalf. It sends a nack at once if it cannot.
+func (g *Group) handlePingReq(requester *memberRecord, event MessageReceived) {
+	message := event.Message
+	target := g.members[message.Target]
+	if target == nil || target == g.self || len(g.indirectProbes) >= maxIndirectProbes {
+		nack := Message{Kind: KindNack, ProbeNumber: message.ProbeNumber, Target: message.Target}
+		g.send(event.From, nack, requester)
+		return
+	}
+	g.lastProbeNumber++
+	g.indirectProbes[g.lastProbeNumber] = indirectProbe{
+		requester:      message.Sender,
+		requesterProbe: message.ProbeNumber,
+		target:         message.Target,
+		deadline:       g.now + g.ProbeInterval/2,
+	}
+	ping := Message{
+		Kind:        KindPing,
+		ProbeNumber: g.lastProbeNumber,
+		Target:      target.ID,
+		Requester:   message.Sender,
+	}
+	g.send(target.Addr, ping, target)
+}
+
+// forwardAck forwards an ack to the requester of the indirect probe that it answers.
+func (g *Group) forwardAck(indirect indirectProbe, ack Message) {
+	delete(g.indirectProbes, ack.ProbeNumber)
+	requester := g.members[indirect.requester]
+	if requester == nil {
+		return
+	}
+	indirectAck := Message{
+		Kind:            KindIndirectAck,
+		ProbeNumber:     indirect.requesterProbe,
+		Target:          indirect.target,
+		HeardFromProber: ack.HeardFromRequester,
+	}
+	g.send(requester.Addr, indirectAck, requester)
+}
+
+// expireIndirectProbes sends nacks for indirect probes that got no ack in time. A nack shows the requester that it is
+// not isolated itself.
+func (g *Group) expireIndirectProbes() {
+	for _, number := range slices.Sorted(maps.Keys(g.indirectProbes)) {
+		indirect := g.indirectProbes[number]
+		if g.now < indirect.deadline {
+			continue
+		}
+		delete(g.indirectProbes, number)
+		if requester := g.members[indirect.requester]; requester != nil {
+			nack := Message{Kind: KindNack, ProbeNumber: indirect.requesterProbe, Target: indirect.target}
+			g.send(requester.Addr, nack, requester)
+		}
+	}
+}
+
+// handleIndirectAck records that a helper reached the target of a probe.
+func (g *Group) handleIndirectAck(message Message) {
+	p := g.pendingProbe(message.ProbeNumber, message.Target)
+	if p == nil || !slices.Contains(p.helpers, message.Sender) {
+		return
+	}
+	p.indirectlyAcked = true
+	p.heardUs = p.heardUs || message.HeardFromProber
+	if target := g.members[p.target]; target != nil {
+		setEntry(&target.lastSeenBy, message.Sender, g.now)
+		g.restartSuspicion(target)
+	}
+}
+
+// handleNack records that a helper did not reach the target of a probe.
+func (g *Group) handleNack(message Message) {
+	p := g.pendingProbe(message.ProbeNumber, message.Target)
+	if p == nil || !slices.Contains(p.helpers, message.Sender) {
+		return
+	}
+	if !slices.Contains(p.nackedBy, message.Sender) {
+		p.nackedBy = append(p.nackedBy, message.Sender)
+	}
+}
--- /dev/null
+++ b/membership/receive.go
@@ -0,0 +1,167 @@
+package membership
+
+import "net/netip"
+
+// recentContactIntervals is for how many probe intervals a message counts as recent in an ack.
+const recentContactIntervals = 2
+
+// handleMessage handles a message. Whatever its kind, it proves that its sender is alive.
+func (g *Group) handleMessage(event MessageReceived) {
+	message := event.Message
+	switch {
+	case message.Sender == g.self.ID:
+		if message.Generation != g.self.Generation && event.From != g.Addr {
+			g.handleNameClash(event.From, message)
+		}
+		return
+	case message.Kind == KindNameConflict:
+		g.handleNameConflict(event.From, message)
+		return
+	case !g.acceptSender(event):
+		return
+	}
+	for _, update := range message.Updates {
+		g.applyUpdate(update, message.Sender)
+	}
+	for _, fact := range message.Facts {
+		g.applyFact(fact)
+	}
+	sender := g.members[message.Sender]
+	if sender == nil {
+		g.answerUnknownSender(event)
+		return
+	}
+	g.compareDigest(sender, message)
+	g.dispatch(sender, event)
+}
+
+// acceptSender reports whether a message is to be processed: it is neither a duplicate nor of another process than the
+// one that owns its sender's name. It records the contact with a sender that is a member.
+func (g *Group) acceptSender(event MessageReceived) bool {
+	message := event.Message
+	sender := g.members[message.Sender]
+	if sender == nil {
+		return true
+	}
+	if sender.Generation != message.Generation && !g.acceptSuccessor(sender, event.From, message) {
+		return false
+	}
+	if !sender.received.accept(message.MessageNumber) {
+		g.duplicates++
+		return false
+	}
+	g.recordContact(sender, event.From, message)
+	return true
+}
+
+// answerUnknownSender answers a ping of a process that is not a member. The synchronization request has it introduce
+// itself.
+func (g *Group) answerUnknownSender(event MessageReceived) {
+	if event.Message.Kind != KindPing {
+		return
+	}
+	ack := Message{Kind: KindAck, ProbeNumber: event.Message.ProbeNumber, Target: g.self.ID}
+	g.send(event.From, ack, nil)
+	g.requestSync(event.From, nil)
+}
+
+// dispatch handles what is specific to the message's kind.
+func (g *Group) dispatch(sender *memberRecord, event MessageReceived) {
+	message := event.Message
+	switch message.Kind {
+	case KindPing:
+		g.handlePing(sender, event)
+	case KindAck:
+		g.handleAck(sender, message)
+	case KindPingReq:
+		g.handlePingReq(sender, event)
+	case KindIndirectAck:
+		g.handleIndirectAck(message)
+	case KindNack:
+		g.handleNack(message)
+	case KindSyncRequest:
+		g.answerSyncRequest(event.From, sender, message)
+	case KindLeave:
+		departure := Update{
+			ID:          sender.ID,
+			Generation:  sender.Generation,
+			Incarnation: message.Incarnation,
+			State:       Left,
+			Accuser:     sender.ID,
+		}
+		g.applyUpdate(departure, sender.ID)
+	case KindGossip, KindSyncResponse, KindNameConflict:
+		// Their content is in the updates and facts, or was handled before.
+	}
+}
+
+// recordContact records that a message of a member arrived.
+func (g *Group) recordContact(sender *memberRecord, from netip.AddrPort, message Message) {
+	sender.lastMessageAt = g.now
+	sender.LastContact = g.now
+	sender.portUnreachable = false
+	leaving := message.Kind == KindLeave
+	// A message of a later incarnation refutes what was reported before, even if the refutation itself was lost.
+	refutable := sender.State == Suspect || sender.State == Dead
+	if refutable && message.Incarnation > sender.Incarnation && !leaving {
+		refutation := Update{
+			ID:          sender.ID,
+			Generation:  message.Generation,
+			Incarnation: message.Incarnation,
+			State:       Alive,
+			Addr:        from,
+			Name:        sender.Name,
+			Zone:        sender.Zone,
+		}
+		g.applyUpdate(refutation, sender.ID)
+	}
+	if sender.State == Suspect && message.Incarnation >= sender.Incarnation {
+		g.restartSuspicion(sender)
+	}
+	if !sender.State.Present() && message.Incarnation <= sender.Incarnation && !leaving {
+		// The sender does not know that it was declared dead or left: it will refute that.
+		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(sender)}}, sender)
+	}
+	moved := from != sender.Addr && message.Incarnation >= sender.Incarnation
+	if moved && sender.State.Present() && message.Kind != KindAck {
+		sender.Addr = from
+		g.markViewDirty()
+	}
+}
+
+// handlePing sends an ack. For a ping on behalf of a requester, the ack tells whether that one's own messages arrive.
+func (g *Group) handlePing(sender *memberRecord, event MessageReceived) {
+	message := event.Message
+	if message.Target != g.self.ID && message.Target != 0 {
+		return // meant for another process that had this address
+	}
+	requester := g.members[message.Requester]
+	ack := Message{
+		Kind:               KindAck,
+		ProbeNumber:        message.ProbeNumber,
+		Target:             message.Sender,
+		HeardFromProber:    true,
+		HeardFromRequester: requester != nil && g.heardRecently(requester),
+	}
+	g.send(event.From, ack, sender)
+}
+
+func (g *Group) heardRecently(member *memberRecord) bool {
+	return member.lastMessageAt > 0 && g.now-member.lastMessageAt < recentContactIntervals*g.ProbeInterval
+}
+
+// handleAck handles the ack of a ping of this member's own probe or of an indirect probe for another member.
+func (g *Group) handleAck(sender *memberRecord, message Message) {
+	setEntry(&sender.lastSeenBy, g.self.ID, g.now)
+	if message.HeardFromProber {
+		sender.heardFromUsAt = g.now
+	}
+	if indirect, ok := g.indirectProbes[message.ProbeNumber]; ok && indirect.target == sender.ID {
+		g.forwardAck(indirect, message)
+		return
+	}
+	if p := g.pendingProbe(message.ProbeNumber, sender.ID); p != nil {
+		p.acked = true
+		p.heardUs = true // it received the ping
+	}
+}
--- /dev/null
+++ b/membership/send.go
@@ -0,0 +1,56 @@
+package membership
+
+import "net/netip"
+
+// maxDeferredSends bounds the queue of messages that wait for the send budget.
+const maxDeferredSends = 256
+
+// refillSendTokens adds the send budget of an elapsed time to the token bucket, which holds one second's budget.
+func (g *Group) refillSendTokens(elapsed Micros) {
+	capacity := float64(g.MaxSendRate)
+	g.sendTokens = min(capacity, g.sendTokens+capacity*float64(elapsed)/microsPerSecond)
+}
+
+// send sends a message with piggybacked updates if the send budget allows. Otherwise pings, acks and synchronization
+// responses are deferred, and all else is dropped. The recipient is nil if it is not a known member.
+func (g *Group) send(to netip.AddrPort, message Message, recipient *memberRecord) {
+	if to == g.Addr || !to.IsValid() {
+		return
+	}
+	if g.sendTokens < 1 {
+		if message.Kind == KindAck || message.Kind == KindPing || message.Kind == KindSyncResponse {
+			kept := min(len(g.deferredSends), maxDeferredSends)
+			g.deferredSends = append(g.deferredSends[:kept], SendMessage{to, message})
+		}
+		return
+	}
+	g.sendTokens--
+	g.fillHeader(&message)
+	if message.Kind != KindSyncResponse {
+		g.piggyback(&message, recipient)
+	}
+	g.emit(SendMessage{to, message})
+}
+
+// sendDeferred sends deferred messages, oldest first, as the send budget allows.
+func (g *Group) sendDeferred() {
+	sent := 0
+	for sent < len(g.deferredSends) && g.sendTokens >= 1 {
+		deferred := g.deferredSends[sent]
+		g.sendTokens--
+		g.fillHeader(&deferred.Message)
+		g.emit(deferred)
+		sent++
+	}
+	g.deferredSends = g.deferredSends[sent:]
+}
+
+// fillHeader sets the sender's part of a message.
+func (g *Group) fillHeader(message *Message) {
+	g.lastMessageNumber++
+	message.Sender = g.self.ID
+	message.Generation = g.Generation
+	message.Incarnation = g.self.Incarnation
+	message.MessageNumber = g.lastMessageNumber
+	message.Digest = g.digest()
+}
--- a/membership/share.go
+++ b/membership/share.go
@@ -1,32 +1,33 @@
 package membership
 
-// MaxMembers is how many a fleet may have for all shares that are drawn from its views to hold. More are not refused:
-// it is what a newcomer counts on before its view is settled.
+// MaxMembers is the number of members up to which the shares of View.Share add up to one. A larger group is not refused;
+// it is the size that a new member assumes until its view has converged.
 const MaxMembers = 1024
 
-// Share is this member's place among those that share what the stores bear, and how many these are. It rests on one
-// rule: all members' shares together are never more than one whole. So whoever is known and has not left as planned
-// counts, dead or alive, for as long as it is remembered: it may be alive on the other side of a cut, and count on its
-// own share. A newcomer may know a part of the fleet only, and some may not have heard of it; until its view has stood
-// still for a while, and been another's too, it takes the smallest share that there is, which is all that there may be
-// beyond the whole. The settings' number is the least: more members than they say make the share smaller, fewer do
-// not make it larger.
-func (v View) Share(self ID, number, fleet int) (int, int) {
+// Share returns this member's index among the members that share a capacity, and their number. The shares of all members
+// never add up to more than one, so that the shared capacity is not exceeded:
+//   - Every known member that has not left counts, dead or alive, until its tombstone expires: it may be alive on the
+//     other side of a partition.
+//   - Until its view has converged, a member takes the share of one of MaxMembers, since it may know a part of the group
+//     only. These shares may come on top of the whole.
+//   - A larger group than configured makes the share smaller; a smaller one does not make it larger.
+//
+// The configured index and count are returned where the configured count is large enough.
+func (v View) Share(self ID, configuredIndex, configuredCount int) (index, count int) {
 	if !v.Converged {
-		return number, max(fleet, MaxMembers)
+		return configuredIndex, max(configuredCount, MaxMembers)
 	}
-	count, rank := 0, 0
-	for _, m := range v.Members {
-		if m.State == Left {
+	for _, member := range v.Members {
+		if member.State == Left {
 			continue
 		}
-		if m.ID == self {
-			rank = count
+		if member.ID == self {
+			index = count
 		}
 		count++
 	}
-	if count <= fleet {
-		return number, fleet
+	if count <= configuredCount {
+		return configuredIndex, configuredCount
 	}
-	return rank, count
+	return index, count
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -8,97 +8,157 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// markViewDirty notes that the view is out of date.
+const (
+	// recentSightIntervals is for how many probe intervals an ack counts in Member.SeenByCount.
+	recentSightIntervals = 10
+	// maxViewDelayTimeouts is the longest delay of a view, in suspicion timeouts.
+	maxViewDelayTimeouts = 2
+	// imminentIntervals is how many probe intervals before its end a suspicion delays the view.
+	imminentIntervals = 2
+)
+
+// View is one member's view of the group.
+type View struct {
+	// Version counts the changes of this member's view.
+	Version uint64
+	// Digest is equal at two members whose views contain the same present members.
+	Digest uint32
+	// Trusted is false while this member may be isolated; it declares nobody dead then.
+	Trusted bool
+	// Converged is true once another member has had the same view, or if there is no other member.
+	Converged bool
+	// Members are sorted by name. They include those that left or died until their tombstones expire.
+	Members []Member
+}
+
+// AliveCount returns the number of members that are present, suspects included.
+func (v View) AliveCount() int {
+	count := 0
+	for _, member := range v.Members {
+		if member.State.Present() {
+			count++
+		}
+	}
+	return count
+}
+
+// Find returns the member of a name, and false if there is none.
+func (v View) Find(name string) (Member, bool) {
+	i, found := slices.BinarySearchFunc(v.Members, name, func(member Member, name string) int {
+		return cmp.Compare(member.Name, name)
+	})
+	if !found {
+		return Member{}, false
+	}
+	return v.Members[i], true
+}
+
+// Reporter returns the present member that logs the changes of another one, so that not every member of a large group
+// logs each change. Members with the same view agree on it. A member without others is its own reporter.
+func (v View) Reporter(subject ID) ID {
+	reporter := subject
+	highest := uint64(0)
+	for _, member := range v.Members {
+		if !member.State.Present() || member.ID == subject {
+			continue
+		}
+		var key [8]byte
+		binary.BigEndian.PutUint32(key[:], uint32(subject))
+		binary.BigEndian.PutUint32(key[4:], uint32(member.ID))
+		if hash := xxhash.Sum64(key[:]); hash >= highest {
+			reporter = member.ID
+			highest = hash
+		}
+	}
+	return reporter
+}
+
+// equivalent reports whether two views differ only in what no consumer acts on, such as times of contact and
+// suspicions.
+func (v View) equivalent(other View) bool {
+	return v.Digest == other.Digest &&
+		v.Trusted == other.Trusted &&
+		v.Converged == other.Converged &&
+		slices.EqualFunc(v.Members, other.Members, Member.equivalent)
+}
+
+func (m Member) equivalent(other Member) bool {
+	sameFact := func(x, y Fact) bool { return x.Name == y.Name && x.Version == y.Version }
+	return m.ID == other.ID &&
+		m.Generation == other.Generation &&
+		max(m.State, Suspect) == max(other.State, Suspect) &&
+		m.Reachability.presumed() == other.Reachability.presumed() &&
+		m.Addr == other.Addr &&
+		m.Distrusted == other.Distrusted &&
+		slices.EqualFunc(m.Facts, other.Facts, sameFact)
+}
+
+// markViewDirty records that the published view is outdated.
 func (g *Group) markViewDirty() {
 	if g.viewDirtySince == 0 {
 		g.viewDirtySince = g.now
 	}
 }
 
-// publishView hands out the view as it now is. While accusations are open that others share, evidence is still
-// coming in, and a zone that goes ought to be one change and not one for each member: it waits, but not for long.
+// publishView publishes the view if it has changed. It waits, for a limited time, while suspicions are about to end, so
+// that the failure of a zone makes one change and not one for each member.
 func (g *Group) publishView() {
 	if g.viewDirtySince == 0 {
 		return
 	}
-	if g.now-g.viewDirtySince < 2*g.SuspicionTimeout {
-		for _, m := range g.membersByID {
-			if m.State == Suspect && len(m.accusers) > 1 && g.suspicionTimeout(m)-(g.now-m.suspicionStartedAt) < 2*g.ProbeInterval {
-				return
-			}
-		}
+	delay := g.now - g.viewDirtySince
+	if delay < maxViewDelayTimeouts*g.SuspicionTimeout && g.deathsImminent() {
+		return
 	}
 	g.viewDirtySince = 0
-	v := g.snapshot()
-	if equivalent(v, g.view) {
+	view := g.Snapshot()
+	if view.equivalent(g.view) {
 		return
 	}
-	v.Version = g.view.Version + 1
-	g.view = v
-	g.emit(ViewChanged{v})
+	view.Version = g.view.Version + 1
+	g.view = view
+	g.emit(ViewChanged{view})
 }
 
-// Look is the view as it is at this moment, with what is no change: who was heard when, and by how many.
-func (g *Group) Look() View { return g.snapshot() }
-
-func (g *Group) snapshot() View {
-	v := View{Version: g.view.Version, Digest: g.digest(), Trusted: g.trusted(), Converged: g.converged}
-	for _, m := range g.membersByID {
-		line := m.Member
-		if m == g.self {
-			line.SeenByCount = 1
-		}
-		for _, at := range m.lastSeenBy {
-			if g.now-at < 10*g.ProbeInterval {
-				line.SeenByCount++
-			}
-		}
-		for _, f := range m.facts {
-			if f.Value != "" {
-				line.Facts = append(line.Facts, f.forSending(g.now))
-			}
-		}
-		slices.SortFunc(line.Facts, func(x, y Fact) int { return cmp.Compare(x.Name, y.Name) })
-		v.Members = append(v.Members, line)
-	}
-	slices.SortFunc(v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	return v
+// deathsImminent reports whether a suspicion that several accusers share is about to end.
+func (g *Group) deathsImminent() bool {
+	return slices.ContainsFunc(g.membersByID, func(member *memberRecord) bool {
+		return member.State == Suspect &&
+			len(member.accusers) > 1 &&
+			g.suspicionTimeLeft(member) < imminentIntervals*g.ProbeInterval
+	})
 }
 
-// equivalent tells whether two views differ in nothing that anybody acts on: when a member was last heard is no change.
-func equivalent(x, y View) bool {
-	there := func(m Member) MemberState { return max(m.State, Suspect) }
-	line := func(a, b Member) bool {
-		fact := func(f, h Fact) bool { return f.Name == h.Name && f.Version == h.Version }
-		return a.ID == b.ID && a.Generation == b.Generation && there(a) == there(b) && a.Reachability.presumed() == b.Reachability.presumed() && a.Addr == b.Addr &&
-			a.Distrusted == b.Distrusted && slices.EqualFunc(a.Facts, b.Facts, fact)
+// Snapshot returns the current view, including the changes that ViewChanged does not announce.
+func (g *Group) Snapshot() View {
+	view := View{
+		Version:   g.view.Version,
+		Digest:    g.digest(),
+		Trusted:   g.trusted(),
+		Converged: g.converged,
 	}
-	return x.Digest == y.Digest && x.Trusted == y.Trusted && x.Converged == y.Converged && slices.EqualFunc(x.Members, y.Members, line)
+	for _, member := range g.membersByID {
+		view.Members = append(view.Members, g.snapshotMember(member))
+	}
+	slices.SortFunc(view.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
+	return view
 }
 
-// Reporter tells which of those that are there logs what becomes of a member, so that hundreds do not all say the same:
-// members that hold the same view name the same one. A member that nobody else is left for is its own.
-func (v View) Reporter(of ID) ID {
-	best, most := of, uint64(0)
-	for _, m := range v.Members {
-		if m.State > Suspect || m.ID == of {
-			continue
-		}
-		var b [8]byte
-		binary.BigEndian.PutUint32(b[:], uint32(of))
-		binary.BigEndian.PutUint32(b[4:], uint32(m.ID))
-		if h := xxhash.Sum64(b[:]); h >= most {
-			best, most = m.ID, h
+func (g *Group) snapshotMember(member *memberRecord) Member {
+	snapshot := member.Member
+	if member == g.self {
+		snapshot.SeenByCount = 1
+	}
+	for _, seenAt := range member.lastSeenBy {
+		if g.now-seenAt < recentSightIntervals*g.ProbeInterval {
+			snapshot.SeenByCount++
 		}
 	}
-	return best
-}
-
-// Find is the line of a name.
-func (v View) Find(name string) (Member, bool) {
-	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, n string) int { return cmp.Compare(m.Name, n) })
-	if !ok {
-		return Member{}, false
+	for _, fact := range member.facts {
+		if fact.Value != "" {
+			snapshot.Facts = append(snapshot.Facts, fact.withRemainingTTL(g.now))
+		}
 	}
-	return v.Members[i], true
+	slices.SortFunc(snapshot.Facts, func(x, y Fact) int { return cmp.Compare(x.Name, y.Name) })
+	return snapshot
 }
