--- /dev/null
+++ b/gossip/node.go
@@ -0,0 +1,147 @@
+package gossip
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"alderproxy/internal/clock"
+	"alderproxy/membership"
+)
+
+const (
+	// receiveQueueSize bounds the events that were received and wait for the protocol. More are dropped, so that a flood
+	// cannot exhaust the memory.
+	receiveQueueSize = 1024
+	// commandQueueSize bounds the events of this process that wait for the protocol. More block their senders.
+	commandQueueSize = 64
+	// ioTimeout is the deadline of one read from or of the writes of one step to the socket.
+	ioTimeout = 250 * time.Millisecond
+)
+
+// Config is the configuration of a Node.
+type Config struct {
+	// Member configures the protocol. A Generation or RandomSeed of 0 is replaced by a suitable value.
+	Member membership.Config
+	// Group is the name of the group. Datagrams of other groups are dropped.
+	Group string
+	// Key is the shared secret that authenticates the group's datagrams; empty is none.
+	Key []byte
+	// Conn is the socket. The node closes it.
+	Conn *net.UDPConn
+	// Clock returns the monotonic time; nil is clock.Now.
+	Clock func() membership.Micros
+	Log   *logrus.Entry
+}
+
+// Node is a running member of a group. It is safe for concurrent use.
+type Node struct {
+	config  Config
+	codec   *membership.Codec
+	group   *membership.Group // used by the goroutine of run only
+	rawConn syscall.RawConn
+
+	view        atomic.Pointer[membership.View]
+	counts      atomic.Pointer[DatagramCounts]
+	nameTakenBy atomic.Pointer[netip.AddrPort] // nil: the name is this member's
+
+	received         chan membership.Event // from the network
+	commands         chan membership.Event // from this process, never dropped
+	snapshotRequests chan chan membership.View
+	stopping         chan struct{}
+	goroutines       sync.WaitGroup
+
+	mu           sync.Mutex
+	viewChanged  chan struct{} // closed when the view changes
+	dropped      DropCounts
+	lastDropErr  error
+	lastDropFrom netip.AddrPort
+}
+
+// Open starts a node. It returns an error if the configuration is invalid or the socket unusable.
+func Open(config Config) (*Node, error) {
+	if config.Member.Generation == 0 {
+		config.Member.Generation = generationAt(time.Now())
+	}
+	if config.Member.RandomSeed == 0 {
+		config.Member.RandomSeed = rand.Uint64()
+	}
+	if config.Clock == nil {
+		config.Clock = clock.Now
+	}
+	group, err := membership.New(config.Member, config.Clock())
+	if err != nil {
+		return nil, err
+	}
+	rawConn, err := config.Conn.SyscallConn()
+	if err != nil {
+		return nil, fmt.Errorf("membership: %w", err)
+	}
+	n := &Node{
+		config:           config,
+		codec:            membership.NewCodec(config.Group, config.Key),
+		group:            group,
+		rawConn:          rawConn,
+		received:         make(chan membership.Event, receiveQueueSize),
+		commands:         make(chan membership.Event, commandQueueSize),
+		snapshotRequests: make(chan chan membership.View),
+		stopping:         make(chan struct{}),
+		viewChanged:      make(chan struct{}),
+	}
+	n.enableErrorQueue()
+	n.view.Store(&membership.View{})
+	n.counts.Store(&DatagramCounts{})
+	n.goroutines.Go(n.receive)
+	n.goroutines.Go(n.run)
+	return n, nil
+}
+
+// Close stops the node and closes its socket without an announcement to the group; call Leave before for a planned
+// departure.
+func (n *Node) Close() error {
+	close(n.stopping)
+	err := n.config.Conn.Close()
+	n.goroutines.Wait()
+	return err
+}
+
+// View returns the current view, which must not be modified.
+func (n *Node) View() *membership.View { return n.view.Load() }
+
+// ViewChanged returns a channel that is closed when the view changes from the current one.
+func (n *Node) ViewChanged() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.viewChanged
+}
+
+// PublishFact publishes or withdraws a fact of this member; see membership.FactKey.
+func (n *Node) PublishFact(fact membership.PublishFact) { n.command(fact) }
+
+// Leave announces the planned departure of this member. The node answers until it is closed.
+func (n *Node) Leave() { n.command(membership.Leave{}) }
+
+func (n *Node) command(event membership.Event) {
+	select {
+	case n.commands <- event:
+	case <-n.stopping:
+	}
+}
+
+// snapshot returns the protocol's current view, including what no ViewChanged action announces.
+func (n *Node) snapshot() membership.View {
+	reply := make(chan membership.View, 1)
+	select {
+	case n.snapshotRequests <- reply:
+		return <-reply
+	case <-n.stopping:
+		return *n.View()
+	}
+}
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -2,73 +2,103 @@
 
 import (
 	"fmt"
-	"time"
 
 	"alderproxy/membership"
 )
 
-// Status is how an instance sees its fleet, for operators.
+// microsPerMilli is the number of microseconds in a millisecond.
+const microsPerMilli = 1000
+
+// neverContacted is the LastContactAgeMillis of a member from which no message arrived.
+const neverContacted = -1
+
+// Status is a node's view of its group, for operators.
 type Status struct {
-	Name        string         `json:"name"`
-	Group       string         `json:"group"`
-	ViewVersion uint64         `json:"view"` // counts this instance's views
-	Digest      string         `json:"digest"`
-	Trusted     bool           `json:"trusted"` // false: it may be cut off, and its view stands still
+	Name  string `json:"name"`
+	Group string `json:"group"`
+	// ViewVersion counts the changes of this node's view.
+	ViewVersion uint64 `json:"view"`
+	Digest      string `json:"digest"`
+	// Trusted is false while this node may be isolated; it declares nobody dead then.
+	Trusted bool `json:"trusted"`
+	// NameTakenBy is the address of the member that owns this node's name; empty if it is its own.
 	NameTakenBy string         `json:"taken,omitempty"`
 	AliveCount  int            `json:"alive"`
 	Members     []Member       `json:"members"`
 	Datagrams   DatagramCounts `json:"datagrams"`
 }
 
-// Member is one line of it. Spans are in milliseconds, by the clock of the instance that tells.
+// Member is one member in a Status. Ages are in milliseconds, by the clock of the reporting node.
 type Member struct {
-	Name                 string `json:"name"`
-	Zone                 string `json:"zone,omitempty"`
-	Addr                 string `json:"addr"`
-	State                string `json:"state"`
-	Reachability         string `json:"reach"`
-	StateAgeMillis       int64  `json:"since_ms"`
-	StateReason          string `json:"why,omitempty"`
-	SeenByCount          int    `json:"seen_by"`
-	LastContactAgeMillis int64  `json:"heard_ms"` // -1: never by this instance itself
-	StartedUnixMillis    int64  `json:"started"`  // in milliseconds since 1970, by its own clock
-	Distrusted           bool   `json:"doubted,omitempty"`
-	Facts                []Fact `json:"facts,omitempty"`
+	Name           string `json:"name"`
+	Zone           string `json:"zone,omitempty"`
+	Addr           string `json:"addr"`
+	State          string `json:"state"`
+	Reachability   string `json:"reach"`
+	StateAgeMillis int64  `json:"since_ms"`
+	StateReason    string `json:"why,omitempty"`
+	// SeenByCount is the number of members that received an ack of this one recently.
+	SeenByCount int `json:"seen_by"`
+	// LastContactAgeMillis is the age of the last message that the reporting node received of it; -1 is never.
+	LastContactAgeMillis int64 `json:"heard_ms"`
+	// StartedUnixMillis is the start of its process in Unix time, by its own clock.
+	StartedUnixMillis int64 `json:"started"`
+	// Distrusted means that its accusations are ignored, since too many of them were refuted.
+	Distrusted bool   `json:"doubted,omitempty"`
+	Facts      []Fact `json:"facts,omitempty"`
 }
 
-// Fact is one that a member attached to itself.
+// Fact is a fact that a member published.
 type Fact struct {
 	Name    string `json:"name"`
 	Value   string `json:"value"`
 	Version uint32 `json:"version"`
 }
 
-// Status tells it.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
-	v, at := n.look(), n.config.Clock()
-	ago := func(t membership.Micros) int64 { return (at - t) / int64(time.Millisecond/time.Microsecond) }
-	s := Status{
-		Name: n.config.Member.Name, Group: n.config.Group, ViewVersion: v.Version, Digest: fmt.Sprintf("%08x", v.Digest),
-		Trusted: v.Trusted, AliveCount: v.AliveCount(), Datagrams: *n.counts.Load(),
+	view := n.snapshot()
+	now := n.config.Clock()
+	status := Status{
+		Name:        n.config.Member.Name,
+		Group:       n.config.Group,
+		ViewVersion: view.Version,
+		Digest:      fmt.Sprintf("%08x", view.Digest),
+		Trusted:     view.Trusted,
+		AliveCount:  view.AliveCount(),
+		Datagrams:   *n.counts.Load(),
+	}
+	if owner := n.nameTakenBy.Load(); owner != nil {
+		status.NameTakenBy = owner.String()
+	}
+	for _, member := range view.Members {
+		status.Members = append(status.Members, n.memberStatus(member, now))
+	}
+	return status
+}
+
+func (n *Node) memberStatus(member membership.Member, now membership.Micros) Member {
+	status := Member{
+		Name:                 member.Name,
+		Zone:                 member.Zone,
+		Addr:                 member.Addr.String(),
+		State:                member.State.String(),
+		Reachability:         member.Reachability.String(),
+		StateAgeMillis:       (now - member.StateSince) / microsPerMilli,
+		StateReason:          member.StateReason,
+		SeenByCount:          member.SeenByCount,
+		LastContactAgeMillis: neverContacted,
+		StartedUnixMillis:    generationStart(member.Generation).UnixMilli(),
+		Distrusted:           member.Distrusted,
 	}
-	if by := n.taken.Load(); by != nil {
-		s.NameTakenBy = by.String()
+	switch {
+	case member.Name == n.config.Member.Name:
+		status.LastContactAgeMillis = 0
+	case member.LastContact > 0:
+		status.LastContactAgeMillis = (now - member.LastContact) / microsPerMilli
 	}
-	for _, m := range v.Members {
-		line := Member{
-			Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), State: m.State.String(), Reachability: m.Reachability.String(),
-			StateAgeMillis: ago(m.StateSince), StateReason: m.StateReason, SeenByCount: m.SeenByCount, LastContactAgeMillis: -1, StartedUnixMillis: born(m.Generation).UnixMilli(), Distrusted: m.Distrusted,
-		}
-		switch {
-		case m.Name == s.Name:
-			line.LastContactAgeMillis = 0
-		case m.LastContact > 0:
-			line.LastContactAgeMillis = ago(m.LastContact)
-		}
-		for _, f := range m.Facts {
-			line.Facts = append(line.Facts, Fact{f.Name, f.Value, f.Version})
-		}
-		s.Members = append(s.Members, line)
+	for _, fact := range member.Facts {
+		status.Facts = append(status.Facts, Fact{Name: fact.Name, Value: fact.Value, Version: fact.Version})
 	}
-	return s
+	return status
 }
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -40,9 +40,9 @@
 	// ErrOtherGroup means that a datagram was sent by a member of another group.
 	ErrOtherGroup = errors.New("datagram of another group")
 	// ErrUnauthenticated means that the authenticator of a datagram is wrong.
-	ErrUnauthenticated = errors.New("datagram without proof of its group")
+	ErrUnauthenticated = errors.New("datagram with a wrong authenticator")
 	// ErrUnknownVersion means that a datagram has another version of the wire format.
-	ErrUnknownVersion = errors.New("datagram of a form that this version does not know")
+	ErrUnknownVersion = errors.New("datagram of an unknown wire version")
 )
 
 // Codec encodes and decodes the messages of one group. With a key, an HMAC authenticates them; without, a checksum
--- a/membership/name_claim.go
+++ b/membership/name_claim.go
@@ -7,7 +7,6 @@
 
 // nameClaim is the claim of another process on the name of a member.
 type nameClaim struct {
-	addr       netip.AddrPort
 	generation uint32
 	deadline   Micros
 }
@@ -40,7 +39,6 @@
 	claim := member.nameClaim
 	if claim == nil || claim.generation != generation {
 		member.nameClaim = &nameClaim{
-			addr:       from,
 			generation: generation,
 			deadline:   g.now + nameClaimIntervals*g.ProbeInterval,
 		}
