--- /dev/null
+++ b/membership/cluster_test.go
@@ -0,0 +1,326 @@
+package membership
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/internal/simnet"
+)
+
+const (
+	second = microsPerSecond
+	hour   = 3600 * second
+	// pollInterval is how often a condition of a running cluster is checked.
+	pollInterval = second / 10
+	// maxShareSum is one whole share, plus the error of adding floating-point numbers.
+	maxShareSum = 1.0001
+)
+
+// lan is a link of a local network that loses nothing.
+var lan = simnet.Link{Least: 300, Most: 5000}
+
+// cluster is a group of members on a simulated network. Each message is encoded and decoded.
+type cluster struct {
+	t           testing.TB
+	network     *simnet.Net
+	codec       *Codec
+	nodes       []*simNode
+	indexByAddr map[netip.AddrPort]int
+	datagrams   int
+	bytes       int
+	// removals are the members that any view declared dead.
+	removals []removal
+	// tamper changes the messages that a member sends; nil is none.
+	tamper func(from int, message *Message)
+	// disabled are the safeguards that all members do without.
+	disabled safeguard
+}
+
+// simNode is one member of a cluster.
+type simNode struct {
+	*Group
+	cluster        *cluster
+	index          int
+	processRun     int // number of the current process
+	lastGeneration uint32
+	nameTaken      bool
+	view           View
+	viewCount      int
+	inbox          []Event
+	maxPerSecond   int // maximum of datagrams sent in one second
+	currentSecond  simnet.Micros
+	sentThisSecond int
+	clockSkew      Micros
+	clockDrift     float64 // relative error of the clock's rate
+}
+
+// removal is a present member that a view declared dead.
+type removal struct {
+	at       Micros
+	observer int
+	removed  int
+	wasDead  bool
+}
+
+// newCluster starts a number of members that know the address of the first one, and one that nobody has.
+func newCluster(tb testing.TB, seed uint64, size int, link simnet.Link) *cluster {
+	tb.Helper()
+	return newClusterWithout(tb, seed, size, link, 0)
+}
+
+// newClusterWithout starts a cluster whose members do without some safeguards.
+func newClusterWithout(tb testing.TB, seed uint64, size int, link simnet.Link, disabled safeguard) *cluster {
+	tb.Helper()
+	c := &cluster{
+		t:           tb,
+		disabled:    disabled,
+		network:     simnet.New(seed, link),
+		codec:       NewCodec("town", []byte("a key of the group")),
+		indexByAddr: map[netip.AddrPort]int{},
+	}
+	for i := range size {
+		node := &simNode{
+			cluster:        c,
+			index:          i,
+			lastGeneration: 100,
+			clockSkew:      c.network.Rand().Int64N(hour),
+			clockDrift:     c.network.Rand().Float64()/50 - 0.01,
+		}
+		c.nodes = append(c.nodes, node)
+		c.indexByAddr[address(i)] = i
+		node.start(testConfig(i, address(0), address(60000)))
+	}
+	return c
+}
+
+// newConvergedCluster starts a cluster on a lossless network and waits until all members are in agreement.
+func newConvergedCluster(tb testing.TB, seed uint64, size int) *cluster {
+	tb.Helper()
+	c := newCluster(tb, seed, size, lan)
+	c.waitForAgreement(size, 60*second)
+	return c
+}
+
+func address(index int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(index >> 8), byte(index)}), 7946)
+}
+
+func nameOf(index int) string { return fmt.Sprintf("n%d", index) }
+
+func testConfig(index int, seeds ...netip.AddrPort) Config {
+	return Config{
+		Name:             nameOf(index),
+		Zone:             fmt.Sprintf("z%d", index%3),
+		Addr:             address(index),
+		Seeds:            seeds,
+		Generation:       1,
+		RandomSeed:       uint64(index),
+		ProbeInterval:    second,
+		SuspicionTimeout: 8 * second,
+		MaxSendRate:      30,
+		TombstoneTTL:     hour,
+	}
+}
+
+// partyRange returns the parties with the indices from first up to, but without, end.
+func partyRange(first, end int) []simnet.Party {
+	var parties []simnet.Party
+	for i := first; i < end; i++ {
+		parties = append(parties, simnet.Party(i))
+	}
+	return parties
+}
+
+func (n *simNode) party() simnet.Party { return simnet.Party(n.index) }
+
+func (n *simNode) isAlive() bool { return n.cluster.network.Alive(n.party()) }
+
+// clock returns the time on the member's own clock.
+func (n *simNode) clock() Micros {
+	now := n.cluster.network.Now()
+	return now + n.clockSkew + Micros(n.clockDrift*float64(now))
+}
+
+// start starts a new process of the member.
+func (n *simNode) start(config Config) {
+	n.lastGeneration++
+	n.processRun++
+	config.Generation = n.lastGeneration
+	group, err := New(config, n.clock())
+	require.NoError(n.cluster.t, err)
+	group.disabled = n.cluster.disabled
+	n.Group = group
+	n.view = View{}
+	n.inbox = nil
+	n.nameTaken = false
+	run := n.processRun
+	var tick func()
+	tick = func() {
+		if n.processRun == run {
+			n.step()
+			n.cluster.network.After(n.party(), config.TickInterval(), tick)
+		}
+	}
+	n.cluster.network.After(n.party(), 0, tick)
+}
+
+// step hands the received messages and some events to the protocol and carries out its actions.
+func (n *simNode) step(events ...Event) {
+	events = append(n.inbox, events...)
+	n.inbox = nil
+	for _, action := range n.Step(n.clock(), events...) {
+		switch action := action.(type) {
+		case SendMessage:
+			n.send(action)
+		case ViewChanged:
+			n.recordRemovals(action.View)
+			n.view = action.View
+			n.viewCount++
+		case NameTaken:
+			n.nameTaken = true
+		}
+	}
+}
+
+// recordRemovals records the members that are present in the current view and dead in the next one.
+func (n *simNode) recordRemovals(next View) {
+	c := n.cluster
+	for _, member := range next.Members {
+		before := slices.IndexFunc(n.view.Members, func(other Member) bool { return other.ID == member.ID })
+		if member.State != Dead || before < 0 || !n.view.Members[before].State.Present() {
+			continue
+		}
+		removed := c.indexByAddr[member.Addr]
+		c.removals = append(c.removals, removal{
+			at:       c.network.Now() - simnet.Start,
+			observer: n.index,
+			removed:  removed,
+			wasDead:  !c.nodes[removed].isAlive(),
+		})
+	}
+}
+
+func (n *simNode) send(action SendMessage) {
+	c := n.cluster
+	n.countSent()
+	if c.tamper != nil {
+		c.tamper(n.index, &action.Message)
+	}
+	datagram := c.codec.AppendEncode(nil, action.Message)
+	require.LessOrEqual(c.t, len(datagram), MaxDatagramSize, "%+v", action.Message)
+	c.datagrams++
+	c.bytes += len(datagram)
+	to, ok := c.indexByAddr[action.To]
+	if !ok {
+		return
+	}
+	c.network.Send(n.party(), simnet.Party(to), func() {
+		message, err := c.codec.Decode(datagram)
+		require.NoError(c.t, err)
+		c.nodes[to].inbox = append(c.nodes[to].inbox, MessageReceived{n.Addr, message})
+	})
+}
+
+func (n *simNode) countSent() {
+	if current := n.cluster.network.Now() / second; current != n.currentSecond {
+		n.currentSecond = current
+		n.sentThisSecond = 0
+	}
+	n.sentThisSecond++
+	n.maxPerSecond = max(n.maxPerSecond, n.sentThisSecond)
+}
+
+// run runs the cluster for a duration of simulated time.
+func (c *cluster) run(duration Micros) { c.network.Run(c.network.Now() + duration) }
+
+func (c *cluster) kill(index int) { c.network.Kill(simnet.Party(index)) }
+
+func (c *cluster) revive(index int) {
+	c.network.Revive(simnet.Party(index))
+	c.nodes[index].start(testConfig(index, address(0), address(1), address(2)))
+}
+
+// partition cuts the links between two sets of members in both directions.
+func (c *cluster) partition(a, b []simnet.Party) {
+	c.network.Cut(a, b)
+	c.network.Cut(b, a)
+}
+
+// heal ends a partition.
+func (c *cluster) heal(a, b []simnet.Party) {
+	c.network.Heal(a, b)
+	c.network.Heal(b, a)
+}
+
+// inAgreement reports whether the views of the first size members that are alive contain exactly these.
+func (c *cluster) inAgreement(size int) bool {
+	for _, node := range c.nodes[:size] {
+		if !node.isAlive() {
+			continue
+		}
+		present := make([]bool, len(c.nodes))
+		for _, member := range node.view.Members {
+			present[c.indexByAddr[member.Addr]] = member.State.Present()
+		}
+		for i, isPresent := range present {
+			expected := i < size && c.nodes[i].isAlive()
+			if isPresent != expected {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// waitForAgreement runs the cluster until the first size members are in agreement, and returns how long that took.
+func (c *cluster) waitForAgreement(size int, timeout Micros) Micros {
+	c.t.Helper()
+	startedAt := c.network.Now()
+	for !c.inAgreement(size) {
+		if c.network.Now()-startedAt >= timeout {
+			assert.Fail(c.t, "no agreement", "in %d s; the first member sees %d of %d", timeout/second, c.nodes[0].view.AliveCount(), size)
+			return timeout
+		}
+		c.run(pollInterval)
+	}
+	return c.network.Now() - startedAt
+}
+
+// shareSum returns the sum of the shares of all members that are alive and have converged. It must never exceed one.
+func (c *cluster) shareSum() float64 {
+	sum := 0.0
+	for _, node := range c.nodes {
+		if node.isAlive() && node.view.Converged {
+			_, count := node.view.Share(node.self.ID, 0, 1)
+			sum += 1 / float64(count)
+		}
+	}
+	return sum
+}
+
+// requireSharesWithinWhole fails the test at once if the shares add up to more than one.
+func (c *cluster) requireSharesWithinWhole() {
+	c.t.Helper()
+	require.LessOrEqual(c.t, c.shareSum(), maxShareSum)
+}
+
+// falseRemovals returns how often a view declared a member dead that was alive.
+func (c *cluster) falseRemovals() int {
+	count := 0
+	for _, removal := range c.removals {
+		if !removal.wasDead {
+			count++
+		}
+	}
+	return count
+}
+
+// memberSeenBy returns a member in the view of an observer.
+func (c *cluster) memberSeenBy(observer, index int) (Member, bool) {
+	return c.nodes[observer].view.Find(nameOf(index))
+}
--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -2,114 +2,118 @@
 
 import (
 	"net/netip"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
-func fullMessage() Message {
-	m := Message{
-		Kind: KindAck, Sender: 7, Generation: 1, Incarnation: 2, MessageNumber: 3, ProbeNumber: 4, Target: 5, Requester: 6, Digest: 7, HeardFromProber: true, HeardFromRequester: true,
-		Facts: []Fact{{Owner: 7, Name: "list", Value: "v", Version: 9, TTL: 5000}},
+const testKey = "a key of the group"
+
+// completeMessage returns a message in which every field is set.
+func completeMessage() Message {
+	message := Message{
+		Kind:               KindAck,
+		Sender:             7,
+		Generation:         1,
+		Incarnation:        2,
+		MessageNumber:      3,
+		ProbeNumber:        4,
+		Target:             5,
+		Requester:          6,
+		Digest:             7,
+		HeardFromProber:    true,
+		HeardFromRequester: true,
+		Facts:              []Fact{{Owner: 7, Name: "list", Value: "v", Version: 9, TTL: 5000}},
 	}
 	for i := range 4 {
-		m.Updates = append(m.Updates, Update{
-			ID: ID(i + 1), Generation: 2, Incarnation: 3, State: MemberState(i), Accuser: 9,
-			Addr: netip.MustParseAddrPort("10.0.0.1:7946"), Name: "n1", Zone: "petaling",
+		message.Updates = append(message.Updates, Update{
+			ID:          ID(i + 1),
+			Generation:  2,
+			Incarnation: 3,
+			State:       MemberState(i),
+			Accuser:     9,
+			Addr:        netip.MustParseAddrPort("10.0.0.1:7946"),
+			Name:        "n1",
+			Zone:        "petaling",
 		})
 	}
-	return m
+	return message
 }
 
 func TestCodecRoundTrip(t *testing.T) {
-	for _, key := range []string{"", "a key of the group"} {
-		c := NewCodec("g", []byte(key))
-		m := fullMessage()
-		b := c.AppendEncode(nil, m)
-		assert.Len(t, b, MaxDatagramSize-m.freeBytes())
-		got, err := c.Decode(b)
+	for _, key := range []string{"", testKey} {
+		codec := NewCodec("g", []byte(key))
+		message := completeMessage()
+		datagram := codec.AppendEncode(nil, message)
+		assert.Len(t, datagram, MaxDatagramSize-message.freeBytes())
+		decoded, err := codec.Decode(datagram)
 		require.NoError(t, err)
-		assert.Equal(t, m, got)
+		assert.Equal(t, message, decoded)
 	}
 }
 
-// What is not of this group, form or key, or was changed on the way, changes nothing: it is not even a message.
+// A datagram of another group, version or key, or one that was changed on the way, is rejected.
 func TestDecodeRejectsBadDatagrams(t *testing.T) {
-	c := NewCodec("g", []byte("a key of the group"))
-	good := c.AppendEncode(nil, fullMessage())
-	later := c.AppendEncode(nil, fullMessage())
-	later[0] = wireVersion + 1
-	for name, bad := range map[string]struct {
-		b   []byte
-		err error
-	}{
-		"empty":        {nil, ErrMalformed},
-		"cut":          {good[:len(good)-30], ErrUnauthenticated},
-		"short":        {good[:20], ErrMalformed},
-		"too long":     {append(append([]byte{}, good...), make([]byte, 100)...), ErrMalformed},
-		"other group":  {NewCodec("h", []byte("a key of the group")).AppendEncode(nil, fullMessage()), ErrOtherGroup},
-		"other key":    {NewCodec("g", []byte("another key of it")).AppendEncode(nil, fullMessage()), ErrUnauthenticated},
-		"no key":       {NewCodec("g", nil).AppendEncode(nil, fullMessage()), ErrUnauthenticated},
-		"a later form": {later, ErrUnknownVersion},
-		"unknown kind": {c.AppendEncode(nil, Message{Kind: 200, Sender: 1}), ErrMalformed},
-		"from nobody":  {c.AppendEncode(nil, Message{Kind: KindPing}), ErrMalformed},
-		"long name":    {c.AppendEncode(nil, Message{Kind: KindPing, Sender: 1, Updates: []Update{{Name: "a name that is longer than names may be"}}}), ErrMalformed},
-		"long fact":    {c.AppendEncode(nil, Message{Kind: KindPing, Sender: 1, Facts: []Fact{{Name: "a name that is too long"}}}), ErrMalformed},
-		"odd standing": {c.AppendEncode(nil, Message{Kind: KindPing, Sender: 1, Updates: []Update{{State: 9}}}), ErrMalformed},
-	} {
-		_, err := c.Decode(bad.b)
-		assert.ErrorIs(t, err, bad.err, name)
+	codec := NewCodec("g", []byte(testKey))
+	valid := codec.AppendEncode(nil, completeMessage())
+	otherVersion := slices.Clone(valid)
+	otherVersion[0] = wireVersion + 1
+	withUpdate := func(update Update) []byte {
+		return codec.AppendEncode(nil, Message{Kind: KindPing, Sender: 1, Updates: []Update{update}})
 	}
-	for i := range good {
-		b := append([]byte{}, good...)
-		b[i] ^= 0x10
-		_, err := c.Decode(b)
-		assert.Error(t, err, "byte %d changed", i)
-	}
-}
-
-func TestReplayWindow(t *testing.T) {
-	var w replayWindow
-	for _, c := range []struct {
-		n    uint32
-		want bool
-	}{{1, true}, {1, false}, {3, true}, {2, true}, {2, false}, {100, true}, {36, false}, {37, true}, {37, false}, {99, true}, {200, true}, {100, false}} {
-		assert.Equal(t, c.want, w.accept(c.n), "message %d", c.n)
+	withFact := func(fact Fact) []byte {
+		return codec.AppendEncode(nil, Message{Kind: KindPing, Sender: 1, Facts: []Fact{fact}})
 	}
-}
-
-func TestConfigValidate(t *testing.T) {
-	good := testConfig(1)
-	require.NoError(t, good.Validate())
-	for name, spoil := range map[string]func(*Config){
-		"name": func(c *Config) { c.Name = "" }, "address": func(c *Config) { c.Addr = netip.AddrPort{} },
-		"period": func(c *Config) { c.ProbeInterval = 0 }, "hold": func(c *Config) { c.SuspicionTimeout = c.ProbeInterval - 1 },
-		"budget": func(c *Config) { c.MaxSendRate = 0 }, "zone": func(c *Config) { c.Zone = "a zone with a name beyond all bounds" },
+	for name, invalid := range map[string]struct {
+		datagram []byte
+		err      error
+	}{
+		"empty":         {nil, ErrMalformed},
+		"truncated":     {valid[:len(valid)-30], ErrUnauthenticated},
+		"short":         {valid[:20], ErrMalformed},
+		"too long":      {append(slices.Clone(valid), make([]byte, 100)...), ErrMalformed},
+		"other group":   {NewCodec("h", []byte(testKey)).AppendEncode(nil, completeMessage()), ErrOtherGroup},
+		"other key":     {NewCodec("g", []byte("another key of it")).AppendEncode(nil, completeMessage()), ErrUnauthenticated},
+		"no key":        {NewCodec("g", nil).AppendEncode(nil, completeMessage()), ErrUnauthenticated},
+		"other version": {otherVersion, ErrUnknownVersion},
+		"unknown kind":  {codec.AppendEncode(nil, Message{Kind: 200, Sender: 1}), ErrMalformed},
+		"no sender":     {codec.AppendEncode(nil, Message{Kind: KindPing}), ErrMalformed},
+		"long name":     {withUpdate(Update{Name: "a name that is longer than names may be"}), ErrMalformed},
+		"long fact":     {withFact(Fact{Name: "a name that is too long"}), ErrMalformed},
+		"unknown state": {withUpdate(Update{State: 9}), ErrMalformed},
 	} {
-		c := good
-		spoil(&c)
-		assert.ErrorContains(t, c.Validate(), name)
+		_, err := codec.Decode(invalid.datagram)
+		require.ErrorIs(t, err, invalid.err, name)
+	}
+	for i := range valid {
+		changed := slices.Clone(valid)
+		changed[i] ^= 0x10
+		_, err := codec.Decode(changed)
+		require.Error(t, err, "byte %d changed", i)
 	}
 }
 
-// FuzzRead has anything read: nothing panics, and what is a message is worded as it was read.
+// FuzzRead decodes arbitrary input: nothing panics, and a decoded message encodes to one that decodes to the same.
 func FuzzRead(f *testing.F) {
-	c := NewCodec("g", nil)
-	f.Add(c.AppendEncode(nil, fullMessage()))
-	f.Add(c.AppendEncode(nil, Message{Kind: KindSyncRequest, Sender: 1, BucketDigests: make([]uint32, bucketCount)}))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > authenticatorSize { // past the checksum, or nothing else would be found
-			b = append(b[:len(b)-authenticatorSize:len(b)-authenticatorSize], c.authenticator(b[:len(b)-authenticatorSize])...)
+	codec := NewCodec("g", nil)
+	f.Add(codec.AppendEncode(nil, completeMessage()))
+	f.Add(codec.AppendEncode(nil, Message{Kind: KindSyncRequest, Sender: 1, BucketDigests: make([]uint32, bucketCount)}))
+	f.Fuzz(func(t *testing.T, datagram []byte) {
+		if len(datagram) > authenticatorSize {
+			// Without a valid checksum, decoding would stop there.
+			body := datagram[:len(datagram)-authenticatorSize]
+			datagram = slices.Concat(body, codec.authenticator(body))
 		}
-		m, err := c.Decode(b)
+		message, err := codec.Decode(datagram)
 		if err != nil {
 			return
 		}
-		again, err := c.Decode(c.AppendEncode(nil, m))
+		again, err := codec.Decode(codec.AppendEncode(nil, message))
 		if err != nil {
 			t.Fatal(err)
 		}
-		assert.Equal(t, m, again)
+		assert.Equal(t, message, again)
 	})
 }
--- a/membership/group.go
+++ b/membership/group.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	microsPerSecond = 1e6
+	microsPerSecond = 1_000_000
 	// probeOutcomeCount is the number of recent probes by which a view is judged as trusted or not.
 	probeOutcomeCount = 8
 	// pauseGraceIntervals is for how many probe intervals after a pause of its own a member declares nobody dead. The
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -18,235 +18,318 @@
 	"alderproxy/internal/simnet"
 )
 
-// countAwareOf tells by how many of the living a member is held to be gone.
-func (w *cluster) countAwareOf(of int) (n, all int) {
-	for _, c := range w.nodes {
-		if !w.network.Alive(simnet.Party(c.index)) {
+// detectionTimeout is how long a measurement waits for a death to be known to all.
+const detectionTimeout = 120 * second
+
+// countAwareOf returns how many of the living members view a member as dead or left, and how many are alive.
+func (c *cluster) countAwareOf(index int) (aware, alive int) {
+	for _, node := range c.nodes {
+		if !node.isAlive() {
 			continue
 		}
-		all++
-		if slices.ContainsFunc(c.view.Members, func(m Member) bool { return m.Name == name(of) && m.State > Suspect }) {
-			n++
+		alive++
+		if member, found := c.memberSeenBy(node.index, index); found && !member.State.Present() {
+			aware++
 		}
 	}
-	return n, all
+	return aware, alive
 }
 
-func medianAndMax(xs []float64) (median, most float64) {
-	slices.Sort(xs)
-	return xs[len(xs)/2], xs[len(xs)-1]
+// secondsSince returns the simulated time since a start in seconds.
+func (c *cluster) secondsSince(start Micros) float64 { return float64(c.network.Now()-start) / second }
+
+func medianAndMax(values []float64) (median, maximum float64) {
+	slices.Sort(values)
+	return values[len(values)/2], values[len(values)-1]
 }
 
-// From a death until one, half and all know it, what a member sends, and until a fact is everywhere.
-func TestMeasureDetectionAndCost(t *testing.T) {
-	for _, c := range []struct{ n, deaths int }{{10, 9}, {100, 9}, {300, 5}, {1000, 1}} {
-		var one, half, all, facts []float64
-		var rate, bytes float64
-		for seed := range c.deaths {
-			w := newCluster(t, uint64(seed+1), c.n, lan)
-			w.waitForAgreement(0, c.n, 300*second)
-			w.run(30 * second)
-			sent, size := w.datagrams, w.bytes
-			w.run(10 * second)
-			rate += float64(w.datagrams-sent) / 10 / float64(c.n) / float64(c.deaths)
-			bytes += float64(w.bytes-size) / 10 / float64(c.n) / float64(c.deaths)
-			w.nodes[1].step(PublishFact{"list", "v", 600 * second})
-			began := w.network.Now()
-			for {
-				n := 0
-				for _, o := range w.nodes {
-					if m := o.members[w.nodes[1].self.ID]; m != nil && len(m.facts) > 0 {
-						n++
-					}
-				}
-				if n == c.n || w.network.Now()-began > 60*second {
-					break
-				}
-				w.run(second / 10)
-			}
-			facts = append(facts, float64(w.network.Now()-began)/second)
-			victim := 2 + w.network.Rand().IntN(c.n-2)
-			w.kill(victim)
-			began = w.network.Now()
-			first, mid := 0.0, 0.0
-			for {
-				n, living := w.countAwareOf(victim)
-				at := float64(w.network.Now()-began) / second
-				if n > 0 && first == 0 {
-					first = at
-				}
-				if 2*n >= living && mid == 0 {
-					mid = at
-				}
-				if n == living || at > 120 {
-					one, half, all = append(one, first), append(half, mid), append(all, at)
-					break
-				}
-				w.run(second / 10)
+// detection is how many seconds after a death the first member, half of them and all know it.
+type detection struct {
+	first float64
+	half  float64
+	all   float64
+}
+
+// measureDetection kills a member and waits until all others know it.
+func (c *cluster) measureDetection(victim int) detection {
+	c.kill(victim)
+	killedAt := c.network.Now()
+	var result detection
+	for {
+		aware, alive := c.countAwareOf(victim)
+		elapsed := c.secondsSince(killedAt)
+		if aware > 0 && result.first == 0 {
+			result.first = elapsed
+		}
+		if 2*aware >= alive && result.half == 0 {
+			result.half = elapsed
+		}
+		if aware == alive || elapsed > detectionTimeout/second {
+			result.all = elapsed
+			return result
+		}
+		c.run(pollInterval)
+	}
+}
+
+// measureFact publishes a fact and returns the seconds until all members hold it.
+func (c *cluster) measureFact(publisher int) float64 {
+	c.nodes[publisher].step(PublishFact{Name: "list", Value: "v", TTL: 600 * second})
+	publishedAt := c.network.Now()
+	owner := c.nodes[publisher].self.ID
+	for {
+		holders := 0
+		for _, node := range c.nodes {
+			if member := node.members[owner]; member != nil && len(member.facts) > 0 {
+				holders++
 			}
-			assert.Zero(t, w.falseRemovals())
 		}
-		o, _ := medianAndMax(one)
-		h, _ := medianAndMax(half)
-		a, most := medianAndMax(all)
-		f, late := medianAndMax(facts)
+		if holders == len(c.nodes) || c.network.Now()-publishedAt > 60*second {
+			return c.secondsSince(publishedAt)
+		}
+		c.run(pollInterval)
+	}
+}
+
+// The time from a death until one, half of and all members know it, the traffic of a member, and the time until a fact
+// is known to all.
+func TestMeasureDetectionAndCost(t *testing.T) {
+	const trafficSeconds = 10
+	for _, testCase := range []struct{ size, deaths int }{{10, 9}, {100, 9}, {300, 5}, {1000, 1}} {
+		var first, half, all, facts []float64
+		var datagramRate, byteRate float64
+		for seed := range testCase.deaths {
+			c := newCluster(t, uint64(seed+1), testCase.size, lan)
+			c.waitForAgreement(testCase.size, 300*second)
+			c.run(30 * second)
+			datagrams, bytes := c.datagrams, c.bytes
+			c.run(trafficSeconds * second)
+			samples := float64(trafficSeconds * testCase.size * testCase.deaths)
+			datagramRate += float64(c.datagrams-datagrams) / samples
+			byteRate += float64(c.bytes-bytes) / samples
+			facts = append(facts, c.measureFact(1))
+			victim := 2 + c.network.Rand().IntN(testCase.size-2)
+			result := c.measureDetection(victim)
+			first = append(first, result.first)
+			half = append(half, result.half)
+			all = append(all, result.all)
+			assert.Zero(t, c.falseRemovals())
+		}
+		firstMedian, _ := medianAndMax(first)
+		halfMedian, _ := medianAndMax(half)
+		allMedian, allMax := medianAndMax(all)
+		factMedian, factMax := medianAndMax(facts)
 		t.Logf("%4d members, %d deaths: known to one after %.1f s, half %.1f, all %.1f (most %.1f); a fact is everywhere after %.1f (most %.1f); %.1f datagrams and %.0f bytes a member and second",
-			c.n, c.deaths, o, h, a, most, f, late, rate, bytes)
+			testCase.size, testCase.deaths, firstMedian, halfMedian, allMedian, allMax, factMedian, factMax, datagramRate, byteRate)
 	}
 }
 
-// soakResult is what a hundred minutes or so of a town came to.
+// soakResult sums up the runs of a soak test.
 type soakResult struct {
 	runs             int
-	memberHours      float64 // of members
-	falsePositives   int     // members that lived and were taken out of any view, each counted once a run
+	memberHours      float64
+	falsePositives   int // members that were removed from any view while they lived, each counted once a run
 	detectionSeconds []float64
-	datagramRate     float64
-	undetected       int // deaths that not all knew within two minutes
+	datagramRate     float64 // per member and second
+	undetected       int     // deaths that not all members knew within the timeout
+}
+
+func (r *soakResult) add(other soakResult) {
+	r.runs += other.runs
+	r.memberHours += other.memberHours
+	r.falsePositives += other.falsePositives
+	r.detectionSeconds = append(r.detectionSeconds, other.detectionSeconds...)
+	r.datagramRate += other.datagramRate
+	r.undetected += other.undetected
 }
 
-// runSoak runs towns of so many members, in each of which everybody stands still once a minute for up to 5 s and one
+// soak is the configuration of a soak test: clusters in which each member pauses once a minute for up to 5 s and one
 // dies at the end.
-func runSoak(t *testing.T, runs, n, minutes int, loss float64, off safeguard) (sum soakResult) {
+type soak struct {
+	runs     int
+	size     int
+	minutes  int
+	loss     float64
+	disabled safeguard
+}
+
+// run runs the clusters in parallel.
+func (s soak) run(t *testing.T) soakResult {
+	t.Helper()
 	var mu sync.Mutex
-	t.Run(fmt.Sprint(loss, off), func(t *testing.T) {
-		for seed := range uint64(runs) {
+	var sum soakResult
+	t.Run(fmt.Sprint(s.loss, s.disabled), func(t *testing.T) {
+		for seed := range uint64(s.runs) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				w := newClusterWithout(t, seed+1, n, simnet.Link{Least: 300, Most: 5000, Loss: loss}, off)
-				w.run(120 * second)
-				w.removals = nil
-				sent := w.datagrams
-				for i := range n {
-					for k := range minutes {
-						at := Micros(60*k)*second + w.network.Rand().Int64N(55*second)
-						span := w.network.Rand().Int64N(5 * second)
-						w.network.After(-1, at, func() { w.network.Pause(simnet.Party(i), span) })
-					}
-				}
-				w.run(Micros(minutes) * 60 * second)
-				out := map[int]bool{}
-				for _, f := range w.removals {
-					out[f.removed] = out[f.removed] || !f.wasDead
-				}
-				rate := float64(w.datagrams-sent) / float64(n) / float64(60*minutes)
-				w.kill(n - 1)
-				began, known := w.network.Now(), false
-				for !known && w.network.Now()-began < 120*second {
-					w.run(second / 10)
-					k, all := w.countAwareOf(n - 1)
-					known = k == all
-				}
+				result := s.runOnce(t, seed+1)
 				mu.Lock()
 				defer mu.Unlock()
-				sum.runs++
-				sum.memberHours += float64(n*minutes) / 60
-				sum.falsePositives += len(out)
-				sum.datagramRate += rate / float64(runs)
-				if !known {
-					sum.undetected++
-				}
-				sum.detectionSeconds = append(sum.detectionSeconds, float64(w.network.Now()-began)/second)
+				sum.add(result)
 			})
 		}
 	})
+	sum.datagramRate /= float64(s.runs)
 	return sum
 }
 
-// Members that live and are taken out of a view, by hour of members.
+func (s soak) runOnce(t *testing.T, seed uint64) soakResult {
+	t.Helper()
+	c := newClusterWithout(t, seed, s.size, simnet.Link{Least: 300, Most: 5000, Loss: s.loss}, s.disabled)
+	c.run(120 * second)
+	c.removals = nil
+	datagramsBefore := c.datagrams
+	for _, node := range c.nodes {
+		for minute := range s.minutes {
+			at := Micros(60*minute)*second + c.network.Rand().Int64N(55*second)
+			duration := c.network.Rand().Int64N(5 * second)
+			c.network.After(-1, at, func() { c.network.Pause(node.party(), duration) })
+		}
+	}
+	c.run(Micros(s.minutes) * 60 * second)
+	falsePositives := map[int]bool{}
+	for _, removal := range c.removals {
+		falsePositives[removal.removed] = true
+	}
+	datagrams := c.datagrams - datagramsBefore
+	victim := s.size - 1
+	c.kill(victim)
+	killedAt := c.network.Now()
+	detected := false
+	for !detected && c.network.Now()-killedAt < detectionTimeout {
+		c.run(pollInterval)
+		aware, alive := c.countAwareOf(victim)
+		detected = aware == alive
+	}
+	result := soakResult{
+		runs:             1,
+		memberHours:      float64(s.size*s.minutes) / 60,
+		falsePositives:   len(falsePositives),
+		detectionSeconds: []float64{c.secondsSince(killedAt)},
+		datagramRate:     float64(datagrams) / float64(s.size) / float64(60*s.minutes),
+	}
+	if !detected {
+		result.undetected = 1
+	}
+	return result
+}
+
+// Living members that are removed from a view, per member-hour.
 func TestMeasureFalsePositives(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		loss float64
 		runs int
 	}{{0, 4}, {0.1, 6}, {0.3, 2}} {
-		s := runSoak(t, c.runs, 50, 60, c.loss, 0)
-		m, most := medianAndMax(s.detectionSeconds)
-		t.Logf("loss %.0f %%, pauses up to 5 s: %d members taken out in vain in %.0f member-hours; a death known to all after %.1f s (most %.1f); %.1f datagrams a member and second",
-			100*c.loss, s.falsePositives, s.memberHours, m, most, s.datagramRate)
+		result := soak{runs: testCase.runs, size: 50, minutes: 60, loss: testCase.loss}.run(t)
+		median, maximum := medianAndMax(result.detectionSeconds)
+		t.Logf("loss %.0f %%, pauses up to 5 s: %d false positives in %.0f member-hours; a death known to all after %.1f s (most %.1f); %.1f datagrams a member and second",
+			100*testCase.loss, result.falsePositives, result.memberHours, median, maximum, result.datagramRate)
 	}
 }
 
-// The same without one remedy each: what it is good for, and what it costs in time until a death is known.
+// The same with each safeguard disabled in turn: its effect, and its cost in time until a death is known.
 func TestMeasureSafeguardsDisabled(t *testing.T) {
-	names := []string{"a question put three times", "helpers", "own pause", "own health", "starting anew", "doubt by comparison"}
-	for i := -1; i < len(names); i++ {
-		off, name := safeguard(0), "all in force"
-		if i >= 0 {
-			off, name = 1<<i, "without "+names[i]
-		}
+	for _, testCase := range []struct {
+		name     string
+		disabled safeguard
+	}{
+		{"all in force", 0},
+		{"without repeated pings", probeRetry},
+		{"without helpers", indirectProbing},
+		{"without detection of own pauses", pauseDetection},
+		{"without local health", localHealthScaling},
+		{"without restart of suspicions", suspicionRestart},
+		{"without comparison of accusers", accuserComparison},
+	} {
 		for _, loss := range []float64{0.1, 0.3} {
-			s := runSoak(t, 4, 40, 10, loss, off)
-			m, most := medianAndMax(s.detectionSeconds)
-			t.Logf("%-34s loss %2.0f %%: %3d taken out in vain in %.0f member-hours; a death known to all after %.1f s (most %.1f), %d of %d not within 2 min; %.1f datagrams a member and second",
-				name, 100*loss, s.falsePositives, s.memberHours, m, most, s.undetected, s.runs, s.datagramRate)
+			result := soak{runs: 4, size: 40, minutes: 10, loss: loss, disabled: testCase.disabled}.run(t)
+			median, maximum := medianAndMax(result.detectionSeconds)
+			t.Logf("%-34s loss %2.0f %%: %3d false positives in %.0f member-hours; a death known to all after %.1f s (most %.1f), %d of %d not within 2 min; %.1f datagrams a member and second",
+				testCase.name, 100*loss, result.falsePositives, result.memberHours, median, maximum, result.undetected, result.runs, result.datagramRate)
 		}
 	}
 }
 
-// cpuTime is how much time of the processor this process has used.
+// cpuTime returns the processor time that this process has used.
 func cpuTime(t *testing.T) time.Duration {
-	var u syscall.Rusage
-	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	t.Helper()
+	var usage syscall.Rusage
+	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// What a member costs in time of the processor and in memory, the network in virtual time included.
+// The processor time and memory of a member, with those of the simulated network.
 func TestMeasureStepAndMemory(t *testing.T) {
-	for _, n := range []int{10, 100, 300} {
+	const measuredSeconds = 10
+	for _, size := range []int{10, 100, 300} {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		w := newCluster(t, 1, n, lan)
-		w.waitForAgreement(0, n, 300*second)
-		w.run(30 * second)
+		c := newCluster(t, 1, size, lan)
+		c.waitForAgreement(size, 300*second)
+		c.run(30 * second)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		took := -cpuTime(t)
-		w.run(10 * second)
-		took += cpuTime(t)
-		t.Logf("%4d members: %.2f ms of processor a member and second, %.0f KB a member", n, took.Seconds()*1000/float64(n)/10,
-			float64(after.HeapAlloc-before.HeapAlloc)/float64(n)/1024)
+		cpuBefore := cpuTime(t)
+		c.run(measuredSeconds * second)
+		cpu := cpuTime(t) - cpuBefore
+		t.Logf("%4d members: %.2f ms of processor a member and second, %.0f KB a member",
+			size, cpu.Seconds()*1000/float64(size)/measuredSeconds, float64(after.HeapAlloc-before.HeapAlloc)/float64(size)/1024)
 	}
 }
 
-// Random faults: afterwards every death is known, nobody who is connected stays out, and views are equal.
+// injectRandomFault schedules a pause, a cut in one direction or a restart.
+func (c *cluster) injectRandomFault(rng *rand.Rand) {
+	size := len(c.nodes)
+	at := Micros(rng.IntN(60)) * second
+	index, otherIndex := rng.IntN(size), rng.IntN(size)
+	duration := Micros(1+rng.IntN(30)) * second
+	c.network.After(-1, at, func() {
+		one, others := partyRange(index, index+1), partyRange(otherIndex, size)
+		switch rng.IntN(4) {
+		case 0:
+			c.network.Pause(simnet.Party(index), duration)
+		case 1:
+			c.network.Cut(one, others)
+			c.network.After(-1, duration, func() { c.network.Heal(one, others) })
+		case 2:
+			c.network.Cut(others, one)
+			c.network.After(-1, duration, func() { c.network.Heal(others, one) })
+		case 3:
+			if index > 0 && c.nodes[index].isAlive() {
+				c.kill(index)
+				c.network.After(-1, duration, func() { c.revive(index) })
+			}
+		}
+	})
+}
+
+// After random faults every death is known, no connected member stays removed, and all views are equal.
 func TestMeasureRandomFaults(t *testing.T) {
+	const runs = 200
 	var settled []float64
-	for seed := range uint64(200) {
+	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		n := 3 + rng.IntN(28)
-		w := newCluster(t, seed+1, n, simnet.Link{Least: 300, Most: Micros(5000 + rng.IntN(200_000)), Loss: 0.2 * rng.Float64(), Repeat: 0.2 * rng.Float64()})
-		w.waitForAgreement(0, n, 120*second)
+		size := 3 + rng.IntN(28)
+		link := simnet.Link{
+			Least:  300,
+			Most:   Micros(5000 + rng.IntN(200_000)),
+			Loss:   0.2 * rng.Float64(),
+			Repeat: 0.2 * rng.Float64(),
+		}
+		c := newCluster(t, seed+1, size, link)
+		c.waitForAgreement(size, 120*second)
 		for range 3 + rng.IntN(6) {
-			at, i, j := Micros(rng.IntN(60))*second, rng.IntN(n), rng.IntN(n)
-			span := Micros(1+rng.IntN(30)) * second
-			w.network.After(-1, at, func() {
-				a, b := partyRange(i, i+1), partyRange(j, n)
-				switch rng.IntN(4) {
-				case 0:
-					w.network.Pause(simnet.Party(i), span)
-				case 1:
-					w.network.Cut(a, b)
-					w.network.After(-1, span, func() { w.network.Heal(a, b) })
-				case 2:
-					w.network.Cut(b, a)
-					w.network.After(-1, span, func() { w.network.Heal(b, a) })
-				case 3:
-					if i > 0 && w.network.Alive(simnet.Party(i)) {
-						w.kill(i)
-						w.network.After(-1, span, func() { w.revive(i) })
-					}
-				}
-			})
+			c.injectRandomFault(rng)
 		}
-		w.run(95 * second)
-		began := w.network.Now()
-		w.waitForAgreement(0, n, 120*second)
-		settled = append(settled, float64(w.network.Now()-began)/second)
+		c.run(95 * second)
+		lastFaultEnded := c.network.Now()
+		c.waitForAgreement(size, 120*second)
+		settled = append(settled, c.secondsSince(lastFaultEnded))
 		if t.Failed() {
-			t.Fatalf("seed %d, %d members", seed, n)
+			t.Fatalf("seed %d, %d members", seed, size)
 		}
 	}
-	m, most := medianAndMax(settled)
-	t.Logf("200 runs of random faults: views equal %.1f s after the last one (median), %.1f s at most", m, most)
+	median, maximum := medianAndMax(settled)
+	t.Logf("%d runs of random faults: views equal %.1f s after the last one (median), %.1f s at most", runs, median, maximum)
 }
--- /dev/null
+++ b/membership/partition_test.go
@@ -0,0 +1,113 @@
+package membership
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"alderproxy/internal/simnet"
+)
+
+func TestPartitionsHeal(t *testing.T) {
+	t.Parallel()
+	const size = 24
+	for _, bounds := range [][]int{{0, 12, 24}, {0, 8, 16, 24}} {
+		c := newCluster(t, 5, size, lan)
+		for range 300 { // from the first moment on
+			c.run(pollInterval)
+			c.requireSharesWithinWhole()
+		}
+		c.waitForAgreement(size, 60*second)
+		assert.InDelta(t, 1, c.shareSum(), 0.01, "no share is unused")
+		var parts [][]simnet.Party
+		for i := range bounds[:len(bounds)-1] {
+			parts = append(parts, partyRange(bounds[i], bounds[i+1]))
+		}
+		forEachPair(parts, c.partition)
+		for range 60 {
+			c.run(second)
+			c.requireSharesWithinWhole()
+		}
+		forEachPair(parts, c.heal)
+		elapsed := c.waitForAgreement(size, 90*second)
+		t.Logf("partitioned into %d: one group again %.1f s after it healed", len(parts), float64(elapsed)/second)
+	}
+}
+
+// forEachPair calls a function with each pair of different parts once.
+func forEachPair(parts [][]simnet.Party, do func(a, b []simnet.Party)) {
+	for i, a := range parts {
+		for _, b := range parts[i+1:] {
+			do(a, b)
+		}
+	}
+}
+
+func TestPartialLinkFailuresRemoveNobody(t *testing.T) {
+	t.Parallel()
+	const size = 12
+	c := newConvergedCluster(t, 6, size)
+	reachability := func(observer, index int) Reachability {
+		member, found := c.memberSeenBy(observer, index)
+		if !found {
+			return ReachabilityUnknown
+		}
+		return member.Reachability
+	}
+	c.network.Cut(partyRange(3, 4), partyRange(4, 5)) // 4 receives nothing of 3
+	c.partition(partyRange(5, 6), partyRange(6, 7))
+	c.run(60 * second)
+	views := c.nodes[0].viewCount
+	c.run(60 * second)
+	assert.Empty(t, c.removals)
+	assert.Equal(t, ReachableOneWay, reachability(4, 3))
+	assert.Equal(t, ReachableIndirectly, reachability(5, 6))
+	assert.Equal(t, ReachableIndirectly, reachability(6, 5))
+	assert.Equal(t, Reachable, reachability(7, 3))
+	assert.LessOrEqual(t, c.nodes[0].viewCount-views, 2, "the views of the others are stable")
+}
+
+func TestIsolatedMemberRemovesNobody(t *testing.T) {
+	t.Parallel()
+	const size, isolated = 20, 19
+	c := newConvergedCluster(t, 7, size)
+	c.partition(partyRange(isolated, size), partyRange(0, isolated))
+	c.run(60 * second)
+	assert.False(t, c.nodes[isolated].view.Trusted)
+	assert.Equal(t, size, c.nodes[isolated].view.AliveCount())
+	assert.True(t, c.nodes[0].view.Trusted)
+	assert.Equal(t, size-1, c.nodes[0].view.AliveCount())
+	c.heal(partyRange(isolated, size), partyRange(0, isolated))
+	c.waitForAgreement(size, 60*second)
+}
+
+// One zone's messages to the others are lost, and then the others' messages to it.
+func TestOneWayZonePartition(t *testing.T) {
+	t.Parallel()
+	const size, zoneSize = 30, 10
+	for _, zoneIsDeaf := range []bool{false, true} {
+		c := newConvergedCluster(t, 14, size)
+		from, to := partyRange(0, zoneSize), partyRange(zoneSize, size)
+		if zoneIsDeaf {
+			from, to = to, from
+		}
+		inZone := c.nodes[5]
+		outside := c.nodes[20]
+		c.network.Cut(from, to)
+		c.run(60 * second)
+		views := outside.viewCount
+		c.run(60 * second)
+		t.Logf(
+			"deaf %v: the larger part sees %d present, trusted %v; the zone %d, trusted %v; %d views in the second minute",
+			zoneIsDeaf,
+			outside.view.AliveCount(),
+			outside.view.Trusted,
+			inZone.view.AliveCount(),
+			inZone.view.Trusted,
+			outside.viewCount-views,
+		)
+		assert.LessOrEqual(t, outside.viewCount-views, 10, "the view does not flap")
+		c.network.Heal(from, to)
+		c.waitForAgreement(size, 60*second)
+	}
+}
