--- /dev/null
+++ b/storepool/pool_test.go
@@ -0,0 +1,46 @@
+package storepool
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/broker"
+	"alderproxy/internal/ratelog"
+	"alderproxy/internal/testserver"
+)
+
+// A store that closes every connection causes one log line per second, with the number of those suppressed.
+func TestClosedConnectionsAreLoggedAtLimitedRate(t *testing.T) {
+	log, hook := test.NewNullLogger()
+	p := New(limitsWith(1), nil, log.WithField("test", true))
+	store := listedStore("")
+	p.UpdateEndpoints([]Store{store})
+	startedAt := time.Now()
+	for range 200 {
+		newConnection(p, store).close(io.ErrUnexpectedEOF)
+	}
+	maxLines := 1 + int(time.Since(startedAt)/ratelog.Every)
+	assert.LessOrEqual(t, len(hook.AllEntries()), maxLines)
+	assert.NotEmpty(t, hook.AllEntries())
+}
+
+// A connection that is closed during its dial holds a descriptor until the dial returns, and counts until then.
+func TestConnectionCountsUntilDialReturns(t *testing.T) {
+	server := testserver.NewFrameStore(t)
+	p := New(limitsWith(32), nil, testserver.Log())
+	paused := newPausedDial()
+	p.SetDialer(paused.dial)
+	p.UpdateEndpoints([]Store{listedStore(server.Addr)})
+	attempts, _ := submitQuery(t)
+	require.NoError(t, p.Send(1, []*broker.Attempt{<-attempts}))
+	<-paused.started
+	p.Close()
+	assert.Equal(t, 1, openConnections(p))
+	close(paused.release)
+	assert.Eventually(t, func() bool { return openConnections(p) == 0 }, eventTimeout, time.Millisecond)
+}
