--- a/agreement.go
+++ b/agreement.go
@@ -154,7 +154,7 @@
 		}
 	}
 	if a.p.gatherer != nil {
-		return a.p.gatherer.Use(edge)
+		return a.p.gatherer.SetTerms(edge)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 		return err
 	}
 	a.edge.Store(c)
-	return a.p.gatherer.Use(terms)
+	return a.p.gatherer.SetTerms(terms)
 }
 
 // first are the terms that the fronts start with. The lock is held.
--- a/alderproxy.go
+++ b/alderproxy.go
@@ -104,7 +104,7 @@
 	config   *config.Config
 	log      *logrus.Logger
 	search   *opensearch.Service
-	gatherer *platform.Gatherer
+	gatherer *platform.Aggregator
 	served   <-chan error
 
 	agreement *agreement    // nil: the instance stands alone
@@ -133,7 +133,7 @@
 	switch { // after the agreement, of which it tells
 	case p.config.Members != nil:
 		err = p.join(p.config.Members, false)
-	case p.config.PeersTell && edge != nil && len(edge.Peers.All) > 0:
+	case p.config.PeersTell && edge != nil && len(edge.Gossip.Addresses) > 0:
 		err = p.join(tier(edge), true)
 	}
 	if err != nil {
@@ -160,11 +160,11 @@
 	if err != nil {
 		return err
 	}
-	return p.fronts(edge, search, a.gate, &platform.Agreement{Terms: own, Gate: a.gate})
+	return p.fronts(edge, search, a.gate, &platform.ReplicatedTerms{Initial: own, Gate: a.gate})
 }
 
 // fronts starts those that are on.
-func (p *program) fronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.Agreement) (err error) {
+func (p *program) fronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.ReplicatedTerms) (err error) {
 	if p.config.OpenSearch != nil {
 		if p.search, err = opensearch.Start(p.config.OpenSearch, terms, gate, p.log.WithField("front", "opensearch")); err != nil {
 			return err
@@ -174,7 +174,7 @@
 		if p.gatherer, err = platform.Start(edge, agreed, p.log.WithField("gatherer", edge.Name)); err != nil {
 			return err
 		}
-		p.served = p.gatherer.Served()
+		p.served = p.gatherer.ServeError()
 	}
 	if p.fleet != nil { // what it tells and follows is there now
 		p.telling = ends{make(chan struct{}), make(chan struct{})}
@@ -196,11 +196,11 @@
 	go func() {
 		defer close(done)
 		if p.search != nil {
-			p.search.Stop(began.Add(platform.ServeOn), began.Add(platform.CutAfter))
+			p.search.Stop(began.Add(platform.MinServeDuration), began.Add(platform.MaxDrainDuration))
 		}
 	}()
 	if p.gatherer != nil {
-		p.gatherer.Stop(began)
+		p.gatherer.Shutdown(began)
 	}
 	<-done
 }
--- a/members.go
+++ b/members.go
@@ -16,11 +16,11 @@
 
 // tier is the part that a gatherer has in the membership of its platform's tier. The platform has no key.
 func tier(edge *platform.Config) *config.Members {
-	own := edge.Peers.All[edge.Settings.InstanceIndex]
+	own := edge.Gossip.Addresses[edge.Settings.InstanceIndex]
 	period := time.Second
-	return &config.Members{Listen: edge.Peers.Listen, Group: "tier", Member: membership.Config{
+	return &config.Members{Listen: edge.Gossip.Listen, Group: "tier", Member: membership.Config{
 		Name: edge.Name, Addr: own,
-		Seeds: edge.Peers.All, Period: period.Microseconds(), Hold: 8 * period.Microseconds(), Budget: 30, Forget: time.Hour.Microseconds(),
+		Seeds: edge.Gossip.Addresses, Period: period.Microseconds(), Hold: 8 * period.Microseconds(), Budget: 30, Forget: time.Hour.Microseconds(),
 	}}
 }
 
