--- a/alderproxy.go
+++ b/alderproxy.go
@@ -115,14 +115,14 @@
 	log          *logrus.Logger
 	onChangeStep func(step string) // see Options
 
-	sharedConfig *sharedConfig       // nil: the instance has its own configuration only
-	gossip       *gossip.Node        // nil: the instance is not a member of a fleet
-	admin        *admin.Server       // nil: the admin server is off
-	openSearch   *opensearch.Service // nil: this front is off
-	aggregator   *platform.Gatherer  // nil: this front is off
-	served       <-chan error        // yields why the platform's front stopped serving
-	publisher    *worker             // publishes this instance's facts to the fleet
-	quotas       *worker             // follows this instance's quota of the stores' capacity
+	sharedConfig *sharedConfig        // nil: the instance has its own configuration only
+	gossip       *gossip.Node         // nil: the instance is not a member of a fleet
+	admin        *admin.Server        // nil: the admin server is off
+	openSearch   *opensearch.Service  // nil: this front is off
+	aggregator   *platform.Aggregator // nil: this front is off
+	served       <-chan error         // yields why the platform's front stopped serving
+	publisher    *worker              // publishes this instance's facts to the fleet
+	quotas       *worker              // follows this instance's quota of the stores' capacity
 }
 
 // worker is a goroutine that runs until it is stopped.
@@ -190,7 +190,7 @@
 }
 
 // startFronts starts the fronts that are on, and the workers that depend on them.
-func (p *program) startFronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.Agreement) (err error) {
+func (p *program) startFronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.ReplicatedTerms) (err error) {
 	if p.config.OpenSearch != nil {
 		if p.openSearch, err = opensearch.Start(p.config.OpenSearch, terms, gate, p.log.WithField("front", "opensearch")); err != nil {
 			return err
@@ -200,7 +200,7 @@
 		if p.aggregator, err = platform.Start(edge, agreed, p.log.WithField("gatherer", edge.Name)); err != nil {
 			return err
 		}
-		p.served = p.aggregator.Served()
+		p.served = p.aggregator.ServeError()
 	}
 	if p.gossip != nil {
 		p.publisher = startWorker(p.publishFacts)
@@ -220,11 +220,11 @@
 	go func() {
 		defer close(done)
 		if p.openSearch != nil {
-			p.openSearch.Shutdown(began.Add(platform.ServeOn), began.Add(platform.CutAfter))
+			p.openSearch.Shutdown(began.Add(platform.MinServeDuration), began.Add(platform.MaxDrainDuration))
 		}
 	}()
 	if p.aggregator != nil {
-		p.aggregator.Stop(began)
+		p.aggregator.Shutdown(began)
 	}
 	<-done
 }
--- a/membership.go
+++ b/membership.go
@@ -26,12 +26,12 @@
 // platformMembership is the configuration of a member of the platform's gossip group. The platform has no key.
 func platformMembership(edge *platform.Config) *config.Membership {
 	return &config.Membership{
-		Listen: edge.Peers.Listen,
+		Listen: edge.Gossip.Listen,
 		Group:  platformMembers,
 		Member: membership.Config{
 			Name:             edge.Name,
-			Addr:             edge.Peers.All[edge.Settings.InstanceIndex],
-			Seeds:            edge.Peers.All,
+			Addr:             edge.Gossip.Addresses[edge.Settings.InstanceIndex],
+			Seeds:            edge.Gossip.Addresses,
 			ProbeInterval:    platformProbeInterval.Microseconds(),
 			SuspicionTimeout: platformSuspicionTimeout.Microseconds(),
 			MaxSendRate:      platformMaxSendRate,
@@ -45,7 +45,7 @@
 	switch {
 	case p.config.Membership != nil:
 		return p.startGossip(p.config.Membership, nil)
-	case p.config.PlatformMembership && edge != nil && len(edge.Peers.All) > 0:
+	case p.config.PlatformMembership && edge != nil && len(edge.Gossip.Addresses) > 0:
 		return p.startGossip(platformMembership(edge), platformClock())
 	}
 	return nil
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	return s.program.startFronts(edge, search, s.allowsQueries, &platform.Agreement{Terms: own, Gate: s.allowsQueries})
+	return s.program.startFronts(edge, search, s.allowsQueries, &platform.ReplicatedTerms{Initial: own, Gate: s.allowsQueries})
 }
 
 func (s *sharedConfig) close() {
@@ -195,7 +195,7 @@
 		}
 	}
 	if s.program.aggregator != nil {
-		return s.program.aggregator.Use(edge)
+		return s.program.aggregator.SetTerms(edge)
 	}
 	return nil
 }
@@ -215,7 +215,7 @@
 		return err
 	}
 	s.platform.Store(c)
-	return s.program.aggregator.Use(terms)
+	return s.program.aggregator.SetTerms(terms)
 }
 
 // initialTerms returns the terms with which the fronts start. The caller holds the lock.
