--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,50 +1,60 @@
 package policy
 
-// Action is something to do, in the order given. It is one of the types below that name themselves so.
+// Action is something to do: one of the types of this file. Actions are carried out in the order given.
 type Action interface{ action() }
 
-// SendAttempt asks a server for a part. An attempt without an outcome after Timeout ends as TimedOut.
+// SendAttempt sends a part to a server. An attempt without an answer within the timeout ends as TimedOut.
 type SendAttempt struct {
-	Part    uint64
-	Server  uint32
+	Part    uint64 // ID
+	Server  uint32 // ID
 	Timeout Micros
 }
 
-// CancelAttempt ends the wait for an attempt. Its outcome still comes.
+// CancelAttempt cancels an attempt. Its AttemptResult still follows.
 type CancelAttempt struct {
-	Part    uint64
+	Part uint64 // ID
+
+	// Attempt counts a part's attempts from 0 in the order of their SendAttempt.
 	Attempt int
 }
 
-// Answer answers a query from the parts that are in: finally, or, in a class with FetchParts,
-// first to bring the second step's parts and then finally.
+// Answer answers a query from its answered parts. In a class with FetchParts the first Answer starts the fetch
+// phase and the second one is final; otherwise the first one is.
 type Answer struct {
-	Query    uint64
+	Query    uint64 // ID
 	Complete bool
 }
 
-// Reject turns a query away: nothing of it ran twice or unknown, and it may be tried again.
+// Reject ends a query without an answer. None of its effects is in doubt, so the client may retry it.
 type Reject struct {
-	Query      uint64
-	RetryAfter Micros // how long the client ought to wait; 0: no advice
+	Query uint64 // ID
+
+	// RetryAfter is how long the client should wait before it retries; 0 if unspecified.
+	RetryAfter Micros
 }
 
-// Fail ends a query without any promise.
-type Fail struct{ Query uint64 }
+// Fail ends a query without an answer and without a statement about its effects.
+type Fail struct {
+	Query uint64 // ID
+}
 
-// CloseIdleConnections closes the idle connections to a server, so that the next Send opens a new one.
-type CloseIdleConnections struct{ Server uint32 }
+// CloseIdleConnections closes the idle connections to a server, so that the next SendAttempt opens a new one.
+type CloseIdleConnections struct {
+	Server uint32 // ID
+}
 
-// HealthCheck asks a server how it is.
-type HealthCheck struct{ Server uint32 }
+// HealthCheck checks the health of a server.
+type HealthCheck struct {
+	Server uint32 // ID
+}
 
-// SetTimer asks for a Timer after the given time.
+// SetTimer asks for a Timer event after a time.
 type SetTimer struct{ After Micros }
 
-// PollEndpoints asks for the server list and its changes (AskForList only).
+// PollEndpoints polls the endpoint list. It applies to Settings.PollEndpoints.
 type PollEndpoints struct{}
 
-// Log is a line for the people on call.
+// Log is a line for the operators' log.
 type Log struct{ Text string }
 
 func (SendAttempt) action()          {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,60 +5,106 @@
 	"slices"
 )
 
-// admit refuses a query whose slowest needed shard can't answer by its aim, and sooner the less it is worth.
-// Those that full servers made late let ever fewer of their class in, until the jam has drained.
+const (
+	// fanOutGain is the gain of a class's mean fan-out, 0 to 1.
+	fanOutGain = 0.1
+
+	// priorityHeadStart is the share of its latency objective that a query of the highest priority is dispatched
+	// ahead of its arrival.
+	priorityHeadStart = 0.2
+
+	// lowestPriorityWaitShare is the share of the time to its objective that a query of the lowest priority may be
+	// predicted to wait. A query of the highest priority may wait all of it.
+	lowestPriorityWaitShare = 0.4
+
+	// minAnswersForAdmission is the number of answers before a class's statistics may reject its queries.
+	minAnswersForAdmission = 10.0
+
+	// maxPredictedFailureRate is the failure rate, 0 to 1, that a predicted wait assumes at most.
+	maxPredictedFailureRate = 0.8
+)
+
+// admit requests the parts of a new query, or rejects it if the replicas are saturated and an answer in time is
+// unlikely. Classes of low priority are rejected earlier. A class whose queries overload made late is paced: fewer
+// of its queries are admitted with each of them, until answers come in time again.
 func (a *Aggregator) admit(q *query) {
 	q.awaitsAdmission = false
 	c := q.class
-	c.meanFanOut += 0.1 * (float64(len(q.parts)) - c.meanFanOut)
-	worth := a.priorityPerWork(c)
-	q.dispatchAt = q.arrivedAt - Micros(priorityHeadStart*worth*float64(c.LatencyObjective))
-	waits := make([]float64, 0, len(q.parts))
-	for _, p := range q.parts {
-		waits = append(waits, a.predictShardWait(p))
-	}
-	slices.Sort(waits)
-	if n := int(math.Ceil(c.RequiredCoverage*float64(len(waits)) - coverageTolerance)); n > 0 {
-		q.predictedWait = waits[n-1]
-	}
-	left := float64(min(q.objectiveAt, q.Deadline) - a.now)
-	hopeless := q.predictedWait > left*(lowestPriorityWaitShare+(1-lowestPriorityWaitShare)*worth) || q.predictedWait*c.latencyRatio > left || c.overloadCount > 0
-	known := c.answers >= minAnswersForAdmission && a.now-c.lastAdmittedAt < Micros(a.meanObjective)<<min(c.overloadCount, maxBackoffDoublings) // else one is let in
-	if len(q.parts) == 0 || math.IsInf(q.predictedWait, 1) || known && hopeless && a.isSaturated(q) {
+	smooth(&c.meanFanOut, float64(len(q.parts)), fanOutGain)
+	priority := a.relativePriority(c)
+	q.dispatchAt = q.arrivedAt - Micros(priorityHeadStart*priority*float64(c.LatencyObjective))
+	q.predictedWait = a.predictWait(q)
+	if len(q.parts) == 0 || math.IsInf(q.predictedWait, 1) || a.isOverloaded(q, priority) {
 		a.rejectOrFail(q)
 		return
 	}
 	c.lastAdmittedAt = a.now
-	q.canaryFirst = a.now < a.crashSuspectUntil && (q.Retry || q.Key != 0 && q.Key == a.crashSuspectKey)
+	q.canaryFirst = a.mayCrashServers(q)
 	a.requestParts(q)
 }
 
-// isSaturated tells whether a part finds no room, or so many share the servers that own room says nothing.
+// isOverloaded reports whether a query is unlikely to be answered in time because its replicas are saturated. Once
+// in a while it reports false for a class all the same, so that the class's statistics are renewed.
+func (a *Aggregator) isOverloaded(q *query, priority float64) bool {
+	c := q.class
+	trialInterval := Micros(a.meanObjective) << min(c.overloadCount, maxBackoffDoublings)
+	if c.answers < minAnswersForAdmission || a.now-c.lastAdmittedAt >= trialInterval {
+		return false
+	}
+	remaining := float64(min(q.objectiveAt, q.Deadline) - a.now)
+	acceptableWait := remaining * (lowestPriorityWaitShare + (1-lowestPriorityWaitShare)*priority)
+	isLate := q.predictedWait > acceptableWait || q.predictedWait*c.waitRatio > remaining
+	return (isLate || c.overloadCount > 0) && a.isSaturated(q)
+}
+
+// isSaturated reports whether a part of the query finds no capacity, or own capacity says nothing about that.
 func (a *Aggregator) isSaturated(q *query) bool {
-	full := func(p *part) bool { return !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) }
-	return minConcurrencyLimit*float64(a.settings.InstanceCount) > 2*fleetConcurrencyLimit || slices.ContainsFunc(q.parts, full)
+	hasNoCapacity := func(p *part) bool { return !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) }
+	return a.concurrencyIsOversubscribed() || slices.ContainsFunc(q.parts, hasNoCapacity)
 }
 
-// priorityPerWork is a class's worth for the work it needs, against the best class's.
-func (a *Aggregator) priorityPerWork(c *class) float64 {
-	value := func(c *class) float64 {
-		return c.PriorityWeight / (c.referenceLatency * c.meanFanOut * c.RequiredCoverage)
+// relativePriority returns a class's priority per unit of work, as a share of the highest one among the classes.
+func (a *Aggregator) relativePriority(c *class) float64 {
+	highest := 0.0
+	for _, other := range a.classes {
+		highest = max(highest, other.priorityPerWork())
 	}
-	top := 0.0
-	for _, o := range a.classes {
-		top = max(top, value(o))
+	return c.priorityPerWork() / max(highest, math.SmallestNonzeroFloat64)
+}
+
+func (c *class) priorityPerWork() float64 {
+	return c.PriorityWeight / (c.referenceLatency * c.meanFanOut * c.RequiredCoverage)
+}
+
+// predictWait returns the predicted wait, in microseconds, for the slowest of the parts that a complete answer
+// needs at least.
+func (a *Aggregator) predictWait(q *query) float64 {
+	waits := make([]float64, 0, len(q.parts))
+	for _, p := range q.parts {
+		waits = append(waits, a.predictShardWait(p))
+	}
+	slices.Sort(waits)
+	required := int(math.Ceil(q.class.RequiredCoverage*float64(len(waits)) - coverageTolerance))
+	if required <= 0 {
+		return 0
 	}
-	return value(c) / max(top, math.SmallestNonzeroFloat64)
+	return waits[required-1]
 }
 
-// predictShardWait predicts how long a part would take behind those that wait. Cold replicas have room in turns.
+// predictShardWait returns the time in microseconds that a part is predicted to take at its best replica, behind
+// the parts that are queued for its shard. It is infinite without a replica.
 func (a *Aggregator) predictShardWait(p *part) float64 {
 	best := math.Inf(1)
 	for _, s := range a.replicas[p.Shard] {
-		full := float64(max(0, s.backoffUntil-a.now))
-		// What fails is asked for again: that takes time, but far less than the charge by which it ranks.
-		again := a.predictLatency(s, p) * a.latencyRatio(s) / a.slowness(s) / (1 - min(a.decayedFailureRate(s), maxPredictedFailureRate))
-		best = min(best, again+full+a.slowStartWait(s))
+		backoff := float64(max(0, s.backoffUntil-a.now))
+		best = min(best, a.predictRetriedLatency(s, p)+backoff+a.slowStartWait(s))
 	}
 	return best * (1 + a.queuedParts[p.Shard]/(a.concurrencyLimit()*float64(a.settings.ReplicationFactor)))
 }
+
+// predictRetriedLatency returns the predicted latency of a part, in microseconds, if it is retried until it
+// succeeds. In place of the penalty that failures cost in the ranking it counts the time of the retries.
+func (a *Aggregator) predictRetriedLatency(s *server, p *part) float64 {
+	failureRate := min(a.decayedFailureRate(s), maxPredictedFailureRate)
+	return a.predictLatency(s, p) * a.currentLatencyRatio(s) / a.slowness(s) / (1 - failureRate)
+}
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -6,90 +6,110 @@
 	"slices"
 )
 
-// Aggregator decides for one aggregator. Its calls must not overlap.
+const (
+	// reviewTicks is the number of ticks between two timers while queries are open.
+	reviewTicks = 2
+
+	// maxBackoffDoublings is the number of times that any backoff doubles at most.
+	maxBackoffDoublings = 3
+
+	// initialSustainedRate is the rate of work of a warm server, in seconds per second, before servers report more.
+	initialSustainedRate = 1.0
+
+	// initialUtilization is the utilization of the servers' cores, 0 to 1, before they report it.
+	initialUtilization = 1.0
+
+	// initialFanOut is the number of a query's parts before a class has had queries.
+	initialFanOut = 1.0
+)
+
+// Aggregator decides for one aggregator. Its methods must not be called concurrently.
 type Aggregator struct {
-	settings                            Settings
-	now                                 Micros
-	meanObjective, lateRatio            float64 // mean aim: the unit of slow processes; multiple of its prediction that is late
-	actions                             []Action
-	servers                             map[uint32]*server
-	serversByID                         []*server   // by id: what is done in turn is done in this order
-	replicas                            [][]*server // replicas of each
-	classes                             []*class
-	queries, queriesByNumber            map[uint64]*query // by id, by number
-	parts                               map[uint64]*part
-	openQueries                         []*query       // by arrival
-	acceptedHistory, retryHistory       []historyEntry // what the budget counts
-	meanLatency, baseLatency, answers   float64        // mean latency at no load over n answers; the lowest yet, for the work
-	sustainedRate                       float64        // work that a warm server bears, in seconds a second
-	healthCheckCredits, meanUtilization float64        // that may be spent; mean share of their cores that servers report as busy
-	queuedReportRate                    float64        // smoothed share of load reports that tell of waiting parts
-	shardArrivals                       []historyEntry // parts of each shard that were taken, smoothed over a server's cold time
-	startedAt                           Micros         // the first turn
-	queuedParts                         []float64      // parts of each shard that found no room in the last turn
-	timerAt, outlierLoggedAt            Micros
-	freshConnectionSuccess              float64 // share of the servers silent on an idle connection that answered on a new one
-	idleLimitBase, idleLimitSetAt       Micros  // the shortest idle time of the former, and when it was found
-	freshConnectionAt                   Micros  // newest send on a new connection
-	crashSuspectUntil                   Micros  // until when retries and a key's queries are suspect of felling servers
-	crashSuspectKey                     uint64
-	pollAt                              Micros // next call for the list
-	failedPolls                         int    // of these, failed since the last list
+	settings  Settings
+	now       Micros
+	startedAt Micros // the first call of Step
+	timerAt   Micros // when the pending timer fires
+	actions   []Action
+
+	// meanObjective is the mean latency objective of the classes in microseconds: the unit of slow processes.
+	meanObjective float64
+
+	// lateRatio is the multiple of its predicted latency from which an attempt is late.
+	lateRatio float64
+
+	// The endpoints. Decisions iterate over serversByID, never over a map, so that they can be reproduced.
+	servers     map[uint32]*server // by ID
+	serversByID []*server          // in ascending order of ID
+	replicas    [][]*server        // by shard, each in ascending order of ID
+	pollAt      Micros             // when the endpoint list is polled next
+	failedPolls int                // polls that failed since the last list
+
+	// The open queries.
+	classes         []*class
+	queries         map[uint64]*query // by ID
+	queriesByNumber map[uint64]*query
+	parts           map[uint64]*part // by ID
+	openQueries     []*query         // in the order of dispatch
+	queuedParts     []float64        // by shard: parts that found no capacity in the last dispatch
+	shardArrivals   []historyEntry   // by shard: accepted parts, decaying over the slow start duration
+
+	// The retry budget.
+	acceptedHistory []historyEntry // queries and parts accepted within the budget's window
+	retryHistory    []historyEntry // retries sent within the budget's window
+
+	// Statistics over all classes and servers.
+	meanLatency      float64 // smoothed latency of a part at an idle server, in microseconds
+	baseLatency      float64 // lowest meanLatency so far, in microseconds: estimates a part's work
+	answers          float64 // answered attempts that meanLatency is based on
+	sustainedRate    float64 // highest smoothed rate of work of a warm server, in seconds per second
+	meanUtilization  float64 // smoothed utilization of the servers' cores, 0 to 1
+	queuedReportRate float64 // smoothed share of load reports that tell of queued requests, 0 to 1
+
+	// healthCheckCredits is the number of health checks that may be sent.
+	healthCheckCredits float64
+
+	// outlierLoggedAt is when a change of an outlier was last logged.
+	outlierLoggedAt Micros
+
+	// Evidence on idle connections.
+	freshConnectionSuccess float64 // smoothed share of attempts answered on fresh connections after a silence, 0 to 1
+	freshConnectionAt      Micros  // when an attempt was last sent on a fresh connection
+	idleLimitBase          Micros  // idle time from which connections are suspect, at idleLimitChangedAt
+	idleLimitChangedAt     Micros
+
+	// Queries with crashSuspectKey, and retries, may crash servers until crashSuspectUntil.
+	crashSuspectKey   uint64
+	crashSuspectUntil Micros
 }
 
-// New returns an aggregator that knows only its settings. Nothing is drawn from the seed as yet.
-func New(set Settings, seed uint64) (*Aggregator, error) {
-	if err := set.Check(); err != nil {
+// New returns an aggregator without endpoints or statistics. The decisions draw no random numbers; the seed is
+// ignored. The error is an *InvalidSettingError.
+func New(settings Settings, _ uint64) (*Aggregator, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	a := &Aggregator{
-		servers: map[uint32]*server{}, queries: map[uint64]*query{},
-		queriesByNumber: map[uint64]*query{}, parts: map[uint64]*part{},
-		sustainedRate: 1, meanUtilization: 1, freshConnectionSuccess: 0.5, idleLimitBase: math.MaxInt64,
+		servers:                map[uint32]*server{},
+		queries:                map[uint64]*query{},
+		queriesByNumber:        map[uint64]*query{},
+		parts:                  map[uint64]*part{},
+		sustainedRate:          initialSustainedRate,
+		meanUtilization:        initialUtilization,
+		freshConnectionSuccess: initialConnectionSuccess,
+		idleLimitBase:          math.MaxInt64,
 	}
-	a.applySettings(set)
+	a.applySettings(settings)
 	return a, nil
 }
 
-// applySettings takes settings. Open queries keep their classes' terms. What was learned of servers and, by name, of
-// classes stays, and so does what is out: a change sends no burst to cold servers and forgets no attempt.
-func (a *Aggregator) applySettings(set Settings) {
-	known := map[string]*classStats{}
-	for _, c := range a.classes {
-		known[c.Name] = c.classStats
-	}
-	a.settings, a.classes, a.meanObjective, a.lateRatio = set, nil, 0, lateThreshold
-	for _, c := range set.Classes {
-		l := cmp.Or(known[c.Name], &classStats{meanFanOut: 1})
-		if l.answers == 0 { // nothing is known yet but the aim
-			l.referenceLatency = float64(c.LatencyObjective)
-		}
-		a.classes = append(a.classes, &class{c, l})
-		a.meanObjective += float64(c.LatencyObjective) / float64(len(set.Classes))
-	}
-	if a.answers == 0 {
-		a.meanLatency, a.baseLatency = a.meanObjective, a.meanObjective
-	}
-	if !set.AllowHedging {
-		a.lateRatio *= replacementThreshold
-	}
-	for len(a.replicas) < set.Shards { // open parts may still be of shards that are no more
-		a.replicas, a.queuedParts, a.shardArrivals = append(a.replicas, nil), append(a.queuedParts, 0), append(a.shardArrivals, historyEntry{})
-	}
-	a.rebuildReplicas()
-}
-
-// Step takes what happened since the last turn and returns what to do now, in order.
+// Step handles the events since the last call and returns what to do now, in order.
 func (a *Aggregator) Step(now Micros, events []Event) []Action {
 	a.now = max(now, a.now)
 	a.startedAt = cmp.Or(a.startedAt, a.now)
 	a.actions = nil
-	if a.settings.PollEndpoints && a.now >= a.pollAt {
-		a.emit(PollEndpoints{})
-		a.pollAt = math.MaxInt64 // until word of it comes
-	}
-	for _, e := range events {
-		a.handleEvent(e)
+	a.pollEndpoints()
+	for _, event := range events {
+		a.handleEvent(event)
 	}
 	for _, q := range slices.Clone(a.openQueries) {
 		if q.awaitsAdmission {
@@ -103,46 +123,86 @@
 	return a.actions
 }
 
-func (a *Aggregator) emit(act Action) { a.actions = append(a.actions, act) }
+func (a *Aggregator) emit(action Action) { a.actions = append(a.actions, action) }
 
-func (a *Aggregator) handleEvent(e Event) {
-	switch e := e.(type) {
+func (a *Aggregator) handleEvent(event Event) {
+	switch event := event.(type) {
 	case EndpointList:
 		a.failedPolls = 0
-		a.applyEndpoints(e.Endpoints)
+		a.applyEndpoints(event.Endpoints)
+	case EndpointListFailed:
+		a.backOffPolling()
 	case Reconfigure:
-		if err := e.Settings.Check(); err != nil {
-			a.emit(Log{"settings unusable, the last ones stand: " + err.Error()})
-		} else {
-			a.applySettings(e.Settings)
-		}
-	case EndpointListFailed: // back off, spread by number: all who ask at once keep one service from answering any
-		if a.settings.PollEndpoints {
-			a.failedPolls = min(a.failedPolls+1, maxBackoffDoublings)
-			spread := 0.5 + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
-			wait := min(Micros(a.meanObjective*spread)<<a.failedPolls, cmp.Or(a.settings.PollInterval, math.MaxInt64))
-			a.pollAt = a.now + wait
-			a.emit(SetTimer{After: wait})
-		}
+		a.reconfigure(event.Settings)
 	case Query:
-		a.acceptQuery(e)
+		a.acceptQuery(event)
 	case Part:
-		a.acceptPart(e)
+		a.acceptPart(event)
 	case AttemptResult:
-		a.handleAttemptResult(e)
+		a.handleAttemptResult(event)
 	case HealthCheckResult:
-		a.handleHealthCheckResult(e)
+		a.handleHealthCheckResult(event)
 	case ClientCanceled:
-		if q := a.queries[e.Query]; q != nil {
+		if q := a.queries[event.Query]; q != nil {
 			a.closeQuery(q)
 		}
 	}
 }
 
-// setTimer keeps one timer out while anything is open. Work is looked at every other tick.
+// setTimer keeps one timer pending while queries are open.
 func (a *Aggregator) setTimer() {
-	if len(a.openQueries) > 0 && a.timerAt <= a.now {
-		a.emit(SetTimer{After: 2 * a.settings.Tick})
-		a.timerAt = a.now + 2*a.settings.Tick
+	if len(a.openQueries) == 0 || a.timerAt > a.now {
+		return
+	}
+	a.emit(SetTimer{After: reviewTicks * a.settings.Tick})
+	a.timerAt = a.now + reviewTicks*a.settings.Tick
+}
+
+func (a *Aggregator) reconfigure(settings Settings) {
+	if err := settings.Check(); err != nil {
+		a.emit(Log{"invalid settings, the previous ones stay in effect: " + err.Error()})
+		return
+	}
+	a.applySettings(settings)
+}
+
+// applySettings replaces the settings. Open queries keep the settings of their classes. The statistics of servers
+// and, by name, of classes stay, and so do attempts in flight: otherwise a change would send a burst to servers
+// that are warming up.
+func (a *Aggregator) applySettings(settings Settings) {
+	known := map[string]*classStats{}
+	for _, c := range a.classes {
+		known[c.Name] = c.classStats
+	}
+	a.settings = settings
+	a.classes = nil
+	a.meanObjective = 0
+	for _, c := range settings.Classes {
+		stats := cmp.Or(known[c.Name], &classStats{meanFanOut: initialFanOut})
+		if stats.answers == 0 {
+			stats.referenceLatency = float64(c.LatencyObjective)
+		}
+		a.classes = append(a.classes, &class{c, stats})
+		a.meanObjective += float64(c.LatencyObjective) / float64(len(settings.Classes))
+	}
+	if a.answers == 0 {
+		a.meanLatency = a.meanObjective
+		a.baseLatency = a.meanObjective
+	}
+	a.lateRatio = lateThreshold
+	if !settings.AllowHedging {
+		a.lateRatio *= replaceInPlaceFactor
+	}
+	a.extendShards(settings.Shards)
+	a.rebuildReplicas()
+}
+
+// extendShards makes room for the state of more shards. It never removes any: open parts may belong to shards
+// that no longer exist.
+func (a *Aggregator) extendShards(shards int) {
+	for len(a.replicas) < shards {
+		a.replicas = append(a.replicas, nil)
+		a.queuedParts = append(a.queuedParts, 0)
+		a.shardArrivals = append(a.shardArrivals, historyEntry{})
 	}
 }
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -2,50 +2,55 @@
 
 import "slices"
 
-// handleBrokenConnection gives up a query that broke two servers and had no answer. Until these can be warm its key's queries
-// and retries send one part ahead. It covers requests that crash servers, not resets that spare some parts.
-func (a *Aggregator) handleBrokenConnection(q *query, s *server) {
-	if !slices.Contains(q.brokenServers, s.ID) { // one that resets a connection under several parts is no second one
-		q.brokenServers = append(q.brokenServers, s.ID)
-	}
-	if q.step == 1 && q.coverage == 0 && (len(q.brokenServers) >= 2 || q.canaryFirst) {
-		a.crashSuspectKey, a.crashSuspectUntil = q.Key, a.now+a.settings.SlowStartDuration
-		a.rejectOrFail(q)
-	}
-}
+// quickAnswerRatio is the multiple of the base latency below which an answer is quick.
+const quickAnswerRatio = 2.0
 
-func (a *Aggregator) handleAttemptResult(e AttemptResult) {
-	s := a.servers[e.Server]
-	same := func(t *attempt) bool { return t.part.ID == e.Part && t.index == e.Attempt }
-	if s == nil || !slices.ContainsFunc(s.inFlight, same) {
+// handleAttemptResult ends an attempt and ignores results of attempts that are not in flight.
+func (a *Aggregator) handleAttemptResult(result AttemptResult) {
+	s := a.servers[result.Server]
+	if s == nil {
 		return
 	}
-	t := s.inFlight[slices.IndexFunc(s.inFlight, same)]
-	p := t.part
-	s.inFlight = slices.DeleteFunc(s.inFlight, same)
-	p.inFlight = slices.DeleteFunc(p.inFlight, same)
-	p.mayHaveRun = p.mayHaveRun || e.Status != Rejected && e.Status != ConnectFailed && e.Status != Withdrawn
-	a.recordLoad(s, e.Report)
-	a.recordResult(t, e.Status)
+	isSame := func(t *attempt) bool { return t.part.ID == result.Part && t.index == result.Attempt }
+	index := slices.IndexFunc(s.inFlight, isSame)
+	if index < 0 {
+		return
+	}
+	ended := s.inFlight[index]
+	p := ended.part
+	s.inFlight = slices.DeleteFunc(s.inFlight, isSame)
+	p.inFlight = slices.DeleteFunc(p.inFlight, isSame)
+	p.mayHaveRun = p.mayHaveRun || !result.Status.neverRan()
+	a.recordLoad(s, result.Report)
+	a.learnFromResult(ended, result.Status)
 	if p.query.closed || a.parts[p.ID] != p || p.state != partInFlight {
 		return
 	}
-	if e.Status == OK {
-		p.state, p.query.canaryFirst = partAnswered, false
-		if float64(a.now-t.sentAt) < replacementThreshold*a.baseLatency*p.relativeCost {
-			p.query.lightPartCredits++
-		}
-		for _, t := range p.inFlight {
-			a.cancelAttempt(t)
-		}
+	if result.Status == OK {
+		a.handleAnswer(ended)
 		return
 	}
-	if e.Status == ConnectionBroken {
+	if result.Status == ConnectionBroken {
 		a.handleBrokenConnection(p.query, s)
 	}
-	if len(p.inFlight) == 0 && a.mayRetry(p) {
+	if len(p.inFlight) > 0 {
+		return
+	}
+	p.state = partUnavailable
+	if a.mayRetry(p) {
 		p.state = partQueued
-	} else if len(p.inFlight) == 0 {
-		p.state = partUnavailable
+	}
+}
+
+// handleAnswer marks a part as answered and cancels its other attempts.
+func (a *Aggregator) handleAnswer(answered *attempt) {
+	p := answered.part
+	p.state = partAnswered
+	p.query.canaryFirst = false
+	if float64(a.now-answered.sentAt) < quickAnswerRatio*a.baseLatency*p.relativeCost {
+		p.query.lightPartCredits++
+	}
+	for _, other := range p.inFlight {
+		a.cancelAttempt(other)
 	}
 }
--- a/policy/batching.go
+++ b/policy/batching.go
@@ -2,17 +2,31 @@
 
 import "slices"
 
-// joinsBatch tells whether a part can share a call that costs work and leaves for a server in this turn.
+// maxBatchSaving is the share of a part's work, 0 to 1, that joining a batch is taken to save at most.
+const maxBatchSaving = 0.5
+
+// joinsBatch reports whether a part sent to a server now would share a batch that leaves in this step. Batches
+// without overhead are not shared on purpose.
 func (a *Aggregator) joinsBatch(s *server) bool {
 	return a.settings.BatchOverhead > 0 && s.batchAt == a.now && s.batchSize < a.settings.MaxBatchSize
 }
 
-// findSharedBatch finds the replica whose call of this turn a part joins though its query uses the server already: no
-// further behind the best than what that saves, here and there. Where calls cost little, none is.
-func (a *Aggregator) findSharedBatch(p *part, ranked []candidate, sound bool) int {
-	share := min(0.5, float64(a.settings.BatchOverhead)/a.baseLatency)
+// recordInBatch counts a part into the server's batch of this step, or starts a new batch.
+func (a *Aggregator) recordInBatch(s *server) {
+	if !a.joinsBatch(s) {
+		s.batchAt = a.now
+		s.batchSize = 0
+	}
+	s.batchSize++
+}
+
+// findSharedBatch returns the index of the first replica whose batch the part should join although its query uses
+// that server already, or -1. The replica's predicted latency may exceed the best one's by what the batch saves.
+func (a *Aggregator) findSharedBatch(p *part, ranked []candidate, hasHealthyReplica bool) int {
+	saving := min(maxBatchSaving, float64(a.settings.BatchOverhead)/a.baseLatency)
 	return slices.IndexFunc(ranked, func(c candidate) bool {
-		worth := (1-share)*(1+loadSensitivity) <= 1 && c.latency*(1-share) <= ranked[0].latency*(1+share)
-		return worth && a.joinsBatch(c.server) && a.maySend(c.server, p, sound)
+		offsetsLoad := (1-saving)*(1+loadSensitivity) <= 1
+		isNearBest := c.predictedLatency*(1-saving) <= ranked[0].predictedLatency*(1+saving)
+		return offsetsLoad && isNearBest && a.joinsBatch(c.server) && a.maySend(c.server, p, hasHealthyReplica)
 	})
 }
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -2,76 +2,127 @@
 
 import "slices"
 
-// reviewQuery looks at what a query has and can still get, and ends or moves it on.
+const (
+	// coverageTolerance is the amount by which sums of weights may fall short because of rounding.
+	coverageTolerance = 5e-5
+
+	// deadlineTicks is the number of ticks before the client's deadline at which a query is ended.
+	deadlineTicks = 2
+
+	// partialAnswerTicks is the number of ticks before the latency objective at which a partial answer is sent.
+	partialAnswerTicks = 3
+
+	// fetchReserveRatio is the time reserved for the fetch phase, in reference latencies.
+	fetchReserveRatio = 2.0
+
+	// fetchReserveTicks is added to that time, in ticks.
+	fetchReserveTicks = 2
+
+	// waitRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted wait.
+	waitRatioGain = 0.15
+)
+
+// reviewQuery ends a query if it can be answered or is hopeless; otherwise it replaces the query's late parts.
 func (a *Aggregator) reviewQuery(q *query) {
-	if q.closed || len(q.parts) < q.expectedParts && q.step == 2 && a.now < a.queryDeadline(q) {
+	if q.closed || a.awaitsParts(q) {
 		return
 	}
-	got, can := 0.0, 0.0
+	coverage, attainable := q.weights()
+	q.coverage = coverage
+	required := q.class.RequiredCoverage - coverageTolerance
+	if q.phase == fetchPhase {
+		required = 1 - coverageTolerance
+	}
+	minimum := q.class.MinCoverage - coverageTolerance
+	isHopeless := attainable < minimum || a.now >= a.queryDeadline(q)
+	isExhausted := attainable < required && coverage >= attainable-coverageTolerance
+	isPartialDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.answerDeadline(q)
+	switch {
+	case coverage >= required:
+		a.answerQuery(q, true)
+	case !isHopeless && !isExhausted && !isPartialDue:
+		a.replaceLateParts(q)
+	case coverage >= minimum && coverage > 0:
+		a.answerQuery(q, false)
+	default:
+		a.rejectOrFail(q)
+	}
+}
+
+// awaitsParts reports whether parts of the fetch phase have yet to arrive.
+func (a *Aggregator) awaitsParts(q *query) bool {
+	return q.phase == fetchPhase && len(q.parts) < q.expectedParts && a.now < a.queryDeadline(q)
+}
+
+// weights returns the weight of a query's answered parts, and of those that are or may yet be answered.
+func (q *query) weights() (answered, attainable float64) {
 	for _, p := range q.parts {
 		if p.state == partAnswered {
-			got += p.Weight
+			answered += p.Weight
 		}
 		if p.state != partUnavailable {
-			can += p.Weight
-		}
-	}
-	q.coverage = got
-	need, least := q.class.RequiredCoverage-coverageTolerance, q.class.MinCoverage-coverageTolerance
-	if q.step == 2 {
-		need = 1 - coverageTolerance
-	}
-	switch {
-	case got >= need:
-		a.answerQuery(q, true)
-	case can < least, a.now >= a.queryDeadline(q), can < need && got >= can-coverageTolerance,
-		q.class.MinCoverage < q.class.RequiredCoverage && got >= least && a.now >= a.answerDeadline(q):
-		if got >= least && got > 0 {
-			a.answerQuery(q, false)
-		} else {
-			a.rejectOrFail(q)
+			attainable += p.Weight
 		}
-	default:
-		a.replaceLateParts(q)
 	}
+	return answered, attainable
 }
 
-// answerDeadline is when a partial answer in hand beats waiting: before the aim, with time for a second step.
+// answerDeadline returns when a query is answered in part if it can be: before the latency objective, with time for
+// a fetch phase that follows.
 func (a *Aggregator) answerDeadline(q *query) Micros {
-	if q.class.FetchParts > 0 && q.step == 1 {
-		return q.objectiveAt - Micros(replacementThreshold*q.class.referenceLatency) - 2*a.settings.Tick
+	if q.class.FetchParts > 0 && q.phase == firstPhase {
+		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
+		return q.objectiveAt - fetchTime - fetchReserveTicks*a.settings.Tick
 	}
-	return q.objectiveAt - 3*a.settings.Tick
+	return q.objectiveAt - partialAnswerTicks*a.settings.Tick
 }
 
-// queryDeadline is when a query must be over: before the client leaves, at its aim if nothing is earned later.
+// queryDeadline returns when a query is ended at the latest: before the client's deadline, and at the latency
+// objective if later answers are worth nothing.
 func (a *Aggregator) queryDeadline(q *query) Micros {
-	end := q.Deadline - 2*a.settings.Tick
+	deadline := q.Deadline - deadlineTicks*a.settings.Tick
 	if q.class.LateWeight <= 0 {
-		end = min(end, q.objectiveAt)
+		deadline = min(deadline, q.objectiveAt)
 	}
-	return end
+	return deadline
 }
 
-// answerQuery gives what is in. In a class with a second step the first answer brings its parts.
-func (a *Aggregator) answerQuery(q *query, whole bool) {
-	a.emit(Answer{Query: q.ID, Complete: whole && (q.step == 1 || q.firstStepComplete)})
-	if q.step == 1 {
-		q.class.latencyRatio += improvementGain * (float64(a.now-q.arrivedAt)/max(q.predictedWait, 1) - q.class.latencyRatio)
+// answerQuery answers a query from its answered parts, and closes it unless the fetch phase follows.
+func (a *Aggregator) answerQuery(q *query, complete bool) {
+	isComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
+	a.emit(Answer{Query: q.ID, Complete: isComplete})
+	if q.phase == firstPhase {
+		waitRatio := float64(a.now-q.arrivedAt) / max(q.predictedWait, 1)
+		smooth(&q.class.waitRatio, waitRatio, waitRatioGain)
 	}
-	if q.step == 2 || q.class.FetchParts == 0 {
+	if q.phase == fetchPhase || q.class.FetchParts == 0 {
 		a.closeQuery(q)
 		return
 	}
+	a.startFetchPhase(q, complete)
+}
+
+// startFetchPhase drops the parts of the first phase; those of the fetch phase arrive as events.
+func (a *Aggregator) startFetchPhase(q *query, firstPhaseComplete bool) {
 	a.dropParts(q)
-	asked := slices.DeleteFunc(q.parts, func(p *part) bool { return p.state != partAnswered })
-	q.step, q.firstStepComplete, q.expectedParts, q.parts, q.usedServers = 2, whole, min(len(asked), q.class.FetchParts), nil, nil
+	answered := 0
+	for _, p := range q.parts {
+		if p.state == partAnswered {
+			answered++
+		}
+	}
+	q.phase = fetchPhase
+	q.firstPhaseComplete = firstPhaseComplete
+	q.expectedParts = min(answered, q.class.FetchParts)
+	q.parts = nil
+	q.usedServers = nil
 }
 
-// rejectOrFail is the one place where a query is given up: refused, with word when to come back, if that is harmless.
+// rejectOrFail ends a query without an answer. It is rejected, so that the client may retry it, unless the first
+// phase was answered or a part that is not idempotent may have run.
 func (a *Aggregator) rejectOrFail(q *query) {
-	mayRan := func(p *part) bool { return q.class.Idempotency != Idempotent && (p.mayHaveRun || len(p.inFlight) > 0) }
-	if q.step == 2 || slices.ContainsFunc(q.parts, mayRan) {
+	hasEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
+	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, hasEffect) {
 		a.emit(Fail{Query: q.ID})
 	} else {
 		a.emit(Reject{Query: q.ID, RetryAfter: a.settings.MaxRetryAfter})
@@ -79,13 +130,10 @@
 	a.closeQuery(q)
 }
 
+// closeQuery forgets a query and cancels its attempts in flight.
 func (a *Aggregator) closeQuery(q *query) {
 	q.closed = true
-	if a.now <= q.objectiveAt && q.coverage >= q.class.MinCoverage-coverageTolerance {
-		q.class.overloadCount /= 2
-	} else if q.wasRejected { // late or lost
-		q.class.overloadCount++
-	}
+	a.recordOverload(q)
 	a.dropParts(q)
 	delete(a.queries, q.ID)
 	if a.queriesByNumber[q.Number] == q {
@@ -93,10 +141,22 @@
 	}
 }
 
+// recordOverload counts a closed query for its class: answered in time, or late or unanswered after a rejection.
+func (a *Aggregator) recordOverload(q *query) {
+	isInTime := a.now <= q.objectiveAt && q.coverage >= q.class.MinCoverage-coverageTolerance
+	switch {
+	case isInTime:
+		q.class.overloadCount /= 2
+	case q.wasRejected:
+		q.class.overloadCount++
+	}
+}
+
+// dropParts cancels the attempts at a query's parts and forgets the parts.
 func (a *Aggregator) dropParts(q *query) {
 	for _, p := range q.parts {
-		for _, t := range p.inFlight {
-			a.cancelAttempt(t)
+		for _, attempt := range p.inFlight {
+			a.cancelAttempt(attempt)
 		}
 		delete(a.parts, p.ID)
 	}
--- /dev/null
+++ b/policy/crashsuspects.go
@@ -0,0 +1,30 @@
+package policy
+
+import "slices"
+
+// minBrokenServers is the number of servers that must break a query's connections before it is given up.
+const minBrokenServers = 2
+
+// handleBrokenConnection gives up a query that may crash servers: one whose connections two servers broke before
+// any part was answered. For the slow start duration, queries with the same key and retries then send one part
+// ahead of the others. Several connections that a single server breaks are no evidence, nor are resets that spare
+// some of the query's parts.
+func (a *Aggregator) handleBrokenConnection(q *query, s *server) {
+	if !slices.Contains(q.brokenServers, s.ID) {
+		q.brokenServers = append(q.brokenServers, s.ID)
+	}
+	if q.phase != firstPhase || q.coverage != 0 {
+		return
+	}
+	if len(q.brokenServers) >= minBrokenServers || q.canaryFirst {
+		a.crashSuspectKey = q.Key
+		a.crashSuspectUntil = a.now + a.settings.SlowStartDuration
+		a.rejectOrFail(q)
+	}
+}
+
+// mayCrashServers reports whether a new query may be one that has recently broken connections.
+func (a *Aggregator) mayCrashServers(q *query) bool {
+	hasSuspectKey := q.Key != 0 && q.Key == a.crashSuspectKey
+	return a.now < a.crashSuspectUntil && (q.Retry || hasSuspectKey)
+}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,92 +5,115 @@
 	"slices"
 )
 
-// dispatch sends waiting parts by arrival, with a head start for worth; queries past their aim come last.
+// dispatch sends queued parts in the order of their queries' dispatch times. Queries past their latency objective
+// come last.
 func (a *Aggregator) dispatch() {
 	clear(a.queuedParts)
 	slices.SortStableFunc(a.openQueries, func(x, y *query) int { return cmp.Compare(x.dispatchAt, y.dispatchAt) })
 	for _, late := range []bool{false, true} {
 		for _, q := range a.openQueries {
-			for _, p := range q.parts {
-				if p.state != partQueued || q.closed || (q.objectiveAt <= a.now) != late || a.awaitsHealthChecks(p) {
-					continue
-				}
-				if s := a.chooseReplica(p); s != nil {
-					a.send(p, s)
-				} else if !late {
-					a.queuedParts[p.Shard]++
-				}
-			}
+			a.dispatchQuery(q, late)
 		}
 	}
 }
 
-// maySend tells whether every rule and guard lets a part go to a server now. send asks it again.
-func (a *Aggregator) maySend(s *server, p *part, sound bool) bool {
-	switch {
-	case s.State != Ready || !a.holdsShard(s, p.Shard), // drains
-		p.query.closed || a.parts[p.ID] != p || p.state == partAnswered, // queries that are over
-		!a.mayRetry(p) || p.attempts > 0 && !a.withinRetryBudget(),      // effects, budget
-		!a.slowStartAllows(s, p) || !a.hasCapacity(s) || a.now < s.backoffUntil:
+// dispatchQuery sends the queued parts of a query if it is open and late or not as given.
+func (a *Aggregator) dispatchQuery(q *query, late bool) {
+	if isLate := q.objectiveAt <= a.now; q.closed || isLate != late {
+		return
+	}
+	for _, p := range q.parts {
+		if p.state != partQueued || a.awaitsHealthChecks(p) {
+			continue
+		}
+		if s := a.chooseReplica(p); s != nil {
+			a.send(p, s)
+		} else if !late {
+			a.queuedParts[p.Shard]++
+		}
+	}
+}
+
+// maySend reports whether the rules and limits let a part go to a server now. If the shard has a healthy replica,
+// busy servers and outliers are excluded too.
+func (a *Aggregator) maySend(s *server, p *part, hasHealthyReplica bool) bool {
+	if s.State != Ready || !a.holdsShard(s, p.Shard) {
 		return false
-	case sound && a.isBusy(s):
+	}
+	if p.query.closed || a.parts[p.ID] != p || p.state == partAnswered {
 		return false
-	case sound && a.isOutlier(s): // one trial now and then, of a part that can be asked again
-		rested := float64(a.now-s.sampledAt) > penaltyHalfLife*a.meanObjective && len(s.inFlight) == 0
-		return rested && p.query.class.Idempotency == Idempotent && p.attempts == 0
 	}
-	return true
+	if !a.mayRetry(p) || p.attempts > 0 && !a.withinRetryBudget() {
+		return false
+	}
+	if !a.slowStartAllows(s, p) || !a.hasCapacity(s) || a.now < s.backoffUntil {
+		return false
+	}
+	if !hasHealthyReplica {
+		return true
+	}
+	if a.isBusy(s) {
+		return false
+	}
+	return !a.isOutlier(s) || a.mayTryOutlier(s, p)
 }
 
-// mayRetry holds the effect rule: no repeat of what may have run, but for safe parts and keyed ones in time.
+// mayRetry reports whether the part's idempotency and the limit on attempts allow another attempt. It holds for a
+// part without attempts as well.
 func (a *Aggregator) mayRetry(p *part) bool {
-	if a.settings.MaxAttempts > 0 && p.attempts >= a.settings.MaxAttempts ||
-		len(p.inFlight) > 0 && (!a.settings.AllowHedging || p.query.class.Idempotency == NonIdempotent) {
+	if a.attemptsExhausted(p) {
 		return false
 	}
-	switch p.query.class.Idempotency {
+	idempotency := p.query.class.Idempotency
+	isInFlight := len(p.inFlight) > 0
+	if isInFlight && (!a.settings.AllowHedging || idempotency == NonIdempotent) {
+		return false
+	}
+	switch idempotency {
 	case NonIdempotent:
 		return !p.mayHaveRun
 	case IdempotentByKey:
-		return !(p.mayHaveRun || len(p.inFlight) > 0) || a.now < p.firstSentAt+p.query.class.DeduplicationWindow
+		isFirst := !p.mayHaveRun && !isInFlight
+		return isFirst || a.now < p.firstSentAt+p.query.class.DeduplicationWindow
+	default:
+		return true
 	}
-	return true
 }
 
-// send is the one place from which attempts leave.
+func (a *Aggregator) attemptsExhausted(p *part) bool {
+	return a.settings.MaxAttempts > 0 && p.attempts >= a.settings.MaxAttempts
+}
+
+// send sends a part to a server and reports whether it did. All attempts are sent here, so the rules are checked
+// once more.
 func (a *Aggregator) send(p *part, s *server) bool {
 	if !a.maySend(s, p, false) {
 		return false
 	}
-	q := p.query
-	t := &attempt{part: p, server: s, index: p.attempts, sentAt: a.now, predictedLatency: a.predictLatency(s, p), assumedLoad: a.estimateLoad(s)}
-	if len(s.inFlight) == 0 { // else it may leave on another connection than the one that was idle
-		t.connectionIdle = a.now - s.connectionUsedAt
-	}
-	test := s.suspect && (a.freshConnectionSuccess >= 0.5 || a.now-a.freshConnectionAt > Micros(a.meanObjective))
-	if test || a.freshConnectionSuccess > staleConnectionThreshold && float64(t.connectionIdle) >= a.idleLimit() {
-		a.emit(CloseIdleConnections{Server: s.ID})
-		t.connectionIdle, t.freshConnection, s.connectionUsedAt, s.suspect, a.freshConnectionAt = 0, true, a.now, false, a.now
+	sent := &attempt{
+		part:             p,
+		server:           s,
+		index:            p.attempts,
+		sentAt:           a.now,
+		predictedLatency: a.predictLatency(s, p),
+		assumedLoad:      a.estimateLoad(s),
 	}
+	a.prepareConnection(sent)
 	if p.attempts > 0 {
 		a.recordForBudget(&a.retryHistory)
 	}
 	if len(p.inFlight) == 0 && !p.mayHaveRun {
 		p.firstSentAt = a.now
 	}
-	if a.now < s.StartedAt+a.settings.SlowStartDuration+a.settings.OverloadDuration {
-		s.sendHistory = append(dropBefore(s.sendHistory, a.now-a.settings.OverloadDuration-a.settings.Tick), historyEntry{a.now, q.class.referenceLatency})
-	} else {
-		s.sendHistory = nil
-	}
-	s.inFlight, p.inFlight = append(s.inFlight, t), append(p.inFlight, t)
+	a.recordSlowStartSend(s, p.query.class.referenceLatency)
+	s.inFlight = append(s.inFlight, sent)
+	p.inFlight = append(p.inFlight, sent)
 	p.attempts++
-	p.state, p.lastServer = partInFlight, s.ID
-	if !a.joinsBatch(s) {
-		s.batchAt, s.batchSize = a.now, 0
-	}
-	s.batchSize++
-	q.usedServers = append(q.usedServers, s.ID)
-	a.emit(SendAttempt{Part: p.ID, Server: s.ID, Timeout: max(a.queryDeadline(q)-a.now, a.settings.Tick)})
+	p.state = partInFlight
+	p.lastServer = s.ID
+	a.recordInBatch(s)
+	p.query.usedServers = append(p.query.usedServers, s.ID)
+	timeout := max(a.queryDeadline(p.query)-a.now, a.settings.Tick)
+	a.emit(SendAttempt{Part: p.ID, Server: s.ID, Timeout: timeout})
 	return true
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -2,64 +2,149 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 )
 
+// minPollSpread is the factor on the polling backoff of the first instance; the last one's is nearly 1 more.
+const minPollSpread = 0.5
+
+// server is the state of an endpoint.
 type server struct {
 	Endpoint
-	latencyRatio, sustainedRate                 float64 // smoothed latency, in references at no load; work a second it reports
-	failureRate                                 float64 // smoothed share of its attempts that failed though it can be reached
-	loadReport                                  LoadReport
-	sampledAt, respondedAt, loadReportAt        Micros // of the newest sample; answer or probe result; report
-	inFlightAtReport                            int    // own attempts out when the report came
-	inFlight                                    []*attempt
-	sendHistory                                 []historyEntry  // what it was sent
-	deficits                                    map[int]float64 // parts of each shard that it is due
-	outlierLogged, healthCheckInFlight, suspect bool            // a probe is out; silent on an idle connection
-	healthCheckAt, healthCheckDelay             Micros          // when the newest probe left, how long it took
-	connectionUsedAt                            Micros          // when its connection was opened or last brought an answer
-	batchAt, backoffUntil                       Micros          // when its newest call left; until when it is taken for full
-	batchSize, rejections                       int             // of that call; attempts turned away since the last answer
+
+	// latencyRatio is the smoothed latency as a multiple of the class's reference latency, load accounted for.
+	latencyRatio float64
+
+	// failureRate is the smoothed share of attempts, 0 to 1, that failed at the server once it was reached.
+	failureRate float64
+
+	// sustainedRate is the smoothed rate of work that it reports, in seconds per second.
+	sustainedRate float64
+
+	sampledAt   Micros // when latencyRatio was last updated
+	respondedAt Micros // when it last answered an attempt or a health check
+
+	loadReport       LoadReport
+	loadReportAt     Micros // when the load report arrived, or a health check ended without one
+	inFlightAtReport int    // own attempts in flight when the load report arrived
+
+	inFlight []*attempt
+
+	// sendHistory is the work sent to the server while it warms up.
+	sendHistory []historyEntry
+
+	// deficits are the parts of each shard, by index, that the server is due by its share of utility.
+	deficits map[int]float64
+
+	// outlierLogged is whether the server was an outlier when that was last logged.
+	outlierLogged bool
+
+	// suspect is set if an attempt on an idle connection was late and nothing was answered on one since.
+	suspect bool
+
+	// connectionUsedAt is when a connection was opened or last brought an answer.
+	connectionUsedAt Micros
+
+	healthCheckInFlight bool
+	healthCheckAt       Micros // when the latest health check was sent
+	healthCheckDelay    Micros // how long the latest health check took
+
+	batchAt   Micros // when the latest batch was sent
+	batchSize int    // parts in the latest batch
+
+	backoffUntil Micros // until when no part is sent after a rejection
+	rejections   int    // attempts rejected since the last answer, up to maxBackoffDoublings
+}
+
+// reset forgets what is known of a server whose process was restarted. Attempts in flight stay.
+func (s *server) reset(now Micros) {
+	s.latencyRatio = 1
+	s.failureRate = 0
+	s.loadReport = NoLoadReport
+	s.outlierLogged = false
+	s.sendHistory = nil
+	s.connectionUsedAt = now
+	s.suspect = false
 }
 
-// applyEndpoints takes the list as it now is. Servers that left are kept as gone while attempts are out.
+// pollEndpoints asks for the endpoint list when a poll is due. The next poll follows a failed one.
+func (a *Aggregator) pollEndpoints() {
+	if a.settings.PollEndpoints && a.now >= a.pollAt {
+		a.emit(PollEndpoints{})
+		a.pollAt = math.MaxInt64
+	}
+}
+
+// backOffPolling schedules the next poll after a failed one. The instances spread their polls by index, since
+// polls of all at once could keep the discovery service from answering any.
+func (a *Aggregator) backOffPolling() {
+	if !a.settings.PollEndpoints {
+		return
+	}
+	a.failedPolls = min(a.failedPolls+1, maxBackoffDoublings)
+	spread := minPollSpread + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
+	longest := cmp.Or(a.settings.PollInterval, math.MaxInt64)
+	wait := min(Micros(a.meanObjective*spread)<<a.failedPolls, longest)
+	a.pollAt = a.now + wait
+	a.emit(SetTimer{After: wait})
+}
+
+// applyEndpoints replaces the endpoint list. Servers that are no longer listed stay as Removed while attempts are
+// in flight there.
 func (a *Aggregator) applyEndpoints(list []Endpoint) {
 	for _, s := range a.serversByID {
 		s.State = Removed
 	}
-	for _, line := range list {
-		s := a.servers[line.ID]
+	for _, endpoint := range list {
+		s := a.servers[endpoint.ID]
 		if s == nil {
-			s = &server{latencyRatio: 1, loadReport: NoLoadReport, respondedAt: a.now, connectionUsedAt: a.now, deficits: map[int]float64{}}
-			a.servers[line.ID] = s
-			a.serversByID = append(a.serversByID, s)
-		} else if line.StartedAt != s.StartedAt { // a fresh process: what was known of the old one is void
-			s.latencyRatio, s.failureRate, s.loadReport, s.outlierLogged = 1, 0, NoLoadReport, false
-			s.sendHistory, s.connectionUsedAt, s.suspect = nil, a.now, false
+			s = a.addServer(endpoint.ID)
+		} else if endpoint.StartedAt != s.StartedAt {
+			s.reset(a.now)
 		}
-		s.Endpoint = line
+		s.Endpoint = endpoint
 	}
 	slices.SortFunc(a.serversByID, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	a.rebuildReplicas()
 }
 
-// rebuildReplicas finds each shard's replicas anew, by id.
+func (a *Aggregator) addServer(id uint32) *server {
+	s := &server{
+		latencyRatio:     1,
+		loadReport:       NoLoadReport,
+		respondedAt:      a.now,
+		connectionUsedAt: a.now,
+		deficits:         map[int]float64{},
+	}
+	a.servers[id] = s
+	a.serversByID = append(a.serversByID, s)
+	return s
+}
+
+// rebuildReplicas drops removed servers without attempts in flight and finds each shard's replicas.
 func (a *Aggregator) rebuildReplicas() {
-	left := func(s *server) bool { return s.State == Removed && len(s.inFlight) == 0 }
-	a.serversByID = slices.DeleteFunc(a.serversByID, left)
+	a.serversByID = slices.DeleteFunc(a.serversByID, func(s *server) bool {
+		return s.State == Removed && len(s.inFlight) == 0
+	})
 	clear(a.servers)
 	clear(a.replicas)
 	for _, s := range a.serversByID {
 		a.servers[s.ID] = s
-		for i := range a.replicas {
-			if s.State == Ready && a.holdsShard(s, i) {
-				a.replicas[i] = append(a.replicas[i], s)
+		for shard := range a.replicas {
+			if s.State == Ready && a.holdsShard(s, shard) {
+				a.replicas[shard] = append(a.replicas[shard], s)
 			}
 		}
 	}
 }
 
+// holdsShard reports whether a server's ring position is among the ReplicationFactor ones from the shard's on.
 func (a *Aggregator) holdsShard(s *server, shard int) bool {
-	n := a.settings.RingSize
-	return s.RingPosition >= 0 && s.RingPosition < n && ((s.RingPosition-shard)%n+n)%n < a.settings.ReplicationFactor
+	size := a.settings.RingSize
+	if s.RingPosition < 0 || s.RingPosition >= size {
+		return false
+	}
+	distance := ((s.RingPosition-shard)%size + size) % size
+	return distance < a.settings.ReplicationFactor
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,116 +1,164 @@
 package policy
 
-// EndpointState is the state of a server on the list.
+// Event is something that happened: one of the types of this file with an event method.
+type Event interface{ event() }
+
+// EndpointState is the state of an endpoint on the list.
 type EndpointState uint8
 
-// The states of a server. Servers missing from a list count as Gone.
+// The states of an endpoint. Endpoints missing from a list count as Removed.
 const (
 	Removed EndpointState = iota
 	Ready
 	Draining
 )
 
-// Endpoint is one line of the server list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	ID           uint32
-	State        EndpointState
+	ID    uint32
+	State EndpointState
+
+	// RingPosition is the server's position on the ring, from 0 to Settings.RingSize-1.
 	RingPosition int
-	Zone         int
-	Capacity     float64 // as registered; 0: unknown
-	StartedAt    Micros  // moment of the newest start; 0: long ago
+
+	// Zone is the index of the server's zone.
+	Zone int
+
+	// Capacity is the capacity that the server has registered; 0 if unknown. The decisions do not use it.
+	Capacity float64
+
+	// StartedAt is when the server's process started; 0 if long ago.
+	StartedAt Micros
 }
 
-// LoadReport is a server's account of its own load. A field below zero was not told.
+// LoadReport is a server's report of its own load. A negative field was not reported.
 type LoadReport struct {
-	Inflight    float64 // requests it holds
-	Queue       float64 // of these, waiting
-	Utilization float64 // how busy its cores are, 0 to 1
-	Latency     Micros  // its recent service time
-	Rate        float64 // requests a second
-	Errors      float64 // errors a second
+	Inflight    float64 // requests at the server
+	Queue       float64 // of these, the queued ones
+	Utilization float64 // of its cores, 0 to 1
+	Latency     Micros  // recent service time
+	Rate        float64 // requests per second
+	Errors      float64 // errors per second
 }
 
-// NoLoadReport is the report of a server that told nothing.
-var NoLoadReport = LoadReport{-1, -1, -1, -1, -1, -1}
-
-// Event is something that happened. It is one of the types below that name themselves so.
-type Event interface{ event() }
+// NoLoadReport is the load report of a server that reported nothing.
+var NoLoadReport = LoadReport{
+	Inflight:    -1,
+	Queue:       -1,
+	Utilization: -1,
+	Latency:     -1,
+	Rate:        -1,
+	Errors:      -1,
+}
 
-// EndpointList is the whole server list as now known; each replaces the one before.
+// EndpointList is the complete endpoint list; each replaces the one before.
 type EndpointList struct{ Endpoints []Endpoint }
 
-// EndpointListFailed says that the list could not be had or its subscription ended (AskForList only).
+// EndpointListFailed says that a poll of the endpoint list failed or its watch ended. It applies to
+// Settings.PollEndpoints.
 type EndpointListFailed struct{}
 
-// Reconfigure replaces the settings between two turns. Queries taken before keep their classes' terms; what is known
-// of servers, of classes by name, and of what is out stays. Settings that fail Check change nothing and are logged.
+// Reconfigure replaces the settings. Open queries keep the settings of their classes. The statistics of servers and,
+// by name, of classes stay, and so do attempts in flight. Settings that fail Settings.Check change nothing and
+// return a Log.
 type Reconfigure struct{ Settings Settings }
 
-// Query is a new query; its parts follow in the same turn. A class out of range is refused at
-// once; a tenant out of range is of no matter.
+// Query is a new query. Its parts follow in the same step. A query of an unknown class is rejected at once; an
+// unknown tenant is ignored.
 type Query struct {
-	ID       uint64
-	Number   uint64 // shared with its parts
-	Class    int
-	Tenant   int
-	Key      uint64 // 0: none
-	Deadline Micros // the client of this try leaves then
-	Parts    int
-	Retry    bool // the client said that it tries again
+	ID uint64
+
+	// Number is what Part.Number refers to.
+	Number uint64
+
+	// Class and Tenant are indices into Settings.Classes and Settings.Tenants.
+	Class  int
+	Tenant int
+
+	// Key identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
+	Key uint64
+
+	// Deadline is when the client gives up this try.
+	Deadline Micros
+
+	// Parts is the number of the parts that follow.
+	Parts int
+
+	// Retry says that the client has tried the query before.
+	Retry bool
 }
 
-// Part is a part of a query, of its first step or, after a first Answer, of the second.
+// Part is a part of a query: of the first phase, or, after the first Answer, of the fetch phase.
 type Part struct {
-	ID       uint64
-	Number   uint64 // of the query it belongs to
-	Shard    int
-	Key      uint64
-	Weight   float64 // a step's weights sum to 1
-	CostHint Micros  // expected work, roughly; 0 or less: not told
+	ID uint64
+
+	// Number is the Query.Number of the part's query.
+	Number uint64
+
+	Shard int
+
+	// Key is the part's affinity key; 0 if there is none. The decisions do not use it.
+	Key uint64
+
+	// Weight is the part's share of the answer, 0 to 1. The weights of a phase's parts add up to 1.
+	Weight float64
+
+	// CostHint is the expected work, roughly; 0 or less if unknown.
+	CostHint Micros
 }
 
-// Status is the way an attempt or a probe ended.
+// Status says how an attempt or a health check ended.
 type Status uint8
 
-// The ways to end. Rejected, Unconnected and Moot prove that the part never ran.
+// The ways to end. After Rejected, ConnectFailed and Withdrawn it is certain that the part never ran.
 const (
-	OK Status = iota
-	ServerError
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnectionBroken
-	Canceled
-	Withdrawn
+	OK               Status = iota
+	ServerError             // the server answered with an error
+	Rejected                // the server had no capacity
+	TimedOut                // no answer came within the timeout
+	ConnectFailed           // no connection could be made
+	ConnectionBroken        // the connection ended before an answer
+	Canceled                // by CancelAttempt
+	Withdrawn               // before anything was sent
 )
 
-// AttemptResult ends one attempt. There is exactly one for each Send.
+// neverRan reports whether it is certain that a server did not execute the part.
+func (s Status) neverRan() bool {
+	return s == Rejected || s == ConnectFailed || s == Withdrawn
+}
+
+// AttemptResult ends an attempt. There is exactly one for each SendAttempt.
 type AttemptResult struct {
-	Part    uint64
-	Attempt int // attempts of a part count from 0 in the order of their Send
-	Server  uint32
+	Part uint64 // ID
+
+	// Attempt counts a part's attempts from 0 in the order of their SendAttempt.
+	Attempt int
+
+	Server  uint32 // ID
 	Status  Status
-	Elapsed Micros
+	Elapsed Micros // since SendAttempt
 	Report  LoadReport
 }
 
-// HealthCheckResult ends one Probe.
+// HealthCheckResult ends a health check.
 type HealthCheckResult struct {
-	Server  uint32
+	Server  uint32 // ID
 	Status  Status
-	Elapsed Micros
+	Elapsed Micros // since HealthCheck
 	Report  LoadReport
 }
 
-// Timer answers a Wake.
+// Timer says that the time of a SetTimer has passed.
 type Timer struct{}
 
-// ClientCanceled says that the client of a query left: the query is over, no answer is owed.
-type ClientCanceled struct{ Query uint64 }
+// ClientCanceled says that the client of a query has left: the query is closed without an answer.
+type ClientCanceled struct {
+	Query uint64 // ID
+}
 
 func (EndpointList) event()       {}
-func (Reconfigure) event()        {}
 func (EndpointListFailed) event() {}
+func (Reconfigure) event()        {}
 func (Query) event()              {}
 func (Part) event()               {}
 func (AttemptResult) event()      {}
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -1,52 +1,104 @@
 package policy
 
-// replaceLateParts replaces what is late: by a spare part, or by a further attempt at a better replica.
+const (
+	// lateThreshold is the multiple of its predicted latency above which an attempt is late.
+	lateThreshold = 3.0
+
+	// spareLateThreshold is the same for requesting another part instead, which uses no retry budget.
+	spareLateThreshold = 2.0
+
+	// replaceInPlaceFactor is the factor on lateThreshold where a retry replaces its attempt, as hedging is not
+	// allowed.
+	replaceInPlaceFactor = 2.0
+
+	// stragglerCoverage is the share of the required coverage, 0 to 1, from which a query's other parts are
+	// stragglers. Below it, they are more likely late because of overload.
+	stragglerCoverage = 0.6
+
+	// maxQueuedReportRate is the share of load reports with queued requests, 0 to 1, up to which the servers have
+	// capacity for hedged requests and retries of late parts.
+	maxQueuedReportRate = 0.1
+)
+
+// replaceLateParts requests other parts in place of late ones, and hedges or retries late parts.
 func (a *Aggregator) replaceLateParts(q *query) {
 	a.requestParts(q)
 	for _, p := range q.parts {
-		if p.state == partInFlight && a.isLate(p, a.lateRatio) && !p.inFlight[0].canceled {
+		if a.isLate(p, a.lateRatio) && !p.inFlight[0].canceled {
 			a.retryElsewhere(p)
 		}
 	}
 }
 
-// isLate tells whether a part is out longer than predicted by a multiple, or among the last near the aim.
+// isLate reports whether a part's latest attempt takes longer than a multiple of its predicted latency, or the part
+// is one of the query's stragglers shortly before the latency objective.
 func (a *Aggregator) isLate(p *part, multiple float64) bool {
 	if p.state != partInFlight || len(p.inFlight) == 0 {
 		return false
 	}
-	t := p.inFlight[len(p.inFlight)-1]
-	age, left := float64(a.now-t.sentAt), float64(p.query.objectiveAt-a.now)
-	last := p.query.coverage >= stragglerCoverage*p.query.class.RequiredCoverage && age > p.query.class.referenceLatency && left < multiple*p.query.class.referenceLatency
-	return last && a.settings.AllowHedging && p.query.class.MinCoverage == p.query.class.RequiredCoverage || age > multiple*t.predictedLatency
+	latest := p.latestAttempt()
+	if a.isStraggler(p, multiple) {
+		return true
+	}
+	return float64(a.now-latest.sentAt) > multiple*latest.predictedLatency
+}
+
+func (a *Aggregator) isStraggler(p *part, multiple float64) bool {
+	c := p.query.class
+	if !a.settings.AllowHedging || p.query.allowsPartialAnswer() {
+		return false
+	}
+	age := float64(a.now - p.latestAttempt().sentAt)
+	remaining := float64(p.query.objectiveAt - a.now)
+	return p.query.coverage >= stragglerCoverage*c.RequiredCoverage &&
+		age > c.referenceLatency &&
+		remaining < multiple*c.referenceLatency
 }
 
-// retryElsewhere asks a better replica, if any, for a late part: as a second copy if permitted, else in its place.
-// Where parts wait all over the fleet, all are late and a copy makes others wait: many aggregators that each
-// save their own queries jam the servers for all.
+// retryElsewhere sends a late part to a better replica, if there is one: as a hedged request where allowed, else it
+// cancels the attempt so that the part is retried. While requests queue at the servers it does neither, since all
+// parts are late then and hedged requests of many aggregators would keep the servers overloaded.
 func (a *Aggregator) retryElsewhere(p *part) {
-	t := p.inFlight[len(p.inFlight)-1]
-	a.classifyConnection(t, TimedOut)
-	spent := a.settings.MaxAttempts > 0 && p.attempts >= a.settings.MaxAttempts || !a.withinRetryBudget()
-	if p.query.class.Idempotency != Idempotent || spent || a.queuedReportRate > maxQueuedReportRate {
+	late := p.latestAttempt()
+	a.classifyConnection(late, TimedOut)
+	if !a.mayReplaceLate(p) {
 		return
 	}
 	for _, c := range a.rankReplicas(p) {
-		inTime := a.now+Micros(c.latency) <= p.query.objectiveAt || p.query.class.LateWeight > 0
-		better := c.server != t.server && !a.isOutlier(c.server) && !a.isBusy(c.server) && c.latency <= float64(a.now-t.sentAt)
-		if better && inTime && a.settings.AllowHedging && len(p.inFlight) == 1 {
+		if !a.improvesOn(late, c) {
+			continue
+		}
+		if a.settings.AllowHedging && len(p.inFlight) == 1 {
 			a.send(p, c.server)
-			return
-		} else if better && inTime {
+		} else {
 			a.cancelAttempt(p.inFlight[0])
-			return
 		}
+		return
 	}
 }
 
-func (a *Aggregator) cancelAttempt(t *attempt) {
-	if a.settings.AllowCancel && !t.canceled {
-		t.canceled = true
-		a.emit(CancelAttempt{Part: t.part.ID, Attempt: t.index})
+// mayReplaceLate reports whether the limits leave room for another attempt at a late part.
+func (a *Aggregator) mayReplaceLate(p *part) bool {
+	return !a.attemptsExhausted(p) && a.withinRetryBudget() &&
+		p.isIdempotent() && a.queuedReportRate <= maxQueuedReportRate
+}
+
+// improvesOn reports whether a candidate is another, healthy server that would answer a late attempt's part in the
+// time that the attempt has taken already, and soon enough for the answer to count.
+func (a *Aggregator) improvesOn(late *attempt, c candidate) bool {
+	if c.server == late.server || a.isOutlier(c.server) || a.isBusy(c.server) {
+		return false
+	}
+	q := late.part.query
+	isInTime := a.now+Micros(c.predictedLatency) <= q.objectiveAt || q.class.LateWeight > 0
+	return isInTime && c.predictedLatency <= float64(a.now-late.sentAt)
+}
+
+// cancelAttempt cancels an attempt once, where that is allowed.
+func (a *Aggregator) cancelAttempt(attempt *attempt) {
+	if !a.settings.AllowCancel || attempt.canceled {
+		return
 	}
+	attempt.canceled = true
+	a.emit(CancelAttempt{Part: attempt.part.ID, Attempt: attempt.index})
 }
--- a/policy/history.go
+++ b/policy/history.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// historyEntry is work that was taken in or sent, of one part where only the number counts.
+// historyEntry is an amount of work at a point in time.
 type historyEntry struct {
 	at   Micros
-	work float64
+	work float64 // microseconds of work, or a number of parts
 }
 
 func (e historyEntry) compareTime(at Micros) int { return cmp.Compare(e.at, at) }
 
-// dropBefore cuts what lies before a moment; times are in order.
-func dropBefore(times []historyEntry, before Micros) []historyEntry {
-	i, _ := slices.BinarySearchFunc(times, before, historyEntry.compareTime)
-	return times[i:]
+// dropBefore returns the entries from a point in time on. The entries must be in order of time.
+func dropBefore(entries []historyEntry, before Micros) []historyEntry {
+	first, _ := slices.BinarySearchFunc(entries, before, historyEntry.compareTime)
+	return entries[first:]
 }
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -2,51 +2,71 @@
 
 import "math"
 
-func (a *Aggregator) acceptQuery(e Query) {
+// fullTimeoutPercent is the percentage of the longest known timeout from which a retry's timeout counts as uncut.
+const fullTimeoutPercent = 98
+
+// acceptQuery opens a query. It is admitted or rejected once all events of the step are handled.
+func (a *Aggregator) acceptQuery(event Query) {
 	a.recordForBudget(&a.acceptedHistory)
-	if a.queries[e.ID] != nil {
+	if a.queries[event.ID] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(a.classes) {
-		a.emit(Reject{Query: e.ID})
+	if event.Class < 0 || event.Class >= len(a.classes) {
+		a.emit(Reject{Query: event.ID})
 		return
 	}
-	c := a.classes[e.Class]
-	q := &query{Query: e, class: c, arrivedAt: a.now, objectiveAt: a.now + c.LatencyObjective, step: 1, awaitsAdmission: true}
-	left := e.Deadline - a.now
-	if !e.Retry {
-		c.longestTimeout = max(c.longestTimeout, left)
-	} else if left < c.longestTimeout*98/100 { // cut short by its whole patience: the first try's start shows
-		q.objectiveAt = min(q.objectiveAt, e.Deadline-c.Timeout+c.LatencyObjective)
+	c := a.classes[event.Class]
+	q := &query{
+		Query:           event,
+		class:           c,
+		arrivedAt:       a.now,
+		objectiveAt:     a.now + c.LatencyObjective,
+		phase:           firstPhase,
+		awaitsAdmission: true,
+	}
+	timeout := event.Deadline - a.now
+	if !event.Retry {
+		c.longestTimeout = max(c.longestTimeout, timeout)
+	} else if timeout < c.longestTimeout*fullTimeoutPercent/100 {
+		// The client's timeout runs over all its tries, so the deadline shows when the first one started.
+		q.objectiveAt = min(q.objectiveAt, event.Deadline-c.Timeout+c.LatencyObjective)
 	}
-	a.queries[e.ID], a.queriesByNumber[e.Number] = q, q
+	a.queries[event.ID] = q
+	a.queriesByNumber[event.Number] = q
 	a.openQueries = append(a.openQueries, q)
 }
 
-func (a *Aggregator) acceptPart(e Part) {
+// acceptPart adds a part to its query and ignores invalid ones.
+func (a *Aggregator) acceptPart(event Part) {
 	a.recordForBudget(&a.acceptedHistory)
-	q := a.queriesByNumber[e.Number]
-	if q == nil || q.closed || a.parts[e.ID] != nil || e.Shard < 0 || e.Shard >= a.settings.Shards ||
-		!(e.Weight >= 0) || math.IsInf(e.Weight, 0) {
+	q := a.queriesByNumber[event.Number]
+	if q == nil || q.closed || !a.isValidPart(event) {
 		return
 	}
-	p := &part{Part: e, query: q, relativeCost: q.class.relativeCost(e.CostHint)}
-	old := &a.shardArrivals[e.Shard]
-	*old = historyEntry{a.now, 1 + old.work*math.Exp(-float64(a.now-old.at)/float64(max(a.settings.SlowStartDuration, 1)))}
+	p := &part{Part: event, query: q, relativeCost: q.class.relativeCost(event.CostHint)}
+	a.recordArrival(event.Shard)
 	q.parts = append(q.parts, p)
-	a.parts[e.ID] = p
-	a.checkHealth(p)
-	if q.step == 2 {
+	a.parts[event.ID] = p
+	a.requestHealthChecks(p)
+	if q.phase == fetchPhase {
 		p.state = partQueued
 	}
 }
 
-// relativeCost is what a part is held to cost against its class's mean. Hints are rough: half their logarithm counts.
+func (a *Aggregator) isValidPart(event Part) bool {
+	isKnown := a.parts[event.ID] != nil
+	hasShard := event.Shard >= 0 && event.Shard < a.settings.Shards
+	hasWeight := event.Weight >= 0 && !math.IsInf(event.Weight, 0)
+	return !isKnown && hasShard && hasWeight
+}
+
+// relativeCost returns the cost that a hint predicts as a multiple of the class's mean, and learns from the hint.
+// Hints are rough: the square root keeps half of a hint's logarithm.
 func (c *class) relativeCost(hint Micros) float64 {
 	if hint <= 0 {
 		return 1
 	}
 	c.costHints++
-	c.meanCostHint += max(referenceGain, 1/c.costHints) * (float64(hint) - c.meanCostHint)
+	smooth(&c.meanCostHint, float64(hint), max(fleetGain, 1/c.costHints))
 	return math.Sqrt(float64(hint) / c.meanCostHint)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,77 +2,147 @@
 
 import "math"
 
-// slowness is a server's latency against its peers, and a charge for what fails there.
-func (a *Aggregator) slowness(s *server) float64 {
-	return a.latencyRatio(s) + failurePenalty*a.decayedFailureRate(s)
-}
+const (
+	// improvementGain is the gain, 0 to 1, of a server's latency ratio when it falls.
+	improvementGain = 0.15
 
-func (a *Aggregator) decayedFailureRate(s *server) float64 { return s.failureRate * a.penaltyDecay(s) }
+	// degradationGain is the gain, 0 to 1, of a server's latency ratio when it rises.
+	degradationGain = 0.40
 
-// penaltyDecay is how much of a bad past still counts: it heals while the server is left alone.
-func (a *Aggregator) penaltyDecay(s *server) float64 {
-	return math.Exp2(-float64(a.now-s.sampledAt) / (penaltyHalfLife * a.meanObjective))
+	// fleetGain is the gain, 0 to 1, of averages over all servers.
+	fleetGain = 0.05
+
+	// failureGain is the gain, 0 to 1, of a server's failure rate when an attempt fails.
+	failureGain = 0.33
+
+	// recoveryGain is the gain, 0 to 1, of a server's failure rate when an attempt is answered.
+	recoveryGain = 0.15
+
+	// objectivePriorWeight is the number of answers that the latency objective counts for as a first estimate.
+	objectivePriorWeight = 0.2
+
+	// maxSampleRatio is the latency ratio that a single sample counts for at most.
+	maxSampleRatio = 8.0
+
+	// rejectionRatio is the latency ratio that a rejection counts for at least.
+	rejectionRatio = 2.0
+
+	// failurePenalty is the latency ratio charged for a failed attempt: its time and that of the retry.
+	failurePenalty = 6.0
+
+	// loadSensitivity is the rise of the latency for each request at the server, as a share of the idle latency:
+	// 0 for a server that executes all at once, 1 for one that executes them one by one.
+	loadSensitivity = 0.5
+
+	// penaltyHalfLife is the time without samples, in mean latency objectives, after which half of a server's
+	// excess latency and failure rate is forgotten.
+	penaltyHalfLife = 4.0
+)
+
+// predictLatency returns the predicted latency of a part at a server in microseconds, the inverse of its utility.
+func (a *Aggregator) predictLatency(s *server, p *part) float64 {
+	loadFactor := 1 + loadSensitivity*a.estimateLoad(s)
+	return p.query.class.referenceLatency*p.relativeCost*a.slowness(s)*loadFactor + float64(a.backlog(s))
 }
 
-// latencyRatio is a server's latency alone: its past, healing, or the age of what is unanswered.
-func (a *Aggregator) latencyRatio(s *server) float64 {
-	f := s.latencyRatio
-	if f > 1 {
-		f = 1 + (f-1)*a.penaltyDecay(s)
+// slowness returns a server's latency ratio plus a penalty for its failures.
+func (a *Aggregator) slowness(s *server) float64 {
+	return a.currentLatencyRatio(s) + failurePenalty*a.decayedFailureRate(s)
+}
+
+// currentLatencyRatio returns a server's latency as a multiple of the reference latency. Excess latency decays while
+// nothing is sampled; attempts without an answer count by their age.
+func (a *Aggregator) currentLatencyRatio(s *server) float64 {
+	ratio := s.latencyRatio
+	if ratio > 1 {
+		ratio = 1 + (ratio-1)*a.penaltyDecay(s)
 	}
-	for _, t := range s.inFlight {
-		if t.sentAt >= s.respondedAt-1 || t == s.inFlight[0] {
-			f = max(f, float64(a.now-t.sentAt)/(t.part.query.class.referenceLatency*t.part.relativeCost*(1+loadSensitivity*t.assumedLoad)))
+	for i, attempt := range s.inFlight {
+		if i == 0 || attempt.sentAt >= s.respondedAt-1 {
+			ratio = max(ratio, a.ageRatio(attempt))
 		}
 	}
-	return f
+	return ratio
 }
 
-// predictLatency is the latency expected of a server for a part, the inverse of its utility.
-func (a *Aggregator) predictLatency(s *server, p *part) float64 {
-	return p.query.class.referenceLatency*p.relativeCost*a.slowness(s)*(1+loadSensitivity*a.estimateLoad(s)) + float64(a.backlog(s))
+// ageRatio returns the age of an attempt as a multiple of the latency expected of an average server.
+func (a *Aggregator) ageRatio(attempt *attempt) float64 {
+	p := attempt.part
+	loadFactor := 1 + loadSensitivity*attempt.assumedLoad
+	return float64(a.now-attempt.sentAt) / (p.query.class.referenceLatency * p.relativeCost * loadFactor)
 }
 
-// recordResult feeds an attempt's end into the server's latency, the class's reference and the window.
-func (a *Aggregator) recordResult(t *attempt, status Status) {
-	s, c := t.server, t.part.query.class
+// decayedFailureRate returns the share of a server's attempts, 0 to 1, that are expected to fail.
+func (a *Aggregator) decayedFailureRate(s *server) float64 { return s.failureRate * a.penaltyDecay(s) }
+
+// penaltyDecay returns the share, 0 to 1, of a server's past excess that still counts.
+func (a *Aggregator) penaltyDecay(s *server) float64 {
+	return math.Exp2(-float64(a.now-s.sampledAt) / (penaltyHalfLife * a.meanObjective))
+}
+
+// learnFromResult updates the statistics of the server, the class and all servers with the result of an attempt.
+func (a *Aggregator) learnFromResult(attempt *attempt, status Status) {
+	s, c := attempt.server, attempt.part.query.class
 	if status != TimedOut && status != Canceled {
 		s.connectionUsedAt = a.now
 	}
-	a.classifyConnection(t, status)
-	y := min(float64(a.now-t.sentAt)/(1+loadSensitivity*t.assumedLoad)/t.part.relativeCost, maxSampleRatio*c.referenceLatency)
+	a.classifyConnection(attempt, status)
+	latency := a.idleLatency(attempt)
 	switch status {
 	case OK:
-		c.answers++
-		a.answers++
-		a.meanLatency += max(referenceGain, 1/(a.answers+objectivePriorWeight)) * (y - a.meanLatency)
-		c.referenceLatency += max(referenceGain, 1/(c.answers+objectivePriorWeight)) * (y - c.referenceLatency)
-		a.baseLatency = min(a.baseLatency, a.meanLatency)
-		s.respondedAt, s.rejections = a.now, 0
-		s.failureRate -= improvementGain * s.failureRate
-		a.recordLatencyRatio(s, y/c.referenceLatency)
+		a.recordAnswer(s, c, latency)
 	case Canceled:
-		a.recordLatencyRatio(s, max(y/c.referenceLatency, a.slowness(s)))
-	case Rejected: // a full queue: further parts back off, ever longer, and wait here
-		t.part.query.wasRejected = true
-		s.rejections = min(s.rejections+1, maxBackoffDoublings)
-		s.backoffUntil = a.now + min(Micros(c.referenceLatency)<<s.rejections/2, c.LatencyObjective)
-		a.recordLatencyRatio(s, max(y/c.referenceLatency, 2))
-	case ServerError, ConnectionBroken: // it can be reached: what is lost is this attempt
-		s.failureRate += failureGain * (1 - s.failureRate)
-		a.recordLatencyRatio(s, max(y/c.referenceLatency, s.latencyRatio))
+		a.recordLatencyRatio(s, max(latency/c.referenceLatency, a.slowness(s)))
+	case Rejected:
+		attempt.part.query.wasRejected = true
+		a.backOffFrom(s, c)
+		a.recordLatencyRatio(s, max(latency/c.referenceLatency, rejectionRatio))
+	case ServerError, ConnectionBroken:
+		// The server could be reached: only the attempt is lost.
+		smooth(&s.failureRate, 1, failureGain)
+		a.recordLatencyRatio(s, max(latency/c.referenceLatency, s.latencyRatio))
 	case TimedOut, ConnectFailed:
-		a.recordLatencyRatio(s, max(y/c.referenceLatency, failurePenalty))
+		a.recordLatencyRatio(s, max(latency/c.referenceLatency, failurePenalty))
+	case Withdrawn:
+		// The attempt never left, so it says nothing about the server.
 	}
 }
 
-// recordLatencyRatio moves a server's smoothed latency, faster for the worse.
-func (a *Aggregator) recordLatencyRatio(s *server, x float64) {
-	x = min(x, maxSampleRatio)
+// idleLatency returns the time since an attempt was sent, in microseconds, reduced to that of a part of mean cost at
+// an idle server.
+func (a *Aggregator) idleLatency(attempt *attempt) float64 {
+	c := attempt.part.query.class
+	loadFactor := 1 + loadSensitivity*attempt.assumedLoad
+	latency := float64(a.now-attempt.sentAt) / loadFactor / attempt.part.relativeCost
+	return min(latency, maxSampleRatio*c.referenceLatency)
+}
+
+// recordAnswer adds the latency of an answer, in microseconds, to the statistics.
+func (a *Aggregator) recordAnswer(s *server, c *class, latency float64) {
+	c.answers++
+	a.answers++
+	smooth(&a.meanLatency, latency, max(fleetGain, 1/(a.answers+objectivePriorWeight)))
+	smooth(&c.referenceLatency, latency, max(fleetGain, 1/(c.answers+objectivePriorWeight)))
+	a.baseLatency = min(a.baseLatency, a.meanLatency)
+	s.respondedAt = a.now
+	s.rejections = 0
+	smooth(&s.failureRate, 0, recoveryGain)
+	a.recordLatencyRatio(s, latency/c.referenceLatency)
+}
+
+// backOffFrom keeps parts from a server that rejected one, for longer after each rejection in a row.
+func (a *Aggregator) backOffFrom(s *server, c *class) {
+	s.rejections = min(s.rejections+1, maxBackoffDoublings)
+	s.backoffUntil = a.now + min(Micros(c.referenceLatency)<<s.rejections/2, c.LatencyObjective)
+}
+
+// recordLatencyRatio adds a sample to a server's latency ratio, which rises faster than it falls.
+func (a *Aggregator) recordLatencyRatio(s *server, ratio float64) {
+	ratio = min(ratio, maxSampleRatio)
 	gain := improvementGain
-	if x > s.latencyRatio {
+	if ratio > s.latencyRatio {
 		gain = degradationGain
 	}
-	s.latencyRatio += gain * (x - s.latencyRatio)
+	smooth(&s.latencyRatio, ratio, gain)
 	s.sampledAt = a.now
 }
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -1,26 +1,40 @@
 package policy
 
-// estimateLoad is what a server is held to have in hand: own attempts, or its report where that says more.
+const (
+	// reportLifetime is the age of a load report, in mean latency objectives, from which it no longer counts.
+	reportLifetime = 0.5
+
+	// sustainedRateGain is the gain, 0 to 1, of the rate of work that a server reports.
+	sustainedRateGain = 0.15
+
+	microsPerSecond = 1e6
+)
+
+// estimateLoad returns the estimated number of requests at a server: the own attempts in flight, or more if its
+// load report says so. The report's weight falls with its age.
 func (a *Aggregator) estimateLoad(s *server) float64 {
-	own, told := float64(len(s.inFlight)), max(s.loadReport.Inflight, s.loadReport.Queue)
-	if told < 0 {
+	own := float64(len(s.inFlight))
+	reported := max(s.loadReport.Inflight, s.loadReport.Queue)
+	if reported < 0 {
 		return own
 	}
-	fresh := max(0, 1-float64(a.now-s.loadReportAt)/(reportLifetime*a.meanObjective))
-	return max(own, fresh*(told+own-float64(s.inFlightAtReport))+(1-fresh)*own)
+	freshness := max(0, 1-float64(a.now-s.loadReportAt)/(reportLifetime*a.meanObjective))
+	return max(own, freshness*(reported+own-float64(s.inFlightAtReport))+(1-freshness)*own)
 }
 
-// recordLoad takes a load report.
-func (a *Aggregator) recordLoad(s *server, r LoadReport) {
-	if r == NoLoadReport {
+// recordLoad records the load report of a server, unless it is empty.
+func (a *Aggregator) recordLoad(s *server, report LoadReport) {
+	if report == NoLoadReport {
 		return
 	}
-	s.loadReport, s.loadReportAt, s.inFlightAtReport = r, a.now, len(s.inFlight)
-	if r.Queue >= 0 {
-		a.queuedReportRate += referenceGain * (min(r.Queue, 1) - a.queuedReportRate)
+	s.loadReport = report
+	s.loadReportAt = a.now
+	s.inFlightAtReport = len(s.inFlight)
+	if report.Queue >= 0 {
+		smooth(&a.queuedReportRate, min(report.Queue, 1), fleetGain)
 	}
-	if r.Rate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
-		s.sustainedRate += improvementGain * (r.Rate*a.meanLatency/1e6 - s.sustainedRate)
+	if report.Rate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
+		smooth(&s.sustainedRate, report.Rate*a.meanLatency/microsPerSecond, sustainedRateGain)
 		a.sustainedRate = max(a.sustainedRate, s.sustainedRate)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -664,7 +664,7 @@
 	s.InstanceCount = 32
 	h := newHand(t, s)
 	h.teach(0, 30, 200_000)
-	h.a.classes[0].latencyRatio = 20
+	h.a.classes[0].waitRatio = 20
 	id, events := h.query(0, 1)
 	if h.step(0, events...); h.finals(id) != 1 {
 		t.Error("admitted, though such queries took twenty times their predicted wait")
@@ -677,7 +677,7 @@
 	s.InstanceCount = 32
 	h := newHand(t, s)
 	h.teach(0, 30, 200_000)
-	h.a.classes[0].latencyRatio = 20
+	h.a.classes[0].waitRatio = 20
 	h.log = nil
 	const mean = 10
 	for range mean * 3 {
@@ -785,9 +785,9 @@
 func TestUnusableSettingsNameTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Shards": func(s *Settings) { s.Shards = 0 },
-		"Reach": func(s *Settings) { s.ReplicationFactor = 9 }, "Tick": func(s *Settings) { s.Tick = 0 },
-		"Number": func(s *Settings) { s.InstanceIndex = s.InstanceCount }, "Fleet": func(s *Settings) { s.InstanceCount = 0 }, "Aim": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"Least": func(s *Settings) { s.Classes[0].MinCoverage = math.NaN() },
+		"ReplicationFactor": func(s *Settings) { s.ReplicationFactor = 9 }, "Tick": func(s *Settings) { s.Tick = 0 },
+		"InstanceIndex": func(s *Settings) { s.InstanceIndex = s.InstanceCount }, "InstanceCount": func(s *Settings) { s.InstanceCount = 0 }, "LatencyObjective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"MinCoverage": func(s *Settings) { s.Classes[0].MinCoverage = math.NaN() },
 	} {
 		s := testSettings()
 		spoil(&s)
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -1,61 +1,159 @@
 package policy
 
+// attempt is one sending of a part to a server.
 type attempt struct {
-	part                                  *part
-	server                                *server
-	index                                 int
-	sentAt                                Micros
-	predictedLatency, assumedLoad         float64 // latency predicted and load assumed when it was sent
-	connectionIdle                        Micros  // since its connection had last brought an answer
-	canceled, classified, freshConnection bool    // judged for its connection; on a new one after silence
+	part   *part
+	server *server
+
+	// index counts the part's attempts from 0 in the order in which they were sent.
+	index  int
+	sentAt Micros
+
+	// predictedLatency is the latency in microseconds, and assumedLoad the number of requests at the server, that
+	// were estimated when the attempt was sent.
+	predictedLatency float64
+	assumedLoad      float64
+
+	// connectionIdle is how long the server's connections had been unused when the attempt was sent; 0 if unknown.
+	connectionIdle Micros
+
+	// freshConnection is set if idle connections were closed right before the attempt.
+	freshConnection bool
+
+	// classified is set once the attempt has counted as evidence on connections.
+	classified bool
+
+	// canceled is set once a CancelAttempt was returned for it.
+	canceled bool
 }
 
+// partState is the state of a part. The order matters: a part of a suspect query is raised to partQueued with max.
 type partState uint8
 
 const (
-	partDeferred    partState = iota // not asked for
-	partQueued                       // for room at a replica
-	partInFlight                     // asked
+	partDeferred    partState = iota // not requested yet
+	partQueued                       // waits for capacity at a replica
+	partInFlight                     // sent
 	partAnswered                     // answered
-	partUnavailable                  // can't be had
+	partUnavailable                  // can't be answered any more
 )
 
+// part is the state of a part of an open query.
 type part struct {
 	Part
-	query                  *query
-	state                  partState
-	attempts               int
-	inFlight               []*attempt
-	mayHaveRun             bool    // an attempt may have run
-	lastServer             uint32  // server of the newest attempt
-	firstSentAt, notBefore Micros  // sending of what may have run; not dealt before, while its replicas are probed
-	relativeCost           float64 // its cost hint over its class's mean one, as far as latencies follow hints; else 1
+
+	query    *query
+	state    partState
+	attempts int // attempts sent so far
+	inFlight []*attempt
+
+	// mayHaveRun is set once an attempt has ended that a server may have executed.
+	mayHaveRun bool
+
+	// firstSentAt is when the first attempt was sent that may have been executed.
+	firstSentAt Micros
+
+	// lastServer is the ID of the server that the latest attempt was sent to.
+	lastServer uint32
+
+	// notBefore is until when the part is held back while its replicas' health checks are in flight.
+	notBefore Micros
+
+	// relativeCost is the expected cost as a multiple of the class's mean cost; 1 without a cost hint.
+	relativeCost float64
 }
 
+// latestAttempt returns the newest attempt in flight, of which there must be one.
+func (p *part) latestAttempt() *attempt { return p.inFlight[len(p.inFlight)-1] }
+
+// isIdempotent reports whether the part may be executed any number of times.
+func (p *part) isIdempotent() bool { return p.query.class.Idempotency == Idempotent }
+
+// The phases of a query.
+const (
+	firstPhase = 1 // the parts that arrive with the query
+	fetchPhase = 2 // the parts that the first answer asks for; see Class.FetchParts
+)
+
+// query is the state of an open query.
 type query struct {
 	Query
-	class                                      *class
-	arrivedAt, objectiveAt, dispatchAt         Micros // the last is arrival less the head start that its worth gives
-	parts                                      []*part
-	usedServers                                []uint32 // servers already asked in this step
-	step, expectedParts                        int      // and the parts that the step will have
-	lightPartCredits                           int      // light parts that quick answers allow
-	brokenServers                              []uint32 // servers that broke connections under it
-	coverage, predictedWait                    float64  // weight that is in; predicted for its slowest part
-	firstStepComplete, awaitsAdmission, closed bool     // the first is of the first step's answer
-	wasRejected, canaryFirst                   bool     // an attempt was turned away; sends one part ahead, it may fell what takes it
+
+	class     *class
+	arrivedAt Micros
+
+	// objectiveAt is when the class's latency objective has passed.
+	objectiveAt Micros
+
+	// dispatchAt orders open queries for dispatch: the arrival less a head start by priority.
+	dispatchAt Micros
+
+	// phase is firstPhase or fetchPhase; parts, expectedParts and usedServers belong to it.
+	phase         int
+	parts         []*part
+	expectedParts int // parts of the fetch phase that will arrive
+
+	// usedServers are the IDs of the servers that parts of this phase were sent to.
+	usedServers []uint32
+
+	// brokenServers are the IDs of the servers that broke a connection under one of the query's attempts.
+	brokenServers []uint32
+
+	// lightPartCredits is the number of light parts that quick answers allow to be requested under load.
+	lightPartCredits int
+
+	// coverage is the sum of the answered parts' weights, as of the last review.
+	coverage float64
+
+	// predictedWait is the wait in microseconds that was predicted at admission for the slowest required part.
+	predictedWait float64
+
+	// firstPhaseComplete is set if the answer of the first phase was complete.
+	firstPhaseComplete bool
+
+	awaitsAdmission bool
+	closed          bool
+
+	// wasRejected is set once a server has rejected an attempt of the query.
+	wasRejected bool
+
+	// canaryFirst is set while one part is sent ahead of the others, since the query may crash the server.
+	canaryFirst bool
 }
 
-// class is the terms that a query was taken by, and what its class has learned, which outlives the terms.
+// allowsPartialAnswer reports whether the query's class accepts an answer below the required coverage.
+func (q *query) allowsPartialAnswer() bool { return q.class.MinCoverage < q.class.RequiredCoverage }
+
+// class holds the settings under which a query was accepted and the statistics of its class, which outlive them.
 type class struct {
 	Class
 	*classStats
 }
 
+// classStats are the statistics of a class.
 type classStats struct {
-	referenceLatency, answers      float64 // reference latency at no load, answers seen
-	meanFanOut, latencyRatio       float64 // smoothed number of parts; time of an answered query over its predicted wait
-	longestTimeout, lastAdmittedAt Micros  // longest first try seen; newest query let in
-	meanCostHint, costHints        float64 // mean cost hint, over how many
-	overloadCount                  int     // queries that overload made late or lost, less those in time since
+	// referenceLatency is the smoothed latency of a part at an idle server, in microseconds.
+	referenceLatency float64
+
+	// answers is the number of answered attempts that referenceLatency is based on.
+	answers float64
+
+	// meanFanOut is the smoothed number of a query's parts.
+	meanFanOut float64
+
+	// waitRatio is the smoothed ratio of a query's time to its answer and its predicted wait.
+	waitRatio float64
+
+	// longestTimeout is the longest time, in microseconds, that a client gave the first try of a query.
+	longestTimeout Micros
+
+	lastAdmittedAt Micros
+
+	// meanCostHint is the smoothed cost hint in microseconds, and costHints the number of hints that it is based on.
+	meanCostHint float64
+	costHints    float64
+
+	// overloadCount counts queries that were late or unanswered because servers rejected their attempts. An answer
+	// in time halves it.
+	overloadCount int
 }
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -1,19 +1,24 @@
 package policy
 
-// withinRetryBudget counts over the rule's span, own tick's width to the careful side.
+// withinRetryBudget reports whether another retry fits the budget. The window is one tick narrower for accepted
+// queries and parts, and one tick wider for retries, than the rule demands: the owner may count by another clock.
 func (a *Aggregator) withinRetryBudget() bool {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return true
 	}
-	old := a.now - a.settings.RetryBudgetWindow
-	a.acceptedHistory = dropBefore(a.acceptedHistory, old+a.settings.Tick)
-	a.retryHistory = dropBefore(a.retryHistory, old-a.settings.Tick)
-	return float64(len(a.retryHistory)+1) <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*float64(len(a.acceptedHistory))
+	windowStart := a.now - a.settings.RetryBudgetWindow
+	a.acceptedHistory = dropBefore(a.acceptedHistory, windowStart+a.settings.Tick)
+	a.retryHistory = dropBefore(a.retryHistory, windowStart-a.settings.Tick)
+	retries := float64(len(a.retryHistory) + 1)
+	accepted := float64(len(a.acceptedHistory))
+	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*accepted
 }
 
-// recordForBudget notes one for the budget. Without a budget nothing would ever cut the list.
-func (a *Aggregator) recordForBudget(list *[]historyEntry) {
-	if a.settings.RetryBudgetWindow > 0 {
-		*list = append(dropBefore(*list, a.now-a.settings.RetryBudgetWindow-a.settings.Tick), historyEntry{a.now, 1})
+// recordForBudget adds an entry to a history of the budget. Without a budget nothing would ever trim the history.
+func (a *Aggregator) recordForBudget(history *[]historyEntry) {
+	if a.settings.RetryBudgetWindow <= 0 {
+		return
 	}
+	oldest := a.now - a.settings.RetryBudgetWindow - a.settings.Tick
+	*history = append(dropBefore(*history, oldest), historyEntry{a.now, 1})
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,60 +6,112 @@
 	"slices"
 )
 
+const (
+	// deficitDecay is the factor on a server's deficit at each choice for the shard.
+	deficitDecay = 0.9
+
+	// deficitTolerance is the difference, in parts, up to which deficits count as equal.
+	deficitTolerance = 1e-9
+)
+
+// candidate is a replica of a part's shard.
 type candidate struct {
-	server  *server
-	latency float64
+	server           *server
+	predictedLatency float64 // of the part, in microseconds
+
+	// share is the replica's share of the shard's parts, 0 to 1, in proportion to its utility. Only
+	// chooseReplica sets it.
+	share float64
 }
 
-// rankReplicas orders a shard's replicas by utility, best first.
+// rankReplicas returns the replicas of a part's shard in descending order of utility.
 func (a *Aggregator) rankReplicas(p *part) []candidate {
-	out := make([]candidate, 0, len(a.replicas[p.Shard]))
+	ranked := make([]candidate, 0, len(a.replicas[p.Shard]))
 	for _, s := range a.replicas[p.Shard] {
-		out = append(out, candidate{s, a.predictLatency(s, p)})
+		ranked = append(ranked, candidate{server: s, predictedLatency: a.predictLatency(s, p)})
 	}
-	slices.SortStableFunc(out, func(x, y candidate) int { return cmp.Compare(x.latency, y.latency) })
-	return out
+	slices.SortStableFunc(ranked, func(x, y candidate) int {
+		return cmp.Compare(x.predictedLatency, y.predictedLatency)
+	})
+	return ranked
 }
 
-// chooseReplica chooses a part's replica: shares in proportion to utility over the best one's, the replica
-// furthest below its share first, servers the query has not used before others, in rank. Nil: wait.
+// chooseReplica returns the server to send a part to, or nil if the part must stay queued. The replicas of a shard
+// receive parts in proportion to their utility: the one with the largest deficit is preferred, then the others by
+// rank. Servers that the query has used come after those that it has not.
 func (a *Aggregator) chooseReplica(p *part) *server {
 	if !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) {
 		return nil
 	}
 	ranked := a.rankReplicas(p)
+	assignShares(ranked)
+	hasHealthyReplica := slices.ContainsFunc(ranked, func(c candidate) bool {
+		return isAlternative(c, p, ranked) && !a.isOutlier(c.server) && !a.isBusy(c.server)
+	})
+	preferred := ranked[largestDeficit(ranked, p.Shard)]
+	if i := a.findSharedBatch(p, ranked, hasHealthyReplica); i >= 0 {
+		preferred = ranked[i]
+		p.query.usedServers = slices.DeleteFunc(p.query.usedServers, func(id uint32) bool {
+			return id == preferred.server.ID
+		})
+	}
+	chosen := a.firstSendable(p, preferred, ranked, hasHealthyReplica)
+	if chosen == nil {
+		return nil
+	}
+	for _, c := range ranked {
+		c.server.deficits[p.Shard] = c.server.deficits[p.Shard]*deficitDecay + c.share
+	}
+	chosen.deficits[p.Shard]--
+	return chosen
+}
+
+// assignShares gives each candidate its share of the parts. The candidates must be in descending order of utility.
+func assignShares(ranked []candidate) {
 	sum := 0.0
 	for _, c := range ranked {
-		sum += ranked[0].latency / c.latency
+		sum += ranked[0].predictedLatency / c.predictedLatency
 	}
-	pick, most := 0, math.Inf(-1)
 	for i, c := range ranked {
-		if below := c.server.deficits[p.Shard] + ranked[0].latency/c.latency/sum; below > most+1e-9 {
-			pick, most = i, below
+		ranked[i].share = ranked[0].predictedLatency / c.predictedLatency / sum
+	}
+}
+
+// largestDeficit returns the index of the candidate that is furthest below its share of a shard's parts.
+func largestDeficit(ranked []candidate, shard int) int {
+	index, largest := 0, math.Inf(-1)
+	for i, c := range ranked {
+		deficit := c.server.deficits[shard] + c.share
+		if deficit > largest+deficitTolerance {
+			index, largest = i, deficit
 		}
 	}
-	other := func(c candidate) bool { return c.server.ID != p.lastServer || len(ranked) == 1 }
-	good := func(c candidate) bool { return other(c) && !a.isOutlier(c.server) && !a.isBusy(c.server) }
-	sound := slices.ContainsFunc(ranked, good)
-	order := append([]candidate{ranked[pick]}, ranked...)
-	if i := a.findSharedBatch(p, ranked, sound); i >= 0 {
-		order[0] = ranked[i]
-		p.query.usedServers = slices.DeleteFunc(p.query.usedServers, func(id uint32) bool { return id == ranked[i].server.ID })
+	return index
+}
+
+// isAlternative reports whether a candidate is another server than that of the part's latest attempt, or the only
+// candidate.
+func isAlternative(c candidate, p *part, ranked []candidate) bool {
+	return c.server.ID != p.lastServer || len(ranked) == 1
+}
+
+// firstSendable returns the first server that the part may be sent to: the preferred one, then the others by rank,
+// as far as the query has not used them; then any by rank. It returns nil if there is none.
+func (a *Aggregator) firstSendable(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
+	isUnused := func(c candidate) bool {
+		return !slices.Contains(p.query.usedServers, c.server.ID) && a.maySend(c.server, p, hasHealthyReplica)
 	}
-	fresh := func(c candidate) bool {
-		return !slices.Contains(p.query.usedServers, c.server.ID) && a.maySend(c.server, p, sound)
+	isAllowed := func(c candidate) bool {
+		return isAlternative(c, p, ranked) && a.maySend(c.server, p, hasHealthyReplica)
 	}
-	again := func(c candidate) bool { return other(c) && a.maySend(c.server, p, sound) }
-	i := slices.IndexFunc(order, fresh)
-	if i < 0 {
-		i = slices.IndexFunc(ranked, again) + 1
+	if isUnused(preferred) {
+		return preferred.server
 	}
-	if i < 0 || i == 0 && !fresh(order[0]) {
-		return nil
+	if i := slices.IndexFunc(ranked, isUnused); i >= 0 {
+		return ranked[i].server
 	}
-	for _, c := range ranked {
-		c.server.deficits[p.Shard] = c.server.deficits[p.Shard]*deficitDecay + ranked[0].latency/c.latency/sum
+	if i := slices.IndexFunc(ranked, isAllowed); i >= 0 {
+		return ranked[i].server
 	}
-	order[i].server.deficits[p.Shard]--
-	return order[i].server
+	return nil
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,103 +2,210 @@
 
 import "fmt"
 
-// Micros is a span or a moment in microseconds.
+// maxShards is the largest number of shards that an aggregator keeps state for.
+const maxShards = 1 << 20
+
+// Micros is a duration or a point in time in microseconds; see the package comment.
 type Micros = int64
 
-// Idempotency says what repeating a part of a class does.
+// Idempotency says whether a server may execute a part more than once.
 type Idempotency uint8
 
-// The kinds of effect.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated freely
-	IdempotentByKey                    // repeats are dropped by the servers for Class.Window
-	NonIdempotent                      // must not run twice
+	Idempotent      Idempotency = iota // may be executed any number of times
+	IdempotentByKey                    // servers drop duplicates within Class.DeduplicationWindow
+	NonIdempotent                      // must not be executed twice
 )
 
-// Class describes one class of query.
+// Class describes one class of queries.
 type Class struct {
-	Name                string
-	LatencyObjective    Micros  // answers within it earn the full worth
-	Timeout             Micros  // the client's whole patience, over all its tries
-	PriorityWeight      float64 // of a whole answer
-	LateWeight          float64 // share of the worth that an answer past the aim earns
-	Idempotency         Idempotency
-	DeduplicationWindow Micros  // Keyed: how long repeats are dropped, from the first attempt that may have run
-	MinCoverage         float64 // least share of the parts' weight for any answer
-	RequiredCoverage    float64 // share of the weight that makes an answer whole
-	PartialWeight       float64 // an answer not whole earns this x share / Need
-	FetchParts          int     // parts of a second step after the first answer; 0: none
+	Name string
+
+	// LatencyObjective is the time from a query's arrival within which an answer earns the full weight.
+	LatencyObjective Micros
+
+	// Timeout is how long a client waits in all, over all its tries.
+	Timeout Micros
+
+	// PriorityWeight is the value of a complete answer within the latency objective.
+	PriorityWeight float64
+
+	// LateWeight is the share of the value, 0 to 1, that an answer past the latency objective earns.
+	LateWeight float64
+
+	// Idempotency is that of the class's parts.
+	Idempotency Idempotency
+
+	// DeduplicationWindow is how long servers drop duplicates, from the first attempt that may have run. It applies
+	// to IdempotentByKey.
+	DeduplicationWindow Micros
+
+	// MinCoverage is the share of the parts' weight, 0 to 1, that any answer needs.
+	MinCoverage float64
+
+	// RequiredCoverage is the share of the parts' weight, 0 to 1, that a complete answer needs.
+	RequiredCoverage float64
+
+	// PartialWeight is the value of a partial answer: this times its coverage over RequiredCoverage.
+	PartialWeight float64
+
+	// FetchParts is the number of parts of the fetch phase, which follows the first answer, at most; 0 if there is
+	// no such phase.
+	FetchParts int
 }
 
-// Tenant is one of the customers that share the fleet.
+// Tenant is one of the customers that share the servers.
 type Tenant struct {
-	Name             string
-	QueriesPerSecond float64 // queries a second, over all aggregators, that count in full; 0: unlimited
+	Name string
+
+	// QueriesPerSecond is the tenant's quota over all aggregators; 0 if it is unlimited.
+	QueriesPerSecond float64
 }
 
-// Settings is what an aggregator knows from the start. New checks it. The present decisions use neither Tenants,
-// OverWorth, Zone, MaxOpen, WarmKeys, ProbeToHear, AnswerSlack, DrainGrace, MayAdvise nor PriceCrossZone: they
-// keep stricter than the slacks, leave MaxOpen to the owner and take every replica at its measured latency.
+// Settings is what an aggregator knows from the start; New checks it.
+//
+// The decisions do not use Tenants, OverQuotaWeight, Zone, ServersCacheKeys, MaxOpen, SendRetryAfter,
+// LoadByHealthCheckOnly, AnswerSlack, DrainGrace, PriceCrossZone and Class.PartialWeight: they are stricter than the
+// slack and the grace period, leave MaxOpen and SendRetryAfter to the owner, and take every replica at its measured
+// latency.
 type Settings struct {
-	InstanceIndex, InstanceCount int // this aggregator's index and how many there are in all
-	Tick                         Micros
-	Classes                      []Class
-	Tenants                      []Tenant
-	OverQuotaWeight              float64 // worth, as a share, of what a tenant sends beyond its allowance
-	Zone                         int     // of this aggregator
-
-	Shards, RingSize, ReplicationFactor int    // shard s is held by cells (s+j) mod Cells, j from 0 to Reach-1
-	MaxBatchSize                        int    // parts that may share one call
-	BatchOverhead                       Micros // work that a call costs beside its parts
-	ServersCacheKeys                    bool   // a server that met a key lately does less work for it
-
-	MaxAttempts           int  // of a part; 0: as many as the rules allow
-	MaxOpen               int  // queries and parts held; the owner turns further queries away by itself; 0: unlimited
-	AllowHedging          bool // a part may have two attempts out at once
-	AllowCancel           bool
-	AllowHealthChecks     bool
-	SendRetryAfter        bool   // a refusal's come-back time reaches the client
-	MaxRetryAfter         Micros // longest such time that clients honour
-	LoadByHealthCheckOnly bool   // servers report their load only when probed
-	PollEndpoints         bool   // the server list comes only after Subscribe
-
-	PollInterval       Micros // AskForList: who has not asked for so long is held to know the list; failed calls count
-	AnswerSlack        Micros
-	DrainGrace         Micros
-	SlowStartFraction  float64 // a server starts at no less than this share of its capacity
-	SlowStartDuration  Micros  // and is warm no later than this
-	OverloadFactor     float64 // more than this multiple of what it can do ...
-	OverloadDuration   Micros  // ... for this long fells a cold server
-	RetryBudgetWindow  Micros  // further attempts are budgeted over it; 0: no budget
+	// InstanceIndex is this aggregator's index among the InstanceCount ones that share the servers.
+	InstanceIndex int
+	InstanceCount int
+
+	// Tick is the resolution of the owner's timers.
+	Tick Micros
+
+	Classes []Class
+	Tenants []Tenant
+
+	// OverQuotaWeight is the share of its value, 0 to 1, that a query beyond its tenant's quota earns.
+	OverQuotaWeight float64
+
+	// Zone is the index of this aggregator's zone.
+	Zone int
+
+	// Shards is the number of shards. Shard s is held by the servers at the ring positions (s+i) mod RingSize for i
+	// from 0 to ReplicationFactor-1.
+	Shards            int
+	RingSize          int
+	ReplicationFactor int
+
+	// MaxBatchSize is the number of parts that may share one call to a server.
+	MaxBatchSize int
+
+	// BatchOverhead is the work that a call costs beside its parts.
+	BatchOverhead Micros
+
+	// ServersCacheKeys says that a server does less work for a key that it has met recently.
+	ServersCacheKeys bool
+
+	// MaxAttempts limits the attempts at a part; 0 if they are unlimited.
+	MaxAttempts int
+
+	// MaxOpen limits the open queries and parts; 0 if they are unlimited. The owner rejects queries beyond it.
+	MaxOpen int
+
+	// AllowHedging permits a second attempt at a part while the first one is in flight.
+	AllowHedging bool
+
+	AllowCancel       bool
+	AllowHealthChecks bool
+
+	// SendRetryAfter says that Reject.RetryAfter reaches the client.
+	SendRetryAfter bool
+
+	// MaxRetryAfter is the longest such time that clients honor.
+	MaxRetryAfter Micros
+
+	// LoadByHealthCheckOnly says that servers send load reports only with the results of health checks.
+	LoadByHealthCheckOnly bool
+
+	// PollEndpoints says that the endpoint list arrives only after a PollEndpoints action.
+	PollEndpoints bool
+
+	// PollInterval is the time between polls of the endpoint list, failed ones included, after which an aggregator
+	// must know the list. It limits the backoff of polls; 0 if there is no limit.
+	PollInterval Micros
+
+	// AnswerSlack is the time past a query's deadline that its final action may come at the latest.
+	AnswerSlack Micros
+
+	// DrainGrace is the time for which attempts may still be sent to a server that drains.
+	DrainGrace Micros
+
+	// SlowStartFraction is the share of its capacity, 0 to 1, that a server has at least when it starts, and
+	// SlowStartDuration is when it has all of it at the latest.
+	SlowStartFraction float64
+	SlowStartDuration Micros
+
+	// OverloadFactor is the multiple of its capacity that crashes a warming server if it is exceeded for
+	// OverloadDuration; 0 if servers bear any load.
+	OverloadFactor   float64
+	OverloadDuration Micros
+
+	// RetryBudgetWindow is the time over which retries are limited; 0 if there is no retry budget. Within it, the
+	// retries may be RetryBudgetMinimum plus the share RetryBudgetRatio of the accepted queries and parts.
+	RetryBudgetWindow  Micros
 	RetryBudgetMinimum float64
-	RetryBudgetRatio   float64 // of queries and parts taken within the span
+	RetryBudgetRatio   float64
 
-	PriceCrossZone, PriceHealthCheck float64 // each per part, against a worth of 1
+	// PriceCrossZone and PriceHealthCheck are the prices of a part sent to another zone and of a health check, in
+	// units of the value that a part earns.
+	PriceCrossZone   float64
+	PriceHealthCheck float64
 }
 
-// Check names the first field that no aggregator can work with.
+// InvalidSettingError says that an aggregator can't work with its settings.
+type InvalidSettingError struct {
+	// Field is the first invalid field of Settings, for example "Classes[0].LatencyObjective".
+	Field string
+
+	// Problem says what is wrong, for example "is 0".
+	Problem string
+}
+
+// Error returns a line that names the field.
+func (e *InvalidSettingError) Error() string { return "settings: " + e.Field + " " + e.Problem }
+
+func invalidSetting(field, format string, values ...any) error {
+	return &InvalidSettingError{Field: field, Problem: fmt.Sprintf(format, values...)}
+}
+
+// Check returns an *InvalidSettingError if an aggregator can't work with the settings.
 func (s Settings) Check() error {
 	switch {
 	case len(s.Classes) == 0:
-		return fmt.Errorf("settings: Classes is empty")
-	case s.Shards <= 0 || s.Shards > 1<<20:
-		return fmt.Errorf("settings: Shards is %d", s.Shards)
+		return invalidSetting("Classes", "is empty")
+	case s.Shards <= 0 || s.Shards > maxShards:
+		return invalidSetting("Shards", "is %d", s.Shards)
 	case s.RingSize <= 0 || s.ReplicationFactor <= 0 || s.ReplicationFactor > s.RingSize:
-		return fmt.Errorf("settings: Cells is %d and Reach %d", s.RingSize, s.ReplicationFactor)
+		return invalidSetting("ReplicationFactor", "is %d at a RingSize of %d", s.ReplicationFactor, s.RingSize)
 	case s.Tick <= 0:
-		return fmt.Errorf("settings: Tick is %d", s.Tick)
+		return invalidSetting("Tick", "is %d", s.Tick)
 	case s.InstanceCount <= 0:
-		return fmt.Errorf("settings: Fleet is %d", s.InstanceCount)
+		return invalidSetting("InstanceCount", "is %d", s.InstanceCount)
 	case s.InstanceIndex < 0 || s.InstanceIndex >= s.InstanceCount:
-		return fmt.Errorf("settings: Number is %d in a Fleet of %d", s.InstanceIndex, s.InstanceCount)
+		return invalidSetting("InstanceIndex", "is %d at an InstanceCount of %d", s.InstanceIndex, s.InstanceCount)
 	}
-	for i, c := range s.Classes {
-		if c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective {
-			return fmt.Errorf("settings: Classes[%d].Aim is %d and GiveUp %d", i, c.LatencyObjective, c.Timeout)
-		}
-		if !(c.RequiredCoverage > 0 && c.RequiredCoverage <= 1 && c.MinCoverage > 0 && c.MinCoverage <= c.RequiredCoverage) {
-			return fmt.Errorf("settings: Classes[%d].Need is %v and Least %v", i, c.RequiredCoverage, c.MinCoverage)
+	for i, class := range s.Classes {
+		if err := class.check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
+
+// check returns an *InvalidSettingError whose field begins with the prefix.
+func (c Class) check(prefix string) error {
+	if c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective {
+		return invalidSetting(prefix+"LatencyObjective", "is %d at a Timeout of %d", c.LatencyObjective, c.Timeout)
+	}
+	isRequiredValid := c.RequiredCoverage > 0 && c.RequiredCoverage <= 1
+	isMinimumValid := c.MinCoverage > 0 && c.MinCoverage <= c.RequiredCoverage
+	if !isRequiredValid || !isMinimumValid {
+		return invalidSetting(prefix+"MinCoverage", "is %v at a RequiredCoverage of %v", c.MinCoverage, c.RequiredCoverage)
+	}
+	return nil
+}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,58 +2,102 @@
 
 import "math"
 
-// slowStartShare is the work that this aggregator may send a server within the rule's span: an equal part.
-func (a *Aggregator) slowStartShare(s *server) float64 {
-	if s.StartedAt <= 0 || a.settings.OverloadFactor <= 0 || a.now >= s.StartedAt+a.settings.SlowStartDuration+a.settings.OverloadDuration {
+// slowStartUtilization is the share of what a warming server can do, 0 to 1, that all aggregators together use when
+// each of them may send it less than one part within the overload duration.
+const slowStartUtilization = 0.4
+
+// slowStartEnd returns from when on a server's slow start no longer matters.
+func (a *Aggregator) slowStartEnd(s *server) Micros {
+	return s.StartedAt + a.settings.SlowStartDuration + a.settings.OverloadDuration
+}
+
+// slowStartAllowance returns the work, in microseconds, that this aggregator may send a server within the overload
+// duration: an equal share of what the server can do. It is infinite for a warm server.
+func (a *Aggregator) slowStartAllowance(s *server) float64 {
+	if s.StartedAt <= 0 || a.settings.OverloadFactor <= 0 || a.now >= a.slowStartEnd(s) {
 		return math.Inf(1)
 	}
-	age := max(0, float64(a.now-a.settings.OverloadDuration-s.StartedAt)/float64(a.settings.SlowStartDuration))
-	share := min(1, a.settings.SlowStartFraction+(1-a.settings.SlowStartFraction)*age)
-	return a.settings.OverloadFactor * share * a.sustainedRate * float64(a.settings.OverloadDuration) / float64(a.settings.InstanceCount)
+	overloadDuration := a.settings.OverloadDuration
+	progress := max(0, float64(a.now-overloadDuration-s.StartedAt)/float64(a.settings.SlowStartDuration))
+	fraction := min(1, a.settings.SlowStartFraction+(1-a.settings.SlowStartFraction)*progress)
+	fleetAllowance := a.settings.OverloadFactor * fraction * a.sustainedRate * float64(overloadDuration)
+	return fleetAllowance / float64(a.settings.InstanceCount)
 }
 
-// slowStartWait is how long a part waits for its turn at a cold server.
+// slowStartWait returns the expected wait, in microseconds, until a part may be sent to a warming server.
 func (a *Aggregator) slowStartWait(s *server) float64 {
-	own := a.slowStartShare(s)
-	if own < a.baseLatency {
-		return float64(max(0, a.slowStartTurn(s, own)-a.now))
+	allowance := a.slowStartAllowance(s)
+	if allowance < a.baseLatency {
+		return float64(max(0, a.slowStartNextSend(s, allowance)-a.now))
 	}
-	return float64(a.settings.OverloadDuration) * a.baseLatency / own / 2
+	return float64(a.settings.OverloadDuration) * a.baseLatency / allowance / 2
 }
 
-// slowStartAllows keeps a cold server from being pushed over by all: each keeps to its share, or to its turns.
+// slowStartAllows reports whether a part may be sent to a server without exceeding the allowance while it warms up.
 func (a *Aggregator) slowStartAllows(s *server, p *part) bool {
-	own := a.slowStartShare(s)
-	if own < a.baseLatency {
-		return a.now >= a.slowStartTurn(s, own)
+	allowance := a.slowStartAllowance(s)
+	if allowance < a.baseLatency {
+		return a.now >= a.slowStartNextSend(s, allowance)
 	}
-	sum := p.query.class.referenceLatency
-	for _, e := range dropBefore(s.sendHistory, a.now-a.settings.OverloadDuration-a.settings.Tick) {
-		sum += e.work
+	work := p.query.class.referenceLatency
+	for _, entry := range dropBefore(s.sendHistory, a.slowStartWindowStart()) {
+		work += entry.work
 	}
-	return sum <= own
+	return work <= allowance
 }
 
-// slowStartTurn is from when on this aggregator may send a part to a cold server of which its share is less than
-// one. Many that see little traffic seldom have one for it, and fixed turns would mostly lapse: the pause
-// after the newest one and the time until there is a next make up the interval that is due to each.
-func (a *Aggregator) slowStartTurn(s *server, own float64) Micros {
-	due, fleet := a.baseLatency/own/slowStartUtilization*float64(a.settings.OverloadDuration), uint64(a.settings.InstanceCount)
-	pause := Micros(due - a.meanArrivalInterval(s))
-	if len(s.sendHistory) > 0 {
-		return s.sendHistory[len(s.sendHistory)-1].at + max(pause, a.settings.OverloadDuration+a.settings.Tick)
+// slowStartNextSend returns from when on this aggregator may send a part to a warming server if its allowance is
+// less than one part. Fixed time slots would mostly pass unused, since an aggregator with little traffic seldom has
+// a part at its slot. Instead, the pause after a part and the mean time until the next one arrives add up to the
+// interval that the allowance permits.
+func (a *Aggregator) slowStartNextSend(s *server, allowance float64) Micros {
+	interval := a.baseLatency / allowance / slowStartUtilization * float64(a.settings.OverloadDuration)
+	pause := Micros(interval - a.meanArrivalInterval(s))
+	if sent := len(s.sendHistory); sent > 0 {
+		return s.sendHistory[sent-1].at + max(pause, a.settings.OverloadDuration+a.settings.Tick)
 	}
-	return s.StartedAt + pause - Micros(due*float64((uint64(a.settings.InstanceIndex)+uint64(s.ID))%fleet)/float64(fleet))
+	instances := uint64(a.settings.InstanceCount)
+	slot := (uint64(a.settings.InstanceIndex) + uint64(s.ID)) % instances
+	return s.StartedAt + pause - Micros(interval*float64(slot)/float64(instances))
 }
 
-// meanArrivalInterval is the mean time between two parts that this aggregator takes for a server's shards: so little has
-// been seen of these that one part more than came is counted.
+// meanArrivalInterval returns the mean time, in microseconds, between two parts of a server's shards that this
+// aggregator accepts. One arrival more than seen is assumed, since there may have been few so far.
 func (a *Aggregator) meanArrivalInterval(s *server) float64 {
-	n := 1.0
-	for j := range a.settings.ReplicationFactor {
-		for i := (s.RingPosition - j + a.settings.RingSize) % a.settings.RingSize; i < a.settings.Shards; i += a.settings.RingSize {
-			n += a.shardArrivals[i].work * math.Exp(-float64(a.now-a.shardArrivals[i].at)/float64(a.settings.SlowStartDuration))
+	duration := float64(a.settings.SlowStartDuration)
+	arrivals := 1.0
+	size := a.settings.RingSize
+	for offset := range a.settings.ReplicationFactor {
+		for shard := (s.RingPosition - offset + size) % size; shard < a.settings.Shards; shard += size {
+			arrivals += a.decayedArrivals(shard, duration)
 		}
 	}
-	return float64(a.settings.SlowStartDuration) * (1 - math.Exp(-float64(a.now-a.startedAt)/float64(a.settings.SlowStartDuration))) / n
+	return duration * (1 - math.Exp(-float64(a.now-a.startedAt)/duration)) / arrivals
+}
+
+// recordArrival counts a part of a shard that was accepted.
+func (a *Aggregator) recordArrival(shard int) {
+	arrivals := a.decayedArrivals(shard, float64(max(a.settings.SlowStartDuration, 1)))
+	a.shardArrivals[shard] = historyEntry{a.now, 1 + arrivals}
+}
+
+// decayedArrivals returns the number of a shard's accepted parts, decaying exponentially over a duration in
+// microseconds.
+func (a *Aggregator) decayedArrivals(shard int, duration float64) float64 {
+	newest := a.shardArrivals[shard]
+	return newest.work * math.Exp(-float64(a.now-newest.at)/duration)
+}
+
+// recordSlowStartSend records work, in microseconds, that is sent to a server that warms up.
+func (a *Aggregator) recordSlowStartSend(s *server, work float64) {
+	if a.now >= a.slowStartEnd(s) {
+		s.sendHistory = nil
+		return
+	}
+	s.sendHistory = append(dropBefore(s.sendHistory, a.slowStartWindowStart()), historyEntry{a.now, work})
+}
+
+// slowStartWindowStart returns since when sent work counts toward the allowance, one tick to the careful side.
+func (a *Aggregator) slowStartWindowStart() Micros {
+	return a.now - a.settings.OverloadDuration - a.settings.Tick
 }
