--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// BenchmarkStepAtSize plays one of 32 aggregators over so many servers: a query of 17 parts a turn, answered 200 ms
+// BenchmarkStepByServerCount plays one of 32 aggregators over so many servers: a query of 17 parts a turn, answered 200 ms
 // later. It reports what a part costs and what the aggregator holds at the end; nothing is asserted.
-func BenchmarkStepAtSize(b *testing.B) {
+func BenchmarkStepByServerCount(b *testing.B) {
 	for _, servers := range []int{16, 60, 170, 240} {
-		b.Run(fmt.Sprint(servers), func(b *testing.B) { stepAtSize(b, servers) })
+		b.Run(fmt.Sprint(servers), func(b *testing.B) { benchmarkStep(b, servers) })
 	}
 }
 
-func stepAtSize(b *testing.B, servers int) {
+func benchmarkStep(b *testing.B, servers int) {
 	const parts = 17
 	var before, after runtime.MemStats
 	runtime.GC()
