--- a/config/config.go
+++ b/config/config.go
@@ -92,16 +92,16 @@
 	}
 	kinds := maps.Clone(sectionKinds)
 	maps.Copy(kinds, document.Kinds)
-	f.Known(kinds)
+	f.CheckKinds(kinds)
 	c := &Config{}
-	instance := f.Only("instance")
+	instance := f.Section("instance")
 	quota := c.readInstance(instance)
-	c.readLog(f.Only("log"))
-	c.readPlatform(f.Only("gatherer"))
-	c.OpenSearch = readOpenSearch(f.Only("opensearch"), quota)
+	c.readLog(f.Section("log"))
+	c.readPlatform(f.Section("gatherer"))
+	c.OpenSearch = readOpenSearch(f.Section("opensearch"), quota)
 	c.readStores(f)
-	c.readAgreement(f.Only("agreement"), instance)
-	c.readMembership(f.Only("membership"))
+	c.readAgreement(f.Section("agreement"), instance)
+	c.readMembership(f.Section("membership"))
 	c.checkAdmin(instance)
 	c.Document = document.Read(f)
 	c.DocumentText = document.Shared(f)
@@ -110,7 +110,7 @@
 	}
 	if c.OpenSearch != nil && c.DocumentText != "" {
 		if _, err := c.OpenSearch.Terms(0, c.Document); err != nil {
-			f.Only("opensearch").Fault("", "%v", err)
+			f.Section("opensearch").Fault("", "%v", err)
 		}
 	}
 	return c, f.Err()
@@ -134,20 +134,20 @@
 	if q.index >= q.count {
 		s.Fault("number", "%d is not below the fleet of %d", q.index, q.count)
 	}
-	s.Done()
+	s.CheckUnused()
 	return q
 }
 
 func (c *Config) readLog(s *inifile.Section) {
 	c.Log.Format = s.Choice("format", "text", "text", "json")
 	c.Log.Level = s.Choice("level", "info", "debug", "info", "warning", "error")
-	s.Done()
+	s.CheckUnused()
 }
 
 func (c *Config) readPlatform(s *inifile.Section) {
 	c.PlatformConfigPath = s.Text("config", "")
 	c.PlatformMembership = s.Bool("membership", false)
-	s.Done()
+	s.CheckUnused()
 }
 
 // checkAdmin requires a token where the admin server can be reached from other machines.
@@ -177,7 +177,7 @@
 			IdleTimeout:    s.Duration("conn_idle", 15*time.Second, 100*time.Millisecond, time.Hour).Microseconds(),
 		},
 	}
-	s.Done()
+	s.CheckUnused()
 	if c.Listen == "" {
 		return nil
 	}
@@ -186,7 +186,7 @@
 
 func (c *Config) readStores(f *inifile.File) {
 	names := map[string]string{} // by address
-	for i, s := range f.Of("store") {
+	for i, s := range f.SectionsOf("store") {
 		store := storepool.Store{
 			Name: s.Name,
 			Endpoint: policy.Endpoint{
@@ -196,24 +196,24 @@
 				Capacity:     s.Float("size", 1, 0.001, 1e6),
 			},
 		}
-		s.Need("addr")
+		s.Required("addr")
 		store.Addr = s.Addr("addr")
 		if other := names[store.Addr]; other != "" && store.Addr != "" {
 			s.Fault("addr", "%s is the address of store %s", store.Addr, other)
 		}
 		names[store.Addr] = s.Name
-		s.Done()
+		s.CheckUnused()
 		if c.OpenSearch != nil {
 			c.OpenSearch.Stores = append(c.OpenSearch.Stores, store)
 		}
 	}
 	if c.OpenSearch != nil && len(c.OpenSearch.Stores) == 0 {
-		f.Only("opensearch").Fault("", "the front has no [store NAME]")
+		f.Section("opensearch").Fault("", "the front has no [store NAME]")
 	}
 }
 
 func (c *Config) readAgreement(s, instance *inifile.Section) {
-	if !s.There() {
+	if !s.Present() {
 		return
 	}
 	a := &Agreement{
@@ -226,17 +226,17 @@
 		KeepVersions:   s.Int("keep", 1000, 2, 100_000),
 		SnapshotAfter:  s.Int("snapshot_after", 200, 8, 100_000),
 	}
-	for _, voter := range s.Places("follow") {
+	for _, voter := range s.AddrPorts("follow") {
 		a.Voters = append(a.Voters, voter.String())
 	}
 	switch {
 	case !s.Has("follow"):
-		s.Need("listen")
+		s.Required("listen")
 	case a.Listen != "" || a.Address != "":
 		s.Fault("follow", "an instance without a vote has no listen or address: nobody dials it")
 	}
 	a.Address = cmp.Or(a.Address, a.Listen)
-	s.Done()
+	s.CheckUnused()
 	for _, name := range []string{"id", "folder", "admin"} {
 		if !instance.Has(name) {
 			s.Fault("", "needs instance.%s", name)
@@ -247,7 +247,7 @@
 
 // readMembership reads the membership of a fleet. The instance's id is its name there.
 func (c *Config) readMembership(s *inifile.Section) {
-	if !s.There() {
+	if !s.Present() {
 		return
 	}
 	m := &Membership{
@@ -255,19 +255,19 @@
 		Group:   s.Text("group", "alderproxy"),
 		KeyFile: s.Text("key_file", ""),
 	}
-	s.Need("listen")
+	s.Required("listen")
 	address := cmp.Or(s.Addr("address"), m.Listen)
 	interval := s.Duration("period", time.Second, 50*time.Millisecond, time.Minute)
 	m.Member = membership.Config{
 		Name:             c.ID,
 		Zone:             s.Text("zone", ""),
-		Seeds:            s.Places("seeds"),
+		Seeds:            s.AddrPorts("seeds"),
 		ProbeInterval:    interval.Microseconds(),
 		SuspicionTimeout: s.Duration("hold", 8*interval, interval, time.Hour).Microseconds(),
 		MaxSendRate:      s.Int("datagrams_per_s", 30, 4, 10_000),
 		TombstoneTTL:     s.Duration("forget", 24*time.Hour, time.Minute, 30*24*time.Hour).Microseconds(),
 	}
-	s.Done()
+	s.CheckUnused()
 	if s.Has("listen") && !m.setAddress(s, address) {
 		return
 	}
--- a/document/parse.go
+++ b/document/parse.go
@@ -35,11 +35,11 @@
 // inifile.Faults.
 func Parse(name, text string) (*Document, error) {
 	if len(text) > MaxSize {
-		return nil, inifile.Faults{{File: name, What: fmt.Sprintf("is over %d bytes", MaxSize)}}
+		return nil, inifile.Faults{{File: name, Message: fmt.Sprintf("is over %d bytes", MaxSize)}}
 	}
 	file := inifile.Read(name, text)
-	if !file.Broken() {
-		file.Known(Kinds)
+	if !file.Malformed() {
+		file.CheckKinds(Kinds)
 	}
 	d := Read(file)
 	if err := file.Err(); err != nil {
@@ -56,7 +56,7 @@
 		if _, shared := Kinds[section.Kind]; !shared {
 			continue
 		}
-		text := strings.Join(lines[section.Line-1:min(section.Last, len(lines))], "")
+		text := strings.Join(lines[section.Line-1:min(section.LastLine, len(lines))], "")
 		out.WriteString(strings.TrimSpace(text) + "\n\n")
 	}
 	return strings.TrimSuffix(out.String(), "\n")
@@ -65,24 +65,24 @@
 // Read parses the shared sections of a file. Errors are recorded in the file, see its Err method.
 func Read(file *inifile.File) *Document {
 	d := &Document{Text: file.Text}
-	if file.Broken() {
+	if file.Malformed() {
 		return d
 	}
 	// An instance's file may be longer than a document: only its shared sections count.
 	if size := len(Shared(file)); size > MaxSize {
-		file.Only("layout").Fault("", "the shared sections are over %d bytes", MaxSize)
+		file.Section("layout").Fault("", "the shared sections are over %d bytes", MaxSize)
 	}
-	d.readLayout(file.Only("layout"))
-	d.readLimits(file.Only("limits"))
+	d.readLayout(file.Section("layout"))
+	d.readLimits(file.Section("limits"))
 	tenants := map[string]bool{}
-	for _, section := range file.Of("team") {
+	for _, section := range file.SectionsOf("team") {
 		tenants[section.Name] = true
 		d.readTenant(section)
 	}
-	for _, section := range file.Of("class") {
+	for _, section := range file.SectionsOf("class") {
 		d.readClass(section, tenants)
 	}
-	for _, section := range file.Of("index") {
+	for _, section := range file.SectionsOf("index") {
 		d.readIndex(section)
 	}
 	checkSectionCounts(file)
@@ -91,7 +91,7 @@
 
 func checkSectionCounts(file *inifile.File) {
 	for kind, limit := range map[string]int{"class": maxClasses, "team": maxTenants, "index": maxIndices} {
-		if sections := file.Of(kind); len(sections) > limit {
+		if sections := file.SectionsOf(kind); len(sections) > limit {
 			sections[limit].Fault("", "over %d sections of the kind %s", limit, kind)
 		}
 	}
@@ -106,7 +106,7 @@
 	if d.Layout.ReplicationFactor > d.Layout.RingSize {
 		s.Fault("reach", "%d cells hold a slice, but there are %d", d.Layout.ReplicationFactor, d.Layout.RingSize)
 	}
-	s.Done()
+	s.CheckUnused()
 }
 
 func (d *Document) readLimits(s *inifile.Section) {
@@ -124,7 +124,7 @@
 		OverloadFactor:     s.Float("fall_multiple", 2, 0.01, 1000),
 		OverloadDuration:   s.Duration("fall_after", time.Second, 10*time.Millisecond, maxDuration),
 	}
-	s.Done()
+	s.CheckUnused()
 }
 
 func (d *Document) readTenant(s *inifile.Section) {
@@ -136,13 +136,13 @@
 		QueriesPerSecond: s.Float("queries_per_s", 0, 0, 1e6),
 		RetryRatio:       s.Float("further", 0, 0, 100),
 	})
-	s.Done()
+	s.CheckUnused()
 }
 
 func (d *Document) readClass(s *inifile.Section, tenants map[string]bool) {
 	checkClassName(s, tenants)
-	s.Need("aim")
-	s.Need("give_up")
+	s.Required("aim")
+	s.Required("give_up")
 	objective := s.Duration("aim", time.Second, time.Millisecond, maxDuration)
 	timeout := s.Duration("give_up", maxDuration, time.Millisecond, maxDuration)
 	idempotency := idempotencies[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
@@ -170,7 +170,7 @@
 		s.Fault("least", "%v is over the need of %v", class.MinCoverage, class.RequiredCoverage)
 	}
 	d.Classes = append(d.Classes, class)
-	s.Done()
+	s.CheckUnused()
 }
 
 func checkClassName(s *inifile.Section, tenants map[string]bool) {
@@ -189,8 +189,8 @@
 	}
 	index := Index{
 		Name:   s.Name,
-		Class:  s.Need("class"),
-		Shards: s.Numbers("slices", d.Layout.Shards),
+		Class:  s.Required("class"),
+		Shards: s.Range("slices", d.Layout.Shards),
 	}
 	class, found := d.Class(index.Class)
 	switch {
@@ -201,7 +201,7 @@
 		s.Fault("class", "a search is always safe to repeat, and so must be its class")
 	}
 	d.Indices = append(d.Indices, index)
-	s.Done()
+	s.CheckUnused()
 }
 
 func toMicros(d time.Duration) policy.Micros { return d.Microseconds() }
--- a/document/settings.go
+++ b/document/settings.go
@@ -89,9 +89,9 @@
 		}
 		if own.Idempotency != class.Idempotency {
 			return base, inifile.Fault{
-				File: "agreed document",
-				At:   "class " + class.Name + ".effect",
-				What: "the platform's front runs this class with another effect",
+				File:     "agreed document",
+				Location: "class " + class.Name + ".effect",
+				Message:  "the platform's front runs this class with another effect",
 			}
 		}
 		own.FetchParts = class.FetchParts
--- a/inifile/inifile_test.go
+++ b/inifile/inifile_test.go
@@ -11,11 +11,11 @@
 
 // read asks for what the tests' files may have.
 func read(f *File) {
-	if f.Broken() {
+	if f.Malformed() {
 		return
 	}
-	f.Known(map[string]bool{"a": false, "b": true})
-	s := f.Only("a")
+	f.CheckKinds(map[string]bool{"a": false, "b": true})
+	s := f.Section("a")
 	s.Text("text", "")
 	s.Duration("time", 0, time.Millisecond, time.Hour)
 	s.Int("int", 0, 1, 9)
@@ -23,9 +23,9 @@
 	s.Bool("bool", false)
 	s.Addr("addr")
 	if s.Has("list") {
-		s.Numbers("list", 8)
+		s.Range("list", 8)
 	}
-	s.Done()
+	s.CheckUnused()
 }
 
 func TestFaultsHaveTheirPlace(t *testing.T) {
@@ -71,17 +71,17 @@
 	f := Read("f.ini", "\uFEFF# of the file\r\n[a] ; of the section\r\ntext = x%(int)s=\\ # not part of it\r\ntime=1m\nint = 7\nfloat = 5e-1\n"+
 		"bool = yes\naddr = [::1]:80\nlist = 5, 0-2\n\n[b one]\nfree = a;b#c\n")
 	require.NoError(t, f.Err())
-	s := f.Only("a")
+	s := f.Section("a")
 	assert.Equal(t, `x%(int)s=\`, s.Text("text", ""))
 	assert.Equal(t, time.Minute, s.Duration("time", 0, 0, time.Hour))
 	assert.Equal(t, 7, s.Int("int", 0, 0, 10))
-	assert.Equal(t, 0.5, s.Float("float", 0, 0, 10))
+	assert.InDelta(t, 0.5, s.Float("float", 0, 0, 10), 0)
 	assert.True(t, s.Bool("bool", false))
 	assert.Equal(t, "[::1]:80", s.Addr("addr"))
-	assert.Equal(t, []int{5, 0, 1, 2}, s.Numbers("list", 8))
-	assert.Equal(t, "a;b#c", f.Of("b")[0].Need("free"))
-	assert.Equal(t, "one", f.Of("b")[0].Name)
-	assert.False(t, f.Only("other").There())
+	assert.Equal(t, []int{5, 0, 1, 2}, s.Range("list", 8))
+	assert.Equal(t, "a;b#c", f.SectionsOf("b")[0].Required("free"))
+	assert.Equal(t, "one", f.SectionsOf("b")[0].Name)
+	assert.False(t, f.Section("other").Present())
 	assert.NoError(t, f.Err())
 }
 
--- /dev/null
+++ b/inifile/section.go
@@ -0,0 +1,60 @@
+package inifile
+
+import "strings"
+
+// Section is one section. "[class a]" has the kind class and the name a, "[limits]" has no name.
+type Section struct {
+	Kind     string
+	Name     string
+	Line     int // of its title, from 1; 0: the file does not have the section
+	LastLine int
+
+	file *File
+	keys []*key
+}
+
+type key struct {
+	name  string
+	value string
+	line  int
+	used  bool // a value was read by this key
+}
+
+func (s *Section) title() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
+
+// Present reports whether the section is in the file.
+func (s *Section) Present() bool { return s.Line > 0 }
+
+// Has reports whether the section has a key.
+func (s *Section) Has(name string) bool { return s.find(name) != nil }
+
+func (s *Section) find(name string) *key {
+	for _, k := range s.keys {
+		if k.name == name {
+			return k
+		}
+	}
+	return nil
+}
+
+// Fault adds a fault about a key, or, where the name is empty, about the section.
+func (s *Section) Fault(name, format string, args ...any) {
+	line := s.Line
+	location := s.title()
+	if name != "" {
+		location += "." + name
+	}
+	if k := s.find(name); k != nil {
+		line = k.line
+	}
+	s.file.addFault(line, location, format, args...)
+}
+
+// CheckUnused adds a fault for each key whose value was not read.
+func (s *Section) CheckUnused() {
+	for _, k := range s.keys {
+		if !k.used {
+			s.Fault(k.name, "unknown key")
+		}
+	}
+}
