--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -14,30 +14,30 @@
 func batch(what ...any) simcodec.Batch {
 	b := simcodec.Batch{Clock: 1_000_000}
 	for _, w := range what {
-		b.Events = append(b.Events, simcodec.Addressed{Instance: 3, What: w})
+		b.Events = append(b.Events, simcodec.Addressed{Instance: 3, Value: w})
 	}
 	return b
 }
 
 var oneQuery = []any{policy.Query{ID: 10, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 11, Number: 1, Weight: 1}}
 
-// TestRestartWithinOneBatch: what came before DOWN is void, what comes after HELLO counts.
+// TestRestartWithinOneBatch: events before Stop are dropped, what comes after Start counts.
 func TestRestartWithinOneBatch(t *testing.T) {
 	h := host{instances: map[uint16]*instance{}}
-	start := simcodec.Hello{Salt: 1, Facts: facts}
+	start := simcodec.Start{Salt: 1, Settings: facts}
 	list := simcodec.List{Mode: simcodec.Cached, Entries: []policy.Endpoint{{ID: 5, State: policy.Ready}}}
-	if _, err := h.turn(batch(start, list)); err != nil {
+	if _, err := h.step(batch(start, list)); err != nil {
 		t.Fatal(err)
 	}
-	events := append(append([]any{}, oneQuery...), simcodec.Down{}, start, list,
+	events := append(append([]any{}, oneQuery...), simcodec.Stop{}, start, list,
 		policy.Query{ID: 20, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 21, Number: 1, Weight: 1})
-	actions, err := h.turn(batch(events...))
+	actions, err := h.step(batch(events...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sent := 0
 	for _, a := range actions {
-		if s, ok := a.What.(policy.SendAttempt); ok {
+		if s, ok := a.Value.(policy.SendAttempt); ok {
 			sent++
 			if s.Part != 21 || s.Server != 5 {
 				t.Fatalf("sent %+v, which the new instance was never given", s)
@@ -49,13 +49,13 @@
 	}
 }
 
-func TestBadTurns(t *testing.T) {
+func TestInvalidBatches(t *testing.T) {
 	for name, what := range map[string]any{
-		"never started": policy.Timer{}, "unusable settings": simcodec.Hello{Facts: "tick_us=5"},
-		"no number": simcodec.Hello{Facts: "tick_us=five"},
+		"never started": policy.Timer{}, "unusable settings": simcodec.Start{Settings: "tick_us=5"},
+		"no number": simcodec.Start{Settings: "tick_us=five"},
 	} {
 		h := host{instances: map[uint16]*instance{}}
-		if _, err := h.turn(batch(what)); err == nil {
+		if _, err := h.step(batch(what)); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- /dev/null
+++ b/internal/simcodec/codes.go
@@ -0,0 +1,45 @@
+package simcodec
+
+// Sizes in bytes, and how many numbered lists there are.
+const (
+	batchHeaderSize = 16
+	eventSize       = 48
+	actionSize      = 24
+	replyHeaderSize = 8
+	listEntrySize   = 21
+	maxLists        = 16
+)
+
+// Codes of the events.
+const (
+	eventRequest           = 16
+	eventList              = 17
+	eventAttemptResult     = 18
+	eventStreaming         = 19
+	eventClientCanceled    = 20
+	eventTimer             = 21
+	eventHealthCheckResult = 22
+	eventMessage           = 23
+	eventListChange        = 24
+	eventStart             = 25
+	eventTo                = 26
+	eventStop              = 27
+)
+
+// Codes of the actions.
+const (
+	actionSendAttempt   = 16
+	actionReject        = 17
+	actionFail          = 18
+	actionCancelAttempt = 19
+	actionSetTimer      = 20
+	actionHealthCheck   = 21
+	actionCloseIdle     = 22
+	actionSendMessage   = 23
+	actionLog           = 24
+	actionCrash         = 25
+	actionSubscribe     = 26
+	actionRequestList   = 27
+	actionAnswer        = 28
+	actionFor           = 29
+)
--- /dev/null
+++ b/internal/simcodec/decode.go
@@ -0,0 +1,239 @@
+package simcodec
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+
+	"alderproxy/policy"
+)
+
+// ErrFrame is wrapped by every error about bytes that do not follow the protocol.
+var ErrFrame = errors.New("malformed frame")
+
+const (
+	// maxLoadValues bounds the values of a load report.
+	maxLoadValues = 4
+	// maxExactFloat32 is where a float32 stops to have each integer.
+	maxExactFloat32 = 1 << 24
+)
+
+// Decoder reads batches. It keeps the numbered endpoint lists, since a batch may refer to one of an earlier batch.
+type Decoder struct {
+	input  io.Reader
+	lists  [maxLists][]policy.Endpoint
+	known  [maxLists]bool
+	frames int
+}
+
+// NewDecoder returns a decoder that reads from in.
+func NewDecoder(in io.Reader) *Decoder { return &Decoder{input: in} }
+
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrFrame, fmt.Sprintf(format, args...))
+}
+
+// Next reads one batch. Its error is io.EOF where the input ends between frames, else it wraps ErrFrame or the error of the
+// input.
+func (d *Decoder) Next() (Batch, error) {
+	var head [batchHeaderSize]byte
+	if n, err := io.ReadFull(d.input, head[:]); errors.Is(err, io.EOF) {
+		return Batch{}, io.EOF
+	} else if err != nil {
+		return Batch{}, fmt.Errorf("frame %d: header cut off after %d bytes: %w", d.frames, n, frameError(err))
+	}
+	count := int64(binary.LittleEndian.Uint32(head[0:]))
+	size := int64(binary.LittleEndian.Uint32(head[4:]))
+	if count*eventSize > size {
+		return Batch{}, fmt.Errorf("frame %d: %w", d.frames,
+			malformed("%d records do not fit into %d bytes", count, size))
+	}
+	// The buffer grows with the bytes that arrive: an announced size allocates nothing.
+	var body bytes.Buffer
+	if n, err := io.CopyN(&body, d.input, size); err != nil {
+		return Batch{}, fmt.Errorf("frame %d: body cut off after %d of %d bytes: %w", d.frames, n, size, frameError(err))
+	}
+	batch := Batch{Clock: policy.Micros(binary.LittleEndian.Uint64(head[8:]))}
+	if err := d.decodeRecords(&batch, body.Bytes(), int(count)); err != nil {
+		return Batch{}, fmt.Errorf("frame %d: %w", d.frames, err)
+	}
+	d.frames++
+	return batch, nil
+}
+
+func frameError(err error) error {
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+		return ErrFrame
+	}
+	return err
+}
+
+// decodeRecords decodes the records of a frame, behind which its tail has the data of variable size.
+func (d *Decoder) decodeRecords(batch *Batch, body []byte, count int) error {
+	tail := body[count*eventSize:]
+	addressed := false
+	var instance uint16
+	for i := range count {
+		rec := record(body[i*eventSize : (i+1)*eventSize])
+		switch rec[0] {
+		case eventTo:
+			addressed = true
+			instance = rec.u16(1)
+			continue
+		case eventList:
+			if err := d.decodeList(rec, tail); err != nil {
+				return fmt.Errorf("record %d: %w", i, err)
+			}
+			continue
+		}
+		value, err := d.decodeEvent(rec, tail)
+		if err == nil && !addressed {
+			err = malformed("event %d comes before any TO", rec[0])
+		}
+		if err != nil {
+			return fmt.Errorf("record %d: %w", i, err)
+		}
+		batch.Events = append(batch.Events, Addressed{instance, value})
+	}
+	return nil
+}
+
+// decodeEvent decodes one record. The numbers are offsets in it, as the protocol has them.
+func (d *Decoder) decodeEvent(rec record, tail []byte) (any, error) {
+	switch rec[0] {
+	case eventRequest:
+		return rec.decodeRequest(), nil
+	case eventAttemptResult:
+		return rec.decodeAttemptResult()
+	case eventStreaming:
+		return Streaming{Part: rec.u64(1), Attempt: int(rec.u16(13)), Server: rec.u32(15)}, nil
+	case eventClientCanceled:
+		return policy.ClientCanceled{Query: rec.u64(1)}, nil
+	case eventTimer:
+		return policy.Timer{}, nil
+	case eventHealthCheckResult:
+		return rec.decodeHealthCheckResult()
+	case eventMessage:
+		data, err := slice(tail, rec.u32(3), rec.u32(7), 1)
+		return Message{From: rec.u16(1), Data: data}, err
+	case eventListChange:
+		return d.decodeListChange(rec)
+	case eventStart:
+		facts, err := slice(tail, rec.u32(9), rec.u32(13), 1)
+		return Start{Salt: rec.u64(1), Settings: string(facts)}, err
+	case eventStop:
+		return Stop{}, nil
+	}
+	return nil, malformed("unknown event code %d", rec[0])
+}
+
+// record is one event record or list entry.
+type record []byte
+
+func (r record) u16(at int) uint16 { return binary.LittleEndian.Uint16(r[at:]) }
+
+func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r[at:]) }
+
+func (r record) u64(at int) uint64 { return binary.LittleEndian.Uint64(r[at:]) }
+
+func (r record) f32(at int) float32 { return math.Float32frombits(r.u32(at)) }
+
+// The flags of a request.
+const (
+	flagCostHint = 1
+	flagRetry    = 2
+)
+
+// decodeRequest decodes a query, or one of its parts where the record names a shard.
+func (r record) decodeRequest() any {
+	number := uint64(r.u32(33)) // the bits of an f32: they are compared only
+	if shard := r.f32(37); shard >= 0 {
+		part := policy.Part{
+			ID: r.u64(1), Number: number, Shard: parseCount(shard), Key: r.u64(13),
+			Weight: float64(r.f32(41)),
+		}
+		if r.u16(45)&flagCostHint != 0 {
+			part.CostHint = policy.Micros(r.u32(29))
+		}
+		return part
+	}
+	return policy.Query{
+		ID: r.u64(1), Number: number, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
+		Key: r.u64(13), Deadline: policy.Micros(r.u64(21)), Parts: parseCount(r.f32(41)),
+		Retry: r.u16(45)&flagRetry != 0,
+	}
+}
+
+// parseCount reads a count that is sent as f32; -1: it is not a count.
+func parseCount(f float32) int {
+	if f >= 0 && f < maxExactFloat32 {
+		return int(f)
+	}
+	return -1
+}
+
+// loadValues reads the values of a load report, with their number before them.
+func (r record) loadValues(at int) ([]float32, error) {
+	count := int(r[at])
+	if count > maxLoadValues {
+		return nil, malformed("load report of %d values", count)
+	}
+	var values []float32
+	for i := range count {
+		values = append(values, r.f32(at+1+4*i))
+	}
+	return values, nil
+}
+
+// statuses are the protocol's codes of results.
+var statuses = [...]policy.Status{
+	1: policy.OK,
+	2: policy.ServerError,
+	3: policy.Rejected,
+	4: policy.TimedOut,
+	5: policy.ConnectFailed,
+	6: policy.ConnectionBroken,
+	7: policy.Canceled,
+	8: policy.Withdrawn,
+}
+
+func decodeStatus(code byte) (policy.Status, error) {
+	if code == 0 || int(code) >= len(statuses) {
+		return policy.ServerError, malformed("outcome code %d", code)
+	}
+	return statuses[code], nil
+}
+
+func (r record) decodeAttemptResult() (AttemptResult, error) {
+	status, statusErr := decodeStatus(r[15])
+	values, err := r.loadValues(21)
+	result := policy.AttemptResult{
+		Part:    r.u64(1),
+		Attempt: int(r.u16(9)),
+		Server:  r.u32(11),
+		Status:  status,
+		Elapsed: policy.Micros(r.u32(16)),
+	}
+	return AttemptResult{AttemptResult: result, LoadValues: values, Final: r[20] != 0}, cmp.Or(err, statusErr)
+}
+
+func (r record) decodeHealthCheckResult() (HealthCheckResult, error) {
+	status, statusErr := decodeStatus(r[9])
+	values, err := r.loadValues(10)
+	result := policy.HealthCheckResult{Server: r.u32(5), Status: status, Elapsed: policy.Micros(r.u32(1))}
+	return HealthCheckResult{HealthCheckResult: result, LoadValues: values}, cmp.Or(err, statusErr)
+}
+
+// slice returns the part of the tail with a number of units of some bytes each.
+func slice(tail []byte, offset, count uint32, unit int) ([]byte, error) {
+	from := int64(offset)
+	size := int64(count) * int64(unit)
+	if from+size > int64(len(tail)) {
+		return nil, malformed("%d bytes at %d lie beyond the tail of %d", size, from, len(tail))
+	}
+	return tail[from : from+size], nil
+}
--- a/internal/simcodec/settings.go
+++ b/internal/simcodec/settings.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"slices"
 	"strconv"
 	"strings"
 
@@ -56,7 +55,8 @@
 	return v
 }
 
-func (f *Facts) int(path string) int              { return int(f.num(path)) }
+func (f *Facts) int(path string) int { return int(f.num(path)) }
+
 func (f *Facts) micros(path string) policy.Micros { return policy.Micros(f.num(path)) }
 
 func (f *Facts) flag(path string) bool {
@@ -143,54 +143,44 @@
 	return s, f.err
 }
 
-// Report names the figures of a load report. Figures that are absent or no numbers stay untold.
-// Micros is a whole number by its path, or 0.
+// Micros returns a duration in microseconds by its path; 0: it is missing.
 func (f *Facts) Micros(path string) policy.Micros { return f.micros(path) }
 
-// Flag is whether a setting is true.
+// Flag returns whether a setting is true.
 func (f *Facts) Flag(path string) bool { return f.flag(path) }
 
-// List is a list of plain values by its path.
+// List returns a list of plain values by its path.
 func (f *Facts) List(path string) []string { return f.list(path) }
 
-func (f *Facts) Report(figures []float32) policy.LoadReport {
-	r := policy.NoLoadReport
-	tell := map[string]*float64{
-		"active": &r.Inflight, "waiting": &r.Queue, "cpu": &r.Utilization, "rps": &r.Rate,
-		"err_rps": &r.Errors,
-	}
-	for i, v := range figures[:min(len(figures), len(f.columns))] {
-		if v64 := float64(v); v64 >= 0 && v64 < 1e9 {
-			if to := tell[f.columns[i]]; to != nil {
-				*to = v64
-			} else if f.columns[i] == "avg_ms" {
-				r.Latency = policy.Micros(v64 * 1000)
-			}
-		}
-	}
-	return r
-}
+// Limits on the values of a load report, and its unit of time.
+const (
+	maxLoadValue         = 1e9
+	microsPerMillisecond = 1000
+)
 
-// Apply brings a list up to date with the news of l and returns it sorted by id: a delta changes
-// the entries it names, any other mode replaces all.
-func (l List) Apply(now []policy.Endpoint) []policy.Endpoint {
-	by := map[uint32]policy.Endpoint{}
-	if l.Mode == Delta {
-		for _, s := range now {
-			by[s.ID] = s
+// Report returns the load report with some values, in the order of the settings' columns. Values that are negative, too
+// large or not numbers count as not reported.
+func (f *Facts) Report(values []float32) policy.LoadReport {
+	report := policy.NoLoadReport
+	fields := map[string]*float64{
+		"active":  &report.Inflight,
+		"waiting": &report.Queue,
+		"cpu":     &report.Utilization,
+		"rps":     &report.Rate,
+		"err_rps": &report.Errors,
+	}
+	for i, v := range values[:min(len(values), len(f.columns))] {
+		value := float64(v)
+		if !(value >= 0 && value < maxLoadValue) { // also where it is not a number
+			continue
 		}
-	}
-	for _, s := range l.Entries {
-		by[s.ID] = s
-	}
-	out := make([]policy.Endpoint, 0, len(by))
-	for _, s := range by {
-		if s.State != policy.Removed {
-			out = append(out, s)
+		if field := fields[f.columns[i]]; field != nil {
+			*field = value
+		} else if f.columns[i] == "avg_ms" {
+			report.Latency = policy.Micros(value * microsPerMillisecond)
 		}
 	}
-	slices.SortFunc(out, func(a, b policy.Endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
-	return out
+	return report
 }
 
 // FlattenFacts reads settings given as a nested JSON object: the same names and units as in a HELLO.
--- a/internal/simcodec/wire_test.go
+++ b/internal/simcodec/wire_test.go
@@ -25,7 +25,7 @@
 		body = append(body, append(raw, make([]byte, eventSize-len(raw))...)...)
 	}
 	body = append(body, tail...)
-	head := make([]byte, batchHeader)
+	head := make([]byte, batchHeaderSize)
 	binary.LittleEndian.PutUint32(head[0:], uint32(len(records)))
 	binary.LittleEndian.PutUint32(head[4:], uint32(len(body)))
 	binary.LittleEndian.PutUint64(head[8:], clock)
@@ -73,22 +73,22 @@
 		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{Query: 0x35a0f0e6f2b19}},
 		{
 			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
-			Answered{AttemptResult: policy.AttemptResult{
+			AttemptResult{AttemptResult: policy.AttemptResult{
 				Part: 0x166bb5d3a91c4, Attempt: 1, Server: 0x03124a07, Status: policy.ConnectFailed,
 				Elapsed: 0x4844,
-			}, Figures: []float32{1, 2}, Over: true},
+			}, LoadValues: []float32{1, 2}, Final: true},
 		},
 		{
 			"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
-			Probed{HealthCheckResult: policy.HealthCheckResult{Server: 0x2c9011f2, Elapsed: 0x578}, Figures: []float32{14.5, 7, 140}},
+			HealthCheckResult{HealthCheckResult: policy.HealthCheckResult{Server: 0x2c9011f2, Elapsed: 0x578}, LoadValues: []float32{14.5, 7, 140}},
 		},
 		{
 			"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
-			Streaming{Part: 0x166bb5d3a91c4, Try: 2, Server: 0x03124a07},
+			Streaming{Part: 0x166bb5d3a91c4, Attempt: 2, Server: 0x03124a07},
 		},
 		{"message", "17 0200 00000000 04000000", []byte("hi 7"), Message{From: 2, Data: []byte("hi 7")}},
-		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Hello{Salt: 7, Facts: "a=b"}},
-		{"down", "1b", nil, Down{}},
+		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Salt: 7, Settings: "a=b"}},
+		{"down", "1b", nil, Stop{}},
 		{"failed list", "18 ffff 0000000000000000 03", nil, List{Mode: Failed}},
 	}
 	for _, c := range cases {
@@ -121,12 +121,12 @@
 		t.Fatal(err)
 	}
 	for i, want := range [][]policy.Endpoint{listed, listed[1:], listed[1:]} {
-		got := append(a.Events, b.Events...)[i].What.(List)
+		got := append(a.Events, b.Events...)[i].Value.(List)
 		if !reflect.DeepEqual(got.Entries, want) || got.Version != 0x29 || got.Mode != Full {
 			t.Fatalf("use %d: got %+v, want entries %+v", i, got, want)
 		}
 	}
-	if _, err := d.Next(); err != io.EOF {
+	if _, err := d.Next(); !errors.Is(err, io.EOF) {
 		t.Fatalf("at the end: %v", err)
 	}
 }
@@ -189,17 +189,17 @@
 		{policy.SetTimer{After: 500000}, "14 20a10700"},
 		{policy.HealthCheck{Server: 0x2c9011f2}, "15 f211902c"},
 		{policy.CloseIdleConnections{Server: 0x2c9011f2}, "16 f211902c"},
-		{Tell{0xffff, []byte("hi")}, "17 ffff 00000000 02000000"},
+		{SendMessage{0xffff, []byte("hi")}, "17 ffff 00000000 02000000"},
 		{policy.Log{Text: "ok"}, "18 00000000 02000000"},
 		{Crash{"no"}, "19 00000000 02000000"},
 		{policy.PollEndpoints{}, "1a 01"},
 		{Unsubscribe{}, "1a 00"},
-		{Snapshot{}, "1b"},
+		{RequestList{}, "1b"},
 		{policy.Answer{Query: id, Complete: true}, "1c c4913a5dbb660100 01"},
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
-		if err := WriteReply(&out, []Addressed{{3, c.what}}); err != nil {
+		if err := WriteActions(&out, []Addressed{{3, c.what}}); err != nil {
 			t.Fatal(err)
 		}
 		raw := unhex(c.want)
@@ -211,7 +211,7 @@
 			t.Errorf("%T: got %x, want records %x", c.what, got, want)
 		}
 	}
-	if err := WriteReply(io.Discard, []Addressed{{1, 7}}); err == nil {
+	if err := WriteActions(io.Discard, []Addressed{{1, 7}}); err == nil {
 		t.Error("an action without a code was written")
 	}
 }
@@ -250,7 +250,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
-			if _, err := d.Next(); err == io.EOF {
+			if _, err := d.Next(); errors.Is(err, io.EOF) {
 				return
 			} else if err != nil {
 				if !errors.Is(err, ErrFrame) {
