--- a/example/demo/main_test.go
+++ b/example/demo/main_test.go
@@ -12,22 +12,21 @@
 	"alderproxy/httpwire"
 )
 
-// A watch is answered when the wait that it names is over: later counts as silence, and the example would run beside a
-// discovery that it holds to be lost.
+// A watch is answered when its timeout is over: the program takes a later answer for an unresponsive discovery.
 func TestWatchIsAnsweredInItsTime(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	go func() {
 		if c, err := l.Accept(); err == nil {
 			defer c.Close()
-			discovery(c, bufio.NewReader(c))
+			_ = answerDiscovery(c, bufio.NewReader(c)) // an error shows in what the client reads
 		}
 	}()
-	c, err := net.Dial("tcp", l.Addr().String())
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second)) // as long as a gatherer waits beyond what it named
+	c.SetDeadline(time.Now().Add(time.Second)) // the program waits a second longer than the timeout
 	_, err = c.Write(httpwire.AppendRequest(nil, "GET", "/v1/servers?from=1&hold_ms=20", "toy", nil, nil))
 	require.NoError(t, err)
 	resp, err := httpwire.ReadResponse(bufio.NewReader(c))
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is the clock that agreement and membership rest on.
+// Package clock is the clock of leases and of failure detection.
 package clock
 
 import (
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is in microseconds. It goes on while the process is stopped and while the machine sleeps, and nobody can set it.
-// Its rate may differ between machines by less than the slack that leases have.
+// Now returns the time since the machine started, in microseconds. It advances while the process is stopped and while the
+// machine sleeps, and can't be set. Its rate may differ between machines by less than the slack of leases.
 func Now() int64 {
 	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil { // never on Linux
-		return time.Since(began).Microseconds()
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil { // it does not fail on Linux
+		return time.Since(startedAt).Microseconds()
 	}
 	return t.Nano() / 1000
 }
 
-var began = time.Now()
+var startedAt = time.Now()
--- a/internal/jsonscan/jsonscan.go
+++ b/internal/jsonscan/jsonscan.go
@@ -1,5 +1,5 @@
-// Package jsonscan walks JSON text in place. It checks the text and hands out slices of it, so that what only
-// passes through stays the bytes that came.
+// Package jsonscan reads JSON text in place. It checks the text and returns slices of it, so that values that are only
+// passed on stay the bytes that came.
 package jsonscan
 
 import (
@@ -10,34 +10,37 @@
 	"strconv"
 )
 
-// ErrSyntax is behind every error about text that is not JSON, or not of the kind that was asked for.
+// ErrSyntax is wrapped by every error about text that is not JSON, or not of the kind that was asked for.
 var ErrSyntax = errors.New("malformed JSON")
 
-// maxDepth bounds nesting: deeper text is an attack on the stack, not a query.
+// maxDepth bounds the nesting of objects and arrays, and with it the use of the stack.
 const maxDepth = 64
 
-func bad(at int, what string) error { return fmt.Errorf("%w: %s at byte %d", ErrSyntax, what, at) }
+func syntaxError(at int, what string) error {
+	return fmt.Errorf("%w: %s at byte %d", ErrSyntax, what, at)
+}
 
-func space(b []byte, i int) int {
+// skipSpace returns where the white space that begins at i ends.
+func skipSpace(b []byte, i int) int {
 	for i < len(b) && (b[i] == ' ' || b[i] == '\t' || b[i] == '\n' || b[i] == '\r') {
 		i++
 	}
 	return i
 }
 
-// skip returns where the value that begins at i ends.
-func skip(b []byte, i, depth int) (int, error) {
+// skipValue returns where the value that begins at i ends. depth is the number of objects and arrays around it.
+func skipValue(b []byte, i, depth int) (int, error) {
 	if depth > maxDepth {
-		return 0, bad(i, "nesting too deep")
+		return 0, syntaxError(i, "nesting too deep")
 	}
 	if i >= len(b) {
-		return 0, bad(i, "a value is missing")
+		return 0, syntaxError(i, "a value is missing")
 	}
 	switch b[i] {
 	case '{':
-		return walk(b, i, '}', depth, func(string, []byte) error { return nil })
+		return visitMembers(b, i, '}', depth, func(string, []byte) error { return nil })
 	case '[':
-		return walk(b, i, ']', depth, func(string, []byte) error { return nil })
+		return visitMembers(b, i, ']', depth, func(string, []byte) error { return nil })
 	case '"':
 		return skipString(b, i)
 	case 't', 'f', 'n':
@@ -46,7 +49,7 @@
 				return end, nil
 			}
 		}
-		return 0, bad(i, "unknown word")
+		return 0, syntaxError(i, "unknown word")
 	}
 	return skipNumber(b, i)
 }
@@ -57,28 +60,28 @@
 		case c == '"':
 			return j + 1, nil
 		case c < 0x20:
-			return 0, bad(j, "control character in a string")
+			return 0, syntaxError(j, "control character in a string")
 		case c == '\\':
 			j++
 			if j >= len(b) {
-				return 0, bad(i, "unfinished string")
+				return 0, syntaxError(i, "unfinished string")
 			}
 			switch b[j] {
 			case '"', '\\', '/', 'b', 'f', 'n', 'r', 't':
 			case 'u':
 				if j+4 >= len(b) {
-					return 0, bad(i, "unfinished string")
+					return 0, syntaxError(i, "unfinished string")
 				}
 				if _, err := strconv.ParseUint(string(b[j+1:j+5]), 16, 16); err != nil {
-					return 0, bad(j, "bad escape")
+					return 0, syntaxError(j, "bad escape")
 				}
 				j += 4
 			default:
-				return 0, bad(j, "bad escape")
+				return 0, syntaxError(j, "bad escape")
 			}
 		}
 	}
-	return 0, bad(i, "unfinished string")
+	return 0, syntaxError(i, "unfinished string")
 }
 
 func skipNumber(b []byte, i int) (int, error) {
@@ -95,12 +98,12 @@
 	}
 	first := j
 	if !digits() || b[first] == '0' && j > first+1 {
-		return 0, bad(i, "no value")
+		return 0, syntaxError(i, "no value")
 	}
 	if j < len(b) && b[j] == '.' {
 		j++
 		if !digits() {
-			return 0, bad(i, "bad number")
+			return 0, syntaxError(i, "bad number")
 		}
 	}
 	if j < len(b) && (b[j] == 'e' || b[j] == 'E') {
@@ -109,84 +112,96 @@
 			j++
 		}
 		if !digits() {
-			return 0, bad(i, "bad number")
+			return 0, syntaxError(i, "bad number")
 		}
 	}
 	return j, nil
 }
 
-// walk visits the members of the object or array that begins at i and returns where it ends.
-func walk(b []byte, i int, closer byte, depth int, f func(key string, raw []byte) error) (int, error) {
-	i = space(b, i+1)
+// visitMembers visits the members of the object or array that begins at i and returns where it ends.
+func visitMembers(b []byte, i int, closer byte, depth int, visit func(key string, raw []byte) error) (int, error) {
+	i = skipSpace(b, i+1)
 	if i < len(b) && b[i] == closer {
 		return i + 1, nil
 	}
 	for {
 		key := ""
 		if closer == '}' {
-			if i >= len(b) || b[i] != '"' {
-				return 0, bad(i, "a key is missing")
-			}
-			end, err := skipString(b, i)
-			if err != nil {
-				return 0, err
-			}
-			if key, err = String(b[i:end]); err != nil {
+			var err error
+			if key, i, err = readKey(b, i); err != nil {
 				return 0, err
 			}
-			if i = space(b, end); i >= len(b) || b[i] != ':' {
-				return 0, bad(i, "a colon is missing")
-			}
-			i = space(b, i+1)
 		}
-		end, err := skip(b, i, depth+1)
+		end, err := skipValue(b, i, depth+1)
 		if err != nil {
 			return 0, err
 		}
-		if err := f(key, b[i:end]); err != nil {
+		if err := visit(key, b[i:end]); err != nil {
 			return 0, err
 		}
-		if i = space(b, end); i >= len(b) {
-			return 0, bad(i, "unfinished object or array")
+		if i = skipSpace(b, end); i >= len(b) {
+			return 0, syntaxError(i, "unfinished object or array")
 		}
 		if b[i] == closer {
 			return i + 1, nil
 		}
 		if b[i] != ',' {
-			return 0, bad(i, "a comma is missing")
+			return 0, syntaxError(i, "a comma is missing")
 		}
-		i = space(b, i+1)
+		i = skipSpace(b, i+1)
+	}
+}
+
+// readKey reads the key that begins at i, and returns where its value begins.
+func readKey(b []byte, i int) (key string, value int, err error) {
+	if i >= len(b) || b[i] != '"' {
+		return "", 0, syntaxError(i, "a key is missing")
+	}
+	end, err := skipString(b, i)
+	if err != nil {
+		return "", 0, err
+	}
+	if key, err = String(b[i:end]); err != nil {
+		return "", 0, err
 	}
+	colon := skipSpace(b, end)
+	if colon >= len(b) || b[colon] != ':' {
+		return "", 0, syntaxError(colon, "a colon is missing")
+	}
+	return key, skipSpace(b, colon+1), nil
 }
 
-func whole(b []byte, opener, closer byte, f func(string, []byte) error) error {
-	i := space(b, 0)
+// visitValue visits the members of the object or array that b holds, which nothing may follow.
+func visitValue(b []byte, opener, closer byte, visit func(string, []byte) error) error {
+	i := skipSpace(b, 0)
 	if i >= len(b) || b[i] != opener {
-		return bad(i, "no "+string(opener))
+		return syntaxError(i, "no "+string(opener))
 	}
-	end, err := walk(b, i, closer, 0, f)
+	end, err := visitMembers(b, i, closer, 0, visit)
 	if err != nil {
 		return err
 	}
-	if end = space(b, end); end != len(b) {
-		return bad(end, "something follows the value")
+	if end = skipSpace(b, end); end != len(b) {
+		return syntaxError(end, "something follows the value")
 	}
 	return nil
 }
 
-// Object calls f with each member of the object that b holds. The bytes given to f are part of b.
-func Object(b []byte, f func(key string, raw []byte) error) error { return whole(b, '{', '}', f) }
+// Object calls visit with each member of the object that b holds. The bytes given to visit are part of b.
+func Object(b []byte, visit func(key string, raw []byte) error) error {
+	return visitValue(b, '{', '}', visit)
+}
 
-// Array calls f with each item of the array that b holds.
-func Array(b []byte, f func(raw []byte) error) error {
-	return whole(b, '[', ']', func(_ string, raw []byte) error { return f(raw) })
+// Array calls visit with each item of the array that b holds. The bytes given to visit are part of b.
+func Array(b []byte, visit func(raw []byte) error) error {
+	return visitValue(b, '[', ']', func(_ string, raw []byte) error { return visit(raw) })
 }
 
-// Valid tells what is wrong with b as one JSON value.
+// Valid returns an error that wraps ErrSyntax where b is not one JSON value.
 func Valid(b []byte) error {
-	end, err := skip(b, space(b, 0), 0)
-	if err == nil && space(b, end) != len(b) {
-		err = bad(end, "something follows the value")
+	end, err := skipValue(b, skipSpace(b, 0), 0)
+	if err == nil && skipSpace(b, end) != len(b) {
+		err = syntaxError(end, "something follows the value")
 	}
 	return err
 }
@@ -194,7 +209,7 @@
 // String decodes a string.
 func String(raw []byte) (string, error) {
 	if len(raw) < 2 || raw[0] != '"' {
-		return "", bad(0, "no string")
+		return "", syntaxError(0, "no string")
 	}
 	for _, c := range raw {
 		if c == '\\' || c >= 0x80 {
@@ -212,16 +227,19 @@
 func Number(raw []byte) (float64, error) {
 	v, err := strconv.ParseFloat(string(raw), 64)
 	if err != nil || len(raw) == 0 || raw[0] != '-' && (raw[0] < '0' || raw[0] > '9') {
-		return 0, bad(0, "no number")
+		return 0, syntaxError(0, "no number")
 	}
 	return v, nil
 }
 
-// Int decodes a whole number.
+// maxExactInteger is up to where a float64 has each integer.
+const maxExactInteger = 1 << 53
+
+// Int decodes an integer of at most 2^53 in size, in any form that JSON allows.
 func Int(raw []byte) (int64, error) {
 	v, err := Number(raw)
-	if err == nil && (v != math.Trunc(v) || math.Abs(v) > 1<<53) {
-		err = bad(0, "no whole number")
+	if err == nil && (v != math.Trunc(v) || math.Abs(v) > maxExactInteger) {
+		err = syntaxError(0, "no whole number")
 	}
 	if err != nil {
 		return 0, err
@@ -234,7 +252,7 @@
 	if s := string(raw); s == "true" || s == "false" {
 		return s == "true", nil
 	}
-	return false, bad(0, "neither true nor false")
+	return false, syntaxError(0, "neither true nor false")
 }
 
 // AppendString appends text as a JSON string.
@@ -242,11 +260,13 @@
 	for _, c := range text {
 		if c < 0x20 || c >= 0x80 || c == '"' || c == '\\' {
 			quoted, err := json.Marshal(string(text))
-			if err != nil { // a string always has a form
+			if err != nil { // a string can always be encoded
 				quoted = []byte(`""`)
 			}
 			return append(to, quoted...)
 		}
 	}
-	return append(append(append(to, '"'), text...), '"')
+	to = append(to, '"')
+	to = append(to, text...)
+	return append(to, '"')
 }
--- a/internal/jsonscan/jsonscan_test.go
+++ b/internal/jsonscan/jsonscan_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 func TestValid(t *testing.T) {
@@ -47,22 +48,22 @@
 		got[key] = string(raw)
 		return nil
 	})
-	assert.NoError(t, err)
+	require.NoError(t, err)
 	assert.Equal(t, map[string]string{"a": "[1, 2]", "bé": `"x\"y"`, "c": `{"d" :null}`}, got)
 }
 
 func TestScalars(t *testing.T) {
 	for raw, want := range map[string]string{`"a"`: "a", `"\u00e9\""`: `é"`, `""`: ""} {
 		s, err := String([]byte(raw))
-		assert.NoError(t, err, raw)
+		require.NoError(t, err, raw)
 		assert.Equal(t, want, s)
 		back, err := String(AppendString(nil, []byte(want)))
-		assert.NoError(t, err, raw)
+		require.NoError(t, err, raw)
 		assert.Equal(t, want, back)
 	}
 	for _, raw := range []string{"1", "null", "[]"} {
 		_, err := String([]byte(raw))
-		assert.ErrorIs(t, err, ErrSyntax, raw)
+		require.ErrorIs(t, err, ErrSyntax, raw)
 	}
 	for raw, ok := range map[string]bool{"3": true, "-3": true, "3e2": true, "3.5": false, `"3"`: false, "Inf": false, "1e300": false} {
 		_, err := Int([]byte(raw))
--- a/storepool/pool_test.go
+++ b/storepool/pool_test.go
@@ -24,7 +24,7 @@
 	for range 200 {
 		newConnection(p, store).close(io.ErrUnexpectedEOF)
 	}
-	maxLines := 1 + int(time.Since(startedAt)/ratelog.Every)
+	maxLines := 1 + int(time.Since(startedAt)/ratelog.Interval)
 	assert.LessOrEqual(t, len(hook.AllEntries()), maxLines)
 	assert.NotEmpty(t, hook.AllEntries())
 }
