--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -44,6 +44,13 @@
 	return c
 }
 
+// testInstance is a Node or a Follower.
+type testInstance interface {
+	ServedVersion() uint64
+	Gate(version uint64) (open bool, retry time.Duration)
+	Status() Status
+}
+
 const anyLocalPort = "127.0.0.1:0"
 
 func listen(t *testing.T, address string) net.Listener {
@@ -131,13 +138,11 @@
 	c.waitUntilServing(1)
 }
 
-// waitUntilServing waits until all running instances serve a version under a lease.
+// waitUntilServing waits until all running instances serve a version.
 func (c *testCluster) waitUntilServing(version uint64) {
 	c.t.Helper()
-	for name, node := range c.nodes {
-		require.Eventually(c.t, func() bool {
-			return node.ServedVersion() == version && isServing(node)
-		}, 15*time.Second, 5*time.Millisecond, "%s: %+v", name, node.Status())
+	for _, node := range c.nodes {
+		waitUntilServes(c.t, node, version)
 	}
 }
 
@@ -168,11 +173,19 @@
 }
 
 // isServing reports whether queries may be served by the version that an instance serves.
-func isServing(node *Node) bool {
-	open, _ := node.Gate(node.ServedVersion())
+func isServing(i testInstance) bool {
+	open, _ := i.Gate(i.ServedVersion())
 	return open
 }
 
+// waitUntilServes waits until an instance serves a version.
+func waitUntilServes(t *testing.T, i testInstance, version uint64) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		return i.ServedVersion() == version && isServing(i)
+	}, 15*time.Second, 5*time.Millisecond, "version %d: %+v", version, i.Status())
+}
+
 func changeCommand(request string, expected uint64, text string) Command {
 	return Command{Change: &sharedconfig.Change{
 		Request: request,
