--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -1,10 +1,34 @@
 package peer
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
+// The bytes on the wire are part of the protocol: instances of different versions talk to each other.
+func TestFrameEncoding(t *testing.T) {
+	encoded := Frame{Kind: 0x1f, Call: 0x0102, Body: []byte("abc")}.Append([]byte("before"))
+	assert.Equal(t, "before\x00\x00\x00\x03\x1f\x00\x00\x00\x00\x00\x00\x01\x02abc", string(encoded))
+	kinds := []byte{frameHello, frameStreamChunk, frameResult, frameError}
+	assert.Equal(t, []byte{0x01, 0x02, 0x80, 0x81}, kinds)
+}
+
+func TestHelloEncoding(t *testing.T) {
+	hello := Hello{Proto: protocolVersion, Group: "g", From: "a", To: "b", Nonce: "n", Proof: "p", Error: "e"}
+	encoded, err := json.Marshal(hello)
+	require.NoError(t, err)
+	assert.JSONEq(t, `{"proto":1,"group":"g","from":"a","to":"b","nonce":"n","proof":"p","error":"e"}`, string(encoded))
+	endpoint := New(Config{Key: []byte("key")})
+	const answersProof = "d124ee10cddc43dde93cf35fbff325366741f676cc202c1698e50fd1e8a6cbf1"
+	const dialsProof = "dcc0870f6aac68637882f1caaa93dc89706ecb4a68a19dabe3fc5cd388b84f19"
+	assert.Equal(t, answersProof, endpoint.proof(serverProof, "nonces"))
+	assert.Equal(t, dialsProof, endpoint.proof(clientProof, "nonces"))
+}
+
 func FuzzReadFrame(f *testing.F) {
 	f.Add(Frame{frameHello, 1, []byte("x")}.Append(nil))
 	f.Add([]byte("\x00\x7f\xff\xff\x01"))
--- a/peer/server.go
+++ b/peer/server.go
@@ -86,7 +86,7 @@
 	}
 	if e.config.IsMember != nil && !e.config.IsMember(clientID) {
 		if !e.reserveNonMember() {
-			return fmt.Errorf("%w: from %s: instances that are no members have %d connections", ErrHandshakeRejected, clientID, maxNonMemberConns)
+			return fmt.Errorf("%w: from %s: too many connections of instances that are no members", ErrHandshakeRejected, clientID)
 		}
 		defer e.releaseNonMember()
 	}
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -77,7 +77,9 @@
 }
 
 // forward has another instance execute a command.
-func (n *Node) forward(command Command, id raft.ServerID, address raft.ServerAddress, timeout time.Duration) (outcome sharedconfig.Outcome, err error) {
+func (n *Node) forward(
+	command Command, id raft.ServerID, address raft.ServerAddress, timeout time.Duration,
+) (outcome sharedconfig.Outcome, err error) {
 	body, err := json.Marshal(command)
 	if err != nil {
 		return outcome, err
@@ -115,21 +117,21 @@
 	case command.HandOver != nil:
 		return n.transferLeadershipTo(*command.HandOver)
 	}
-	return refused("an empty order")
+	return refusedOutcome("an empty order")
 }
 
 // addMember adds the instance at an address if it has the expected name.
 func (n *Node) addMember(member sharedconfig.Member, timeout time.Duration) sharedconfig.Outcome {
 	hello, err := n.endpoint.Identify(member.Addr, identifyTimeout)
 	if err != nil {
-		return refused(fmt.Sprintf("no instance answers at %s: %v", member.Addr, err))
+		return refusedOutcome(fmt.Sprintf("no instance answers at %s: %v", member.Addr, err))
 	}
 	name, directoryID, err := parseServerID(hello.From)
 	if err != nil {
-		return refused(err.Error())
+		return refusedOutcome(err.Error())
 	}
 	if name != member.Name {
-		return refused(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
+		return refusedOutcome(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
 	}
 	added := sharedconfig.Member{Name: name, Folder: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(call uint64) sharedconfig.Event {
@@ -146,6 +148,6 @@
 	return outcome
 }
 
-func refused(reason string) sharedconfig.Outcome {
+func refusedOutcome(reason string) sharedconfig.Outcome {
 	return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: reason}
 }
--- a/raftnode/errors.go
+++ b/raftnode/errors.go
@@ -22,10 +22,11 @@
 	ErrNotVoter = errors.New("this instance has no vote")
 	// ErrStopping is returned by an instance that is shutting down.
 	ErrStopping = errors.New("the instance is stopping")
-	// ErrNotVerified is the answer to a lease request whose verification by a majority took too long.
-	ErrNotVerified = errors.New("not verified in time")
 	// ErrMalformedID is wrapped by errors about ids that name no instance.
 	ErrMalformedID = errors.New("malformed instance id")
 	// ErrSnapshotChecksum is returned for a snapshot that differs from what was written.
 	ErrSnapshotChecksum = errors.New("checksum mismatch")
 )
+
+// errNotVerified answers a lease request that no majority has confirmed in time.
+var errNotVerified = errors.New("not verified in time")
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -173,12 +173,13 @@
 
 // Read fails with ErrNotVoter: only voters get a state confirmed. The error's text names them.
 func (f *Follower) Read(time.Duration) (sharedconfig.State, error) {
-	return sharedconfig.State{}, fmt.Errorf("%w: ask one of %s, or for what it has itself (--local)", ErrNotVoter, f.voterAddresses())
+	const hint = "ask one of %s, or for what it has itself (--local)"
+	return sharedconfig.State{}, fmt.Errorf("%w: "+hint, ErrNotVoter, f.voterAddresses())
 }
 
 // Execute refuses the command: only voters execute commands.
 func (f *Follower) Execute(command Command, _ time.Duration) sharedconfig.Outcome {
-	outcome := refused(fmt.Sprintf("%v: give the order to one of %s", ErrNotVoter, f.voterAddresses()))
+	outcome := refusedOutcome(fmt.Sprintf("%v: give the order to one of %s", ErrNotVoter, f.voterAddresses()))
 	if command.Change != nil {
 		outcome.Request = command.Change.Request
 	}
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -72,7 +72,7 @@
 	} else {
 		voter, found := n.voter(name)
 		if !found {
-			return refused("there is no instance " + name + " with a vote")
+			return refusedOutcome("there is no instance " + name + " with a vote")
 		}
 		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.Folder), raft.ServerAddress(voter.Addr))
 	}
@@ -81,7 +81,7 @@
 		return sharedconfig.Outcome{Why: "this instance does not lead"}
 	}
 	if err != nil {
-		return refused(err.Error())
+		return refusedOutcome(err.Error())
 	}
 	return sharedconfig.Outcome{Status: sharedconfig.Done}
 }
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -82,7 +82,7 @@
 		return sharedconfig.LeaseRequested{Call: call, Folder: directoryID}
 	})
 	if !ok {
-		return nil, ErrNotVerified
+		return nil, errNotVerified
 	}
 	return json.Marshal(answer)
 }
--- a/raftnode/measure_test.go
+++ b/raftnode/measure_test.go
@@ -51,8 +51,10 @@
 			})
 		}
 	})
-	t.Logf("%d runs: longest service under a replaced version %v, bound %v; %d reads, %d changes asked for, %d done, %d unknown; not linearizable %d, not decided %d",
-		runs, total.staleness, stalenessBound, total.reads, total.writes, total.done, total.unknown, notLinearizable, undecided)
+	t.Logf("%d runs: longest service under a replaced version %v, bound %v; "+
+		"%d reads, %d changes asked for, %d done, %d unknown; not linearizable %d, not decided %d",
+		runs, total.staleness, stalenessBound,
+		total.reads, total.writes, total.done, total.unknown, notLinearizable, undecided)
 	t.Logf("runs by their longest: %v", runsByStaleness)
 	assert.LessOrEqual(t, total.staleness, stalenessBound)
 	assert.Zero(t, notLinearizable)
--- /dev/null
+++ b/raftnode/rpc_test.go
@@ -0,0 +1,40 @@
+package raftnode
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/sharedconfig"
+)
+
+// The kinds of calls and the names of JSON fields are part of the protocol: instances of different versions talk to each
+// other.
+func TestRPCEncoding(t *testing.T) {
+	kinds := []byte{
+		rpcAppendEntries, rpcRequestVote, rpcRequestPreVote, rpcInstallSnapshot, rpcTimeoutNow,
+		rpcRequestLease, rpcCheckChange, rpcExecuteCommand, rpcAppliedIndex, rpcPollVoter,
+	}
+	assert.Equal(t, []byte{0x10, 0x11, 0x12, 0x13, 0x14, 0x15, 0x16, 0x17, 0x18, 0x19}, kinds)
+
+	name := "n2"
+	for want, message := range map[string]any{
+		`{"Call":1,"OK":true,"Version":2,"Removed":true}`: sharedconfig.AnswerLeaseRequest{
+			Call: 1, OK: true, Version: 2, Removed: true,
+		},
+		`{"remove":"n2"}`:    Command{Remove: name},
+		`{"hand_over":"n2"}`: Command{HandOver: &name},
+		`{"add":{"name":"n2","folder":"f","addr":"a","voter":true}}`: Command{
+			Add: &sharedconfig.Member{Name: name, Folder: "f", Addr: "a", Voter: true},
+		},
+		`{"change":{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"w","at":2}}`: Command{
+			Change: &sharedconfig.Change{Request: "r", Expect: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", At: 2},
+		},
+	} {
+		encoded, err := json.Marshal(message)
+		require.NoError(t, err)
+		assert.JSONEq(t, want, string(encoded))
+	}
+}
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -9,20 +9,25 @@
 
 // Status is how an instance sees its group.
 type Status struct {
-	Name     string                `json:"name"`
-	Group    string                `json:"group"`
-	Leader   string                `json:"leader"` // name; empty: no leader is known
-	Term     uint64                `json:"term"`
-	Version  uint64                `json:"version"`           // the active version by this instance's log
-	Serving  uint64                `json:"serving"`           // the version that it serves
-	Digest   string                `json:"digest"`            // of the active version
-	Pending  string                `json:"pending,omitempty"` // request of the change in progress
-	Lease    int64                 `json:"lease_ms"`          // how long the lease still covers the served version; 0: it does not
-	Why      string                `json:"why,omitempty"`     // why it does not serve under a lease
-	Members  []sharedconfig.Member `json:"members"`
-	Follows  []string              `json:"follows,omitempty"` // a follower's voters, in the order in which it polls them
-	LogFirst uint64                `json:"log_first"`         // index of the log's first entry
-	LogLast  uint64                `json:"log_last"`          // index of its last entry
+	Name   string `json:"name"`
+	Group  string `json:"group"`
+	Leader string `json:"leader"` // name; empty: no leader is known
+	Term   uint64 `json:"term"`
+	// Version is the active version by this instance's log.
+	Version uint64 `json:"version"`
+	// Serving is the version that this instance serves.
+	Serving uint64 `json:"serving"`
+	Digest  string `json:"digest"`            // of the active version
+	Pending string `json:"pending,omitempty"` // request of the change in progress
+	// Lease is for how many milliseconds the lease still covers the served version.
+	Lease int64 `json:"lease_ms"`
+	// Why is the reason why the instance does not serve under a lease.
+	Why     string                `json:"why,omitempty"`
+	Members []sharedconfig.Member `json:"members"`
+	// Follows are the addresses of a follower's voters in the order in which it polls them.
+	Follows  []string `json:"follows,omitempty"`
+	LogFirst uint64   `json:"log_first"` // index of the log's first entry
+	LogLast  uint64   `json:"log_last"`  // index of the log's last entry
 }
 
 // Status returns how this instance sees its group.
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -16,7 +16,7 @@
 	installSnapshotTimeout = 30 * time.Second
 )
 
-// transport carries Raft's RPCs over a peer.Endpoint. It is a raft.Transport.
+// transport carries Raft's RPCs over a peer.Endpoint. It is a raft.Transport. Its handlers are in raft_handlers.go.
 type transport struct {
 	endpoint *peer.Endpoint
 	address  raft.ServerAddress
@@ -67,27 +67,37 @@
 }
 
 // AppendEntries sends log entries or a heartbeat.
-func (t *transport) AppendEntries(id raft.ServerID, address raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) error {
+func (t *transport) AppendEntries(
+	id raft.ServerID, address raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse,
+) error {
 	return t.call(peerTarget(id, address), rpcAppendEntries, request, response)
 }
 
 // RequestVote asks for a vote.
-func (t *transport) RequestVote(id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse) error {
+func (t *transport) RequestVote(
+	id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse,
+) error {
 	return t.call(peerTarget(id, address), rpcRequestVote, request, response)
 }
 
 // RequestPreVote asks whether an instance would vote for this one.
-func (t *transport) RequestPreVote(id raft.ServerID, address raft.ServerAddress, request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse) error {
+func (t *transport) RequestPreVote(
+	id raft.ServerID, address raft.ServerAddress, request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse,
+) error {
 	return t.call(peerTarget(id, address), rpcRequestPreVote, request, response)
 }
 
 // TimeoutNow makes an instance start an election, to transfer the leadership to it.
-func (t *transport) TimeoutNow(id raft.ServerID, address raft.ServerAddress, request *raft.TimeoutNowRequest, response *raft.TimeoutNowResponse) error {
+func (t *transport) TimeoutNow(
+	id raft.ServerID, address raft.ServerAddress, request *raft.TimeoutNowRequest, response *raft.TimeoutNowResponse,
+) error {
 	return t.call(peerTarget(id, address), rpcTimeoutNow, request, response)
 }
 
 // InstallSnapshot sends a snapshot.
-func (t *transport) InstallSnapshot(id raft.ServerID, address raft.ServerAddress, request *raft.InstallSnapshotRequest, response *raft.InstallSnapshotResponse, data io.Reader) error {
+func (t *transport) InstallSnapshot(
+	id raft.ServerID, address raft.ServerAddress, request *raft.InstallSnapshotRequest, response *raft.InstallSnapshotResponse, data io.Reader,
+) error {
 	return t.callWithStream(peerTarget(id, address), rpcInstallSnapshot, request, response, data, installSnapshotTimeout)
 }
 
@@ -95,7 +105,9 @@
 	return t.callWithStream(target, kind, request, response, nil, raftRPCTimeout)
 }
 
-func (t *transport) callWithStream(target peer.Target, kind byte, request, response any, stream io.Reader, timeout time.Duration) error {
+func (t *transport) callWithStream(
+	target peer.Target, kind byte, request, response any, stream io.Reader, timeout time.Duration,
+) error {
 	body, err := encodeRPC(request)
 	if err != nil {
 		return err
@@ -107,70 +119,6 @@
 	return decodeRPC(result, response)
 }
 
-// addHandlers adds the handlers of Raft's RPCs. They return ErrStopping when stop is closed.
-func (t *transport) addHandlers(handlers map[byte]peer.Handler, stop <-chan struct{}) {
-	newRequests := map[byte]func() any{
-		rpcAppendEntries:   func() any { return &raft.AppendEntriesRequest{} },
-		rpcRequestVote:     func() any { return &raft.RequestVoteRequest{} },
-		rpcRequestPreVote:  func() any { return &raft.RequestPreVoteRequest{} },
-		rpcInstallSnapshot: func() any { return &raft.InstallSnapshotRequest{} },
-		rpcTimeoutNow:      func() any { return &raft.TimeoutNowRequest{} },
-	}
-	for kind, newRequest := range newRequests {
-		handlers[kind] = func(_ string, body []byte, stream io.Reader) ([]byte, error) {
-			request := newRequest()
-			if err := decodeRPC(body, request); err != nil {
-				return nil, err
-			}
-			responses := make(chan raft.RPCResponse, 1)
-			rpc := raft.RPC{Command: request, RespChan: responses}
-			if kind == rpcInstallSnapshot {
-				rpc.Reader = stream
-			}
-			if err := t.deliver(rpc, stop); err != nil {
-				return nil, err
-			}
-			return awaitResponse(responses, stop)
-		}
-	}
-}
-
-// deliver passes a request to Raft. Heartbeats bypass the queue, so that a slow disk does not look like a dead leader.
-func (t *transport) deliver(rpc raft.RPC, stop <-chan struct{}) error {
-	t.mu.Lock()
-	heartbeatHandler := t.heartbeatHandler
-	t.mu.Unlock()
-	request, ok := rpc.Command.(*raft.AppendEntriesRequest)
-	if ok && heartbeatHandler != nil && isHeartbeat(request) {
-		heartbeatHandler(rpc)
-		return nil
-	}
-	select {
-	case t.requests <- rpc:
-		return nil
-	case <-stop:
-		return ErrStopping
-	}
-}
-
-func isHeartbeat(request *raft.AppendEntriesRequest) bool {
-	hasLeader := request.Term != 0 && len(request.Addr) != 0
-	hasEntries := request.PrevLogEntry != 0 || request.PrevLogTerm != 0 || len(request.Entries) != 0
-	return hasLeader && !hasEntries && request.LeaderCommitIndex == 0
-}
-
-func awaitResponse(responses <-chan raft.RPCResponse, stop <-chan struct{}) ([]byte, error) {
-	select {
-	case response := <-responses:
-		if response.Error != nil {
-			return nil, response.Error
-		}
-		return encodeRPC(response.Response)
-	case <-stop:
-		return nil, ErrStopping
-	}
-}
-
 func encodeRPC(message any) ([]byte, error) {
 	var encoded []byte
 	err := codec.NewEncoderBytes(&encoded, msgpackHandle).Encode(message)
