--- a/maintenance/measure_test.go
+++ b/maintenance/model_size_measure_test.go
@@ -2,5 +2,5 @@
 
 package maintenance
 
-// schedules are those of the long model check.
+// schedules is the number of schedules of the long model check.
 const schedules = 200_000
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -7,273 +7,263 @@
 	"slices"
 )
 
-// Turn is one machine's place in a plan.
-type Turn struct {
+// noTime is the absence of a time.
+const noTime Micros = -1
+
+// PlannedDrain is the predicted drain of one machine.
+type PlannedDrain struct {
 	Request string `json:"request"`
 	Machine string `json:"machine"`
-	Wave    int    `json:"wave"` // machines that begin in one moment share it; from 1. 0: it is out already
-	Begin   Micros `json:"begin"`
-	Back    Micros `json:"back"`           // when it counts as sound again
-	Rule    string `json:"rule,omitempty"` // what it waited for last
-	Why     string `json:"why,omitempty"`
+	// Wave numbers the drains that start at the same time, from 1; 0 is a machine that is out already.
+	Wave     int    `json:"wave"`
+	StartsAt Micros `json:"begin"`
+	// EndsAt is when the machine counts as healthy again.
+	EndsAt Micros `json:"back"`
 }
 
-// Never is a machine that the rules keep from ever going out.
-type Never struct {
+// Undrainable is a machine that the rules never allow to drain.
+type Undrainable struct {
 	Request string `json:"request"`
 	Machine string `json:"machine"`
-	Broken
-	Nearest string `json:"nearest"` // what would have to be otherwise
+	RuleViolation
+	// Remedy is the smallest change that would allow it.
+	Remedy string `json:"nearest"`
 }
 
-// Plan is the order in which work will be done, as far as can be foretold.
+// Plan is the predicted order of the drains.
 type Plan struct {
-	Turns []Turn  `json:"turns"` // by their begin
-	Never []Never `json:"never,omitempty"`
-	End   Micros  `json:"end"`
+	// Drains are sorted by their start.
+	Drains      []PlannedDrain `json:"turns"`
+	Undrainable []Undrainable  `json:"never,omitempty"`
+	// End is when the last machine counts as healthy again.
+	End Micros `json:"end"`
 }
 
-// takes is how long a machine's work holds its place, from the drain to the warm stores.
-func (s State) takes(p Permit) Micros { return s.Rules.Drain + p.Need + s.Rules.Warm }
-
-// left is how much of it is left for one that is out.
-func (s State) left(p Permit) Micros {
-	spent := s.Now - p.Since
-	switch p.Step {
-	case Draining, Empty:
-		return max(0, s.Rules.Drain-spent) + p.Need + s.Rules.Warm
-	case Out:
-		return max(0, p.Need-spent) + s.Rules.Warm
-	case Warming:
-		return max(0, s.Rules.Warm-spent)
+// Plan predicts the drains of all open permits. They start in the order of sortByPriority, as early as the rules allow:
+// at the return of another machine or at the end of a closed window.
+func (s State) Plan() Plan {
+	if s.Layout == nil {
+		return Plan{}
 	}
-	return s.Rules.Warm
+	p := newPlanner(s)
+	for len(p.waiting) > 0 {
+		p.startWave()
+		if p.nextTime == noTime {
+			p.giveUpWaiting()
+			break
+		}
+		p.advance()
+	}
+	slices.SortStableFunc(p.plan.Drains, func(a, b PlannedDrain) int { return cmp.Compare(a.StartsAt, b.StartsAt) })
+	return p.plan
 }
 
-// back is a machine's return.
-type back struct {
-	at      Micros
-	machine *Machine
+// planner simulates the drains of a plan.
+type planner struct {
+	state   State
+	out     *outages
+	returns returnQueue
+	waiting []Permit // by priority
+	now     Micros
+	wave    int
+	// nextTime is the first time after now at which another drain may become possible.
+	nextTime Micros
+	plan     Plan
 }
 
-type backs []back
-
-func (b backs) Len() int           { return len(b) }
-func (b backs) Less(i, j int) bool { return b[i].at < b[j].at }
-func (b backs) Swap(i, j int)      { b[i], b[j] = b[j], b[i] }
-func (b *backs) Push(x any)        { *b = append(*b, x.(back)) }
-func (b *backs) Pop() any {
-	last := (*b)[len(*b)-1]
-	*b = (*b)[:len(*b)-1]
-	return last
-}
-
-// Plan foretells the order of what waits: the urgent first, then those whose window ends first, then those whose shards
-// have the fewest other replicas on machines that wait as well, since they can share fewest waves; voters last. At each
-// return, and whenever a window opens, everything goes out that the rules let go.
-func (s State) Plan() Plan {
-	var plan Plan
-	if s.Layout == nil {
-		return plan
-	}
-	g := s.ledger()
-	var returns backs
-	var waiting []Permit
-	for _, p := range s.Permits {
-		m := s.Layout.Machine(p.Machine)
+func newPlanner(s State) *planner {
+	p := &planner{state: s, out: s.outages(), now: s.Now, nextTime: noTime}
+	for _, permit := range s.Permits {
+		machine := s.Layout.Machine(permit.Machine)
 		switch {
-		case p.Step.holds():
-			at := s.Now + s.left(p)
-			plan.Turns = append(plan.Turns, Turn{Request: p.Request, Machine: p.Machine, Begin: p.Drained, Back: at})
-			heap.Push(&returns, back{at, m})
-			plan.End = max(plan.End, at)
-		case p.Step == Asked:
-			if never, is := s.never(p, m); is {
-				plan.Never = append(plan.Never, never)
+		case permit.Step.isOut():
+			p.addDrain(machine, PlannedDrain{
+				Request:  permit.Request,
+				Machine:  permit.Machine,
+				StartsAt: permit.DrainStartedAt,
+				EndsAt:   s.Now + s.remainingDuration(permit),
+			})
+		case permit.Step == Requested:
+			if undrainable := s.undrainable(permit, machine); undrainable != nil {
+				p.plan.Undrainable = append(p.plan.Undrainable, *undrainable)
 			} else {
-				waiting = append(waiting, p)
+				p.waiting = append(p.waiting, permit)
 			}
 		}
 	}
-	s.sort(waiting)
-	wave, now := 0, s.Now
-	for len(waiting) > 0 {
-		next, began := Micros(-1), false
-		later := func(at Micros) {
-			if at > now && (next < 0 || at < next) {
-				next = at
-			}
-		}
-		waiting = slices.DeleteFunc(waiting, func(p Permit) bool {
-			m := s.Layout.Machine(p.Machine)
-			if p.Until > 0 && now > p.Until {
-				plan.Never = append(plan.Never, Never{
-					p.Request, p.Machine,
-					Broken{RuleClosed, "its turn would come after its window"},
-					"a window that ends later, or a higher urgency",
-				})
-				return true
-			}
-			if p.After > now {
-				later(p.After)
-				return false
-			}
-			if at, _ := g.waits(m, now); at != now {
-				later(at)
-				return false
-			}
-			if _, broken := g.breaks(m); broken {
-				return false
-			}
-			if !began {
-				began = true
-				wave++
-			}
-			g.take(m, true)
-			g.began[m.Kind] = now
-			t := Turn{Request: p.Request, Machine: p.Machine, Wave: wave, Begin: now, Back: now + s.takes(p)}
-			plan.Turns = append(plan.Turns, t)
-			plan.End = max(plan.End, t.Back)
-			heap.Push(&returns, back{t.Back, m})
+	s.sortByPriority(p.waiting)
+	return p
+}
+
+// addDrain adds a drain to the plan and queues the machine's return.
+func (p *planner) addDrain(machine *Machine, drain PlannedDrain) {
+	p.plan.Drains = append(p.plan.Drains, drain)
+	p.plan.End = max(p.plan.End, drain.EndsAt)
+	heap.Push(&p.returns, machineReturn{at: drain.EndsAt, machine: machine})
+}
+
+// considerTime lowers nextTime to a time after now.
+func (p *planner) considerTime(at Micros) {
+	if at > p.now && (p.nextTime == noTime || at < p.nextTime) {
+		p.nextTime = at
+	}
+}
+
+// startWave starts all drains that the rules allow now, and determines nextTime.
+func (p *planner) startWave() {
+	p.nextTime = noTime
+	wave := p.wave + 1
+	p.waiting = slices.DeleteFunc(p.waiting, func(permit Permit) bool {
+		machine := p.state.Layout.Machine(permit.Machine)
+		if permit.isExpiredAt(p.now) {
+			p.addUndrainable(permit, RuleViolation{RuleClosed, "its turn would come after its window"}, "a window that ends later, or a higher urgency")
 			return true
-		})
-		if len(returns) > 0 {
-			later(returns[0].at)
 		}
-		if next < 0 { // what is out and will not be back, as far as is known, holds the rest up
-			for _, p := range waiting {
-				b, _ := g.breaks(s.Layout.Machine(p.Machine))
-				plan.Never = append(plan.Never, Never{p.Request, p.Machine, b, "the return of what is out now"})
-			}
-			break
-		}
-		for now = next; len(returns) > 0 && returns[0].at <= now; {
-			if b := heap.Pop(&returns).(back); b.machine != nil && s.Unsound[b.machine.Name] == "" {
-				g.take(b.machine, false)
-			}
+		if !p.mayDrain(permit, machine) {
+			return false
 		}
+		p.wave = wave
+		p.out.startDrain(machine, p.now)
+		p.addDrain(machine, PlannedDrain{
+			Request:  permit.Request,
+			Machine:  permit.Machine,
+			Wave:     wave,
+			StartsAt: p.now,
+			EndsAt:   p.now + p.state.permitDuration(permit),
+		})
+		return true
+	})
+	if len(p.returns) > 0 {
+		p.considerTime(p.returns[0].at)
 	}
-	slices.SortStableFunc(plan.Turns, func(a, b Turn) int { return cmp.Compare(a.Begin, b.Begin) })
-	return plan
 }
 
-func (s State) sort(waiting []Permit) {
-	beside := make([]int, s.Layout.Cells) // stores that wait, by cell
-	for _, p := range waiting {
-		for _, st := range s.Layout.Machine(p.Machine).Stores {
-			beside[st.Cell]++
-		}
+// mayDrain reports whether the drain of a permit may start now, and otherwise considers when it may by time.
+func (p *planner) mayDrain(permit Permit, machine *Machine) bool {
+	if permit.NotBefore > p.now {
+		p.considerTime(permit.NotBefore)
+		return false
 	}
-	crowd := func(m *Machine) (n int) {
-		for _, st := range m.Stores {
-			for j := 1 - s.Layout.Reach; j < s.Layout.Reach; j++ {
-				n += beside[((st.Cell+j)%s.Layout.Cells+s.Layout.Cells)%s.Layout.Cells]
-			}
-		}
-		return n
+	if at, _ := p.out.earliestDrain(machine, p.now); at != p.now {
+		p.considerTime(at)
+		return false
 	}
-	last := func(until Micros) Micros {
-		if until == 0 {
-			return 1<<63 - 1
+	return p.out.violation(machine) == nil
+}
+
+// advance advances the time to nextTime and returns the machines that are back by then. Unhealthy ones stay out.
+func (p *planner) advance() {
+	p.now = p.nextTime
+	for len(p.returns) > 0 && p.returns[0].at <= p.now {
+		returned := heap.Pop(&p.returns).(machineReturn)
+		if returned.machine != nil && p.state.Unhealthy[returned.machine.Name] == "" {
+			p.out.setOut(returned.machine, false)
 		}
-		return until
 	}
-	slices.SortStableFunc(waiting, func(a, b Permit) int {
-		m, n := s.Layout.Machine(a.Machine), s.Layout.Machine(b.Machine)
-		voter := func(m *Machine) int {
-			if m.Voter {
-				return 1
-			}
-			return 0
+}
+
+// giveUpWaiting adds the permits that still wait as undrainable, because of machines that are out without a known return.
+func (p *planner) giveUpWaiting() {
+	for _, permit := range p.waiting {
+		violation := RuleViolation{}
+		if v := p.out.violation(p.state.Layout.Machine(permit.Machine)); v != nil {
+			violation = *v
 		}
-		return cmp.Or(cmp.Compare(voter(m), voter(n)), cmp.Compare(b.Urgency, a.Urgency), cmp.Compare(last(a.Until), last(b.Until)),
-			cmp.Compare(crowd(n), crowd(m)), cmp.Compare(a.At, b.At), cmp.Compare(a.Machine, b.Machine))
+		p.addUndrainable(permit, violation, "the return of what is out now")
+	}
+}
+
+func (p *planner) addUndrainable(permit Permit, violation RuleViolation, remedy string) {
+	p.plan.Undrainable = append(p.plan.Undrainable, Undrainable{
+		Request:       permit.Request,
+		Machine:       permit.Machine,
+		RuleViolation: violation,
+		Remedy:        remedy,
 	})
 }
 
-// never tells whether the rules keep a machine from going out even if everything else is sound.
-func (s State) never(p Permit, m *Machine) (n Never, is bool) {
-	n = Never{Request: p.Request, Machine: p.Machine}
-	if m == nil {
-		n.Broken, n.Nearest = Broken{"", "it is not in the layout"}, "a layout that has it"
-		return n, true
+// permitDuration returns how long a machine is out, from the start of the drain to the end of the warm-up.
+func (s State) permitDuration(permit Permit) Micros {
+	return s.Rules.DrainDuration + permit.Duration + s.Rules.WarmUpDuration
+}
+
+// remainingDuration returns how long a machine that is out will still be.
+func (s State) remainingDuration(permit Permit) Micros {
+	elapsed := s.Now - permit.StepSince
+	switch permit.Step {
+	case Draining, Drained:
+		return max(0, s.Rules.DrainDuration-elapsed) + permit.Duration + s.Rules.WarmUpDuration
+	case InMaintenance:
+		return max(0, permit.Duration-elapsed) + s.Rules.WarmUpDuration
+	case WarmingUp:
+		return max(0, s.Rules.WarmUpDuration-elapsed)
+	default:
+		return s.Rules.WarmUpDuration
+	}
+}
+
+// undrainable returns why the rules never allow a machine to drain, even if everything else is healthy, or nil.
+func (s State) undrainable(permit Permit, machine *Machine) *Undrainable {
+	result := &Undrainable{Request: permit.Request, Machine: permit.Machine}
+	if machine == nil {
+		result.RuleViolation = RuleViolation{Reason: "it is not in the layout"}
+		result.Remedy = "a layout that has it"
+		return result
 	}
-	g := newLedger(s.Layout, s.Rules, s.Load)
-	b, broken := g.breaks(m)
-	if !broken {
-		return n, false
+	out := newOutages(s.Layout, s.Rules, s.Load)
+	violation := out.violation(machine)
+	if violation == nil {
+		return nil
 	}
-	n.Broken = b
-	g.take(m, true)
-	switch b.Rule {
+	result.RuleViolation = *violation
+	out.setOut(machine, true)
+	result.Remedy = out.remedy(violation.Rule, machine)
+	return result
+}
+
+// remedy returns the smallest change that would allow a machine, which is the only one out, to be out.
+func (o *outages) remedy(rule Rule, machine *Machine) string {
+	switch rule {
 	case RuleReplicas:
-		least := 1 << 30
-		for _, st := range m.Stores {
-			_, have := g.thinnest(st.Cell)
-			least = min(least, have)
+		fewest := noReplicaLimit
+		for _, store := range machine.Stores {
+			_, replicas := o.weakestShard(store.RingPosition)
+			fewest = min(fewest, replicas)
 		}
-		n.Nearest = fmt.Sprintf("keep_sound = %d, or another replica first", least)
-		if least < 1 {
-			n.Nearest = "another replica of its shards first"
+		if fewest < 1 {
+			return "another replica of its shards first"
 		}
-	case RuleRoom:
-		n.Nearest = fmt.Sprintf("room = %.2f, or less load", g.load*g.allWeight/max(1e-9, g.allWeight-g.weight))
+		return fmt.Sprintf("keep_sound = %d, or another replica first", fewest)
+	case RuleLoad:
+		return fmt.Sprintf("room = %.2f, or less load", o.remainingLoad())
 	case RuleVoters:
-		n.Nearest = "another voter first"
+		return "another voter first"
 	default:
-		n.Nearest = "a rule " + b.Rule + " that allows one machine"
+		return "a rule " + string(rule) + " that allows one machine"
 	}
-	return n, true
 }
 
-// Next is what is to be asked of the log now by whoever leads: permits whose turn has come, those whose window has
-// passed, and the recall of those that drain and are not empty yet, where trouble (empty: none) stops the plan or the
-// rules no longer let them go.
-func (s State) Next(now Micros, trouble string) (moves []Move) {
-	s.Now = max(s.Now, now)
-	if s.Layout == nil {
-		return nil
-	}
-	ill, g := false, s.ledger()
-	for _, p := range s.Permits {
-		why := trouble
-		if m := s.Layout.Machine(p.Machine); p.Step == Draining && p.Override == "" && why == "" && m != nil {
-			g.take(m, false)
-			if b, broken := g.breaks(m); broken { // something else went, or the rules were tightened
-				why = b.String()
-			} else {
-				g.take(m, true)
-			}
-		}
-		ill = ill || (p.Step == Returning || p.Step == Warming) && s.Unsound[p.Machine] != ""
-		switch {
-		case p.Step == Asked && p.Until > 0 && s.Now > p.Until:
-			moves = append(moves, Move{Request: p.Request, Machine: p.Machine, From: Asked, To: Expired, Why: "its window passed"})
-		case p.Step == Draining && why != "":
-			moves = append(moves, Move{Request: p.Request, Machine: p.Machine, From: Draining, To: Asked, Why: why})
-		case p.Step == Warming && s.Now-p.Since >= s.Rules.Warm && s.Unsound[p.Machine] == "":
-			moves = append(moves, Move{Request: p.Request, Machine: p.Machine, From: Warming, To: Done})
-		}
-	}
-	if trouble != "" || s.Held != nil || ill { // one that came back ill stops the plan
-		return moves
-	}
-	waiting := slices.DeleteFunc(slices.Clone(s.Permits), func(p Permit) bool {
-		return p.Step != Asked || p.After > s.Now || p.Until > 0 && s.Now > p.Until || s.Layout.Machine(p.Machine) == nil
-	})
-	s.sort(waiting)
-	g = s.ledger()
-	for _, p := range waiting {
-		m := s.Layout.Machine(p.Machine)
-		if at, _ := g.waits(m, s.Now); at != s.Now {
-			continue
-		}
-		if _, broken := g.breaks(m); broken {
-			continue
-		}
-		g.take(m, true)
-		g.began[m.Kind] = s.Now
-		moves = append(moves, Move{Request: p.Request, Machine: p.Machine, From: Asked, To: Draining})
-	}
-	return moves
+// machineReturn is the predicted return of a machine. The machine is nil if it is no longer in the layout.
+type machineReturn struct {
+	at      Micros
+	machine *Machine
+}
+
+// returnQueue is a heap of returns, the earliest first.
+type returnQueue []machineReturn
+
+func (q returnQueue) Len() int { return len(q) }
+
+func (q returnQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+
+func (q returnQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *returnQueue) Push(x any) { *q = append(*q, x.(machineReturn)) }
+
+// Pop implements heap.Interface.
+func (q *returnQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
 }
--- /dev/null
+++ b/maintenance/plan_test.go
@@ -0,0 +1,122 @@
+package maintenance
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// completeRequest takes all permits to their end as a leader would. It returns how long that took and the fewest healthy
+// replicas that any shard had.
+func completeRequest(tb testing.TB, s State) (elapsed Micros, fewest int) {
+	tb.Helper()
+	startedAt := s.Now
+	fewest = noReplicaLimit
+	for now := s.Now; ; now += 10 * second {
+		for _, transition := range s.NextTransitions(now, "") {
+			s = mustApply(tb, s, Entry{At: now, Transition: &transition})
+		}
+		fewest = min(fewest, fewestReplicas(s))
+		open := 0
+		for _, permit := range slices.Clone(s.Permits) {
+			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepSince >= after {
+				transition := permit.transition(to, "")
+				s = mustApply(tb, s, Entry{At: now, Transition: &transition})
+			}
+			if !permit.Step.isFinal() {
+				open++
+			}
+		}
+		if open == 0 {
+			return now - startedAt, fewest
+		}
+		require.Less(tb, now-startedAt, 100*hour, "no progress")
+	}
+}
+
+// fewestReplicas returns the fewest healthy replicas of any shard.
+func fewestReplicas(s State) int {
+	out := s.outages()
+	fewest := noReplicaLimit
+	for shard := range s.Layout.Shards {
+		fewest = min(fewest, out.healthyReplicas(shard))
+	}
+	return fewest
+}
+
+// operatorTransition returns the step to which operators and instances take a permit, and after which time.
+func operatorTransition(s State, permit Permit) (to Step, after Micros) {
+	switch permit.Step {
+	case Draining:
+		return Drained, s.Rules.DrainDuration
+	case Drained:
+		return InMaintenance, 0
+	case InMaintenance:
+		return Returning, permit.Duration
+	case Returning:
+		return WarmingUp, 0
+	default:
+		return "", 0
+	}
+}
+
+func TestRollingMaintenanceNearsLowerBound(t *testing.T) {
+	const stores, maxOut = 198, 19 // a tenth of the stores may be out at a time
+	rules := Rules{
+		MinHealthyReplicas: 2,
+		MaxStoreFraction:   0.1,
+		MaxZoneFraction:    0.2,
+		MaxLoad:            0.8,
+		WarmUpDuration:     minute,
+		DrainDuration:      30 * second,
+	}
+	s := requestedState(t, uniformLayout(stores/3, 3), rules, 0.5)
+	plan := s.Plan()
+	elapsed, fewest := completeRequest(t, s)
+	perMachine := rules.DrainDuration + rules.WarmUpDuration + 5*minute
+	lowerBound := Micros((stores+maxOut-1)/maxOut) * perMachine
+	assert.Less(t, float64(elapsed), 1.3*float64(lowerBound))
+	predicted := plan.End - s.Now
+	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "the plan predicted another end")
+	assert.Equal(t, 2, fewest)
+	assert.Empty(t, plan.Undrainable)
+	t.Logf("%d stores in %d s, the least is %d s, foretold %d s", stores, elapsed/second, lowerBound/second, predicted/second)
+}
+
+func TestUndrainableMachinesNameRuleAndRemedy(t *testing.T) {
+	onlyVoter := &Layout{RingSize: 1, ReplicationFactor: 1, Shards: 1, Machines: []Machine{{Name: "v", Voter: true}}}
+	for name, testCase := range map[string]struct {
+		rules  Rules
+		load   float64
+		layout *Layout
+		rule   Rule
+		remedy string
+	}{
+		"the last replica": {Rules{}, 0, uniformLayout(2, 1), RuleReplicas, "another replica of its shards first"},
+		"one of two":       {Rules{MinHealthyReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "keep_sound = 1, or another replica first"},
+		"overload":         {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "room = 0.80, or less load"},
+		"the only voter":   {Rules{}, 0, onlyVoter, RuleVoters, "another voter first"},
+	} {
+		s := requestedState(t, testCase.layout, testCase.rules, testCase.load)
+		plan := s.Plan()
+		require.Len(t, plan.Undrainable, len(testCase.layout.Machines), name)
+		assert.Equal(t, testCase.rule, plan.Undrainable[0].Rule, name)
+		assert.Equal(t, testCase.remedy, plan.Undrainable[0].Remedy, name)
+		assert.Empty(t, s.NextTransitions(s.Now, ""), name)
+	}
+}
+
+func BenchmarkPlan(b *testing.B) {
+	for _, machines := range []int{100, 1000, 5000} {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
+			rules := Rules{MinHealthyReplicas: 1, MaxStoreFraction: 0.1, WarmUpDuration: minute, DrainDuration: minute}
+			s := requestedState(b, uniformLayout(machines/2, 2), rules, 0)
+			for b.Loop() {
+				s.Plan()
+			}
+		})
+	}
+}
--- /dev/null
+++ b/maintenance/priority.go
@@ -0,0 +1,57 @@
+package maintenance
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// sortByPriority sorts waiting permits in the order in which they are drained: voters last, then higher urgency first,
+// then earlier ends of time windows, then the most replicas on other waiting machines, since those fit into the fewest
+// waves, then age, then name.
+func (s State) sortByPriority(waiting []Permit) {
+	waitingStores := make([]int, s.Layout.RingSize) // by ring position
+	for _, permit := range waiting {
+		for _, store := range s.Layout.Machine(permit.Machine).Stores {
+			waitingStores[store.RingPosition]++
+		}
+	}
+	slices.SortStableFunc(waiting, func(a, b Permit) int {
+		machineA := s.Layout.Machine(a.Machine)
+		machineB := s.Layout.Machine(b.Machine)
+		return cmp.Or(
+			cmp.Compare(voterRank(machineA), voterRank(machineB)),
+			cmp.Compare(b.Urgency, a.Urgency),
+			cmp.Compare(latestStart(a), latestStart(b)),
+			cmp.Compare(s.waitingReplicas(machineB, waitingStores), s.waitingReplicas(machineA, waitingStores)),
+			cmp.Compare(a.RequestedAt, b.RequestedAt),
+			cmp.Compare(a.Machine, b.Machine),
+		)
+	})
+}
+
+func voterRank(machine *Machine) int {
+	if machine.Voter {
+		return 1
+	}
+	return 0
+}
+
+// latestStart returns the latest start of a permit's drain.
+func latestStart(permit Permit) Micros {
+	if permit.NotAfter == 0 {
+		return math.MaxInt64
+	}
+	return permit.NotAfter
+}
+
+// waitingReplicas returns how many waiting stores share shards with those of a machine.
+func (s State) waitingReplicas(machine *Machine, waitingStores []int) int {
+	count := 0
+	for _, store := range machine.Stores {
+		for offset := 1 - s.Layout.ReplicationFactor; offset < s.Layout.ReplicationFactor; offset++ {
+			count += waitingStores[s.Layout.wrap(store.RingPosition+offset)]
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/maintenance/state.go
@@ -0,0 +1,255 @@
+package maintenance
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+const (
+	// maxFinishedPermits is the number of finished permits that are kept for reports and to detect repeated requests.
+	maxFinishedPermits = 200 * 52
+	// maxOpenPermits bounds the permits that are not finished. A larger request is assumed to be a mistake.
+	maxOpenPermits = 10_000
+	// maxLoad is the maximum load of an entry.
+	maxLoad = 100
+
+	microsPerSecond = 1_000_000
+)
+
+// State is the result of all entries so far. The values that it references are never modified, so that a copy of a State
+// is a snapshot.
+type State struct {
+	Now    Micros  `json:"now"`
+	Layout *Layout `json:"layout,omitempty"`
+	Rules  Rules   `json:"rules"`
+	Load   float64 `json:"load"`
+	// Permits are in the order of their requests. The oldest finished ones are dropped.
+	Permits []Permit `json:"permits"`
+	// Unhealthy holds the reasons of the machines without a permit that are out of service.
+	Unhealthy map[string]string `json:"unsound,omitempty"`
+	// Freeze is the active freeze; nil is none.
+	Freeze *Freeze `json:"held,omitempty"`
+	// LastDrainByKind is when the last drain of a machine of a kind started.
+	LastDrainByKind map[string]Micros `json:"began,omitempty"`
+}
+
+// Apply returns the state after an entry. It is deterministic: all instances that apply the same entries have the same
+// state. A rejected entry changes nothing but the time.
+func (s State) Apply(entry Entry) (State, Outcome) {
+	s.Now = max(s.Now, entry.At)
+	switch {
+	case entry.Layout != nil:
+		if err := entry.Layout.Validate(); err != nil {
+			return s, rejectedf("%v", err)
+		}
+		s.Layout = entry.Layout
+	case entry.Rules != nil:
+		if err := entry.Rules.Validate(); err != nil {
+			return s, rejectedf("%v", err)
+		}
+		s.Rules = *entry.Rules
+	case entry.Load != nil:
+		load := *entry.Load
+		inRange := load >= 0 && load <= maxLoad // false if it is not a number
+		if !inRange {
+			return s, rejectedf("a load of %v", load)
+		}
+		s.Load = load
+	case entry.Request != nil:
+		return s.applyRequest(*entry.Request)
+	case entry.Transition != nil:
+		return s.applyTransition(*entry.Transition)
+	case entry.HealthChange != nil:
+		s.Unhealthy = s.unhealthyAfter(*entry.HealthChange)
+	case entry.Freeze != nil:
+		s.Freeze = nil
+		if entry.Freeze.Active {
+			s.Freeze = entry.Freeze
+		}
+	}
+	return s, applied()
+}
+
+// unhealthyAfter returns the unhealthy machines after a change.
+func (s State) unhealthyAfter(change HealthChange) map[string]string {
+	unhealthy := make(map[string]string, len(s.Unhealthy)+1)
+	maps.Copy(unhealthy, s.Unhealthy)
+	if change.Healthy {
+		delete(unhealthy, change.Machine)
+	} else {
+		unhealthy[change.Machine] = change.Reason
+	}
+	return unhealthy
+}
+
+// permitIndex returns the index of a permit, or -1 if there is none.
+func (s State) permitIndex(request, machine string) int {
+	return slices.IndexFunc(s.Permits, func(permit Permit) bool {
+		return permit.Request == request && permit.Machine == machine
+	})
+}
+
+// applyRequest adds a permit for each machine of a request. A repeated request has no effect.
+func (s State) applyRequest(request Request) (State, Outcome) {
+	repeated := slices.ContainsFunc(s.Permits, func(permit Permit) bool { return permit.Request == request.Name })
+	if repeated {
+		return s, applied()
+	}
+	openRequests := map[string]string{} // by machine
+	open := 0
+	for _, permit := range s.Permits {
+		if !permit.Step.isFinal() {
+			openRequests[permit.Machine] = permit.Request
+			open++
+		}
+	}
+	switch {
+	case s.Layout == nil:
+		return s, rejectedf("the layout is not known yet")
+	case request.Name == "" || len(request.Machines) == 0:
+		return s, rejectedf("a request needs a name and machines")
+	case request.Duration <= 0 || request.Duration > maxDuration:
+		return s, rejectedf("work of %d us", request.Duration)
+	case !request.hasValidWindow(s.Now):
+		return s, rejectedf("its window is over before it begins")
+	case open+len(request.Machines) > maxOpenPermits:
+		return s, rejectedf("%d machines wait already", open)
+	}
+	permits := slices.Clone(s.Permits)
+	for _, machine := range request.Machines {
+		if s.Layout.Machine(machine) == nil {
+			return s, rejectedf("there is no machine %s", machine)
+		}
+		if openRequests[machine] != "" {
+			return s, rejectedf("machine %s is asked for by %s", machine, openRequests[machine])
+		}
+		openRequests[machine] = request.Name
+		permits = append(permits, request.permit(machine, s.Now))
+	}
+	s.Permits = permits
+	return s, applied()
+}
+
+func (r Request) hasValidWindow(now Micros) bool {
+	if r.NotBefore < 0 || r.NotAfter < 0 {
+		return false
+	}
+	return r.NotAfter == 0 || r.NotAfter >= max(r.NotBefore, now)
+}
+
+// permit returns the new permit of a machine.
+func (r Request) permit(machine string, now Micros) Permit {
+	return Permit{
+		Request:     r.Name,
+		Machine:     machine,
+		RequestedBy: r.RequestedBy,
+		Reason:      r.Reason,
+		Urgency:     r.Urgency,
+		Duration:    r.Duration,
+		NotBefore:   r.NotBefore,
+		NotAfter:    r.NotAfter,
+		RequestedAt: now,
+		Step:        Requested,
+		StepSince:   now,
+	}
+}
+
+// applyTransition takes a permit to another step. A transition to Draining must keep the rules unless it overrides them.
+func (s State) applyTransition(transition Transition) (State, Outcome) {
+	i := s.permitIndex(transition.Request, transition.Machine)
+	if i < 0 {
+		return s, rejectedf("there is no permit for %s in %s", transition.Machine, transition.Request)
+	}
+	permit := s.Permits[i]
+	if permit.Step == transition.To {
+		return s, applied() // a repeated transition
+	}
+	if permit.Step != transition.From || !slices.Contains(allowedTransitions[permit.Step], transition.To) {
+		return s, rejectedf("%s is %s, and cannot go from %s to %s", permit.Machine, permit.Step, transition.From, transition.To)
+	}
+	if transition.To == Draining {
+		if transition.OverrideReason == "" {
+			if violation := s.drainViolation(permit); violation != nil {
+				return s, Outcome{Rule: violation.Rule, Reason: violation.Reason}
+			}
+		}
+		s.LastDrainByKind = s.lastDrainsAfter(permit.Machine)
+		permit.DrainStartedAt = s.Now
+		permit.OverrideReason = transition.OverrideReason
+	}
+	permit.Step = transition.To
+	permit.StepSince = s.Now
+	permit.StepReason = transition.Reason
+	s.Permits = slices.Clone(s.Permits)
+	s.Permits[i] = permit
+	s.dropOldPermits()
+	return s, applied()
+}
+
+// lastDrainsAfter returns LastDrainByKind after the start of a machine's drain.
+func (s State) lastDrainsAfter(machineName string) map[string]Micros {
+	machine := s.Layout.Machine(machineName)
+	if machine == nil {
+		return s.LastDrainByKind
+	}
+	lastDrains := make(map[string]Micros, len(s.LastDrainByKind)+1)
+	maps.Copy(lastDrains, s.LastDrainByKind)
+	lastDrains[machine.Kind] = s.Now
+	return lastDrains
+}
+
+// dropOldPermits drops the oldest finished permits beyond maxFinishedPermits.
+func (s *State) dropOldPermits() {
+	finished := 0
+	for _, permit := range s.Permits {
+		if permit.Step.isFinal() {
+			finished++
+		}
+	}
+	s.Permits = slices.DeleteFunc(s.Permits, func(permit Permit) bool {
+		drop := permit.Step.isFinal() && finished > maxFinishedPermits
+		if drop {
+			finished--
+		}
+		return drop
+	})
+}
+
+// outages returns what is out in this state.
+func (s State) outages() *outages {
+	out := newOutages(s.Layout, s.Rules, s.Load)
+	for _, permit := range s.Permits {
+		if permit.Step.isOut() {
+			out.setOut(s.Layout.Machine(permit.Machine), true)
+		}
+	}
+	for machine := range s.Unhealthy {
+		out.setOut(s.Layout.Machine(machine), true)
+	}
+	maps.Copy(out.lastDrainByKind, s.LastDrainByKind)
+	return out
+}
+
+// drainViolation returns the rule that forbids to start the drain of a permit now, or nil.
+func (s State) drainViolation(permit Permit) *RuleViolation {
+	machine := s.Layout.Machine(permit.Machine)
+	switch {
+	case machine == nil:
+		return violationf("", "machine %s is not in the layout", permit.Machine)
+	case s.Freeze != nil:
+		return violationf(RuleFreeze, "held by %s: %s", s.Freeze.By, s.Freeze.Reason)
+	case permit.NotBefore > s.Now:
+		return violationf(RuleClosed, "its window has not begun")
+	case permit.isExpiredAt(s.Now):
+		return violationf(RuleClosed, "its window has passed")
+	}
+	out := s.outages()
+	if violation := out.violation(machine); violation != nil {
+		return violation
+	}
+	if at, rule := out.earliestDrain(machine, s.Now); at != s.Now {
+		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("not for another %d s", (at-s.Now)/microsPerSecond)}
+	}
+	return nil
+}
--- /dev/null
+++ b/maintenance/state_test.go
@@ -0,0 +1,160 @@
+package maintenance
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// permitTest is a state in which the maintenance of two machines was requested that hold the only two replicas.
+type permitTest struct {
+	start  State
+	first  string
+	second string
+}
+
+func newPermitTest(t *testing.T) permitTest {
+	t.Helper()
+	rules := Rules{MinHealthyReplicas: 1, WarmUpDuration: minute, DrainDuration: minute, SilentMemberTimeout: 10 * second}
+	layout := uniformLayout(1, 2)
+	return permitTest{
+		start:  requestedState(t, layout, rules, 0),
+		first:  layout.Machines[0].Name,
+		second: layout.Machines[1].Name,
+	}
+}
+
+func drain(s State, machine string) (State, Outcome) {
+	return s.Apply(Entry{At: s.Now, Transition: &Transition{Request: "r", Machine: machine, From: Requested, To: Draining}})
+}
+
+// takeThrough takes the permit of a machine through some steps, from the first to the last.
+func takeThrough(t *testing.T, s State, machine string, steps ...Step) State {
+	t.Helper()
+	for i := range len(steps) - 1 {
+		transition := Transition{Request: "r", Machine: machine, From: steps[i], To: steps[i+1]}
+		s = mustApply(t, s, Entry{At: s.Now, Transition: &transition})
+	}
+	return s
+}
+
+func TestPermitsThroughFaults(t *testing.T) {
+	const violation = "shard 0 would have 0 sound replicas of 1"
+	test := newPermitTest(t)
+	draining, outcome := drain(test.start, test.first)
+	require.True(t, outcome.Applied)
+	// Two voters propose to drain both replicas at the same time.
+	_, outcome = drain(draining, test.second)
+	assert.Equal(t, Outcome{Rule: RuleReplicas, Reason: violation}, outcome)
+
+	crashed := mustApply(t, draining, Entry{HealthChange: &HealthChange{Machine: test.second, Reason: "crashed"}})
+	transitions := crashed.NextTransitions(crashed.Now, "")
+	require.Len(t, transitions, 2, "the drain is recalled when the other replica is lost; the lost machine may be drained")
+	recall := Transition{Request: "r", Machine: test.first, From: Draining, To: Requested, Reason: "replicas: " + violation}
+	assert.Equal(t, recall, transitions[0])
+	assert.Equal(t, Transition{Request: "r", Machine: test.second, From: Requested, To: Draining}, transitions[1])
+
+	out := takeThrough(t, draining, test.first, Draining, Drained, InMaintenance)
+	out.Now += 30 * day
+	assert.True(t, out.Permits[0].IsOverdue(out.Now))
+	assert.Equal(t, InMaintenance, out.Permits[0].Step, "an overdue machine still counts as out")
+	assert.Empty(t, out.NextTransitions(out.Now, "a zone is lost"), "a machine that may be touched is not recalled")
+
+	warm := takeThrough(t, out, test.first, InMaintenance, Returning, WarmingUp)
+	unhealthy := mustApply(t, warm, Entry{HealthChange: &HealthChange{Machine: test.first, Reason: "slow"}})
+	unhealthy.Now += hour
+	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "a machine that returns unhealthy stops the plan")
+	healthy := mustApply(t, unhealthy, Entry{HealthChange: &HealthChange{Machine: test.first, Healthy: true}})
+	completion := Transition{Request: "r", Machine: test.first, From: WarmingUp, To: Completed}
+	assert.Equal(t, []Transition{completion}, healthy.NextTransitions(healthy.Now, ""))
+
+	tightened := mustApply(t, draining, Entry{Rules: &Rules{MinHealthyReplicas: 2}})
+	assert.Len(t, tightened.NextTransitions(tightened.Now, ""), 1, "tightened rules recall a drain")
+
+	frozen := mustApply(t, test.start, Entry{Freeze: &Freeze{Active: true, By: "op", Reason: "lunch"}})
+	assert.Empty(t, frozen.NextTransitions(frozen.Now, ""))
+	_, outcome = drain(frozen, test.first)
+	assert.Equal(t, RuleFreeze, outcome.Rule)
+	override := Transition{Request: "r", Machine: test.first, From: Requested, To: Draining, OverrideReason: "disk on fire"}
+	overridden := mustApply(t, frozen, Entry{Transition: &override})
+	assert.Equal(t, "disk on fire", overridden.Permits[0].OverrideReason)
+}
+
+func TestDrainComplete(t *testing.T) {
+	s := State{Rules: Rules{SilentMemberTimeout: 10 * second}}
+	permit := Permit{Step: Draining, DrainStartedAt: hour}
+	idle := InFlightReport{DrainAcknowledged: true}
+	for name, testCase := range map[string]struct {
+		members  map[string]InFlightReport
+		trusted  bool
+		elapsed  Micros
+		complete bool
+	}{
+		"all have reported":             {map[string]InFlightReport{"a": idle, "b": idle}, true, second, true},
+		"one has not acknowledged":      {map[string]InFlightReport{"a": {}, "b": idle}, true, hour, false},
+		"one has a call in flight":      {map[string]InFlightReport{"a": {DrainAcknowledged: true, Calls: 1}}, true, hour, false},
+		"one is silent":                 {map[string]InFlightReport{"a": {SilentSince: hour}, "b": idle}, true, 9 * second, false},
+		"one is silent until timed out": {map[string]InFlightReport{"a": {Calls: 3, SilentSince: hour}, "b": idle}, true, 11 * second, true},
+		"the view is not trusted":       {map[string]InFlightReport{"a": idle}, false, second, false},
+		"untrusted until timed out":     {map[string]InFlightReport{"a": idle}, false, 11 * second, true},
+	} {
+		complete, waitsFor := s.DrainComplete(permit, permit.DrainStartedAt+testCase.elapsed, testCase.members, testCase.trusted)
+		assert.Equal(t, testCase.complete, complete, name)
+		assert.Equal(t, testCase.complete, waitsFor == "", name)
+	}
+}
+
+func TestInvalidEntriesChangeNothing(t *testing.T) {
+	s := requestedState(t, uniformLayout(2, 2), Rules{}, 0, "m-0000")
+	before, err := json.Marshal(s)
+	require.NoError(t, err)
+	hugeLoad := 1e300
+	storeOffRing := Machine{Name: "a", Stores: []Store{{Name: "s", RingPosition: 1}}}
+	for _, entry := range []Entry{
+		{Request: &Request{Name: "x", Machines: []string{"nobody"}, Duration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0000"}, Duration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001", "m-0001"}, Duration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, Duration: -1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, Duration: 1 << 60}},
+		{Request: &Request{Machines: []string{"m-0001"}, Duration: 1}},
+		{Request: &Request{Name: "x", Duration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, Duration: 1, NotBefore: 9 * day, NotAfter: day}},
+		{Transition: &Transition{Request: "r", Machine: "m-0001", From: Requested, To: Draining}},
+		{Transition: &Transition{Request: "r", Machine: "m-0000", From: Requested, To: InMaintenance}},
+		{Rules: &Rules{MaxStoreFraction: 2}},
+		{Rules: &Rules{MinHealthyReplicas: -1}},
+		{Rules: &Rules{DrainSpacing: -1}},
+		{Rules: &Rules{ClosedWindows: []Window{{Start: 5, End: 5}}}},
+		{Rules: &Rules{ClosedWindows: []Window{{0, day / 2}, {day / 2, day}}}},
+		{Load: &hugeLoad},
+		{Layout: &Layout{}},
+		{Layout: &Layout{RingSize: 1, ReplicationFactor: 1, Shards: 1, Machines: []Machine{{Name: "b"}, {Name: "a"}}}},
+		{Layout: &Layout{RingSize: 1, ReplicationFactor: 1, Shards: 1, Machines: []Machine{storeOffRing}}},
+	} {
+		next, outcome := s.Apply(entry)
+		after, err := json.Marshal(next)
+		require.NoError(t, err)
+		encodedEntry, err := json.Marshal(entry)
+		require.NoError(t, err)
+		assert.False(t, outcome.Applied, string(encodedEntry))
+		assert.NotEmpty(t, outcome.Reason, string(encodedEntry))
+		assert.Equal(t, string(before), string(after), string(encodedEntry))
+	}
+}
+
+func TestClosedWindows(t *testing.T) {
+	rules := Rules{ClosedWindows: []Window{{8 * hour, 18 * hour}, {23 * hour, 2 * hour}, {18 * hour, 19 * hour}}}
+	require.NoError(t, rules.Validate())
+	for at, expected := range map[Micros]Micros{
+		7 * hour:         7 * hour,
+		9 * hour:         19 * hour,
+		23*hour + minute: 26 * hour,
+		5*day + hour:     5*day + 2*hour,
+	} {
+		open, ok := rules.nextOpen(at)
+		assert.True(t, ok)
+		assert.Equal(t, expected, open)
+	}
+}
