--- /dev/null
+++ b/internal/simnet/fault.go
@@ -0,0 +1,46 @@
+package simnet
+
+// SetLink sets the link from one node to another, in this direction only.
+func (n *Network) SetLink(from, to NodeID, link Link) { n.links[route{from, to}] = link }
+
+// Cut blocks the messages from each of some nodes to each of others, in this direction only. Messages that were sent
+// before still arrive. Cuts add up: a route is open again once each of its cuts was healed.
+func (n *Network) Cut(from, to []NodeID) { n.addCuts(from, to, 1) }
+
+// Heal ends one Cut of the same nodes.
+func (n *Network) Heal(from, to []NodeID) { n.addCuts(from, to, -1) }
+
+func (n *Network) addCuts(from, to []NodeID, delta int) {
+	for _, sender := range from {
+		for _, recipient := range to {
+			if sender == recipient {
+				continue
+			}
+			way := route{sender, recipient}
+			n.cuts[way] += delta
+			if n.cuts[way] <= 0 {
+				delete(n.cuts, way)
+			}
+		}
+	}
+}
+
+// Pause pauses a node as SIGSTOP does: its timers and messages reach it after the pause, in their order.
+func (n *Network) Pause(id NodeID, duration Micros) {
+	target := n.node(id)
+	target.pausedUntil = max(target.pausedUntil, n.now+duration)
+}
+
+// Kill crashes a node. Its timers and the messages to it are dropped; the messages that it sent still arrive.
+func (n *Network) Kill(id NodeID) {
+	target := n.node(id)
+	target.incarnation++
+	target.dead = true
+	target.pausedUntil = 0
+}
+
+// Restart makes a killed node alive again.
+func (n *Network) Restart(id NodeID) { n.node(id).dead = false }
+
+// IsAlive reports whether a node was not killed, or was restarted since.
+func (n *Network) IsAlive(id NodeID) bool { return !n.node(id).dead }
--- /dev/null
+++ b/internal/simnet/simfleet/aggregator.go
@@ -0,0 +1,193 @@
+package simfleet
+
+import (
+	"slices"
+
+	"alderproxy/internal/simnet"
+	"alderproxy/policy"
+)
+
+// Aggregator is one aggregator of a fleet.
+type Aggregator struct {
+	fleet  *Fleet
+	node   simnet.NodeID // its index in the fleet
+	policy *policy.Aggregator
+	// connectionUsedAt is when the connection to the store of an ID was last used. Stores without one are missing.
+	connectionUsedAt map[uint32]Micros
+	openQueries      map[uint64]*query
+	parts            map[uint64]*part
+	lastID           uint64 // of a query or part
+}
+
+// query is a query of a client.
+type query struct {
+	id        uint64
+	class     int
+	startedAt Micros
+	deadline  Micros
+	parts     []*part
+}
+
+// part is the part of a query that concerns one shard.
+type part struct {
+	id       uint64
+	query    *query
+	shard    int
+	work     float64
+	attempts []*attempt
+	answered bool
+}
+
+// attempt is one request for a part to a store.
+type attempt struct {
+	store     uint32
+	startedAt Micros
+	finished  bool
+}
+
+// start starts a process of the aggregator.
+func (a *Aggregator) start() {
+	settings := a.fleet.plan.Settings
+	settings.InstanceIndex = int(a.node)
+	aggregator, err := policy.New(settings, a.fleet.plan.Seed)
+	if err != nil {
+		panic(err) // the test's own settings are invalid
+	}
+	a.policy = aggregator
+	a.connectionUsedAt = map[uint32]Micros{}
+	a.openQueries = map[uint64]*query{}
+	a.parts = map[uint64]*part{}
+	a.step(policy.EndpointList{Endpoints: a.fleet.endpoints()})
+}
+
+// accept accepts a query.
+func (a *Aggregator) accept(q *query) {
+	q.id = a.nextID()
+	a.openQueries[q.id] = q
+	events := []policy.Event{
+		policy.Query{ID: q.id, Number: q.id, Class: q.class, Deadline: q.deadline, Parts: len(q.parts)},
+	}
+	for _, p := range q.parts {
+		p.id = a.nextID()
+		a.parts[p.id] = p
+		events = append(events, policy.Part{ID: p.id, Number: q.id, Shard: p.shard, Weight: 1 / float64(len(q.parts))})
+	}
+	if !a.fleet.plan.Plain {
+		a.step(events...)
+		return
+	}
+	for _, p := range q.parts {
+		a.sendToRandomReplica(p)
+	}
+}
+
+func (a *Aggregator) nextID() uint64 {
+	a.lastID++
+	return a.lastID
+}
+
+// step hands events to the policy and carries out its actions.
+func (a *Aggregator) step(events ...policy.Event) {
+	for _, action := range a.policy.Step(a.fleet.Network.Now(), events) {
+		a.carryOut(action)
+	}
+}
+
+func (a *Aggregator) carryOut(action policy.Action) {
+	switch action := action.(type) {
+	case policy.SendAttempt:
+		a.startAttempt(action)
+	case policy.CancelAttempt:
+		a.fleet.result.Cancellations++
+		if p := a.parts[action.Part]; p != nil {
+			a.finishAttempt(p, action.Attempt, policy.Canceled, policy.NoLoadReport)
+		}
+	case policy.Answer:
+		a.finishQuery(a.openQueries[action.Query], served)
+	case policy.Reject:
+		a.finishQuery(a.openQueries[action.Query], rejected)
+	case policy.Fail:
+		a.finishQuery(a.openQueries[action.Query], failed)
+	case policy.HealthCheck:
+		a.checkHealth(action.Server)
+	case policy.CloseIdleConnections:
+		delete(a.connectionUsedAt, action.Server)
+	case policy.SetTimer:
+		a.fleet.Network.Schedule(a.node, action.After, func() { a.step(policy.Timer{}) })
+	}
+}
+
+// stepLater hands an event to the policy at the same time, after the current step.
+func (a *Aggregator) stepLater(event policy.Event) {
+	a.fleet.Network.Schedule(a.node, 0, func() { a.step(event) })
+}
+
+// finishQuery adds the outcome of an open query to the result.
+func (a *Aggregator) finishQuery(q *query, end outcome) {
+	if q == nil || a.openQueries[q.id] != q {
+		return
+	}
+	delete(a.openQueries, q.id)
+	f := a.fleet
+	class := f.plan.Settings.Classes[q.class]
+	result := &f.result
+	second := result.second(q.startedAt)
+	weight := class.PriorityWeight
+	switch end {
+	case served:
+		if f.Network.Now()-q.startedAt > class.LatencyObjective {
+			result.Late += weight
+			weight *= class.LateWeight
+		}
+		result.Served += weight
+		second.Served += weight
+		f.servedByClass[q.class] += weight
+	case failed:
+		result.Failed += weight
+		second.Failed += weight
+	case rejected:
+		result.Rejected += weight
+		second.Rejected += weight
+	}
+	for _, p := range q.parts {
+		a.dropFinishedPart(p)
+	}
+}
+
+// dropFinishedPart drops a part whose query is finished and of which no attempt is in flight.
+func (a *Aggregator) dropFinishedPart(p *part) {
+	inFlight := slices.ContainsFunc(p.attempts, func(t *attempt) bool { return !t.finished })
+	if a.openQueries[p.query.id] != p.query && !inFlight {
+		delete(a.parts, p.id)
+	}
+}
+
+// sendToRandomReplica is the baseline: it sends a part to a random replica, once.
+func (a *Aggregator) sendToRandomReplica(p *part) {
+	position := p.shard % a.fleet.plan.Settings.RingSize
+	var replicas []*Store
+	for _, store := range a.fleet.Stores {
+		if store.Endpoint.State == policy.Ready && store.Endpoint.RingPosition == position {
+			replicas = append(replicas, store)
+		}
+	}
+	replica := replicas[a.fleet.Network.Rand().IntN(len(replicas))]
+	a.send(p, replica, func(status policy.Status, _ policy.LoadReport) { a.recordRandomReply(p, status) })
+}
+
+// recordRandomReply finishes the query of a part with its last answer or with the first error.
+func (a *Aggregator) recordRandomReply(p *part, status policy.Status) {
+	q := p.query
+	if a.openQueries[q.id] != q {
+		return
+	}
+	if status != policy.OK {
+		a.finishQuery(q, failed)
+		return
+	}
+	p.answered = true
+	incomplete := slices.ContainsFunc(q.parts, func(p *part) bool { return !p.answered })
+	if !incomplete {
+		a.finishQuery(q, served)
+	}
+}
--- /dev/null
+++ b/internal/simnet/simfleet/attempt.go
@@ -0,0 +1,96 @@
+package simfleet
+
+import "alderproxy/policy"
+
+const (
+	// idleConnectionTimeout is how long a connection that is not used stays open.
+	idleConnectionTimeout Micros = 15_000_000
+	// healthCheckTimeout is how long an aggregator waits for the result of a health check.
+	healthCheckTimeout Micros = 62_500
+)
+
+// startAttempt sends a part to a store with a timeout.
+func (a *Aggregator) startAttempt(action policy.SendAttempt) {
+	p := a.parts[action.Part]
+	number := len(p.attempts)
+	a.send(p, a.fleet.store(action.Server), func(status policy.Status, report policy.LoadReport) {
+		a.finishAttempt(p, number, status, report)
+	})
+	a.fleet.Network.Schedule(a.node, action.Timeout, func() {
+		a.finishAttempt(p, number, policy.TimedOut, policy.NoLoadReport)
+	})
+}
+
+// finishAttempt reports the first result of an attempt to the policy.
+func (a *Aggregator) finishAttempt(p *part, number int, status policy.Status, report policy.LoadReport) {
+	finished := p.attempts[number]
+	if finished.finished {
+		return
+	}
+	finished.finished = true
+	a.dropFinishedPart(p)
+	a.stepLater(policy.AttemptResult{
+		Part:    p.id,
+		Attempt: number,
+		Server:  finished.store,
+		Status:  status,
+		Elapsed: a.fleet.Network.Now() - finished.startedAt,
+		Report:  report,
+	})
+}
+
+// send sends a part to a store and calls back with the response.
+func (a *Aggregator) send(p *part, store *Store, respond func(policy.Status, policy.LoadReport)) {
+	f := a.fleet
+	f.result.Sends++
+	current := &attempt{store: store.Endpoint.ID, startedAt: f.Network.Now()}
+	p.attempts = append(p.attempts, current)
+	request := job{
+		work:        p.work,
+		nominalWork: float64(f.plan.Mix[p.query.class].Work),
+		respond: func(status policy.Status, report policy.LoadReport) bool {
+			f.Network.SendOrdered(store.node, a.node, func() { respond(status, report) })
+			return !current.finished
+		},
+	}
+	a.onConnection(store, func() { store.accept(request) })
+}
+
+// checkHealth sends a health check to a store and reports the first of its result and its timeout to the policy.
+func (a *Aggregator) checkHealth(id uint32) {
+	network := a.fleet.Network
+	store := a.fleet.store(id)
+	startedAt := network.Now()
+	finished := false
+	finish := func(status policy.Status, report policy.LoadReport) {
+		if finished {
+			return
+		}
+		finished = true
+		a.step(policy.HealthCheckResult{Server: id, Status: status, Elapsed: network.Now() - startedAt, Report: report})
+	}
+	a.onConnection(store, func() {
+		store.checkHealth(func(report policy.LoadReport) {
+			network.SendOrdered(store.node, a.node, func() { finish(policy.OK, report) })
+		})
+	})
+	network.Schedule(a.node, healthCheckTimeout, func() { finish(policy.TimedOut, policy.NoLoadReport) })
+}
+
+// onConnection calls a function at a store when a request arrives there. Without an open connection, a handshake of one
+// round trip goes before.
+func (a *Aggregator) onConnection(store *Store, arrive func()) {
+	network := a.fleet.Network
+	usedAt, open := a.connectionUsedAt[store.Endpoint.ID]
+	a.connectionUsedAt[store.Endpoint.ID] = network.Now()
+	if open && network.Now()-usedAt <= idleConnectionTimeout {
+		network.SendOrdered(a.node, store.node, arrive)
+		return
+	}
+	network.SendOrdered(a.node, store.node, store.connect)
+	network.SendOrdered(a.node, store.node, func() {
+		network.SendOrdered(store.node, a.node, func() {
+			network.SendOrdered(a.node, store.node, arrive)
+		})
+	})
+}
--- /dev/null
+++ b/internal/simnet/simfleet/large.go
@@ -0,0 +1,135 @@
+package simfleet
+
+import (
+	"math/rand/v2"
+
+	"alderproxy/internal/simnet"
+	"alderproxy/policy"
+)
+
+const (
+	largeCores    = 2
+	largeReplicas = 2
+	// largeMeanSpeed is the mean speed of the machines of a large fleet.
+	largeMeanSpeed = 0.93
+	// largeSlowFraction is the fraction of its machines that are of a slower type.
+	largeSlowFraction = 0.3
+)
+
+// Large returns the scenario of a large fleet: each aggregator receives a few queries per second with many parts, and
+// stores in pairs are used at a load from 0 to 1. The proportions are those of a production site.
+func Large(seed uint64, aggregators, ringSize int, load float64) Plan {
+	settings := largeSettings(ringSize)
+	mix := largeMix(settings.Shards)
+	queryWork := 0.0 // mean work of a query
+	for _, class := range mix {
+		queryWork += class.Share * class.meanParts() * float64(class.Work)
+	}
+	maxRate := float64(ringSize*largeReplicas) * largeCores * largeMeanSpeed * microsPerSecond / queryWork
+	return Plan{
+		Seed:        seed,
+		Settings:    settings,
+		Aggregators: aggregators,
+		Replicas:    largeReplicas,
+		Mix:         mix,
+		Skew:        0.2,
+		Uneven:      0.5,
+		Link:        simnet.Link{MinDelay: 200, MaxDelay: 1200},
+		Rate:        func(Micros) float64 { return load * maxRate },
+		NewMachine:  newLargeMachine,
+	}
+}
+
+func largeSettings(ringSize int) policy.Settings {
+	const latencyObjective = 380_000
+	const shardsPerPosition = 2
+	return policy.Settings{
+		Tick:              1000,
+		Shards:            ringSize * shardsPerPosition,
+		RingSize:          ringSize,
+		ReplicationFactor: 1,
+		MaxBatchSize:      1,
+		MaxAttempts:       4,
+		MaxOpen:           1000,
+		AllowHedging:      true,
+		AllowCancel:       true,
+		AllowHealthChecks: true,
+		SendRetryAfter:    true,
+		MaxRetryAfter:     2_000_000,
+		AnswerSlack:       5000,
+		DrainGrace:        500_000,
+		SlowStartFraction: 0.18,
+		SlowStartDuration: 17_000_000,
+		OverloadFactor:    2.5,
+		OverloadDuration:  2_000_000,
+		PriceHealthCheck:  0.08,
+		PriceCrossZone:    0.009,
+		Classes: []policy.Class{
+			{
+				Name:             "report",
+				LatencyObjective: 2 * latencyObjective,
+				Timeout:          3_340_000,
+				PriorityWeight:   5,
+				MinCoverage:      1,
+				RequiredCoverage: 1,
+			},
+			{
+				Name:             "lookup",
+				LatencyObjective: latencyObjective,
+				Timeout:          1_340_000,
+				PriorityWeight:   1,
+				LateWeight:       0.3,
+				MinCoverage:      1,
+				RequiredCoverage: 1,
+			},
+			{
+				Name:                "save",
+				LatencyObjective:    latencyObjective,
+				Timeout:             1_000_000,
+				PriorityWeight:      1,
+				Idempotency:         policy.IdempotentByKey,
+				DeduplicationWindow: 3_000_000,
+				MinCoverage:         1,
+				RequiredCoverage:    1,
+			},
+		},
+	}
+}
+
+// largeMix returns the queries of the classes of largeSettings.
+func largeMix(shards int) []QueryClass {
+	return []QueryClass{
+		{Share: 0.12, WorkVariation: 0.5, MinParts: shards / 2, MaxParts: shards / 2, Work: 48_000},
+		{Share: 0.62, WorkVariation: 0.5, MinParts: max(3, shards/10), MaxParts: max(5, shards/10), Work: 36_000},
+		{Share: 0.26, WorkVariation: 0.5, MinParts: 1, MaxParts: 1, Work: 36_000},
+	}
+}
+
+func newLargeMachine(_ int, rng *rand.Rand) Machine {
+	machine := Machine{
+		Cores:           largeCores,
+		MaxRunning:      3 * largeCores,
+		MaxQueued:       12 * largeCores,
+		Speed:           0.92 + 0.18*rng.Float64(),
+		PauseInterval:   1_800_000,
+		PauseDuration:   16_000 + rng.Int64N(56_000),
+		ReportInterval:  37_000 + rng.Int64N(90_000),
+		HandshakeWork:   1200,
+		HealthCheckWork: 300,
+		ErrorRate:       0.001,
+	}
+	if rng.Float64() < largeSlowFraction {
+		machine.Speed = 0.69 + 0.12*rng.Float64()
+	}
+	return machine
+}
+
+// Burst returns a rate that is half as high again as a base rate from one time to another.
+func Burst(base func(Micros) float64, from, to Micros) func(Micros) float64 {
+	return func(now Micros) float64 {
+		if now >= from && now < to {
+			return 1.5 * base(now)
+		}
+		return base(now)
+	}
+}
--- /dev/null
+++ b/internal/simnet/simfleet/result.go
@@ -0,0 +1,74 @@
+package simfleet
+
+import (
+	"math"
+
+	"alderproxy/internal/simnet"
+)
+
+// minOffered avoids divisions by zero where nothing was offered.
+const minOffered = 1e-9
+
+// Result sums up a run. Asked, Served, Rejected, Failed and Late are sums of the queries' priority weights.
+type Result struct {
+	Asked, Served, Rejected, Failed float64
+	// Late is what was answered after the latency objective.
+	Late float64
+	// Queries and Parts were offered; Sends are the attempts, and Cancellations those that were canceled.
+	Queries, Parts, Sends, Cancellations int
+	// HealthChecks, Connections and QueueFull are the sums of the stores' statistics.
+	HealthChecks, Connections, QueueFull int
+	Work, Wasted                         float64
+	// Fell is the number of stores that were overloaded during their slow start.
+	Fell int
+	// Peak and Excess are the maxima of StoreStats.PeakOverload and StoreStats.Excess.
+	Peak, Excess float64
+	// Seconds are the seconds of the run, by the arrival of the queries.
+	Seconds []Second
+	// ByClass is the fraction of the offered weight that was served, by class.
+	ByClass []float64
+	Digest  uint64
+}
+
+// Second is one second of a run, in sums of priority weights.
+type Second struct {
+	Asked    float64
+	Served   float64
+	Rejected float64
+	Failed   float64
+}
+
+// Share returns the fraction of the offered weight that was served.
+func (r Result) Share() float64 { return r.Served / math.Max(r.Asked, minOffered) }
+
+// second returns the second of a result in which a time lies.
+func (r *Result) second(at Micros) *Second {
+	index := int((at - simnet.StartTime) / microsPerSecond)
+	for len(r.Seconds) <= index {
+		r.Seconds = append(r.Seconds, Second{})
+	}
+	return &r.Seconds[index]
+}
+
+// addStore adds the statistics of a store.
+func (r *Result) addStore(stats StoreStats) {
+	r.HealthChecks += stats.HealthChecks
+	r.Connections += stats.Connections
+	r.QueueFull += stats.QueueFull
+	r.Work += stats.Work
+	r.Wasted += stats.Wasted
+	r.Peak = max(r.Peak, stats.PeakOverload)
+	r.Excess = max(r.Excess, stats.Excess)
+	if stats.Overloaded {
+		r.Fell++
+	}
+}
+
+// outcome is how a query ended.
+type outcome int
+
+const (
+	served outcome = iota
+	failed
+	rejected
+)
--- /dev/null
+++ b/internal/simnet/simfleet/scenario.go
@@ -0,0 +1,65 @@
+package simfleet
+
+import (
+	"math/rand/v2"
+
+	"alderproxy/internal/simnet"
+	"alderproxy/policy"
+)
+
+// Micros is a duration or a time in microseconds.
+type Micros = policy.Micros
+
+const microsPerSecond = 1e6
+
+// Plan is the scenario of a run.
+type Plan struct {
+	Seed uint64
+	// Settings are those of all aggregators. InstanceIndex and InstanceCount are set by the fleet.
+	Settings    policy.Settings
+	Aggregators int
+	// NewMachine returns the machine of the store of an index.
+	NewMachine func(index int, rng *rand.Rand) Machine
+	// Replicas is the number of stores at each ring position.
+	Replicas int
+	// Link is the link between aggregators and stores.
+	Link simnet.Link
+	// Rate returns the queries per second of the whole fleet at a time since the start.
+	Rate func(now Micros) float64
+	// Mix describes the queries of each class of Settings.
+	Mix []QueryClass
+	// Skew is the skew of the shards' popularity: the weight of shard i is (1+i)^-Skew.
+	Skew float64
+	// Uneven is the standard deviation of the logarithm of the aggregators' shares of the queries.
+	Uneven float64
+	// Plain has aggregators send each part to a random replica and do nothing else, as a baseline.
+	Plain bool
+}
+
+// QueryClass describes the queries of a class.
+type QueryClass struct {
+	// Share is the fraction of all queries.
+	Share float64
+	// WorkVariation is the coefficient of variation of a part's work.
+	WorkVariation float64
+	// MinParts and MaxParts bound the number of parts, which is uniformly distributed.
+	MinParts int
+	MaxParts int
+	// Work is the mean work of a part in microseconds of a core of speed 1.
+	Work Micros
+}
+
+// meanParts returns the mean number of parts of a query.
+func (c QueryClass) meanParts() float64 { return float64(c.MinParts+c.MaxParts) / 2 }
+
+// meanPartWork returns the mean work of a part of any class.
+func (p Plan) meanPartWork() float64 {
+	work := 0.0
+	parts := 0.0
+	for _, class := range p.Mix {
+		classParts := class.Share * class.meanParts()
+		work += classParts * float64(class.Work)
+		parts += classParts
+	}
+	return work / parts
+}
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -8,181 +8,225 @@
 	"alderproxy/policy"
 )
 
-// Machine is what a store's machine can do.
+// overloadTolerance is the factor by which the limit of a store in slow start must be exceeded to count as overload.
+const overloadTolerance = 1.05
+
+// Machine describes the machine of a store.
 type Machine struct {
-	Cores, Slots, Queue int     // cores; requests in work at once; waiting ones
-	Speed               float64 // work done in a second of a core
-	PauseEvery, Pause   Micros  // it stands still now and then; 0: never
-	Report              Micros  // age at which its load report is made anew
-	Handshake           Micros  // work that a new connection costs
-	ProbeWork           Micros
-	Errors              float64 // share of parts answered with an error at once
+	Cores int
+	// MaxRunning is the number of requests that run at a time, and MaxQueued the number of those that wait.
+	MaxRunning int
+	MaxQueued  int
+	// Speed is the work of a core per unit of time.
+	Speed float64
+	// PauseInterval is the mean time between two pauses, and PauseDuration their duration; 0 is never.
+	PauseInterval Micros
+	PauseDuration Micros
+	// ReportInterval is how often the load report is renewed.
+	ReportInterval Micros
+	// HandshakeWork is the work of a new connection, and HealthCheckWork the duration of a health check.
+	HandshakeWork   Micros
+	HealthCheckWork Micros
+	// ErrorRate is the fraction of the parts that are answered with an error at once.
+	ErrorRate float64
 }
 
-// Store is a stand-in store: so many cores, a waiting room, a load report that is made now and then. It does not
-// stop work that nobody waits for any more.
+// Store is a simulated store with cores, a bounded queue and a load report that is renewed now and then. It does not stop
+// work whose result nobody waits for.
 type Store struct {
 	Machine
-	Server policy.Endpoint
-
-	net     *simnet.Net
-	me      simnet.Party
-	rng     *rand.Rand
-	set     *policy.Settings
-	running int
-	waiting []job
-	report  policy.LoadReport
-	told    Micros
-	stuck   Micros // it stands still until then
-	recent  float64
-	mark    Micros
-	conns   map[simnet.Party]bool
-	arrived []arrival // of the last FallAfter, of which Fell is judged
-	mean    float64   // work of a part
-
-	Stats StoreStats
-}
-
-// StoreStats is what a store has seen.
+	Endpoint policy.Endpoint
+	Stats    StoreStats
+
+	network       *simnet.Network
+	node          simnet.NodeID
+	rng           *rand.Rand
+	settings      *policy.Settings
+	running       int
+	queued        []job
+	report        policy.LoadReport
+	reportedAt    Micros // 0: never
+	pausedUntil   Micros
+	arrivalRate   float64 // smoothed, per second
+	arrivalRateAt Micros  // when it was last updated
+	// recentArrivals are those within the last OverloadDuration of the settings, during slow start.
+	recentArrivals []arrival
+	meanPartWork   float64
+}
+
+// StoreStats are the statistics of a store. Work is in microseconds of a core of speed 1.
 type StoreStats struct {
-	Taken, Full, Probes, Conns int
-	Work, Wasted               float64 // in microseconds of a core of speed 1; the latter for answers nobody took
-	Fell                       bool    // it was sent more than a cold store bears
-	Peak                       float64 // most that was sent within the rule's span, over what it bears in it
-	// Excess is the most that came within the rule's span while it was cold beyond N + 2 x root of N + 2 parts of mean
-	// work, N being what the settings allow then: chance does not account for more. Below 0: it never came to that.
+	Accepted, QueueFull, HealthChecks, Connections int
+	// Wasted is the work whose result nobody waited for.
+	Work, Wasted float64
+	// Overloaded means that more arrived during slow start than the settings allow.
+	Overloaded bool
+	// PeakOverload is the maximum of the work that arrived within OverloadDuration, relative to the capacity.
+	PeakOverload float64
+	// Excess is the maximum, during slow start, of the parts that arrived within OverloadDuration beyond what chance
+	// accounts for: beyond N + 2*sqrt(N) + 2 parts of mean work, where N is what the settings allow. It is negative if
+	// there was none.
 	Excess float64
 }
 
+// arrival is work that arrived at a time.
 type arrival struct {
 	at   Micros
 	work float64
 }
 
+// job is a request at a store.
 type job struct {
-	work   float64
-	counts float64                                     // by its class's mean, as the rule on cold stores has it
-	done   func(policy.Status, policy.LoadReport) bool // tells whether anybody waited
+	work float64
+	// nominalWork is the mean work of the request's class, by which overload is determined.
+	nominalWork float64
+	// respond sends the response and reports whether anybody waited for it.
+	respond func(policy.Status, policy.LoadReport) bool
 }
 
-// share is the part of its capacity that a store has: it warms evenly.
-func (s *Store) share(now Micros) float64 {
-	if s.Server.StartedAt <= 0 || s.set.SlowStartDuration <= 0 {
+// capacityFraction returns the fraction of its capacity that the store has. It grows linearly during slow start.
+func (s *Store) capacityFraction(now Micros) float64 {
+	if s.Endpoint.StartedAt <= 0 || s.settings.SlowStartDuration <= 0 {
 		return 1
 	}
-	age := float64(now-s.Server.StartedAt) / float64(s.set.SlowStartDuration)
-	return min(1, s.set.SlowStartFraction+(1-s.set.SlowStartFraction)*max(0, age))
+	progress := float64(now-s.Endpoint.StartedAt) / float64(s.settings.SlowStartDuration)
+	return min(1, s.settings.SlowStartFraction+(1-s.settings.SlowStartFraction)*max(0, progress))
 }
 
-// pressure keeps account of what reaches a store: within any span of the rule's length that is bounded while it is cold.
-func (s *Store) pressure(work float64) {
-	now := s.net.Now()
-	if s.share(now) >= 1 || s.set.OverloadDuration <= 0 {
-		s.arrived = nil
+// recordArrival updates the statistics on overload during slow start.
+func (s *Store) recordArrival(work float64) {
+	now := s.network.Now()
+	fraction := s.capacityFraction(now)
+	if fraction >= 1 || s.settings.OverloadDuration <= 0 {
+		s.recentArrivals = nil
 		return
 	}
-	s.arrived = append(s.arrived, arrival{now, work})
-	for s.arrived[0].at <= now-s.set.OverloadDuration {
-		s.arrived = s.arrived[1:]
+	s.recentArrivals = append(s.recentArrivals, arrival{now, work})
+	for s.recentArrivals[0].at <= now-s.settings.OverloadDuration {
+		s.recentArrivals = s.recentArrivals[1:]
 	}
-	sum := 0.0
-	for _, a := range s.arrived {
-		sum += a.work
+	arrived := 0.0
+	for _, recent := range s.recentArrivals {
+		arrived += recent.work
 	}
-	bears := s.share(now) * float64(s.Cores) * s.Speed * float64(s.set.OverloadDuration)
-	s.Stats.Peak = max(s.Stats.Peak, sum/bears)
-	s.Stats.Fell = s.Stats.Fell || sum > s.set.OverloadFactor*bears*1.05
-	n := s.set.OverloadFactor * bears / s.mean
-	s.Stats.Excess = max(s.Stats.Excess, sum/s.mean-(n+2*math.Sqrt(n)+2))
+	capacity := fraction * float64(s.Cores) * s.Speed * float64(s.settings.OverloadDuration)
+	s.Stats.PeakOverload = max(s.Stats.PeakOverload, arrived/capacity)
+	if arrived > s.settings.OverloadFactor*capacity*overloadTolerance {
+		s.Stats.Overloaded = true
+	}
+	allowedParts := s.settings.OverloadFactor * capacity / s.meanPartWork
+	s.Stats.Excess = max(s.Stats.Excess, arrived/s.meanPartWork-(allowedParts+2*math.Sqrt(allowedParts)+2))
 }
 
-// take is called as a part arrives.
-func (s *Store) take(j job) {
-	s.pressure(j.counts)
-	s.rate()
+// accept runs, queues or rejects an arriving request.
+func (s *Store) accept(request job) {
+	s.recordArrival(request.nominalWork)
+	s.updateArrivalRate()
 	switch {
-	case s.rng.Float64() < s.Errors:
-		j.done(policy.ServerError, s.load())
-	case s.running < s.Slots:
-		s.Stats.Taken++
-		s.start(j)
-	case len(s.waiting) < s.Queue:
-		s.Stats.Taken++
-		s.waiting = append(s.waiting, j)
+	case s.rng.Float64() < s.ErrorRate:
+		request.respond(policy.ServerError, s.loadReport())
+	case s.running < s.MaxRunning:
+		s.Stats.Accepted++
+		s.start(request)
+	case len(s.queued) < s.MaxQueued:
+		s.Stats.Accepted++
+		s.queued = append(s.queued, request)
 	default:
-		s.Stats.Full++
-		j.done(policy.Rejected, s.load())
+		s.Stats.QueueFull++
+		request.respond(policy.Rejected, s.loadReport())
 	}
 }
 
-// start works on a part. More parts than cores share these.
-func (s *Store) start(j job) {
+// start runs a request. Requests in excess of the cores share these.
+func (s *Store) start(request job) {
 	s.running++
-	crowd := max(1, float64(s.running)/float64(s.Cores))
-	span := Micros(j.work * crowd / (s.Speed * s.share(s.net.Now())))
-	if now := s.net.Now(); s.stuck > now {
-		span += s.stuck - now
-	}
-	s.net.After(s.me, span, func() { s.finish(j) })
+	now := s.network.Now()
+	sharing := max(1, float64(s.running)/float64(s.Cores))
+	duration := Micros(request.work * sharing / (s.Speed * s.capacityFraction(now)))
+	duration += s.pauseLeft()
+	s.network.Schedule(s.node, duration, func() { s.finish(request) })
 }
 
-func (s *Store) finish(j job) {
-	if now := s.net.Now(); s.stuck > now { // what stands still finishes nothing
-		s.net.After(s.me, s.stuck-now, func() { s.finish(j) })
+// finish responds to a request and starts the next one, after the current pause if there is one.
+func (s *Store) finish(request job) {
+	if pause := s.pauseLeft(); pause > 0 {
+		s.network.Schedule(s.node, pause, func() { s.finish(request) })
 		return
 	}
 	s.running--
-	s.Stats.Work += j.work
-	if !j.done(policy.OK, s.load()) {
-		s.Stats.Wasted += j.work
+	s.Stats.Work += request.work
+	if !request.respond(policy.OK, s.loadReport()) {
+		s.Stats.Wasted += request.work
 	}
-	if len(s.waiting) > 0 {
-		next := s.waiting[0]
-		s.waiting = s.waiting[1:]
+	if len(s.queued) > 0 {
+		next := s.queued[0]
+		s.queued = s.queued[1:]
 		s.start(next)
 	}
 }
 
-// rate smooths the parts a second that the report names, over a second.
-func (s *Store) rate() {
-	now := s.net.Now()
-	s.recent = s.recent*math.Exp(-float64(now-s.mark)/1e6) + 1
-	s.mark = now
+// updateArrivalRate counts an arrival in the exponentially smoothed rate.
+func (s *Store) updateArrivalRate() {
+	now := s.network.Now()
+	s.arrivalRate = s.decayedArrivalRate(now) + 1
+	s.arrivalRateAt = now
 }
 
-// load is the report as it was last made.
-func (s *Store) load() policy.LoadReport {
-	if now := s.net.Now(); s.told == 0 || now-s.told >= s.Report {
-		s.told, s.report = now, policy.NoLoadReport
-		s.report.Queue = float64(len(s.waiting))
-		s.report.Rate = s.recent * math.Exp(-float64(now-s.mark)/1e6)
+func (s *Store) decayedArrivalRate(now Micros) float64 {
+	return s.arrivalRate * math.Exp(-float64(now-s.arrivalRateAt)/microsPerSecond)
+}
+
+// loadReport returns the current load report, which may be as old as the report interval.
+func (s *Store) loadReport() policy.LoadReport {
+	now := s.network.Now()
+	if s.reportedAt == 0 || now-s.reportedAt >= s.ReportInterval {
+		s.reportedAt = now
+		s.report = policy.NoLoadReport
+		s.report.Queue = float64(len(s.queued))
+		s.report.Rate = s.decayedArrivalRate(now)
 	}
 	return s.report
 }
 
-// connect is called as a gatherer opens a connection.
-func (s *Store) connect(from simnet.Party) {
-	s.conns[from] = true
-	s.Stats.Conns++
-	s.take(job{work: float64(s.Handshake), counts: float64(s.Handshake), done: func(policy.Status, policy.LoadReport) bool { return true }})
+// connect handles a new connection.
+func (s *Store) connect() {
+	s.Stats.Connections++
+	handshake := float64(s.HandshakeWork)
+	s.accept(job{
+		work:        handshake,
+		nominalWork: handshake,
+		respond:     func(policy.Status, policy.LoadReport) bool { return true },
+	})
+}
+
+// checkHealth calls back with the load report after the current pause and the work of a health check.
+func (s *Store) checkHealth(respond func(policy.LoadReport)) {
+	s.Stats.HealthChecks++
+	s.network.Schedule(s.node, s.pauseLeft()+s.HealthCheckWork, func() { respond(s.loadReport()) })
 }
 
-// Freeze has the store stand still for a span: it takes parts and answers none.
-func (s *Store) Freeze(span Micros) { s.stuck = max(s.stuck, s.net.Now()+span) }
+// pauseLeft returns the remaining time of the current pause, or 0 if there is none.
+func (s *Store) pauseLeft() Micros { return max(0, s.pausedUntil-s.network.Now()) }
+
+// PauseFor pauses the store: it accepts requests and answers none.
+func (s *Store) PauseFor(duration Micros) {
+	s.pausedUntil = max(s.pausedUntil, s.network.Now()+duration)
+}
 
-// Slow has the store work so many times slower for a span.
-func (s *Store) Slow(times float64, span Micros) {
-	s.Speed /= times
-	s.net.After(s.me, span, func() { s.Speed *= times })
+// Slow slows the store down by a factor for a duration.
+func (s *Store) Slow(factor float64, duration Micros) {
+	s.Speed /= factor
+	s.network.Schedule(s.node, duration, func() { s.Speed *= factor })
 }
 
-// pauses has the store stand still now and then.
-func (s *Store) pauses() {
-	if s.PauseEvery <= 0 {
+// schedulePauses schedules the store's regular pauses.
+func (s *Store) schedulePauses() {
+	if s.PauseInterval <= 0 {
 		return
 	}
-	s.net.After(s.me, s.PauseEvery/2+s.rng.Int64N(s.PauseEvery), func() {
-		s.Freeze(s.Pause)
-		s.pauses()
+	delay := s.PauseInterval/2 + s.rng.Int64N(s.PauseInterval)
+	s.network.Schedule(s.node, delay, func() {
+		s.PauseFor(s.PauseDuration)
+		s.schedulePauses()
 	})
 }
--- a/internal/simnet/simnet_test.go
+++ b/internal/simnet/simnet_test.go
@@ -1,120 +1,132 @@
 package simnet
 
 import (
-	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 )
 
-const ms = 1000
+const millisecond Micros = 1000
 
-var all = []Party{1, 2, 3}
+var allNodes = []NodeID{1, 2, 3}
 
-// chatter has every party write to every other each 10 ms and returns what came, and when, by sender and receiver.
-func chatter(seed uint64, link Link, until Micros, faults func(*Net)) (*Net, map[[2]Party][]Micros) {
-	n := New(seed, link)
-	came := map[[2]Party][]Micros{}
-	for _, p := range all {
+// runChatter has each node send to each other every 10 ms. It returns the network and the times of the arrivals, counted
+// from the start.
+func runChatter(seed uint64, link Link, duration Micros, inject func(*Network)) (*Network, map[route][]Micros) {
+	network := New(seed, link)
+	arrivals := map[route][]Micros{}
+	for _, sender := range allNodes {
 		var tick func()
 		tick = func() {
-			for _, o := range Others(all, p) {
-				n.Send(p, o, func() { came[[2]Party{p, o}] = append(came[[2]Party{p, o}], n.Now()-Start) })
+			for _, recipient := range Except(allNodes, sender) {
+				way := route{sender, recipient}
+				network.Send(sender, recipient, func() {
+					arrivals[way] = append(arrivals[way], network.Now()-StartTime)
+				})
 			}
-			n.After(p, 10*ms, tick)
+			network.Schedule(sender, 10*millisecond, tick)
 		}
-		n.After(p, 0, tick)
+		network.Schedule(sender, 0, tick)
 	}
-	if faults != nil {
-		faults(n)
+	if inject != nil {
+		inject(network)
 	}
-	n.Run(Start + until)
-	return n, came
+	network.Run(StartTime + duration)
+	return network, arrivals
 }
 
-func TestOneSeedIsOneRun(t *testing.T) {
-	link := Link{Least: ms, Most: 30 * ms, Loss: 0.2, Repeat: 0.1}
-	first, _ := chatter(1, link, 2000*ms, nil)
-	again, _ := chatter(1, link, 2000*ms, nil)
-	other, _ := chatter(2, link, 2000*ms, nil)
-	assert.Equal(t, first.Digest(), again.Digest())
-	assert.NotEqual(t, first.Digest(), other.Digest())
-	c := first.Counts()
-	assert.InDelta(t, 0.2, float64(c.Lost)/float64(c.Sent), 0.05)
-	assert.InDelta(t, 0.08, float64(c.Repeated)/float64(c.Sent), 0.04)
+func TestRunIsDeterministic(t *testing.T) {
+	link := Link{MinDelay: millisecond, MaxDelay: 30 * millisecond, LossRate: 0.2, DuplicationRate: 0.1}
+	const duration = 2000 * millisecond
+	first, _ := runChatter(1, link, duration, nil)
+	repeated, _ := runChatter(1, link, duration, nil)
+	otherSeed, _ := runChatter(2, link, duration, nil)
+	assert.Equal(t, first.Digest(), repeated.Digest())
+	assert.NotEqual(t, first.Digest(), otherSeed.Digest())
+	counts := first.Counts()
+	assert.InDelta(t, 0.2, float64(counts.Lost)/float64(counts.Sent), 0.05)
+	assert.InDelta(t, 0.08, float64(counts.Duplicated)/float64(counts.Sent), 0.04)
 }
 
-func TestFaultsOfALink(t *testing.T) {
-	between := func(times []Micros, from, to Micros) int {
-		return len(slices.DeleteFunc(slices.Clone(times), func(at Micros) bool { return at < from || at >= to }))
-	}
-	quick := Link{Least: ms, Most: ms}
+func TestLinkFaults(t *testing.T) {
+	fastLink := Link{MinDelay: millisecond, MaxDelay: millisecond}
+	forward, backward := route{1, 2}, route{2, 1}
 	cases := []struct {
-		name   string
-		faults func(*Net)
-		way    [2]Party
-		most   int // datagrams that come from 100 to 200 ms, of ten
-		least  int
+		name     string
+		inject   func(*Network)
+		route    route
+		arrivals int // from 100 to 200 ms, when ten datagrams are sent
 	}{
-		{"none", func(*Net) {}, [2]Party{1, 2}, 10, 10},
-		{"cut this way", func(n *Net) { n.Cut([]Party{1}, all) }, [2]Party{1, 2}, 0, 0},
-		{"cut the other way only", func(n *Net) { n.Cut([]Party{1}, all) }, [2]Party{2, 1}, 10, 10},
-		{"cut twice, healed once", func(n *Net) {
-			n.Cut([]Party{1}, all)
-			n.Cut([]Party{1}, []Party{2})
-			n.Heal([]Party{1}, all)
-		}, [2]Party{1, 2}, 0, 0},
-		{"cut and healed", func(n *Net) { n.Cut(all, all); n.Heal(all, all) }, [2]Party{1, 2}, 10, 10},
-		{"lost", func(n *Net) { n.Use(1, 2, Link{Loss: 1}) }, [2]Party{1, 2}, 0, 0},
-		{"repeated", func(n *Net) { n.Use(1, 2, Link{Repeat: 1}) }, [2]Party{1, 2}, 20, 20},
-		{"receiver dead", func(n *Net) { n.Kill(2) }, [2]Party{1, 2}, 0, 0},
-		{"sender dead", func(n *Net) { n.Kill(1) }, [2]Party{1, 2}, 0, 0},
-		{"sender stands still", func(n *Net) { n.Pause(1, 250*ms) }, [2]Party{1, 2}, 0, 0},
+		{"none", nil, forward, 10},
+		{"cut in this direction", func(n *Network) { n.Cut([]NodeID{1}, allNodes) }, forward, 0},
+		{"cut in the other direction only", func(n *Network) { n.Cut([]NodeID{1}, allNodes) }, backward, 10},
+		{"cut twice, healed once", func(n *Network) {
+			n.Cut([]NodeID{1}, allNodes)
+			n.Cut([]NodeID{1}, []NodeID{2})
+			n.Heal([]NodeID{1}, allNodes)
+		}, forward, 0},
+		{"cut and healed", func(n *Network) {
+			n.Cut(allNodes, allNodes)
+			n.Heal(allNodes, allNodes)
+		}, forward, 10},
+		{"lost", func(n *Network) { n.SetLink(1, 2, Link{LossRate: 1}) }, forward, 0},
+		{"duplicated", func(n *Network) { n.SetLink(1, 2, Link{DuplicationRate: 1}) }, forward, 20},
+		{"recipient dead", func(n *Network) { n.Kill(2) }, forward, 0},
+		{"sender dead", func(n *Network) { n.Kill(1) }, forward, 0},
+		{"sender paused", func(n *Network) { n.Pause(1, 250*millisecond) }, forward, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			_, came := chatter(1, quick, 300*ms, c.faults)
-			n := between(came[c.way], 100*ms, 200*ms)
-			assert.LessOrEqual(t, n, c.most)
-			assert.GreaterOrEqual(t, n, c.least)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			_, arrivals := runChatter(1, fastLink, 300*millisecond, testCase.inject)
+			count := 0
+			for _, at := range arrivals[testCase.route] {
+				if at >= 100*millisecond && at < 200*millisecond {
+					count++
+				}
+			}
+			assert.Equal(t, testCase.arrivals, count)
 		})
 	}
 }
 
-func TestWhatWaitsForAPausedPartyComesInOrder(t *testing.T) {
-	n := New(1, Link{})
-	var got []int
-	n.Pause(1, 50*ms)
-	for i := range 5 {
-		n.After(1, Micros(5-i)*ms, func() { got = append(got, 5-i) })
+func TestPausedNodeReceivesInOrder(t *testing.T) {
+	network := New(1, Link{})
+	var called []int
+	network.Pause(1, 50*millisecond)
+	for i := 5; i >= 1; i-- {
+		network.Schedule(1, Micros(i)*millisecond, func() { called = append(called, i) })
 	}
-	n.Run(Start + 49*ms)
-	assert.Empty(t, got)
-	n.Run(Start + 50*ms)
-	assert.Equal(t, []int{1, 2, 3, 4, 5}, got)
+	network.Run(StartTime + 49*millisecond)
+	assert.Empty(t, called)
+	network.Run(StartTime + 50*millisecond)
+	assert.Equal(t, []int{1, 2, 3, 4, 5}, called)
 }
 
-func TestNothingOfALifeReachesTheNext(t *testing.T) {
-	n := New(1, Link{Least: 20 * ms, Most: 20 * ms})
-	hits := 0
-	n.After(1, 30*ms, func() { hits++ })
-	n.Send(2, 1, func() { hits++ })
-	n.Run(Start + 10*ms)
-	n.Kill(1)
-	assert.False(t, n.Alive(1))
-	n.Revive(1)
-	n.Send(2, 1, func() { hits += 10 })
-	n.Run(Start + 100*ms)
-	assert.Equal(t, 10, hits, "only what was sent to the new life")
+func TestEventsOfAnEarlierIncarnationAreDropped(t *testing.T) {
+	network := New(1, Link{MinDelay: 20 * millisecond, MaxDelay: 20 * millisecond})
+	beforeCrash, afterRestart := 0, 0
+	network.Schedule(1, 30*millisecond, func() { beforeCrash++ })
+	network.Send(2, 1, func() { beforeCrash++ })
+	network.Run(StartTime + 10*millisecond)
+	network.Kill(1)
+	assert.False(t, network.IsAlive(1))
+	network.Restart(1)
+	network.Send(2, 1, func() { afterRestart++ })
+	network.Run(StartTime + 100*millisecond)
+	assert.Zero(t, beforeCrash)
+	assert.Equal(t, 1, afterRestart)
 }
 
-func TestStreamsKeepTheirOrder(t *testing.T) {
-	n := New(3, Link{Least: 0, Most: 50 * ms, Loss: 0.5, Repeat: 0.5})
-	var got []int
-	for i := range 50 {
-		n.After(1, Micros(i)*ms, func() { n.Stream(1, 2, func() { got = append(got, i) }) })
+func TestOrderedMessagesKeepTheirOrder(t *testing.T) {
+	const messages = 50
+	network := New(3, Link{MinDelay: 0, MaxDelay: 50 * millisecond, LossRate: 0.5, DuplicationRate: 0.5})
+	var received, sent []int
+	for i := range messages {
+		sent = append(sent, i)
+		network.Schedule(1, Micros(i)*millisecond, func() {
+			network.SendOrdered(1, 2, func() { received = append(received, i) })
+		})
 	}
-	n.Run(Start + 500*ms)
-	assert.Len(t, got, 50)
-	assert.True(t, slices.IsSorted(got))
+	network.Run(StartTime + 500*millisecond)
+	assert.Equal(t, sent, received)
 }
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -22,12 +22,12 @@
 )
 
 // lan is a link of a local network that loses nothing.
-var lan = simnet.Link{Least: 300, Most: 5000}
+var lan = simnet.Link{MinDelay: 300, MaxDelay: 5000}
 
 // cluster is a group of members on a simulated network. Each message is encoded and decoded.
 type cluster struct {
 	t           testing.TB
-	network     *simnet.Net
+	network     *simnet.Network
 	codec       *Codec
 	nodes       []*simNode
 	indexByAddr map[netip.AddrPort]int
@@ -127,18 +127,18 @@
 	}
 }
 
-// partyRange returns the parties with the indices from first up to, but without, end.
-func partyRange(first, end int) []simnet.Party {
-	var parties []simnet.Party
+// nodeRange returns the network nodes with the indices from first up to, but without, end.
+func nodeRange(first, end int) []simnet.NodeID {
+	var nodes []simnet.NodeID
 	for i := first; i < end; i++ {
-		parties = append(parties, simnet.Party(i))
+		nodes = append(nodes, simnet.NodeID(i))
 	}
-	return parties
+	return nodes
 }
 
-func (n *simNode) party() simnet.Party { return simnet.Party(n.index) }
+func (n *simNode) networkID() simnet.NodeID { return simnet.NodeID(n.index) }
 
-func (n *simNode) isAlive() bool { return n.cluster.network.Alive(n.party()) }
+func (n *simNode) isAlive() bool { return n.cluster.network.IsAlive(n.networkID()) }
 
 // clock returns the time on the member's own clock.
 func (n *simNode) clock() Micros {
@@ -163,10 +163,10 @@
 	tick = func() {
 		if n.processRun == run {
 			n.step()
-			n.cluster.network.After(n.party(), config.TickInterval(), tick)
+			n.cluster.network.Schedule(n.networkID(), config.TickInterval(), tick)
 		}
 	}
-	n.cluster.network.After(n.party(), 0, tick)
+	n.cluster.network.Schedule(n.networkID(), 0, tick)
 }
 
 // step hands the received messages and some events to the protocol and carries out its actions.
@@ -197,7 +197,7 @@
 		}
 		removed := c.indexByAddr[member.Addr]
 		c.removals = append(c.removals, removal{
-			at:       c.network.Now() - simnet.Start,
+			at:       c.network.Now() - simnet.StartTime,
 			observer: n.index,
 			removed:  removed,
 			wasDead:  !c.nodes[removed].isAlive(),
@@ -219,7 +219,7 @@
 	if !ok {
 		return
 	}
-	c.network.Send(n.party(), simnet.Party(to), func() {
+	c.network.Send(n.networkID(), simnet.NodeID(to), func() {
 		message, err := c.codec.Decode(datagram)
 		require.NoError(c.t, err)
 		c.nodes[to].inbox = append(c.nodes[to].inbox, MessageReceived{n.Addr, message})
@@ -238,21 +238,21 @@
 // run runs the cluster for a duration of simulated time.
 func (c *cluster) run(duration Micros) { c.network.Run(c.network.Now() + duration) }
 
-func (c *cluster) kill(index int) { c.network.Kill(simnet.Party(index)) }
+func (c *cluster) kill(index int) { c.network.Kill(simnet.NodeID(index)) }
 
 func (c *cluster) revive(index int) {
-	c.network.Revive(simnet.Party(index))
+	c.network.Restart(simnet.NodeID(index))
 	c.nodes[index].start(testConfig(index, address(0), address(1), address(2)))
 }
 
 // partition cuts the links between two sets of members in both directions.
-func (c *cluster) partition(a, b []simnet.Party) {
+func (c *cluster) partition(a, b []simnet.NodeID) {
 	c.network.Cut(a, b)
 	c.network.Cut(b, a)
 }
 
 // heal ends a partition.
-func (c *cluster) heal(a, b []simnet.Party) {
+func (c *cluster) heal(a, b []simnet.NodeID) {
 	c.network.Heal(a, b)
 	c.network.Heal(b, a)
 }
--- a/membership/detection_test.go
+++ b/membership/detection_test.go
@@ -45,14 +45,14 @@
 		link   simnet.Link
 		inject func(*cluster) // nil: the link's faults only
 	}{
-		{"loss of a tenth", simnet.Link{Least: 300, Most: 5000, Loss: 0.1}, nil},
-		{"loss of three tenths", simnet.Link{Least: 300, Most: 5000, Loss: 0.3}, nil},
-		{"delayed, reordered and duplicated", simnet.Link{Least: 300, Most: 2 * second, Loss: 0.05, Repeat: 0.3}, nil},
-		{"pauses of 1 s and 5 s", simnet.Link{Least: 300, Most: 5000, Loss: 0.1}, injectRandomPauses},
+		{"loss of a tenth", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.1}, nil},
+		{"loss of three tenths", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.3}, nil},
+		{"delayed, reordered and duplicated", simnet.Link{MinDelay: 300, MaxDelay: 2 * second, LossRate: 0.05, DuplicationRate: 0.3}, nil},
+		{"pauses of 1 s and 5 s", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.1}, injectRandomPauses},
 		{"all pause at once", lan, func(c *cluster) {
-			c.network.After(-1, 30*second, func() {
+			c.network.Schedule(-1, 30*second, func() {
 				for _, node := range c.nodes {
-					c.network.Pause(node.party(), 5*second)
+					c.network.Pause(node.networkID(), 5*second)
 				}
 			})
 		}},
@@ -73,7 +73,7 @@
 		t.Parallel()
 		c := newConvergedCluster(t, 3, size)
 		for _, other := range c.nodes[1:] {
-			c.network.Use(0, other.party(), simnet.Link{Least: 10 * second, Most: 10 * second})
+			c.network.SetLink(0, other.networkID(), simnet.Link{MinDelay: 10 * second, MaxDelay: 10 * second})
 		}
 		c.run(120 * second)
 		// Each of the others removes it twice at most, since a member that returns is given more time.
@@ -89,7 +89,7 @@
 		for i := range 4 {
 			at := Micros(20+30*i)*second + c.network.Rand().Int64N(20*second)
 			duration := second * (1 + 4*Micros(i%2))
-			c.network.After(-1, at, func() { c.network.Pause(node.party(), duration) })
+			c.network.Schedule(-1, at, func() { c.network.Pause(node.networkID(), duration) })
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	for _, paused := range []int{1, 4, size} {
 		c := newConvergedCluster(t, 13, size)
 		for i := range paused {
-			c.network.Pause(simnet.Party(i), 30*second)
+			c.network.Pause(simnet.NodeID(i), 30*second)
 		}
 		c.run(30 * second)
 		present := c.nodes[size-1].view.AliveCount()
@@ -203,9 +203,9 @@
 func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	digestOfRun := func(seed uint64) uint64 {
-		c := newCluster(t, seed, 30, simnet.Link{Least: 300, Most: 50_000, Loss: 0.2, Repeat: 0.1})
+		c := newCluster(t, seed, 30, simnet.Link{MinDelay: 300, MaxDelay: 50_000, LossRate: 0.2, DuplicationRate: 0.1})
 		c.run(20 * second)
-		c.network.Note(uint64(c.datagrams), uint64(c.bytes))
+		c.network.AddToDigest(uint64(c.datagrams), uint64(c.bytes))
 		return c.network.Digest()
 	}
 	first := digestOfRun(1)
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -12,7 +12,7 @@
 func TestFactsReachAllMembersAndExpire(t *testing.T) {
 	t.Parallel()
 	const size, publisher = 50, 4
-	c := newCluster(t, 12, size, simnet.Link{Least: 300, Most: 5000, Loss: 0.1})
+	c := newCluster(t, 12, size, simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.1})
 	c.waitForAgreement(size, 60*second)
 	holders := func(value string) int {
 		count := 0
--- a/membership/lifecycle_test.go
+++ b/membership/lifecycle_test.go
@@ -106,7 +106,7 @@
 	config := testConfig(returning, address(0), address(1))
 	config.Addr = address(99)
 	c.indexByAddr[config.Addr] = returning
-	c.network.Revive(node.party())
+	c.network.Restart(node.networkID())
 	node.lastGeneration = 1000
 	node.start(config)
 	c.run(30 * second)
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -175,7 +175,7 @@
 
 func (s soak) runOnce(t *testing.T, seed uint64) soakResult {
 	t.Helper()
-	c := newClusterWithout(t, seed, s.size, simnet.Link{Least: 300, Most: 5000, Loss: s.loss}, s.disabled)
+	c := newClusterWithout(t, seed, s.size, simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: s.loss}, s.disabled)
 	c.run(120 * second)
 	c.removals = nil
 	datagramsBefore := c.datagrams
@@ -183,7 +183,7 @@
 		for minute := range s.minutes {
 			at := Micros(60*minute)*second + c.network.Rand().Int64N(55*second)
 			duration := c.network.Rand().Int64N(5 * second)
-			c.network.After(-1, at, func() { c.network.Pause(node.party(), duration) })
+			c.network.Schedule(-1, at, func() { c.network.Pause(node.networkID(), duration) })
 		}
 	}
 	c.run(Micros(s.minutes) * 60 * second)
@@ -284,21 +284,21 @@
 	at := Micros(rng.IntN(60)) * second
 	index, otherIndex := rng.IntN(size), rng.IntN(size)
 	duration := Micros(1+rng.IntN(30)) * second
-	c.network.After(-1, at, func() {
-		one, others := partyRange(index, index+1), partyRange(otherIndex, size)
+	c.network.Schedule(-1, at, func() {
+		one, others := nodeRange(index, index+1), nodeRange(otherIndex, size)
 		switch rng.IntN(4) {
 		case 0:
-			c.network.Pause(simnet.Party(index), duration)
+			c.network.Pause(simnet.NodeID(index), duration)
 		case 1:
 			c.network.Cut(one, others)
-			c.network.After(-1, duration, func() { c.network.Heal(one, others) })
+			c.network.Schedule(-1, duration, func() { c.network.Heal(one, others) })
 		case 2:
 			c.network.Cut(others, one)
-			c.network.After(-1, duration, func() { c.network.Heal(others, one) })
+			c.network.Schedule(-1, duration, func() { c.network.Heal(others, one) })
 		case 3:
 			if index > 0 && c.nodes[index].isAlive() {
 				c.kill(index)
-				c.network.After(-1, duration, func() { c.revive(index) })
+				c.network.Schedule(-1, duration, func() { c.revive(index) })
 			}
 		}
 	})
@@ -312,10 +312,10 @@
 		rng := rand.New(rand.NewPCG(seed, 9))
 		size := 3 + rng.IntN(28)
 		link := simnet.Link{
-			Least:  300,
-			Most:   Micros(5000 + rng.IntN(200_000)),
-			Loss:   0.2 * rng.Float64(),
-			Repeat: 0.2 * rng.Float64(),
+			MinDelay:        300,
+			MaxDelay:        Micros(5000 + rng.IntN(200_000)),
+			LossRate:        0.2 * rng.Float64(),
+			DuplicationRate: 0.2 * rng.Float64(),
 		}
 		c := newCluster(t, seed+1, size, link)
 		c.waitForAgreement(size, 120*second)
--- a/membership/partition_test.go
+++ b/membership/partition_test.go
@@ -19,9 +19,9 @@
 		}
 		c.waitForAgreement(size, 60*second)
 		assert.InDelta(t, 1, c.shareSum(), 0.01, "no share is unused")
-		var parts [][]simnet.Party
+		var parts [][]simnet.NodeID
 		for i := range bounds[:len(bounds)-1] {
-			parts = append(parts, partyRange(bounds[i], bounds[i+1]))
+			parts = append(parts, nodeRange(bounds[i], bounds[i+1]))
 		}
 		forEachPair(parts, c.partition)
 		for range 60 {
@@ -35,7 +35,7 @@
 }
 
 // forEachPair calls a function with each pair of different parts once.
-func forEachPair(parts [][]simnet.Party, do func(a, b []simnet.Party)) {
+func forEachPair(parts [][]simnet.NodeID, do func(a, b []simnet.NodeID)) {
 	for i, a := range parts {
 		for _, b := range parts[i+1:] {
 			do(a, b)
@@ -54,8 +54,8 @@
 		}
 		return member.Reachability
 	}
-	c.network.Cut(partyRange(3, 4), partyRange(4, 5)) // 4 receives nothing of 3
-	c.partition(partyRange(5, 6), partyRange(6, 7))
+	c.network.Cut(nodeRange(3, 4), nodeRange(4, 5)) // 4 receives nothing of 3
+	c.partition(nodeRange(5, 6), nodeRange(6, 7))
 	c.run(60 * second)
 	views := c.nodes[0].viewCount
 	c.run(60 * second)
@@ -71,13 +71,13 @@
 	t.Parallel()
 	const size, isolated = 20, 19
 	c := newConvergedCluster(t, 7, size)
-	c.partition(partyRange(isolated, size), partyRange(0, isolated))
+	c.partition(nodeRange(isolated, size), nodeRange(0, isolated))
 	c.run(60 * second)
 	assert.False(t, c.nodes[isolated].view.Trusted)
 	assert.Equal(t, size, c.nodes[isolated].view.AliveCount())
 	assert.True(t, c.nodes[0].view.Trusted)
 	assert.Equal(t, size-1, c.nodes[0].view.AliveCount())
-	c.heal(partyRange(isolated, size), partyRange(0, isolated))
+	c.heal(nodeRange(isolated, size), nodeRange(0, isolated))
 	c.waitForAgreement(size, 60*second)
 }
 
@@ -87,7 +87,7 @@
 	const size, zoneSize = 30, 10
 	for _, zoneIsDeaf := range []bool{false, true} {
 		c := newConvergedCluster(t, 14, size)
-		from, to := partyRange(0, zoneSize), partyRange(zoneSize, size)
+		from, to := nodeRange(0, zoneSize), nodeRange(zoneSize, size)
 		if zoneIsDeaf {
 			from, to = to, from
 		}
