--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,123 +1,127 @@
 package policy
 
-import "testing"
+import (
+	"testing"
 
-// A fresh aggregator knows no latency but the aim; it must neither refuse nor give up by it.
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// manyInstances is a number of aggregators at which own capacity says nothing about the load of a server.
+const manyInstances = 32
+
+// A new aggregator knows no latency but the latency objective, which must not make it reject queries.
 func TestNewAggregatorRejectsNothing(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	for range 10 {
-		_, events := h.newQuery(0, 3)
-		h.step(h.aggregator.settings.Tick, events...)
-	}
-	if n := len(actionsOf[Reject](h.actions)); n > 0 {
-		t.Fatalf("%d of the first ten queries refused", n)
+		_, events := h.newQuery(idempotentClass, 3)
+		h.step(testTick, events...)
 	}
+	assert.Empty(t, actionsOf[Reject](h.actions))
 }
 
-// The owner turns queries away at MaxOpen; what it hands over is served, or the limit would be one query stricter.
+// The owner rejects queries at MaxOpen. If the aggregator did so too, the limit would be one query stricter.
 func TestMaxOpenIsLeftToTheOwner(t *testing.T) {
 	s := singleRingSettings()
 	s.MaxOpen = 12
 	h := newHarness(t, s)
 	var all []Event
 	for range 4 {
-		_, events := h.newQuery(0, 3)
+		_, events := h.newQuery(idempotentClass, 3)
 		all = append(all, events...)
 	}
-	if n := len(actionsOf[Reject](h.step(0, all...))); n != 0 {
-		t.Fatalf("%d of four refused though the owner handed them over", n)
-	}
+	assert.Empty(t, actionsOf[Reject](h.step(0, all...)))
 }
 
-// A client that leaves before the time that its query usually takes is turned away at once, not worked for in vain.
+// A query whose client leaves before the usual latency is rejected at once.
 func TestQueryWithTooShortADeadlineIsRejected(t *testing.T) {
-	for _, patience := range []Micros{50_000, 1_500_000} {
+	const latency = 200_000
+	for _, timeout := range []Micros{50_000, 1_500_000} {
 		s := singleRingSettings()
-		s.InstanceCount = 32 // own room says nothing
+		s.InstanceCount = manyInstances
 		h := newHarness(t, s)
-		h.answerQueries(0, 30, 200_000)
+		h.answerQueries(idempotentClass, 30, latency)
 		h.actions = nil
-		id, events := h.newQuery(0, 1)
+		id, events := h.newQuery(idempotentClass, 1)
 		q := events[0].(Query)
-		q.Deadline = h.now + patience
+		q.Deadline = h.now + timeout
 		events[0] = q
-		h.step(0, events...)
-		if sent := len(actionsOf[SendAttempt](h.actions)); (sent > 0) != (patience > 200_000) || h.finalActions(id) != 1-sent {
-			t.Errorf("patience of %d us: %d attempts, %d final answers", patience, sent, h.finalActions(id))
-		}
+		sent := len(h.sends(0, events...))
+		assert.Equal(t, timeout > latency, sent > 0, "timeout of %d us", timeout)
+		assert.Equal(t, 1-sent, h.finalActions(id), "timeout of %d us", timeout)
 	}
 }
 
-// The slowest of a query's parts takes longer than the mean of one: what fits by prediction only is refused.
+// The slowest of a query's parts takes longer than the mean part, which the wait ratio accounts for.
 func TestAdmissionAccountsForTheWaitRatio(t *testing.T) {
 	s := singleRingSettings()
-	s.InstanceCount = 32
+	s.InstanceCount = manyInstances
 	h := newHarness(t, s)
-	h.answerQueries(0, 30, 200_000)
-	h.aggregator.classes[0].waitRatio = 20
-	id, events := h.newQuery(0, 1)
-	if h.step(0, events...); h.finalActions(id) != 1 {
-		t.Error("admitted, though such queries took twenty times their predicted wait")
-	}
+	h.answerQueries(idempotentClass, 30, 200_000)
+	h.aggregator.classes[idempotentClass].waitRatio = 20
+	id, events := h.newQuery(idempotentClass, 1)
+	h.step(0, events...)
+	assert.Equal(t, 1, h.finalActions(id), "queries took 20 times their predicted wait")
 }
 
-// A class locked out by a jam's figures is let in once in a mean aim, so that these can be unlearned.
+// A class that is rejected because of its statistics is admitted once in a mean latency objective, so that they are
+// renewed.
 func TestRejectedClassIsAdmittedPeriodically(t *testing.T) {
+	const (
+		objectives          = 3
+		queriesPerObjective = 10
+	)
 	s := singleRingSettings()
-	s.InstanceCount = 32
+	s.InstanceCount = manyInstances
 	h := newHarness(t, s)
-	h.answerQueries(0, 30, 200_000)
-	h.aggregator.classes[0].waitRatio = 20
+	h.answerQueries(idempotentClass, 30, 200_000)
+	h.aggregator.classes[idempotentClass].waitRatio = 20
 	h.actions = nil
-	const mean = 10
-	for range mean * 3 {
-		_, events := h.newQuery(0, 1)
-		h.step(Micros(h.aggregator.meanObjective)/mean, events...)
-	}
-	if n := len(actionsOf[SendAttempt](h.actions)); n < 2 || n > 4 {
-		t.Fatalf("%d queries let in within three mean aims, want about one each", n)
+	for range objectives * queriesPerObjective {
+		_, events := h.newQuery(idempotentClass, 1)
+		h.step(Micros(h.aggregator.meanObjective)/queriesPerObjective, events...)
 	}
+	admitted := len(actionsOf[SendAttempt](h.actions))
+	assert.GreaterOrEqual(t, admitted, 2)
+	assert.LessOrEqual(t, admitted, 4)
 }
 
 func TestQueryOfAShardWithoutReplicasIsRejected(t *testing.T) {
 	s := singleRingSettings()
 	s.ReplicationFactor = 1
 	h := newHarness(t, s, readyEndpoints(1, 2)...)
-	id, events := h.newQuery(0, 3)
-	acts := h.step(0, events...)
-	if len(actionsOf[SendAttempt](acts)) > 0 || h.finalActions(id) != 1 {
-		t.Fatalf("got %+v, want the query refused at once", acts)
-	}
-	if r := actionsOf[Reject](acts); len(r) != 1 || r[0].RetryAfter != s.MaxRetryAfter {
-		t.Fatalf("refusal %+v without word when to come back", r)
-	}
+	id, events := h.newQuery(idempotentClass, 3)
+	actions := h.step(0, events...)
+	assert.Empty(t, actionsOf[SendAttempt](actions))
+	assert.Equal(t, 1, h.finalActions(id))
+	assert.Equal(t, []Reject{{Query: id, RetryAfter: s.MaxRetryAfter}}, actionsOf[Reject](actions))
 }
 
-// Queries that die of full servers let fewer of their class in, and those in time let more in again.
+// Queries that end because of overload reduce the admissions of their class, and answers in time raise them again.
 func TestOverloadedClassIsPaced(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	h.answerQueries(0, 40, 100_000)
-	q := &query{class: h.aggregator.classes[0], wasRejected: true}
-	refused := func() int {
-		n := 0
+	a := h.aggregator
+	h.answerQueries(idempotentClass, 40, 100_000)
+	rejectedOf100 := func() int {
+		rejected := 0
 		for range 100 {
-			_, events := h.newQuery(0, 1)
-			acts := h.step(200_000, events...)
-			n += len(actionsOf[Reject](acts))
-			for _, s := range actionsOf[SendAttempt](acts) {
-				h.step(1000, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
+			_, events := h.newQuery(idempotentClass, 1)
+			actions := h.step(200_000, events...)
+			rejected += len(actionsOf[Reject](actions))
+			for _, sent := range actionsOf[SendAttempt](actions) {
+				h.step(1000, resultOf(sent, OK))
 			}
 		}
-		return n
-	}
-	if n := refused(); n != 0 {
-		t.Fatalf("%d of 100 refused before any jam", n)
-	}
-	h.aggregator.queries[q.ID] = q
-	h.aggregator.rejectOrFail(q)
-	h.aggregator.rejectOrFail(q)
-	h.aggregator.settings.InstanceCount = 11 // own room says nothing at size
-	if n := refused(); n < 10 || n > 90 || h.aggregator.classes[0].overloadCount != 0 {
-		t.Errorf("%d of 100 refused after two jammed queries, %d jams left", n, h.aggregator.classes[0].overloadCount)
+		return rejected
 	}
+	require.Zero(t, rejectedOf100(), "before any overload")
+	overloaded := &query{class: a.classes[idempotentClass], wasRejected: true}
+	a.queries[overloaded.ID] = overloaded
+	a.rejectOrFail(overloaded)
+	a.rejectOrFail(overloaded)
+	a.settings.InstanceCount = 11 // own capacity says nothing about the load
+	rejected := rejectedOf100()
+	assert.GreaterOrEqual(t, rejected, 10)
+	assert.LessOrEqual(t, rejected, 90)
+	assert.Zero(t, a.classes[idempotentClass].overloadCount)
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -4,10 +4,12 @@
 	"fmt"
 	"runtime"
 	"testing"
+
+	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkStepByServerCount plays one of 32 aggregators over so many servers: a query of 17 parts a turn, answered 200 ms
-// later. It reports what a part costs and what the aggregator holds at the end; nothing is asserted.
+// BenchmarkStepByServerCount runs one of 32 aggregators: a query of 17 parts in each step, answered 200 ms later. It
+// reports the time for each part and the memory that the aggregator holds at the end.
 func BenchmarkStepByServerCount(b *testing.B) {
 	for _, servers := range []int{16, 60, 170, 240} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) { benchmarkStep(b, servers) })
@@ -15,49 +17,93 @@
 }
 
 func benchmarkStep(b *testing.B, servers int) {
+	b.Helper()
 	const parts = 17
-	var before, after runtime.MemStats
+	memoryBefore := heapBytes()
+	load := newBenchmarkLoad(b, servers)
+	b.ReportAllocs()
+	for b.Loop() {
+		load.step(parts)
+	}
+	b.ReportMetric((heapBytes()-memoryBefore)/1024, "KiB-held")
+	runtime.KeepAlive(load)
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*parts), "ns/part")
+}
+
+// heapBytes returns the size of the live heap in bytes.
+func heapBytes() float64 {
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&before)
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
+}
+
+// benchmarkLoad drives an aggregator with queries and answers its attempts.
+type benchmarkLoad struct {
+	aggregator *Aggregator
+	settings   Settings
+	now        Micros
+	nextID     uint64
+
+	// results are the events that end attempts and health checks, in the order in which they started, and resultsAt
+	// when they are due.
+	results   []Event
+	resultsAt []Micros
+}
+
+func newBenchmarkLoad(b *testing.B, servers int) *benchmarkLoad {
+	b.Helper()
 	s := testSettings()
-	s.InstanceCount, s.RingSize, s.Shards, s.ReplicationFactor, s.OverloadFactor, s.LoadByHealthCheckOnly = 32, servers, servers, 3, 2.5, true
-	var list []Endpoint
+	s.InstanceCount = 32
+	s.RingSize = servers
+	s.Shards = servers
+	s.ReplicationFactor = 3
+	s.OverloadFactor = 2.5
+	s.LoadByHealthCheckOnly = true
+	var endpoints []Endpoint
 	for i := range servers {
-		list = append(list, Endpoint{ID: uint32(i + 1), State: Ready, RingPosition: i})
+		endpoints = append(endpoints, Endpoint{ID: uint32(i + 1), State: Ready, RingPosition: i})
 	}
-	a, err := New(s, 1)
-	if err != nil {
-		b.Fatal(err)
+	aggregator, err := New(s, 1)
+	require.NoError(b, err)
+	load := &benchmarkLoad{aggregator: aggregator, settings: s, now: 1_000_000, nextID: 1}
+	aggregator.Step(load.now, []Event{EndpointList{endpoints}})
+	return load
+}
+
+// step reports a query and the results that are due.
+func (l *benchmarkLoad) step(parts int) {
+	const latency = 200_000
+	l.now += 2 * l.settings.Tick
+	events := l.newQuery(parts)
+	for len(l.resultsAt) > 0 && l.resultsAt[0] <= l.now {
+		events = append(events, l.results[0])
+		l.results = l.results[1:]
+		l.resultsAt = l.resultsAt[1:]
 	}
-	now, id := Micros(1_000_000), uint64(1)
-	a.Step(now, []Event{EndpointList{list}})
-	var due []Event // answers, in the order they come
-	var at []Micros
-	b.ReportAllocs()
-	for b.Loop() {
-		now += 2 * s.Tick
-		events := []Event{Query{ID: id, Number: id, Deadline: now + s.Classes[0].Timeout, Parts: parts}}
-		for i := range uint64(parts) {
-			events = append(events, Part{ID: id + 1 + i, Number: id, Shard: int(id*7+i*11) % servers, Weight: 1.0 / parts})
-		}
-		id += parts + 1
-		for len(at) > 0 && at[0] <= now {
-			events, due, at = append(events, due[0]), due[1:], at[1:]
-		}
-		for _, act := range a.Step(now, events) {
-			switch act := act.(type) {
-			case SendAttempt:
-				due = append(due, AttemptResult{Part: act.Part, Server: act.Server, Status: OK, Report: NoLoadReport})
-				at = append(at, now+200_000)
-			case HealthCheck:
-				due = append(due, HealthCheckResult{Server: act.Server, Report: NoLoadReport})
-				at = append(at, now+s.Tick)
-			}
+	for _, action := range l.aggregator.Step(l.now, events) {
+		switch action := action.(type) {
+		case SendAttempt:
+			l.addResult(resultOf(action, OK), latency)
+		case HealthCheck:
+			l.addResult(HealthCheckResult{Server: action.Server, Report: NoLoadReport}, l.settings.Tick)
 		}
 	}
-	runtime.GC()
-	runtime.ReadMemStats(&after)
-	b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/1024, "KiB-held")
-	runtime.KeepAlive(a)
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*parts), "ns/part")
+}
+
+func (l *benchmarkLoad) newQuery(parts int) []Event {
+	id := l.nextID
+	l.nextID += uint64(parts) + 1
+	deadline := l.now + l.settings.Classes[idempotentClass].Timeout
+	events := []Event{Query{ID: id, Number: id, Deadline: deadline, Parts: parts}}
+	for i := range uint64(parts) {
+		shard := int(id*7+i*11) % l.settings.Shards
+		events = append(events, Part{ID: id + 1 + i, Number: id, Shard: shard, Weight: 1 / float64(parts)})
+	}
+	return events
+}
+
+func (l *benchmarkLoad) addResult(result Event, after Micros) {
+	l.results = append(l.results, result)
+	l.resultsAt = append(l.resultsAt, l.now+after)
 }
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -1,39 +1,43 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
 
 func TestEveryQueryEndsBeforeItsTimeout(t *testing.T) {
-	for class := range testSettings().Classes {
+	for class, settings := range testClasses() {
 		h := newHarness(t, singleRingSettings())
 		id, events := h.newQuery(class, 3)
 		h.step(0, events...)
-		for end := h.now + h.aggregator.settings.Classes[class].Timeout; h.now < end-h.aggregator.settings.Tick; {
-			h.step(h.aggregator.settings.Tick, Timer{})
-		}
-		if h.finalActions(id) != 1 {
-			t.Errorf("class %d: %d final answers before its time was up, want 1", class, h.finalActions(id))
+		for end := h.now + settings.Timeout; h.now < end-testTick; {
+			h.step(testTick, Timer{})
 		}
+		assert.Equal(t, 1, h.finalActions(id), "class %s", settings.Name)
 	}
 }
 
+// The class requires a coverage of 1 for a complete answer and of 0.8 for any.
 func TestAnswersReportTheirCoverage(t *testing.T) {
-	for _, in := range []int{3, 4, 5} { // of 5 parts; least is 0.8
-		h := newHarness(t, singleRingSettings(), append(readyEndpoints(1, 2, 3), readyEndpoints(4, 5, 6)...)...)
-		id, events := h.newQuery(4, 5)
-		sent := actionsOf[SendAttempt](h.step(0, events...))
-		for i := range in { // the lightest parts leave only when others have been answered
-			s := sent[i]
-			sent = append(sent, actionsOf[SendAttempt](h.step(1000, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport}))...)
+	const parts = 5
+	for _, answered := range []int{3, 4, 5} {
+		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
+		id, events := h.newQuery(fetchClass, parts)
+		sent := h.sends(0, events...)
+		for i := range answered { // some parts are sent only after quick answers
+			sent = append(sent, h.sends(1000, resultOf(sent[i], OK))...)
 		}
 		for range 360 {
-			h.step(h.aggregator.settings.Tick, Timer{})
+			h.step(testTick, Timer{})
 		}
 		answers := actionsOf[Answer](h.actions)
-		if want := boolToInt(in >= 4); len(answers) != want {
-			t.Fatalf("%d of 5 in: %d answers before the aim, want %d", in, len(answers), want)
-		}
-		if len(answers) > 0 && (answers[0].Complete != (in == 5) || answers[0].Query != id) {
-			t.Errorf("%d of 5 in: answered %+v", in, answers[0])
+		if answered < 4 {
+			assert.Empty(t, answers, "%d of %d parts answered", answered, parts)
+			continue
 		}
+		require.Len(t, answers, 1, "%d of %d parts answered", answered, parts)
+		assert.Equal(t, Answer{Query: id, Complete: answered == parts}, answers[0])
 	}
 }
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -1,85 +1,84 @@
 package policy
 
-import "testing"
+import (
+	"testing"
 
-// closesAfterTimeouts leaves an aggregator's attempts on idle connections without answer and ends those on new ones as
-// told. It returns how many connections are closed after that where no server is under suspicion itself.
-func closesAfterTimeouts(t *testing.T, again Status) int {
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// closesAfterTimeouts lets all attempts on idle connections time out and ends those on fresh ones with the given
+// status. It returns how many servers' idle connections are closed after that, none of them being suspect itself.
+func closesAfterTimeouts(t *testing.T, freshStatus Status) int {
+	t.Helper()
 	h := newHarness(t, singleRingSettings())
-	h.answerQueries(0, 30, 100_000)
+	a := h.aggregator
+	h.answerQueries(idempotentClass, 30, 100_000)
+	longIdle := 2 * Micros(a.meanObjective)
 	for range 20 {
 		h.actions = nil
-		h.step(2*Micros(h.aggregator.meanObjective), Timer{}) // no connection was in use for long
-		_, events := h.newQuery(0, 1)
-		sent := actionsOf[SendAttempt](h.step(0, events...))
-		if len(sent) != 1 {
-			t.Fatalf("sent %+v, want one attempt", sent)
-		}
+		h.step(longIdle, Timer{})
+		_, events := h.newQuery(idempotentClass, 1)
+		sent := h.sends(0, events...)
+		require.Len(t, sent, 1)
 		status := TimedOut
 		if len(actionsOf[CloseIdleConnections](h.actions)) > 0 {
-			status = again
+			status = freshStatus
 		}
-		h.step(300_000, AttemptResult{Part: sent[0].Part, Server: sent[0].Server, Status: status, Report: NoLoadReport})
-		for _, q := range h.aggregator.openQueries {
-			h.aggregator.closeQuery(q)
+		h.step(300_000, resultOf(sent[0], status))
+		for _, q := range a.openQueries {
+			a.closeQuery(q)
 		}
 	}
-	for _, s := range h.aggregator.serversByID {
+	for _, s := range a.serversByID {
 		s.suspect = false
 	}
-	if again == ConnectFailed { // what was proven before falls with the first connection that can't be made
-		h.aggregator.freshConnectionSuccess = 0.9
-		h.aggregator.classifyConnection(&attempt{server: h.aggregator.serversByID[0], freshConnection: true}, ConnectFailed)
+	if freshStatus == ConnectFailed { // one failure to connect revokes any evidence against idle connections
+		a.freshConnectionSuccess = 0.9
+		a.classifyConnection(&attempt{server: a.serversByID[0], freshConnection: true}, ConnectFailed)
 	}
 	h.actions = nil
-	h.step(2*Micros(h.aggregator.meanObjective), Timer{})
-	_, events := h.newQuery(0, 3)
+	h.step(longIdle, Timer{})
+	_, events := h.newQuery(idempotentClass, 3)
 	h.step(0, events...)
-	if len(actionsOf[SendAttempt](h.actions)) == 0 {
-		t.Fatal("nothing was sent")
-	}
+	require.NotEmpty(t, actionsOf[SendAttempt](h.actions))
 	return len(actionsOf[CloseIdleConnections](h.actions))
 }
 
-// Connections dropped unseen: silence on idle ones that ends on new ones condemns all idle ones. A server bad for
-// this aggregator alone loses new connections too, and then nothing is closed.
+// Timeouts on idle connections that end on fresh ones prove all idle connections stale. A server that can't be
+// reached fails on fresh connections too, which proves nothing.
 func TestIdleConnectionsAreClosedOnceProvenStale(t *testing.T) {
-	if n := closesAfterTimeouts(t, OK); n == 0 {
-		t.Error("idle connections are still used though new ones to the same servers were answered")
-	}
-	if n := closesAfterTimeouts(t, ConnectFailed); n != 0 {
-		t.Errorf("%d idle connections closed though new ones can't be made", n)
-	}
+	assert.NotZero(t, closesAfterTimeouts(t, OK), "fresh connections were answered")
+	assert.Zero(t, closesAfterTimeouts(t, ConnectFailed), "fresh connections could not be made")
 }
 
-// Parts that are late at busy servers look like parts on dropped connections, and new connections bring answers there
-// too. Among many aggregators each server is met so seldom that all connections are idle: if those answer, late or in
-// time, none may be closed unseen, or each part of the fleet costs a handshake.
+// Attempts that are late at busy servers look like those on stale connections, and fresh connections bring answers
+// there too. With many aggregators, all connections are idle for long. If they answer, late or in time, they must
+// not be closed, or each part would cost a handshake.
 func TestLateAnswersClearIdleConnections(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	h.answerQueries(0, 30, 100_000)
-	hung := 0
+	a := h.aggregator
+	h.answerQueries(idempotentClass, 30, 100_000)
+	closed := 0
 	for i := range 60 {
 		h.actions = nil
-		for _, s := range h.aggregator.serversByID {
-			s.latencyRatio = 1 // what is late now was quick before, and the fleet as a whole keeps its pace
+		for _, s := range a.serversByID { // latencies stay those before the servers became busy
+			s.latencyRatio = 1
 		}
-		h.aggregator.classes[0].referenceLatency = 100_000
-		h.step(Micros(h.aggregator.meanObjective), Timer{})
-		_, events := h.newQuery(0, 1)
-		for _, s := range actionsOf[SendAttempt](h.step(0, events...)) {
-			took := Micros(100_000)
+		a.classes[idempotentClass].referenceLatency = 100_000
+		h.step(Micros(a.meanObjective), Timer{})
+		_, events := h.newQuery(idempotentClass, 1)
+		for _, sent := range h.sends(0, events...) {
+			latency := Micros(100_000)
 			if i%2 == 0 {
-				took = 700_000
+				latency = 700_000
 			}
-			for range took / 50_000 {
+			for range latency / 50_000 {
 				h.step(50_000, Timer{})
 			}
-			h.step(0, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Report: NoLoadReport})
+			h.step(0, resultOf(sent, OK))
 		}
-		hung += len(actionsOf[CloseIdleConnections](h.actions))
-	}
-	if hung > 3 {
-		t.Errorf("%d of 60 idle connections closed, though each was answered on", hung)
+		closed += len(actionsOf[CloseIdleConnections](h.actions))
 	}
+	assert.LessOrEqual(t, closed, 3, "idle connections closed, of 60 that were answered on")
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -1,37 +1,46 @@
 package policy
 
-import "testing"
+import (
+	"testing"
 
-// A list that can't be had is asked for again after ever longer waits, by each aggregator at another time, and never
-// later than AskWithin; a list that comes ends that.
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// waitForPoll advances the time until the endpoint list is polled, and returns the wait.
+func (h *harness) waitForPoll(events ...Event) Micros {
+	const longest = 20_000_000
+	start := h.now
+	actions := h.step(testTick, events...)
+	for len(actionsOf[PollEndpoints](actions)) == 0 && h.now < start+longest {
+		actions = h.step(testTick, Timer{})
+	}
+	return h.now - start
+}
+
+// The polls after failed ones are further and further apart, up to the poll interval, and differ between the
+// instances. A list resets the backoff.
 func TestFailedEndpointPollsAreBackedOff(t *testing.T) {
-	first := map[Micros]bool{}
-	for number := range 8 {
+	const instances = 8
+	firstWaits := map[Micros]bool{}
+	for index := range instances {
 		s := singleRingSettings()
-		s.InstanceCount, s.InstanceIndex, s.PollEndpoints, s.PollInterval = 8, number, true, 10_000_000
+		s.InstanceCount = instances
+		s.InstanceIndex = index
+		s.PollEndpoints = true
+		s.PollInterval = 10_000_000
 		h := newHarness(t, s)
-		calls, waits := len(actionsOf[PollEndpoints](h.actions)), []Micros{}
-		if calls != 1 {
-			t.Fatalf("%d calls at the start, want one", calls)
-		}
+		require.Len(t, actionsOf[PollEndpoints](h.actions), 1, "at the start")
+		var waits []Micros
 		for range 5 {
-			from := h.now
-			acts := h.step(s.Tick, EndpointListFailed{})
-			for len(actionsOf[PollEndpoints](acts)) == 0 && h.now < from+20_000_000 {
-				acts = h.step(s.Tick, Timer{})
-			}
-			waits = append(waits, h.now-from)
-		}
-		first[waits[0]] = true
-		if waits[0] < Micros(h.aggregator.meanObjective)/2 || waits[1] < waits[0]*3/2 || waits[4] > s.PollInterval+2*s.Tick {
-			t.Errorf("aggregator %d called again after %v", number, waits)
+			waits = append(waits, h.waitForPoll(EndpointListFailed{}))
 		}
-		h.step(s.Tick, EndpointList{readyEndpoints(1, 2, 3)})
-		if h.aggregator.failedPolls != 0 {
-			t.Error("a list that came leaves the wait long")
-		}
-	}
-	if len(first) != 8 {
-		t.Errorf("8 aggregators call again at %d different times", len(first))
+		firstWaits[waits[0]] = true
+		assert.GreaterOrEqual(t, waits[0], Micros(h.aggregator.meanObjective)/2, "instance %d: %v", index, waits)
+		assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "instance %d: %v", index, waits)
+		assert.LessOrEqual(t, waits[4], s.PollInterval+2*testTick, "instance %d: %v", index, waits)
+		h.step(testTick, EndpointList{readyEndpoints(1, 2, 3)})
+		assert.Zero(t, h.aggregator.failedPolls, "instance %d", index)
 	}
+	assert.Len(t, firstWaits, instances)
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,12 +6,24 @@
 	"alderproxy/policy"
 )
 
-// Example embeds the module in a small program: one query of two parts over two servers. A real owner
-// sends over its network and hands back what really happened.
+// Example runs a query of two parts over two servers. A real owner sends the attempts over its network and reports
+// what happened.
 func Example() {
-	agg, err := policy.New(policy.Settings{
-		InstanceCount: 1, Tick: 5_000, Shards: 2, RingSize: 2, ReplicationFactor: 2, MaxAttempts: 3,
-		Classes: []policy.Class{{Name: "lookup", LatencyObjective: 1_000_000, Timeout: 3_000_000, PriorityWeight: 1, MinCoverage: 1, RequiredCoverage: 1}},
+	aggregator, err := policy.New(policy.Settings{
+		InstanceCount:     1,
+		Tick:              5_000,
+		Shards:            2,
+		RingSize:          2,
+		ReplicationFactor: 2,
+		MaxAttempts:       3,
+		Classes: []policy.Class{{
+			Name:             "lookup",
+			LatencyObjective: 1_000_000,
+			Timeout:          3_000_000,
+			PriorityWeight:   1,
+			MinCoverage:      1,
+			RequiredCoverage: 1,
+		}},
 	}, 1)
 	if err != nil {
 		fmt.Println("start aggregator:", err)
@@ -19,24 +31,27 @@
 	}
 	now := policy.Micros(1_000_000)
 	events := []policy.Event{
-		policy.EndpointList{Endpoints: []policy.Endpoint{{ID: 7, State: policy.Ready}, {ID: 8, State: policy.Ready, RingPosition: 1}}},
+		policy.EndpointList{Endpoints: []policy.Endpoint{
+			{ID: 7, State: policy.Ready},
+			{ID: 8, State: policy.Ready, RingPosition: 1},
+		}},
 		policy.Query{ID: 1, Number: 1, Deadline: now + 3_000_000, Parts: 2},
 		policy.Part{ID: 2, Number: 1, Shard: 0, Weight: 0.5},
 		policy.Part{ID: 3, Number: 1, Shard: 1, Weight: 0.5},
 	}
 	for len(events) > 0 {
-		actions := agg.Step(now, events)
+		actions := aggregator.Step(now, events)
 		events = nil
 		for _, action := range actions {
-			switch act := action.(type) {
+			switch action := action.(type) {
 			case policy.SendAttempt:
-				fmt.Printf("part %d to server %d\n", act.Part, act.Server)
+				fmt.Printf("part %d to server %d\n", action.Part, action.Server)
 				events = append(events, policy.AttemptResult{
-					Part: act.Part, Server: act.Server, Status: policy.OK,
+					Part: action.Part, Server: action.Server, Status: policy.OK,
 					Elapsed: 20_000, Report: policy.NoLoadReport,
 				})
 			case policy.Answer:
-				fmt.Printf("query %d answered, whole: %v\n", act.Query, act.Complete)
+				fmt.Printf("query %d answered, complete: %v\n", action.Query, action.Complete)
 			}
 		}
 		now += 20_000
@@ -44,5 +59,5 @@
 	// Output:
 	// part 2 to server 7
 	// part 3 to server 8
-	// query 1 answered, whole: true
+	// query 1 answered, complete: true
 }
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -9,60 +9,46 @@
 	"alderproxy/internal/simnet/simfleet"
 )
 
-// heavy is how many times the parts' work, and the times of their classes, are those of simfleet.Large.
-const heavy = 4
+// workFactor is the factor on the parts' work, and the times of their classes, of simfleet.Large. With parts this
+// heavy a warming server bears some tens of them within the overload duration, so that chance matters.
+const workFactor = 4
 
-// What a cold store is sent by all aggregators together stays within what the rule puts down to chance, whatever their
-// number: with uneven traffic, lists that come late to some, a release of all replicas of a third of the cells at once, and aggregators
-// that begin anew meanwhile, a tenth at a time or all in one instant, and know nothing of what they have sent.
-func TestFleetOfAnySizeKeepsWithinWhatColdStoresBear(t *testing.T) {
-	for _, size := range []struct{ gatherers, cells int }{{3, 8}, {20, 16}, {30, 20}, {300, 30}} {
-		for name, restart := range map[string]func(*simfleet.Fleet){
-			"none": func(*simfleet.Fleet) {},
-			"a tenth at a time": func(f *simfleet.Fleet) {
+// restarts are the ways in which aggregators lose what they know of their attempts during a run.
+var restarts = map[string]func(*simfleet.Fleet){
+	"none": func(*simfleet.Fleet) {},
+	"a tenth at a time": func(f *simfleet.Fleet) {
+		for i := range f.Nodes {
+			f.At(3*second+simfleet.Micros(i*10/len(f.Nodes))*second, func() { f.Restart(i, second/2) })
+		}
+	},
+	"all at once": func(f *simfleet.Fleet) {
+		for _, at := range []simfleet.Micros{4 * second, 8 * second} {
+			f.At(at, func() {
 				for i := range f.Nodes {
-					f.At(3*second+simfleet.Micros(i*10/len(f.Nodes))*second, func() { f.Restart(i, second/2) })
-				}
-			},
-			"all at once": func(f *simfleet.Fleet) {
-				for _, at := range []simfleet.Micros{4 * second, 8 * second} {
-					f.At(at, func() {
-						for i := range f.Nodes {
-							f.Restart(i, second/5)
-						}
-					})
+					f.Restart(i, second/5)
 				}
-			},
-		} {
-			t.Run(fmt.Sprint(size.gatherers, " aggregators, restarts: ", name), func(t *testing.T) {
+			})
+		}
+	},
+}
+
+// The load of all aggregators together on a warming server stays within the limit up to chance, whatever their
+// number: under uneven traffic, while some receive endpoint lists late, all replicas of a third of the ring positions
+// are replaced at once, and aggregators restart.
+func TestFleetOfAnySizeKeepsWarmingServersBelowTheirLimit(t *testing.T) {
+	for _, size := range []struct{ aggregators, positions int }{{3, 8}, {20, 16}, {30, 20}, {300, 30}} {
+		for name, restart := range restarts {
+			t.Run(fmt.Sprint(size.aggregators, " aggregators, restarts: ", name), func(t *testing.T) {
 				t.Parallel()
 				seeds := uint64(2)
-				if size.gatherers > 100 { // it takes a while
+				if size.aggregators > 100 { // these runs take long
 					seeds = 1
 				}
 				for seed := uint64(1); seed <= seeds; seed++ {
-					p := simfleet.Large(seed, size.gatherers, size.cells, 0.55)
-					p.Skew, p.Uneven = 0.5, 1
-					// Parts as heavy as our operators': a cold store bears some tens in the rule's span, and chance is large.
-					rate := p.Rate
-					p.Rate = func(now simfleet.Micros) float64 { return rate(now) / heavy }
-					for i := range p.Mix {
-						p.Mix[i].Work *= heavy
-					}
-					for i := range p.Settings.Classes {
-						c := &p.Settings.Classes[i]
-						c.LatencyObjective, c.Timeout = c.LatencyObjective*heavy, c.Timeout*heavy
-					}
-					f := simfleet.New(p)
-					for i := range f.Stores { // all replicas of each third cell: nobody else has their shards
-						if i%size.cells%3 == 0 {
-							f.At(2*second, func() { f.Replace(i) })
-						}
-					}
-					f.At(2*second, func() { f.List(3 * second) })
+					f := replacingFleet(seed, size.aggregators, size.positions)
 					restart(f)
 					r := f.Run(11 * second)
-					t.Logf("seed %d: served %.3f, most %.2f of what a store can do, %.1f parts beyond what chance accounts for",
+					t.Logf("seed %d: share answered %.3f, peak load %.2f of what a server can do, %.1f parts beyond chance",
 						seed, r.Share(), r.Peak, r.Excess)
 					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d", seed)
 				}
@@ -70,3 +56,28 @@
 		}
 	}
 }
+
+// replacingFleet returns a fleet that replaces all servers at each third ring position after two seconds.
+func replacingFleet(seed uint64, aggregators, positions int) *simfleet.Fleet {
+	p := simfleet.Large(seed, aggregators, positions, 0.55)
+	p.Skew = 0.5
+	p.Uneven = 1
+	rate := p.Rate
+	p.Rate = func(now simfleet.Micros) float64 { return rate(now) / workFactor }
+	for i := range p.Mix {
+		p.Mix[i].Work *= workFactor
+	}
+	for i := range p.Settings.Classes {
+		class := &p.Settings.Classes[i]
+		class.LatencyObjective *= workFactor
+		class.Timeout *= workFactor
+	}
+	f := simfleet.New(p)
+	for i := range f.Stores {
+		if i%positions%3 == 0 {
+			f.At(2*second, func() { f.Replace(i) })
+		}
+	}
+	f.At(2*second, func() { f.List(3 * second) })
+	return f
+}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -1,48 +1,106 @@
 package policy
 
-import "testing"
+import (
+	"testing"
 
-// testSettings is a small deployment with every effect, a second step, partial answers, a budget
-// and cold servers.
+	"github.com/stretchr/testify/require"
+)
+
+// testTick is the tick of testSettings in microseconds.
+const testTick = 5_000
+
+// The indices of the classes of testSettings.
+const (
+	idempotentClass    = iota
+	partialClass       // accepts partial answers
+	nonIdempotentClass // earns something for late answers
+	keyedClass         // idempotent by key
+	fetchClass         // has a fetch phase
+)
+
+// testSettings describes a small deployment with every kind of idempotency, a fetch phase, partial answers, a retry
+// budget and slow start.
 func testSettings() Settings {
 	return Settings{
-		InstanceCount: 2, Tick: 5000, Shards: 6, RingSize: 6, ReplicationFactor: 3, MaxBatchSize: 1, MaxAttempts: 3, MaxOpen: 200,
-		AllowCancel: true, AllowHealthChecks: true, SendRetryAfter: true, MaxRetryAfter: 400_000, OverQuotaWeight: 0.1,
-		AnswerSlack: 20_000, DrainGrace: 250_000, SlowStartFraction: 0.2, SlowStartDuration: 10_000_000, OverloadFactor: 2,
-		OverloadDuration: 1_000_000, RetryBudgetWindow: 10_000_000, RetryBudgetMinimum: 3, RetryBudgetRatio: 0.1, PriceHealthCheck: 0.01,
-		Tenants: []Tenant{{"a", 5}, {"b", 5}},
-		Classes: []Class{
-			{Name: "safe", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1, MinCoverage: 1, RequiredCoverage: 1},
-			{Name: "some", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 2, MinCoverage: 0.6, RequiredCoverage: 0.6, LateWeight: 0.1},
-			{Name: "once", LatencyObjective: 2_000_000, Timeout: 4_000_000, PriorityWeight: 1, LateWeight: 0.3, Idempotency: NonIdempotent, MinCoverage: 1, RequiredCoverage: 1},
-			{Name: "keyed", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1, Idempotency: IdempotentByKey, DeduplicationWindow: 1_000_000, MinCoverage: 1, RequiredCoverage: 1},
-			{Name: "two", LatencyObjective: 2_000_000, Timeout: 5_000_000, PriorityWeight: 2, LateWeight: 0.1, MinCoverage: 0.8, RequiredCoverage: 1, PartialWeight: 0.9, FetchParts: 3},
+		InstanceCount:      2,
+		Tick:               testTick,
+		Shards:             6,
+		RingSize:           6,
+		ReplicationFactor:  3,
+		MaxBatchSize:       1,
+		MaxAttempts:        3,
+		MaxOpen:            200,
+		AllowCancel:        true,
+		AllowHealthChecks:  true,
+		SendRetryAfter:     true,
+		MaxRetryAfter:      400_000,
+		OverQuotaWeight:    0.1,
+		AnswerSlack:        20_000,
+		DrainGrace:         250_000,
+		SlowStartFraction:  0.2,
+		SlowStartDuration:  10_000_000,
+		OverloadFactor:     2,
+		OverloadDuration:   1_000_000,
+		RetryBudgetWindow:  10_000_000,
+		RetryBudgetMinimum: 3,
+		RetryBudgetRatio:   0.1,
+		PriceHealthCheck:   0.01,
+		Tenants:            []Tenant{{"a", 5}, {"b", 5}},
+		Classes:            testClasses(),
+	}
+}
+
+func testClasses() []Class {
+	return []Class{
+		idempotentClass: {
+			Name: "idempotent", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1,
+			MinCoverage: 1, RequiredCoverage: 1,
+		},
+		partialClass: {
+			Name: "partial", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 2, LateWeight: 0.1,
+			MinCoverage: 0.6, RequiredCoverage: 0.6,
+		},
+		nonIdempotentClass: {
+			Name: "non-idempotent", LatencyObjective: 2_000_000, Timeout: 4_000_000, PriorityWeight: 1, LateWeight: 0.3,
+			Idempotency: NonIdempotent, MinCoverage: 1, RequiredCoverage: 1,
+		},
+		keyedClass: {
+			Name: "keyed", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1,
+			Idempotency: IdempotentByKey, DeduplicationWindow: 1_000_000, MinCoverage: 1, RequiredCoverage: 1,
+		},
+		fetchClass: {
+			Name: "fetch", LatencyObjective: 2_000_000, Timeout: 5_000_000, PriorityWeight: 2, LateWeight: 0.1,
+			MinCoverage: 0.8, RequiredCoverage: 1, PartialWeight: 0.9, FetchParts: 3,
 		},
 	}
 }
 
-// harness is an aggregator with a hand on its events. Reach 3 over 3 cells: every server holds every shard.
+// harness drives an aggregator event by event.
 type harness struct {
-	test       *testing.T
 	aggregator *Aggregator
 	now        Micros
 	lastID     uint64
-	actions    []Action
+	actions    []Action // since the test last cleared them
 }
 
+// singleRingSettings describes a ring of three positions on which every server holds every shard.
 func singleRingSettings() Settings {
 	s := testSettings()
-	s.RingSize, s.Shards, s.ReplicationFactor, s.AllowHealthChecks, s.MaxOpen, s.OverloadFactor = 3, 3, 3, false, 0, 0
+	s.RingSize = 3
+	s.Shards = 3
+	s.ReplicationFactor = 3
+	s.AllowHealthChecks = false
+	s.MaxOpen = 0
+	s.OverloadFactor = 0
 	return s
 }
 
+// newHarness returns an aggregator that knows the servers, or else three ready ones.
 func newHarness(t *testing.T, s Settings, servers ...Endpoint) *harness {
 	t.Helper()
-	a, err := New(s, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	h := &harness{test: t, aggregator: a, now: 20_000_000, lastID: 100}
+	aggregator, err := New(s, 1)
+	require.NoError(t, err)
+	h := &harness{aggregator: aggregator, now: 20_000_000, lastID: 100}
 	if len(servers) == 0 {
 		servers = readyEndpoints(1, 2, 3)
 	}
@@ -50,65 +108,93 @@
 	return h
 }
 
-func readyEndpoints(ids ...uint32) (out []Endpoint) {
+func readyEndpoints(ids ...uint32) []Endpoint {
+	var endpoints []Endpoint
 	for _, id := range ids {
-		out = append(out, Endpoint{ID: id, State: Ready, RingPosition: int(id) % 3})
+		endpoints = append(endpoints, Endpoint{ID: id, State: Ready, RingPosition: int(id) % 3})
 	}
-	return out
+	return endpoints
 }
 
+// step advances the time and returns the actions that the events bring.
 func (h *harness) step(after Micros, events ...Event) []Action {
 	h.now += after
-	acts := h.aggregator.Step(h.now, events)
-	h.actions = append(h.actions, acts...)
-	return acts
+	actions := h.aggregator.Step(h.now, events)
+	h.actions = append(h.actions, actions...)
+	return actions
+}
+
+// sends advances the time and returns the attempts that the events bring.
+func (h *harness) sends(after Micros, events ...Event) []SendAttempt {
+	return actionsOf[SendAttempt](h.step(after, events...))
 }
 
+// newQuery returns the ID and the events of a new query with parts of equal weight.
 func (h *harness) newQuery(class, parts int) (uint64, []Event) {
 	h.lastID += 100
-	c := h.aggregator.settings.Classes[class]
-	events := []Event{Query{ID: h.lastID, Number: h.lastID, Class: class, Deadline: h.now + c.Timeout, Parts: parts}}
+	id := h.lastID
+	timeout := h.aggregator.settings.Classes[class].Timeout
+	events := []Event{Query{ID: id, Number: id, Class: class, Deadline: h.now + timeout, Parts: parts}}
 	for i := range parts {
 		events = append(events, Part{
-			ID: h.lastID + uint64(i) + 1, Number: h.lastID, Shard: i % h.aggregator.settings.Shards,
+			ID:     id + uint64(i) + 1,
+			Number: id,
+			Shard:  i % h.aggregator.settings.Shards,
 			Weight: 1 / float64(parts),
 		})
 	}
-	return h.lastID, events
+	return id, events
 }
 
-func actionsOf[T Action](acts []Action) (out []T) {
-	for _, a := range acts {
-		if v, ok := a.(T); ok {
-			out = append(out, v)
-		}
-	}
-	return out
-}
-
-// answerQueries answers n one-part queries of a class at once after the given latency.
-func (h *harness) answerQueries(class, n int, latency Micros) {
-	for range n {
+// answerQueries runs queries of one part each, which are answered after the latency.
+func (h *harness) answerQueries(class, queries int, latency Micros) {
+	for range queries {
 		_, events := h.newQuery(class, 1)
-		sent := actionsOf[SendAttempt](h.step(h.aggregator.settings.Tick, events...))
-		for _, s := range sent {
-			h.step(latency, AttemptResult{Part: s.Part, Server: s.Server, Status: OK, Elapsed: latency, Report: NoLoadReport})
+		for _, sent := range h.sends(testTick, events...) {
+			result := resultOf(sent, OK)
+			result.Elapsed = latency
+			h.step(latency, result)
 		}
 	}
 }
 
-func (h *harness) finalActions(id uint64) (n int) {
-	for _, act := range h.actions {
-		switch a := act.(type) {
+// finalActions returns the number of actions that answered, rejected or failed a query.
+func (h *harness) finalActions(query uint64) int {
+	count := 0
+	for _, action := range h.actions {
+		switch action := action.(type) {
 		case Fail:
-			n += boolToInt(a.Query == id)
+			count += boolToInt(action.Query == query)
 		case Reject:
-			n += boolToInt(a.Query == id)
+			count += boolToInt(action.Query == query)
 		case Answer:
-			n += boolToInt(a.Query == id)
+			count += boolToInt(action.Query == query)
+		}
+	}
+	return count
+}
+
+// resultOf ends the first attempt at a part.
+func resultOf(sent SendAttempt, status Status) AttemptResult {
+	return AttemptResult{Part: sent.Part, Server: sent.Server, Status: status, Report: NoLoadReport}
+}
+
+// resultOfAttempt ends an attempt at a part by its index.
+func resultOfAttempt(sent SendAttempt, attempt int, status Status) AttemptResult {
+	result := resultOf(sent, status)
+	result.Attempt = attempt
+	return result
+}
+
+// actionsOf returns the actions of a type.
+func actionsOf[T Action](actions []Action) []T {
+	var matching []T
+	for _, action := range actions {
+		if a, ok := action.(T); ok {
+			matching = append(matching, a)
 		}
 	}
-	return n
+	return matching
 }
 
 func boolToInt(b bool) int {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -1,81 +1,83 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
 
 func TestImmediateErrorsRaiseTheSlowness(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	h.answerQueries(0, 30, 200_000)
-	s := h.aggregator.servers[2]
-	_, events := h.newQuery(0, 3)
-	for _, sent := range actionsOf[SendAttempt](h.step(h.aggregator.settings.Tick, events...)) {
-		if sent.Server == 2 {
-			h.step(1000, AttemptResult{Part: sent.Part, Server: 2, Status: ServerError, Report: NoLoadReport})
+	h.answerQueries(idempotentClass, 30, 200_000)
+	server := h.aggregator.servers[2]
+	_, events := h.newQuery(idempotentClass, 3)
+	for _, sent := range h.sends(testTick, events...) {
+		if sent.Server == server.ID {
+			h.step(1000, resultOf(sent, ServerError))
 		}
 	}
-	if f := h.aggregator.slowness(s); f < 2 {
-		t.Fatalf("after an error within a millisecond the server counts as %v of its peers' latency", f)
-	}
+	assert.GreaterOrEqual(t, h.aggregator.slowness(server), 2.0)
 }
 
-// Resets cost a shard's only replica its rank, not its queries: they end at once, and what they hit is asked again.
+// Resets make a shard's only replica an outlier but don't cause rejections: they end at once, and the parts are
+// retried.
 func TestResetsByTheOnlyReplicaCauseNoRejections(t *testing.T) {
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
-	aim := h.aggregator.settings.Classes[0].LatencyObjective
-	h.aggregator.settings.RetryBudgetWindow = 0
-	h.answerQueries(0, 20, aim/10)
-	for range 8 { // each first attempt breaks
-		_, events := h.newQuery(0, 1)
-		sent := actionsOf[SendAttempt](h.step(h.aggregator.settings.Tick, events...))
-		sent = actionsOf[SendAttempt](h.step(aim/100, AttemptResult{Part: sent[0].Part, Server: 1, Status: ConnectionBroken, Report: NoLoadReport}))
-		h.step(aim/10, AttemptResult{Part: sent[0].Part, Attempt: 1, Server: 1, Status: OK, Report: NoLoadReport})
+	a := h.aggregator
+	objective := a.settings.Classes[idempotentClass].LatencyObjective
+	a.settings.RetryBudgetWindow = 0
+	h.answerQueries(idempotentClass, 20, objective/10)
+	for range 8 {
+		_, events := h.newQuery(idempotentClass, 1)
+		sent := h.sends(testTick, events...)
+		retries := h.sends(objective/100, resultOf(sent[0], ConnectionBroken))
+		h.step(objective/10, resultOfAttempt(retries[0], 1, OK))
 	}
-	for range int(h.aggregator.concurrencyLimit()) + 1 { // one more than finds room
-		_, events := h.newQuery(0, 1)
-		if got := actionsOf[Reject](h.step(0, events...)); len(got) > 0 {
-			t.Fatalf("refused behind %d of its parts: slowness %.1f", len(h.aggregator.servers[1].inFlight), h.aggregator.slowness(h.aggregator.servers[1]))
-		}
-	}
-	if !h.aggregator.isOutlier(h.aggregator.servers[1]) {
-		t.Error("a server that resets ranks with sound ones")
+	server := a.servers[1]
+	for range int(a.concurrencyLimit()) + 1 { // one more than the server has capacity for
+		_, events := h.newQuery(idempotentClass, 1)
+		rejected := actionsOf[Reject](h.step(0, events...))
+		require.Empty(t, rejected, "%d in flight, slowness %.1f", len(server.inFlight), a.slowness(server))
 	}
+	assert.True(t, a.isOutlier(server))
 }
 
-// A server that turns a part away is left alone a while, longer each time; what can wait for it waits here.
+// A server that rejects a part gets no further one for a while, which is longer after each rejection.
 func TestRejectingServersAreBackedOffFrom(t *testing.T) {
+	const longest = 2_000_000
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
-	h.answerQueries(0, 40, 100_000)
-	_, events := h.newQuery(0, 1)
-	sent := actionsOf[SendAttempt](h.step(0, events...))
-	var gaps []Micros
-	for range 2 {
-		at := h.now
-		acts := h.step(h.aggregator.settings.Tick, AttemptResult{Part: sent[0].Part, Attempt: len(gaps), Server: 1, Status: Rejected, Report: NoLoadReport})
-		for sent = actionsOf[SendAttempt](acts); len(sent) == 0 && h.now < at+2_000_000; {
-			sent = actionsOf[SendAttempt](h.step(h.aggregator.settings.Tick, Timer{}))
-		}
-		if len(sent) == 0 {
-			t.Fatal("the part was never sent again")
+	h.answerQueries(idempotentClass, 40, 100_000)
+	_, events := h.newQuery(idempotentClass, 1)
+	sent := h.sends(0, events...)
+	var waits []Micros
+	for attempt := range 2 {
+		rejectedAt := h.now
+		sent = h.sends(testTick, resultOfAttempt(sent[0], attempt, Rejected))
+		for len(sent) == 0 && h.now < rejectedAt+longest {
+			sent = h.sends(testTick, Timer{})
 		}
-		gaps = append(gaps, h.now-at)
-	}
-	if gaps[0] < 50_000 || gaps[1] < gaps[0]*3/2 {
-		t.Errorf("sent again after %v us", gaps)
+		require.NotEmpty(t, sent)
+		waits = append(waits, h.now-rejectedAt)
 	}
+	assert.GreaterOrEqual(t, waits[0], Micros(50_000))
+	assert.GreaterOrEqual(t, waits[1], waits[0]*3/2)
 }
 
-// A part that its hint calls heavy is predicted to take longer than others, by half the hint's logarithm.
+// The predicted latency of a part grows with half the logarithm of its cost hint.
 func TestCostHintsScaleThePredictedLatency(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
-	c := h.aggregator.classes[0]
+	a := newHarness(t, singleRingSettings()).aggregator
+	c := a.classes[idempotentClass]
 	for i := range 300 {
 		c.relativeCost(Micros(50_000 << (i % 3)))
 	}
-	if r := c.relativeCost(200_000) / c.relativeCost(50_000); r < 1.9 || r > 2.1 || c.relativeCost(0) != 1 || c.relativeCost(-5) != 1 {
-		t.Errorf("four times the hint is held to be %.2f times the work, no hint %.2f", r, c.relativeCost(0))
-	}
+	assert.InDelta(t, 2.0, c.relativeCost(200_000)/c.relativeCost(50_000), 0.1, "four times the hint")
+	assert.InDelta(t, 1.0, c.relativeCost(0), 0, "without a hint")
+	assert.InDelta(t, 1.0, c.relativeCost(-5), 0, "without a hint")
+
 	q := &query{class: c}
-	light, heavy := &part{query: q, relativeCost: c.relativeCost(50_000)}, &part{query: q, relativeCost: c.relativeCost(200_000)}
-	if s := h.aggregator.serversByID[0]; h.aggregator.predictLatency(s, heavy) < 1.5*h.aggregator.predictLatency(s, light) {
-		t.Error("a heavy part is predicted to be as quick as a light one")
-	}
+	light := &part{query: q, relativeCost: c.relativeCost(50_000)}
+	heavy := &part{query: q, relativeCost: c.relativeCost(200_000)}
+	server := a.serversByID[0]
+	assert.GreaterOrEqual(t, a.predictLatency(server, heavy), 1.5*a.predictLatency(server, light))
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -1,71 +1,69 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 func TestUnresponsiveServerIsAnOutlierBeforeTheTimeout(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	h.answerQueries(0, 30, 200_000)
-	_, events := h.newQuery(0, 3)
-	h.step(h.aggregator.settings.Tick, events...)
+	h.answerQueries(idempotentClass, 30, 200_000)
+	_, events := h.newQuery(idempotentClass, 3)
+	h.step(testTick, events...)
 	h.step(900_000, Timer{})
-	if !h.aggregator.isOutlier(h.aggregator.servers[1]) {
-		t.Fatalf("silent for several latencies, yet slowness is %v", h.aggregator.slowness(h.aggregator.servers[1]))
-	}
+	server := h.aggregator.servers[1]
+	assert.True(t, h.aggregator.isOutlier(server), "slowness %v", h.aggregator.slowness(server))
 }
 
 func TestUniformSlowdownMakesNoOutliers(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	h.answerQueries(0, 60, 100_000)
-	h.answerQueries(0, 60, 250_000)
+	h.answerQueries(idempotentClass, 60, 100_000)
+	h.answerQueries(idempotentClass, 60, 250_000)
 	for _, s := range h.aggregator.serversByID {
-		if h.aggregator.isOutlier(s) {
-			t.Errorf("server %d is an outlier though all slowed alike", s.ID)
-		}
+		assert.False(t, h.aggregator.isOutlier(s), "server %d", s.ID)
 	}
 }
 
-// countTrials counts the parts that go to a server 1 that answers none within twenty mean aims.
-func countTrials(t *testing.T, s Settings, probe Status) int {
+// countTrials returns the number of parts sent to server 1, which answers none, within 20 mean latency objectives.
+// Its health checks end with the given status.
+func countTrials(t *testing.T, s Settings, healthCheckStatus Status) int {
+	t.Helper()
+	const unresponsive = 1
 	h := newHarness(t, s)
-	h.answerQueries(0, 40, 100_000)
-	n := 0
+	h.answerQueries(idempotentClass, 40, 100_000)
+	trials := 0
 	for end := h.now + 20*Micros(h.aggregator.meanObjective); h.now < end; {
-		_, events := h.newQuery(0, 1)
-		acts := h.step(100_000, events...)
-		asked := actionsOf[HealthCheck](h.actions)
+		_, events := h.newQuery(idempotentClass, 1)
+		queue := h.sends(100_000, events...)
+		healthChecks := actionsOf[HealthCheck](h.actions)
 		h.actions = nil
-		for _, p := range asked {
-			status := OK
-			if p.Server == 1 {
-				status = probe
+		for _, check := range healthChecks {
+			result := HealthCheckResult{Server: check.Server, Status: OK, Report: NoLoadReport}
+			if check.Server == unresponsive {
+				result.Status = healthCheckStatus
 			}
-			h.step(0, HealthCheckResult{Server: p.Server, Status: status, Report: NoLoadReport})
+			h.step(0, result)
 		}
-		for queue := actionsOf[SendAttempt](acts); len(queue) > 0; queue = queue[1:] { // retries join the queue
-			sent, status, after := queue[0], OK, Micros(100_000)
-			if sent.Server == 1 {
-				n++
-				status, after = TimedOut, 400_000
+		for ; len(queue) > 0; queue = queue[1:] { // retries join the queue
+			sent := queue[0]
+			attempt := h.aggregator.parts[sent.Part].attempts - 1
+			latency, status := Micros(100_000), OK
+			if sent.Server == unresponsive {
+				trials++
+				latency, status = 400_000, TimedOut
 			}
-			queue = append(queue, actionsOf[SendAttempt](h.step(after, AttemptResult{
-				Part: sent.Part, Attempt: h.aggregator.parts[sent.Part].attempts - 1,
-				Server: sent.Server, Status: status, Report: NoLoadReport,
-			}))...)
+			queue = append(queue, h.sends(latency, resultOfAttempt(sent, attempt, status))...)
 		}
 	}
-	return n
+	return trials
 }
 
-// A silent server gets few trials, ever further apart; none while its probes fail.
+// An unresponsive server gets few parts, and even fewer while its health checks fail.
 func TestUnresponsiveServerIsTriedRarely(t *testing.T) {
-	s := singleRingSettings()
-	plain := countTrials(t, s, OK)
-	s.AllowHealthChecks, s.LoadByHealthCheckOnly, s.PriceHealthCheck = true, true, 0.001
-	muted := countTrials(t, s, TimedOut)
-	if plain < 2 || plain > 10 {
-		t.Errorf("%d parts risked at a silent server in twenty aims, want a few", plain)
-	}
-	if muted >= plain {
-		t.Errorf("%d parts risked where its probes fail, %d where nothing is probed", muted, plain)
-	}
+	unchecked := countTrials(t, singleRingSettings(), OK)
+	checked := countTrials(t, healthCheckSettings(), TimedOut)
+	assert.GreaterOrEqual(t, unchecked, 2)
+	assert.LessOrEqual(t, unchecked, 10)
+	assert.Less(t, checked, unchecked)
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -2,47 +2,73 @@
 
 import (
 	"fmt"
-	"reflect"
 	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
-// TestRulesHoldForRandomEvents asserts the rules under arbitrary legal events, with and without
-// second copies, cancelling and changes of the settings, and that the same events bring the same actions.
+// Random valid events must break no rule, with and without hedging, cancellation, batching and reconfiguration, and
+// the same events must bring the same actions.
 func TestRulesHoldForRandomEvents(t *testing.T) {
+	const firstSeedWithReconfiguration = 16
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			set := testSettings()
-			set.AllowHedging = seed%2 == 0
-			set.AllowCancel = seed%3 != 0
-			set.InstanceCount = []int{2, 11, 32, 90}[seed%4]
-			set.PollEndpoints, set.PollInterval = seed%2 == 1, 10_000_000
-			if seed%5 == 0 {
-				set.Tenants = nil
-			}
-			if seed%4 < 2 {
-				set.MaxBatchSize, set.BatchOverhead = 4, 100_000
-			}
-			set.InstanceIndex = int(seed) % set.InstanceCount
-			var first []Action
-			for round := range 2 {
-				w := newRuleChecker(t, set, seed)
-				if seed < 16 {
-					w.reconfigurations = -1
+			settings := randomEventSettings(seed)
+			reconfigures := seed >= firstSeedWithReconfiguration
+			run := func() []Action {
+				checker := newRuleChecker(t, settings, seed)
+				if !reconfigures {
+					checker.reconfigurations = -1
 				}
-				w.run(2000)
-				if seed >= 16 && w.reconfigurations < 10 {
-					t.Fatalf("only %d changes: the test saw nothing", w.reconfigurations)
-				}
-				if w.endedQueries < 100 || w.sentAttempts < 150 {
-					t.Fatalf("only %d queries ended and %d attempts were sent: the test saw nothing", w.endedQueries, w.sentAttempts)
-				}
-				if round == 0 {
-					first = w.actions
-				} else if !reflect.DeepEqual(first, w.actions) {
-					t.Fatal("the same events brought other actions")
+				checker.run(2000)
+				// A run with fewer events would prove little.
+				if reconfigures {
+					require.GreaterOrEqual(t, checker.reconfigurations, 10)
 				}
+				require.GreaterOrEqual(t, checker.endedQueries, 100)
+				require.GreaterOrEqual(t, checker.sentAttempts, 150)
+				return checker.actions
 			}
+			first := run()
+			require.Equal(t, first, run(), "the same events brought other actions")
 		})
 	}
 }
+
+func randomEventSettings(seed uint64) Settings {
+	s := testSettings()
+	s.AllowHedging = seed%2 == 0
+	s.AllowCancel = seed%3 != 0
+	s.InstanceCount = []int{2, 11, 32, 90}[seed%4]
+	s.InstanceIndex = int(seed) % s.InstanceCount
+	s.PollEndpoints = seed%2 == 1
+	s.PollInterval = 10_000_000
+	if seed%5 == 0 {
+		s.Tenants = nil
+	}
+	if seed%4 < 2 {
+		s.MaxBatchSize = 4
+		s.BatchOverhead = 100_000
+	}
+	return s
+}
+
+// Settings that are repeated in every step must make no difference: statistics of latencies, outliers, slow starts
+// and budgets, and attempts in flight, must survive a reconfiguration.
+func TestUnchangedSettingsChangeNothing(t *testing.T) {
+	for seed := range uint64(4) {
+		settings := testSettings()
+		settings.AllowHedging = seed%2 == 0
+		settings.InstanceIndex = int(seed % 2)
+		run := func(repeatSettings bool) []Action {
+			checker := newRuleChecker(t, settings, seed)
+			checker.reconfigurations = -1
+			checker.repeatSettings = repeatSettings
+			checker.run(600)
+			return checker.actions
+		}
+		assert.Equal(t, run(false), run(true), "seed %d", seed)
+	}
+}
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -1,41 +1,45 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	taken := 0
+	accepted := 0
 	for range 40 {
-		_, events := h.newQuery(0, 1)
-		taken += len(events)
-		acts := h.step(h.aggregator.settings.Tick, events...)
+		_, events := h.newQuery(idempotentClass, 1)
+		accepted += len(events)
+		sent := h.sends(testTick, events...)
 		for range 3 {
-			var outcomes []Event
-			for _, s := range actionsOf[SendAttempt](acts) {
-				p := h.aggregator.parts[s.Part]
-				outcomes = append(outcomes, AttemptResult{Part: s.Part, Attempt: p.attempts - 1, Server: s.Server, Status: ServerError, Report: NoLoadReport})
+			var results []Event
+			for _, s := range sent {
+				attempt := h.aggregator.parts[s.Part].attempts - 1
+				results = append(results, resultOfAttempt(s, attempt, ServerError))
 			}
-			acts = h.step(h.aggregator.settings.Tick, outcomes...)
+			sent = h.sends(testTick, results...)
 		}
 	}
-	tries := map[uint64]int{}
-	further := 0
+	attempts := map[uint64]int{}
+	retries := 0
 	for _, s := range actionsOf[SendAttempt](h.actions) {
-		further += boolToInt(tries[s.Part] > 0)
-		tries[s.Part]++
-	}
-	if limit := int(h.aggregator.settings.RetryBudgetMinimum + h.aggregator.settings.RetryBudgetRatio*float64(taken)); further == 0 || further > limit {
-		t.Fatalf("%d further attempts, want some and at most %d", further, limit)
+		retries += boolToInt(attempts[s.Part] > 0)
+		attempts[s.Part]++
 	}
+	settings := h.aggregator.settings
+	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
+	assert.Positive(t, retries)
+	assert.LessOrEqual(t, retries, limit)
 }
 
-// Where no budget is set nothing cuts what it counts: it must not be counted.
+// Without a budget nothing trims the histories, so they must stay empty.
 func TestNoHistoryIsKeptWithoutARetryBudget(t *testing.T) {
-	set := singleRingSettings()
-	set.RetryBudgetWindow = 0
-	h := newHarness(t, set)
-	h.answerQueries(0, 50, 1000)
-	if n := len(h.aggregator.acceptedHistory) + len(h.aggregator.retryHistory); n > 0 {
-		t.Errorf("%d entries are kept for good", n)
-	}
+	settings := singleRingSettings()
+	settings.RetryBudgetWindow = 0
+	h := newHarness(t, settings)
+	h.answerQueries(idempotentClass, 50, 1000)
+	assert.Empty(t, h.aggregator.acceptedHistory)
+	assert.Empty(t, h.aggregator.retryHistory)
 }
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -3,43 +3,55 @@
 import (
 	"math/rand/v2"
 	"testing"
+
+	"github.com/stretchr/testify/require"
 )
 
-// ruleChecker hands an aggregator arbitrary legal events and checks the rules on what it does. It is no
-// model of servers: outcomes and delays are drawn at random.
+// ruleChecker reports random valid events to an aggregator and checks the rules on its actions. It does not model
+// servers: results and delays are drawn at random.
 type ruleChecker struct {
-	test             *testing.T
-	settings         Settings
-	random           *rand.Rand
-	now              Micros
-	aggregator       *Aggregator
-	events           []Event
-	servers          map[uint32]Endpoint
-	drainedAt        map[uint32]Micros // when a server was first told to drain or be gone
-	queries          map[uint64]*checkedQuery
-	parts            map[uint64]*checkedPart
-	inFlight         []checkedAttempt
-	timers           []Micros
-	nextID           uint64
-	lastNumber       uint64
-	accepted         []Micros
-	retries          []Micros
-	warmingSends     map[uint32][]warmingSend
-	healthChecks     []uint32
-	actions          []Action
-	endedQueries     int
-	sentAttempts     int
-	reconfigurations int  // of the settings; below 0: none are made
-	repeatSettings   bool // each turn the settings are handed in once more, unchanged
+	test       *testing.T
+	settings   Settings
+	random     *rand.Rand
+	now        Micros
+	aggregator *Aggregator
+
+	events  []Event  // of the next step
+	actions []Action // of all steps
+
+	servers      map[uint32]Endpoint
+	drainedAt    map[uint32]Micros // when a server's Draining or Removed state was first reported
+	queries      map[uint64]*checkedQuery
+	parts        map[uint64]*checkedPart
+	inFlight     []checkedAttempt
+	healthChecks []uint32 // servers whose health checks are in flight
+	timers       []Micros // when they fire
+	nextID       uint64
+	lastNumber   uint64
+
+	accepted     []Micros // times of the accepted queries and parts
+	retries      []Micros // times of the retries
+	warmingSends map[uint32][]warmingSend
+
+	endedQueries int
+	sentAttempts int
+
+	// reconfigurations counts changes of the settings; none are made if it is negative.
+	reconfigurations int
+
+	// repeatSettings repeats the unchanged settings in every step.
+	repeatSettings bool
 }
 
+// warmingSend is work sent to a server during its slow start.
 type warmingSend struct {
-	sentAt, serverStartedAt Micros
-	work                    float64
+	sentAt          Micros
+	serverStartedAt Micros
+	work            float64 // microseconds
 }
 
 type checkedQuery struct {
-	class              Class // as it was taken
+	class              Class // as of the query's arrival
 	deadline           Micros
 	phase              int
 	firstPhaseComplete bool
@@ -52,351 +64,463 @@
 	shard       int
 	weight      float64
 	attempts    int
-	inFlight    map[int]bool
+	inFlight    map[int]bool // by index of the attempt
 	mayHaveRun  bool
 	firstSentAt Micros
 	answered    bool
 }
 
 type checkedAttempt struct {
-	endsAt Micros
 	part   uint64
 	index  int
 	server uint32
 	sentAt Micros
+	endsAt Micros
 	status Status
 }
 
-func newRuleChecker(t *testing.T, set Settings, seed uint64) *ruleChecker {
-	agg, err := New(set, seed)
-	if err != nil {
-		t.Fatal(err)
-	}
-	w := &ruleChecker{
-		test: t, settings: set, random: rand.New(rand.NewPCG(seed, 1)), now: 50_000_000, aggregator: agg, nextID: 100,
-		servers: map[uint32]Endpoint{}, drainedAt: map[uint32]Micros{}, queries: map[uint64]*checkedQuery{},
-		parts: map[uint64]*checkedPart{}, warmingSends: map[uint32][]warmingSend{},
+func newRuleChecker(t *testing.T, settings Settings, seed uint64) *ruleChecker {
+	t.Helper()
+	aggregator, err := New(settings, seed)
+	require.NoError(t, err)
+	c := &ruleChecker{
+		test:         t,
+		settings:     settings,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		now:          50_000_000,
+		aggregator:   aggregator,
+		nextID:       100,
+		servers:      map[uint32]Endpoint{},
+		drainedAt:    map[uint32]Micros{},
+		queries:      map[uint64]*checkedQuery{},
+		parts:        map[uint64]*checkedPart{},
+		warmingSends: map[uint32][]warmingSend{},
 	}
 	for i := range 8 {
-		w.servers[uint32(i+1)] = Endpoint{ID: uint32(i + 1), State: Ready, RingPosition: i % set.RingSize, Capacity: 1}
+		id := uint32(i + 1)
+		c.servers[id] = Endpoint{ID: id, State: Ready, RingPosition: i % settings.RingSize, Capacity: 1}
 	}
-	w.sendEndpointList()
-	return w
+	c.sendEndpointList()
+	return c
+}
+
+func (c *ruleChecker) add(event Event) { c.events = append(c.events, event) }
+
+func (c *ruleChecker) newID() uint64 {
+	c.nextID++
+	return c.nextID
 }
 
-func (w *ruleChecker) sendEndpointList() {
-	var out []Endpoint
-	for i := uint32(1); i < 20; i++ {
-		if s, ok := w.servers[i]; ok {
-			out = append(out, s)
+// run makes steps with random events, then steps without new ones until all queries must have ended.
+func (c *ruleChecker) run(steps int) {
+	for range steps {
+		c.now += c.settings.Tick * Micros(1+c.random.IntN(3))
+		c.addRandomEvents()
+		c.step()
+	}
+	for range 3000 {
+		c.now += c.settings.Tick
+		c.step()
+	}
+	for id, query := range c.queries {
+		if !query.closed {
+			c.test.Fatalf("query %d got no final action", id)
 		}
 	}
-	w.events = append(w.events, EndpointList{out})
 }
 
-func (w *ruleChecker) newID() uint64 { w.nextID++; return w.nextID }
+func (c *ruleChecker) addRandomEvents() {
+	if c.random.IntN(4) == 0 {
+		c.startQuery()
+	}
+	if c.reconfigurations >= 0 && c.random.IntN(60) == 0 {
+		c.reconfigure()
+	}
+	if c.random.IntN(120) == 0 {
+		c.changeServer()
+	} else if c.settings.PollEndpoints && c.random.IntN(40) == 0 {
+		c.add(EndpointListFailed{})
+		c.sendEndpointList()
+	}
+}
+
+func (c *ruleChecker) sendEndpointList() {
+	var endpoints []Endpoint
+	for id := uint32(1); id < 20; id++ {
+		if endpoint, ok := c.servers[id]; ok {
+			endpoints = append(endpoints, endpoint)
+		}
+	}
+	c.add(EndpointList{endpoints})
+}
 
-func (w *ruleChecker) changeServer() {
-	id := uint32(w.random.IntN(8) + 1)
-	s := w.servers[id]
-	switch w.random.IntN(6) {
+func (c *ruleChecker) changeServer() {
+	id := uint32(c.random.IntN(8) + 1)
+	endpoint := c.servers[id]
+	switch c.random.IntN(6) {
 	case 0:
-		s.State = Draining
+		endpoint.State = Draining
 	case 1:
-		s.State = Removed
+		endpoint.State = Removed
 	default:
-		s.State, s.StartedAt = Ready, w.now-Micros(w.random.IntN(20_000_000))
+		endpoint.State = Ready
+		endpoint.StartedAt = c.now - Micros(c.random.IntN(20_000_000))
 	}
-	if s.State == Ready {
-		delete(w.drainedAt, id)
-	} else if _, ok := w.drainedAt[id]; !ok {
-		w.drainedAt[id] = w.now
+	if endpoint.State == Ready {
+		delete(c.drainedAt, id)
+	} else if _, ok := c.drainedAt[id]; !ok {
+		c.drainedAt[id] = c.now
 	}
-	w.servers[id] = s
-	w.sendEndpointList()
+	c.servers[id] = endpoint
+	c.sendEndpointList()
 }
 
-// reconfigure draws other terms: classes in another order, some of them gone, with other times; other limits.
-func (w *ruleChecker) reconfigure() {
-	w.reconfigurations++
-	set, all := w.settings, testSettings().Classes
-	set.Classes = nil
-	for _, i := range w.random.Perm(len(all))[:1+w.random.IntN(len(all))] {
-		c := all[i]
-		c.LatencyObjective, c.Timeout = c.LatencyObjective*Micros(5+w.random.IntN(10))/10, c.Timeout*Micros(15+w.random.IntN(10))/10
-		set.Classes = append(set.Classes, c)
-	}
-	set.Shards, set.ReplicationFactor, set.MaxAttempts = 4+w.random.IntN(4), 2+w.random.IntN(2), 2+w.random.IntN(3)
-	set.AllowHedging, set.RetryBudgetRatio = w.random.IntN(2) == 0, 0.05*float64(1+w.random.IntN(3))
-	w.events = append(w.events, Reconfigure{set})
-	if w.random.IntN(4) == 0 { // one that cannot be used must change nothing
-		bad := set
-		bad.Classes = nil
-		w.events = append(w.events, Reconfigure{bad})
-	}
-	w.settings = set
+// reconfigure draws other classes, in another order and with other times, and other limits.
+func (c *ruleChecker) reconfigure() {
+	c.reconfigurations++
+	settings := c.settings
+	settings.Classes = nil
+	all := testClasses()
+	order := c.random.Perm(len(all))
+	count := 1 + c.random.IntN(len(all))
+	for _, i := range order[:count] {
+		class := all[i]
+		class.LatencyObjective = class.LatencyObjective * Micros(5+c.random.IntN(10)) / 10
+		class.Timeout = class.Timeout * Micros(15+c.random.IntN(10)) / 10
+		settings.Classes = append(settings.Classes, class)
+	}
+	settings.Shards = 4 + c.random.IntN(4)
+	settings.ReplicationFactor = 2 + c.random.IntN(2)
+	settings.MaxAttempts = 2 + c.random.IntN(3)
+	settings.AllowHedging = c.random.IntN(2) == 0
+	settings.RetryBudgetRatio = 0.05 * float64(1+c.random.IntN(3))
+	c.add(Reconfigure{settings})
+	if c.random.IntN(4) == 0 { // invalid settings must change nothing
+		invalid := settings
+		invalid.Classes = nil
+		c.add(Reconfigure{invalid})
+	}
+	c.settings = settings
 }
 
-func (w *ruleChecker) startQuery() {
-	c := w.random.IntN(len(w.settings.Classes))
-	cls := w.settings.Classes[c]
-	n := w.random.IntN(5) + 1
-	w.lastNumber++
-	id := w.newID()
-	q := &checkedQuery{class: cls, phase: 1, deadline: w.now + cls.Timeout*Micros(60+w.random.IntN(41))/100}
-	w.queries[id] = q
-	w.events = append(w.events, Query{
-		ID: id, Number: w.lastNumber, Class: c, Tenant: w.random.IntN(2), Deadline: q.deadline,
-		Parts: n, Retry: w.random.IntN(5) == 0, Key: uint64(w.random.IntN(4)),
+func (c *ruleChecker) startQuery() {
+	classIndex := c.random.IntN(len(c.settings.Classes))
+	class := c.settings.Classes[classIndex]
+	parts := c.random.IntN(5) + 1
+	c.lastNumber++
+	id := c.newID()
+	query := &checkedQuery{
+		class:    class,
+		phase:    firstPhase,
+		deadline: c.now + class.Timeout*Micros(60+c.random.IntN(41))/100,
+	}
+	c.queries[id] = query
+	c.add(Query{
+		ID:       id,
+		Number:   c.lastNumber,
+		Class:    classIndex,
+		Tenant:   c.random.IntN(2),
+		Deadline: query.deadline,
+		Parts:    parts,
+		Retry:    c.random.IntN(5) == 0,
+		Key:      uint64(c.random.IntN(4)),
 	})
-	w.accepted = append(w.accepted, w.now)
-	w.addParts(q, w.lastNumber, n)
+	c.accepted = append(c.accepted, c.now)
+	c.addParts(query, c.lastNumber, parts)
 }
 
-func (w *ruleChecker) addParts(q *checkedQuery, number uint64, n int) {
-	q.parts = nil
-	start := w.random.IntN(w.settings.Shards)
-	for i := range n {
-		id := w.newID()
-		p := &checkedPart{query: q, shard: (start + i) % w.settings.Shards, weight: 1 / float64(n), inFlight: map[int]bool{}}
-		w.parts[id] = p
-		q.parts = append(q.parts, p)
-		w.events = append(w.events, Part{
-			ID: id, Number: number, Shard: p.shard, Weight: p.weight,
-			CostHint: Micros(w.random.IntN(3)-1) * 40_000,
+func (c *ruleChecker) addParts(query *checkedQuery, number uint64, count int) {
+	query.parts = nil
+	firstShard := c.random.IntN(c.settings.Shards)
+	for i := range count {
+		id := c.newID()
+		p := &checkedPart{
+			query:    query,
+			shard:    (firstShard + i) % c.settings.Shards,
+			weight:   1 / float64(count),
+			inFlight: map[int]bool{},
+		}
+		c.parts[id] = p
+		query.parts = append(query.parts, p)
+		c.add(Part{
+			ID:       id,
+			Number:   number,
+			Shard:    p.shard,
+			Weight:   p.weight,
+			CostHint: Micros(c.random.IntN(3)-1) * 40_000,
 		})
-		w.accepted = append(w.accepted, w.now)
+		c.accepted = append(c.accepted, c.now)
 	}
 }
 
-func (w *ruleChecker) run(turns int) {
-	for range turns {
-		w.now += w.settings.Tick * Micros(1+w.random.IntN(3))
-		if w.random.IntN(4) == 0 {
-			w.startQuery()
-		}
-		if w.reconfigurations >= 0 && w.random.IntN(60) == 0 {
-			w.reconfigure()
-		}
-		if w.random.IntN(120) == 0 {
-			w.changeServer()
-		} else if w.settings.PollEndpoints && w.random.IntN(40) == 0 { // a failed call, then the same list once more
-			w.events = append(w.events, EndpointListFailed{})
-			w.sendEndpointList()
-		}
-		w.step()
-	}
-	for range 3000 { // let all end
-		w.now += w.settings.Tick
-		w.step()
-	}
-	for id, q := range w.queries {
-		if !q.closed {
-			w.test.Fatalf("query %d never got a final answer", id)
-		}
-	}
+// step reports the events that are due and checks the actions that they bring.
+func (c *ruleChecker) step() {
+	c.endAttempts()
+	for _, server := range c.healthChecks {
+		c.add(HealthCheckResult{Server: server, Status: Status(c.random.IntN(2)), Report: NoLoadReport})
+	}
+	c.healthChecks = nil
+	c.fireTimer()
+	c.checkDeadlines()
+	if c.repeatSettings {
+		c.add(Reconfigure{c.settings})
+	}
+	actions := c.aggregator.Step(c.now, c.events)
+	c.events = nil
+	for _, action := range actions {
+		c.check(action)
+	}
+	c.actions = append(c.actions, actions...)
 }
 
-func (w *ruleChecker) step() {
-	var rest []checkedAttempt
-	for _, a := range w.inFlight {
-		if a.endsAt > w.now {
-			rest = append(rest, a)
+// endAttempts reports the results of the attempts that end by now.
+func (c *ruleChecker) endAttempts() {
+	var remaining []checkedAttempt
+	for _, attempt := range c.inFlight {
+		if attempt.endsAt > c.now {
+			remaining = append(remaining, attempt)
 			continue
 		}
-		p := w.parts[a.part]
-		delete(p.inFlight, a.index)
-		if a.status != Rejected && a.status != ConnectFailed && a.status != Withdrawn {
+		p := c.parts[attempt.part]
+		delete(p.inFlight, attempt.index)
+		if attempt.status != Rejected && attempt.status != ConnectFailed && attempt.status != Withdrawn {
 			p.mayHaveRun = true
 		}
-		if a.status == OK && !p.query.closed {
+		if attempt.status == OK && !p.query.closed {
 			p.answered = true
 		}
-		r := NoLoadReport
-		if w.random.IntN(2) == 0 {
-			r.Inflight = float64(w.random.IntN(6))
+		report := NoLoadReport
+		if c.random.IntN(2) == 0 {
+			report.Inflight = float64(c.random.IntN(6))
 		}
-		w.events = append(w.events, AttemptResult{
-			Part: a.part, Attempt: a.index, Server: a.server, Status: a.status,
-			Elapsed: w.now - a.sentAt, Report: r,
+		c.add(AttemptResult{
+			Part:    attempt.part,
+			Attempt: attempt.index,
+			Server:  attempt.server,
+			Status:  attempt.status,
+			Elapsed: c.now - attempt.sentAt,
+			Report:  report,
 		})
 	}
-	w.inFlight = rest
-	for _, s := range w.healthChecks {
-		w.events = append(w.events, HealthCheckResult{Server: s, Status: Status(w.random.IntN(2)), Report: NoLoadReport})
-	}
-	w.healthChecks = nil
-	for i, at := range w.timers {
-		if at <= w.now {
-			w.events = append(w.events, Timer{})
-			w.timers = append(w.timers[:i:i], w.timers[i+1:]...)
-			break
+	c.inFlight = remaining
+}
+
+// fireTimer reports the first timer that is due.
+func (c *ruleChecker) fireTimer() {
+	for i, at := range c.timers {
+		if at <= c.now {
+			c.add(Timer{})
+			c.timers = append(c.timers[:i:i], c.timers[i+1:]...)
+			return
 		}
 	}
-	for id, q := range w.queries {
-		if !q.closed && w.now > q.deadline+w.settings.AnswerSlack {
-			w.test.Fatalf("query %d got no final answer in time", id)
+}
+
+func (c *ruleChecker) checkDeadlines() {
+	for id, query := range c.queries {
+		if !query.closed && c.now > query.deadline+c.settings.AnswerSlack {
+			c.test.Fatalf("query %d got no final action by its deadline", id)
 		}
 	}
-	if w.repeatSettings {
-		w.events = append(w.events, Reconfigure{w.settings})
-	}
-	acts := w.aggregator.Step(w.now, w.events)
-	w.events = nil
-	for _, a := range acts {
-		w.check(a)
-	}
-	w.actions = append(w.actions, acts...)
 }
 
-func (w *ruleChecker) check(act Action) {
-	switch a := act.(type) {
+func (c *ruleChecker) check(action Action) {
+	switch action := action.(type) {
 	case SendAttempt:
-		w.checkSend(a)
+		c.checkSend(action)
 	case CancelAttempt:
-		for i := range w.inFlight {
-			if w.inFlight[i].part == a.Part && w.inFlight[i].index == a.Attempt {
-				w.inFlight[i].endsAt, w.inFlight[i].status = w.now, Canceled
-			}
-		}
+		c.cancelAttempt(action)
 	case Answer:
-		w.checkAnswer(a)
+		c.checkAnswer(action)
 	case Reject:
-		q := w.queries[a.Query]
-		for _, p := range q.parts {
-			if q.class.Idempotency == NonIdempotent && (p.mayHaveRun || len(p.inFlight) > 0) {
-				w.test.Fatalf("query %d refused though a part of it may have run", a.Query)
-			}
-		}
-		w.endQuery(a.Query)
+		c.checkReject(action)
 	case Fail:
-		w.endQuery(a.Query)
+		c.endQuery(action.Query)
 	case HealthCheck:
-		w.healthChecks = append(w.healthChecks, a.Server)
+		c.healthChecks = append(c.healthChecks, action.Server)
 	case SetTimer:
-		w.timers = append(w.timers, w.now+a.After)
+		c.timers = append(c.timers, c.now+action.After)
 	}
 }
 
-func (w *ruleChecker) endQuery(id uint64) {
-	q := w.queries[id]
-	if q == nil || q.closed {
-		w.test.Fatalf("query %d got a second final answer, or was never handed over", id)
+func (c *ruleChecker) cancelAttempt(action CancelAttempt) {
+	for i := range c.inFlight {
+		attempt := &c.inFlight[i]
+		if attempt.part == action.Part && attempt.index == action.Attempt {
+			attempt.endsAt = c.now
+			attempt.status = Canceled
+		}
 	}
-	q.closed = true
-	w.endedQueries++
 }
 
-func (w *ruleChecker) checkAnswer(a Answer) {
-	q := w.queries[a.Query]
-	got := 0.0
-	n := 0
-	for _, p := range q.parts {
+func (c *ruleChecker) endQuery(id uint64) {
+	query := c.queries[id]
+	if query == nil || query.closed {
+		c.test.Fatalf("query %d got a second final action, or is unknown", id)
+	}
+	query.closed = true
+	c.endedQueries++
+}
+
+func (c *ruleChecker) checkReject(action Reject) {
+	query := c.queries[action.Query]
+	for _, p := range query.parts {
+		if query.class.Idempotency == NonIdempotent && p.hasEffect() {
+			c.test.Fatalf("query %d rejected although a part of it may have run", action.Query)
+		}
+	}
+	c.endQuery(action.Query)
+}
+
+// hasEffect reports whether an attempt at the part may have run or may still run.
+func (p *checkedPart) hasEffect() bool { return p.mayHaveRun || len(p.inFlight) > 0 }
+
+func (c *ruleChecker) checkAnswer(action Answer) {
+	const tolerance = 1e-4
+	query := c.queries[action.Query]
+	class := query.class
+	coverage := 0.0
+	answered := 0
+	for _, p := range query.parts {
 		if p.answered {
-			got += p.weight
-			n++
+			coverage += p.weight
+			answered++
 		}
 	}
-	cls := q.class
-	need := cls.RequiredCoverage
-	if q.phase == 2 {
-		need = 1
+	required := class.RequiredCoverage
+	if query.phase == fetchPhase {
+		required = 1
 	}
-	if got < cls.MinCoverage-1e-4 {
-		w.test.Fatalf("query %d answered from a share of %v, least is %v", a.Query, got, cls.MinCoverage)
+	if coverage < class.MinCoverage-tolerance {
+		c.test.Fatalf("query %d answered at a coverage of %v, minimum %v", action.Query, coverage, class.MinCoverage)
 	}
-	if a.Complete && (got < need-1e-4 || q.phase == 2 && !q.firstPhaseComplete) {
-		w.test.Fatalf("query %d marked whole from a share of %v at step %d", a.Query, got, q.phase)
+	isIncomplete := coverage < required-tolerance || query.phase == fetchPhase && !query.firstPhaseComplete
+	if action.Complete && isIncomplete {
+		c.test.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.Query, coverage, query.phase)
 	}
-	if q.phase == 1 && cls.FetchParts > 0 {
-		q.phase, q.firstPhaseComplete = 2, a.Complete
-		number := w.numberOf(a.Query)
-		w.addParts(q, number, min(n, cls.FetchParts))
+	if query.phase == firstPhase && class.FetchParts > 0 {
+		query.phase = fetchPhase
+		query.firstPhaseComplete = action.Complete
+		number := c.aggregator.queries[action.Query].Number
+		c.addParts(query, number, min(answered, class.FetchParts))
 		return
 	}
-	w.endQuery(a.Query)
+	c.endQuery(action.Query)
 }
 
-func (w *ruleChecker) numberOf(id uint64) uint64 { return w.aggregator.queries[id].Number }
-
-func (w *ruleChecker) checkSend(a SendAttempt) {
-	p := w.parts[a.Part]
-	cls := p.query.class
+// checkSend checks an attempt and draws its result.
+func (c *ruleChecker) checkSend(action SendAttempt) {
+	p := c.parts[action.Part]
 	if p.query.closed {
-		w.test.Fatalf("part %d sent after its query ended", a.Part)
+		c.test.Fatalf("part %d sent after its query ended", action.Part)
 	}
-	if at, ok := w.drainedAt[a.Server]; ok && w.now > at+w.settings.DrainGrace {
-		w.test.Fatalf("part %d sent to server %d that drains or is gone", a.Part, a.Server)
+	c.checkServer(action, p)
+	c.checkSlowStart(action.Server, c.aggregator.parts[action.Part].query.class.referenceLatency)
+	c.checkIdempotency(action, p)
+	if p.attempts >= c.settings.MaxAttempts {
+		c.test.Fatalf("part %d sent more than %d times", action.Part, c.settings.MaxAttempts)
 	}
-	if s := w.servers[a.Server]; (s.RingPosition-p.shard+2*w.settings.RingSize)%w.settings.RingSize >= w.settings.ReplicationFactor {
-		w.test.Fatalf("part %d of shard %d sent to a server without it", a.Part, p.shard)
+	if p.attempts > 0 {
+		c.retries = append(c.retries, c.now)
+		c.checkRetryBudget()
 	}
-	w.checkSlowStart(a.Server, w.aggregator.parts[a.Part].query.class.referenceLatency)
-	if len(p.inFlight) > 0 && !w.settings.AllowHedging {
-		w.test.Fatalf("part %d has two attempts out", a.Part)
+	if !p.hasEffect() {
+		p.firstSentAt = c.now
 	}
-	if cls.Idempotency == NonIdempotent && (p.mayHaveRun || len(p.inFlight) > 0) {
-		w.test.Fatalf("unsafe part %d sent again though it may have run", a.Part)
+	p.inFlight[p.attempts] = true
+	c.startAttempt(action, p.attempts)
+	p.attempts++
+	c.sentAttempts++
+}
+
+func (c *ruleChecker) startAttempt(action SendAttempt, index int) {
+	status := OK
+	if c.random.IntN(3) == 0 {
+		status = Status(c.random.IntN(8))
 	}
-	if cls.Idempotency == IdempotentByKey && (p.mayHaveRun || len(p.inFlight) > 0) && w.now > p.firstSentAt+cls.DeduplicationWindow {
-		w.test.Fatalf("keyed part %d sent again after its window", a.Part)
+	timeout := max(action.Timeout, 1)
+	delay := Micros(10_000 + c.random.IntN(300_000))
+	delay *= Micros(1 + c.random.IntN(3)*c.random.IntN(8))
+	delay = min(delay, timeout)
+	if status == TimedOut {
+		delay = timeout
+	}
+	c.inFlight = append(c.inFlight, checkedAttempt{
+		part:   action.Part,
+		index:  index,
+		server: action.Server,
+		sentAt: c.now,
+		endsAt: c.now + delay,
+		status: status,
+	})
+}
+
+func (c *ruleChecker) checkServer(action SendAttempt, p *checkedPart) {
+	if at, ok := c.drainedAt[action.Server]; ok && c.now > at+c.settings.DrainGrace {
+		c.test.Fatalf("part %d sent to server %d, which is draining or removed", action.Part, action.Server)
 	}
-	if p.attempts >= w.settings.MaxAttempts {
-		w.test.Fatalf("part %d sent more than %d times", a.Part, w.settings.MaxAttempts)
+	size := c.settings.RingSize
+	distance := (c.servers[action.Server].RingPosition - p.shard + 2*size) % size
+	if distance >= c.settings.ReplicationFactor {
+		c.test.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.Part, p.shard, action.Server)
 	}
-	if p.attempts > 0 {
-		w.retries = append(w.retries, w.now)
-		n, m := countSince(w.retries, w.now-w.settings.RetryBudgetWindow), countSince(w.accepted, w.now-w.settings.RetryBudgetWindow)
-		if float64(n) > w.settings.RetryBudgetMinimum+w.settings.RetryBudgetRatio*float64(m) {
-			w.test.Fatalf("%d further attempts for %d taken", n, m)
-		}
+}
+
+func (c *ruleChecker) checkIdempotency(action SendAttempt, p *checkedPart) {
+	class := p.query.class
+	if len(p.inFlight) > 0 && !c.settings.AllowHedging {
+		c.test.Fatalf("part %d hedged although hedging is not allowed", action.Part)
 	}
-	if !p.mayHaveRun && len(p.inFlight) == 0 {
-		p.firstSentAt = w.now
+	if class.Idempotency == NonIdempotent && p.hasEffect() {
+		c.test.Fatalf("non-idempotent part %d retried although it may have run", action.Part)
 	}
-	p.inFlight[p.attempts] = true
-	status := OK
-	if w.random.IntN(3) == 0 {
-		status = Status(w.random.IntN(8))
+	isTooLate := c.now > p.firstSentAt+class.DeduplicationWindow
+	if class.Idempotency == IdempotentByKey && p.hasEffect() && isTooLate {
+		c.test.Fatalf("part %d retried after its deduplication window", action.Part)
 	}
-	delay := min(Micros(10_000+w.random.IntN(300_000))*Micros(1+w.random.IntN(3)*w.random.IntN(8)), max(a.Timeout, 1))
-	if status == TimedOut {
-		delay = max(a.Timeout, 1)
+}
+
+func (c *ruleChecker) checkRetryBudget() {
+	windowStart := c.now - c.settings.RetryBudgetWindow
+	retries := countSince(c.retries, windowStart)
+	accepted := countSince(c.accepted, windowStart)
+	if float64(retries) > c.settings.RetryBudgetMinimum+c.settings.RetryBudgetRatio*float64(accepted) {
+		c.test.Fatalf("%d retries for %d accepted queries and parts", retries, accepted)
 	}
-	w.inFlight = append(w.inFlight, checkedAttempt{w.now + delay, a.Part, p.attempts, a.Server, w.now, status})
-	p.attempts++
-	w.sentAttempts++
 }
 
-// checkSlowStart adds up what a cold server gets within the rule's span, in the work that the aggregator has learned
-// of, against this aggregator's part of what the server bears. Where that is under one part, two turns may meet
-// within a span; TestRuleColdServersAreNotPushedOver holds the sum over all aggregators.
-func (w *ruleChecker) checkSlowStart(id uint32, work float64) {
-	s := w.servers[id]
-	if s.StartedAt <= 0 || w.now >= s.StartedAt+w.settings.SlowStartDuration {
+// checkSlowStart checks that the work sent to a warming server within the overload duration stays within this
+// aggregator's share. The work is that which the aggregator has learned. Where the share is less than a part, two
+// parts may fall within the duration; TestWarmingServersAreNotOverloaded checks the sum over all aggregators.
+func (c *ruleChecker) checkSlowStart(id uint32, work float64) {
+	server := c.servers[id]
+	if server.StartedAt <= 0 || c.now >= server.StartedAt+c.settings.SlowStartDuration {
 		return
 	}
-	w.warmingSends[id] = append(w.warmingSends[id], warmingSend{w.now, s.StartedAt, work})
-	sum, n := 0.0, 0
-	for _, e := range w.warmingSends[id] {
-		if e.serverStartedAt == s.StartedAt && e.sentAt > w.now-w.settings.OverloadDuration {
-			sum += e.work
-			n++
+	c.warmingSends[id] = append(c.warmingSends[id], warmingSend{c.now, server.StartedAt, work})
+	sum := 0.0
+	parts := 0
+	for _, sent := range c.warmingSends[id] {
+		if sent.serverStartedAt == server.StartedAt && sent.sentAt > c.now-c.settings.OverloadDuration {
+			sum += sent.work
+			parts++
 		}
 	}
-	share := w.settings.SlowStartFraction + (1-w.settings.SlowStartFraction)*float64(w.now-s.StartedAt)/float64(w.settings.SlowStartDuration)
-	limit := w.settings.OverloadFactor * share * float64(w.settings.OverloadDuration) / float64(w.settings.InstanceCount)
-	if sum > limit*1.001 && n > 2 {
-		w.test.Fatalf("cold server %d was sent %d parts of work %v within the span, its part is %v", id, n, sum, limit)
+	progress := float64(c.now-server.StartedAt) / float64(c.settings.SlowStartDuration)
+	fraction := c.settings.SlowStartFraction + (1-c.settings.SlowStartFraction)*progress
+	duration := float64(c.settings.OverloadDuration)
+	limit := c.settings.OverloadFactor * fraction * duration / float64(c.settings.InstanceCount)
+	if sum > limit*1.001 && parts > 2 {
+		c.test.Fatalf("warming server %d was sent %d parts of work %v, limit %v", id, parts, sum, limit)
 	}
 }
 
 func countSince(times []Micros, from Micros) int {
-	n := 0
-	for _, t := range times {
-		if t >= from {
-			n++
+	count := 0
+	for _, at := range times {
+		if at >= from {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -1,66 +1,79 @@
 package policy
 
-import "testing"
+import (
+	"testing"
 
-// loadWarmingServer lets a fleet of aggregators, all with more parts than it can take, meet one cold server that alone
-// holds their shard. It returns the most work within a span against what the rule allows, and work a second.
-func loadWarmingServer(t *testing.T, fleet int, report LoadReport) (most, rate float64) {
-	s := singleRingSettings()
-	s.OverloadFactor, s.SlowStartFraction, s.InstanceCount = 2, 0.25, fleet
+	"github.com/stretchr/testify/assert"
+)
+
+// loadWarmingServer lets several aggregators, all with more parts than it can take, use one warming server that alone
+// holds their shard. It returns the most work within the overload duration as a share of what the server can do, and
+// the rate of work in seconds per second.
+func loadWarmingServer(t *testing.T, instances int, report LoadReport) (peak, rate float64) {
+	t.Helper()
 	const work = 100_000
-	var hands []*harness
-	for i := range fleet {
+	s := singleRingSettings()
+	s.OverloadFactor = 2
+	s.SlowStartFraction = 0.25
+	s.InstanceCount = instances
+	var harnesses []*harness
+	for i := range instances {
 		s.InstanceIndex = i
 		h := newHarness(t, s)
-		h.answerQueries(0, 60, work)
+		h.answerQueries(idempotentClass, 60, work)
 		for range 40 {
 			h.aggregator.recordLoad(h.aggregator.servers[1], report)
 		}
-		hands = append(hands, h)
+		harnesses = append(harnesses, h)
 	}
-	start := hands[0].now
-	var sent []Micros
+	start := harnesses[0].now
+	server := Endpoint{ID: 9, State: Ready, StartedAt: start}
+	var sentAt []Micros
 	for now := start; now < start+s.SlowStartDuration; now += 4 * s.Tick {
-		for _, h := range hands {
-			h.now = now
-			for _, q := range h.aggregator.openQueries { // what waits is as good as gone
-				h.aggregator.closeQuery(q)
-			}
-			_, query := h.newQuery(0, 1)
-			acts := h.step(0, append(query, EndpointList{[]Endpoint{{ID: 9, State: Ready, StartedAt: start}}})...)
-			for _, p := range actionsOf[SendAttempt](acts) {
-				sent = append(sent, now)
-				h.step(0, AttemptResult{Part: p.Part, Server: 9, Status: OK, Report: NoLoadReport})
-				h.aggregator.classes[0].referenceLatency, h.aggregator.meanLatency, h.aggregator.baseLatency = work, work, work // answered at once only for the window's sake
+		for _, h := range harnesses {
+			for range h.sendToWarmingServer(now, server, work) {
+				sentAt = append(sentAt, now)
 			}
 		}
-		in := 0.0
-		for _, at := range sent {
-			if at > now-s.OverloadDuration {
-				in += work
-			}
-		}
-		share := s.SlowStartFraction + (1-s.SlowStartFraction)*float64(now-start)/float64(s.SlowStartDuration)
-		most = max(most, in/(s.OverloadFactor*share*float64(s.OverloadDuration)*hands[0].aggregator.sustainedRate))
+		recentWork := float64(work * countSince(sentAt, now-s.OverloadDuration+1))
+		progress := float64(now-start) / float64(s.SlowStartDuration)
+		fraction := s.SlowStartFraction + (1-s.SlowStartFraction)*progress
+		limit := s.OverloadFactor * fraction * float64(s.OverloadDuration) * harnesses[0].aggregator.sustainedRate
+		peak = max(peak, recentWork/limit)
 	}
-	return most, work * float64(len(sent)) / float64(s.SlowStartDuration)
+	return peak, work * float64(len(sentAt)) / float64(s.SlowStartDuration)
 }
 
-// All aggregators together keep a cold server below its limit, and yet use it, whatever their number.
+// sendToWarmingServer starts a query, answers its attempts at once and returns them. Queries that are still open are
+// closed first. The latencies stay those of the given work.
+func (h *harness) sendToWarmingServer(now Micros, server Endpoint, work float64) []SendAttempt {
+	a := h.aggregator
+	h.now = now
+	for _, q := range a.openQueries {
+		a.closeQuery(q)
+	}
+	_, events := h.newQuery(idempotentClass, 1)
+	sent := h.sends(0, append(events, EndpointList{[]Endpoint{server}})...)
+	for _, attempt := range sent {
+		h.step(0, resultOf(attempt, OK))
+		a.classes[idempotentClass].referenceLatency = work
+		a.meanLatency = work
+		a.baseLatency = work
+	}
+	return sent
+}
+
+// All aggregators together use a warming server without overloading it, whatever their number.
 func TestWarmingServersAreNotOverloaded(t *testing.T) {
-	for _, fleet := range []int{1, 2, 11, 32, 90} {
-		most, rate := loadWarmingServer(t, fleet, NoLoadReport)
-		if most > 1 {
-			t.Errorf("%d aggregators: a span held %.2f of the limit", fleet, most)
-		}
-		if rate < 0.2 { // of one part at a time, where 0.62 is what it can do on the mean; turns are rounded down
-			t.Errorf("%d aggregators: the cold server got work of %.2f a second only", fleet, rate)
-		}
+	for _, instances := range []int{1, 2, 11, 32, 90} {
+		peak, rate := loadWarmingServer(t, instances, NoLoadReport)
+		assert.LessOrEqual(t, peak, 1.0, "%d aggregators: share of the limit", instances)
+		// On average the server can do 0.62 of one part at a time.
+		assert.GreaterOrEqual(t, rate, 0.2, "%d aggregators: rate of work", instances)
 	}
 	busy := NoLoadReport
 	busy.Rate = 30
-	_, plain := loadWarmingServer(t, 11, NoLoadReport)
-	if _, more := loadWarmingServer(t, 11, busy); more <= plain {
-		t.Errorf("work of %.2f a second where warm servers bear more, %.2f where they say nothing", more, plain)
-	}
+	_, without := loadWarmingServer(t, 11, NoLoadReport)
+	_, with := loadWarmingServer(t, 11, busy)
+	assert.Greater(t, with, without, "rate of work if warm servers report a higher rate")
 }
