--- /dev/null
+++ b/adminserver.go
@@ -0,0 +1,27 @@
+package alderproxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+
+	"alderproxy/admin"
+)
+
+// startAdmin starts the admin server on the parts that are on. They have been started before.
+func (p *program) startAdmin() error {
+	token, err := readSecret(p.config.AdminTokenFile)
+	if err != nil {
+		return fmt.Errorf("instance.admin_token_file: %w", err)
+	}
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", p.config.AdminAddr)
+	if err != nil {
+		return fmt.Errorf("admin: %w", err)
+	}
+	parts := admin.Services{Gossip: p.gossip}
+	if p.sharedConfig != nil {
+		parts.Config = p.sharedConfig.node
+	}
+	p.admin = admin.Start(listener, parts, string(token), p.log.WithField("instance", p.config.ID))
+	return nil
+}
--- a/alderproxy.go
+++ b/alderproxy.go
@@ -1,5 +1,6 @@
-// Package alderproxy puts the program together: a gatherer for the platform's protocol and, where its file says
-// so, a front for OpenSearch-style queries.
+// Package alderproxy assembles the program: the front for the platform's protocol, the front for OpenSearch-style queries,
+// the shared configuration, the membership of a fleet and the admin server, as the instance's file has them. Each part is
+// set up in one file of this package; this file has the order in which they start and stop.
 package alderproxy
 
 import (
@@ -23,34 +24,42 @@
 	"alderproxy/platform"
 )
 
-// configFile is the operators' own file where none is named.
-const configFile = "deploy/alderproxy.ini"
+// defaultConfigFile is the operators' own file where none is named.
+const defaultConfigFile = "deploy/alderproxy.ini"
 
-// ConfigPath is the file to use: the one named, else what ALDERPROXY_CONFIG names, else the one of the deployment. It
-// is empty where nothing is named and that one is not there.
+// ConfigPath returns the path of the instance's file: the given one, else the value of ALDERPROXY_CONFIG, else that of the
+// deployment. It is empty where none is named and the deployment has none.
 func ConfigPath(named string) string {
 	if named == "" {
 		named = os.Getenv("ALDERPROXY_CONFIG")
 	}
-	if _, err := os.Stat(configFile); named == "" && !errors.Is(err, fs.ErrNotExist) {
-		return configFile
+	if _, err := os.Stat(defaultConfigFile); named == "" && !errors.Is(err, fs.ErrNotExist) {
+		return defaultConfigFile
 	}
 	return named
 }
 
-// Serve runs what a file and the environment tell, until SIGTERM or SIGINT. EDGE_CONFIG names the platform's
-// configuration before the file does. SIGHUP has the gatherer's configuration read again.
-func Serve(path string) error {
-	// Each has a channel of its own, so that no burst of one crowds out the other. Go ends a process on a SIGHUP that
-	// nobody takes, and with it every open request: it stays taken to the end, during a planned stop too.
+// Options say how a process is run.
+type Options struct {
+	ConfigPath string // the instance's own file; empty: see ConfigPath
+	// OnChangeStep is called before each step that a leader takes with a configuration change; see raftnode.Config. It is
+	// for tests that kill an instance in the middle of a change; nil: not called.
+	OnChangeStep func(step string)
+}
+
+// Serve runs one instance until SIGTERM or SIGINT and returns nil after a graceful shutdown. EDGE_CONFIG takes precedence
+// over the file's name for the platform's configuration. SIGHUP reloads the platform's configuration.
+func Serve(options Options) error {
+	// Each signal has a channel of its own, so that a burst of one does not displace the other. Go ends a process on a
+	// SIGHUP that is not handled, and with it every open request: it stays handled during the shutdown too.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangups, syscall.SIGHUP)
-	c, err := load(path)
+	c, err := loadConfig(options.ConfigPath)
 	if err != nil {
 		return err
 	}
-	p := &program{config: c, log: logger(c.Log)}
+	p := &program{config: c, log: newLogger(c.Log), onChangeStep: options.OnChangeStep}
 	defer p.close()
 	if err := p.start(); err != nil {
 		return err
@@ -58,12 +67,12 @@
 	for {
 		select {
 		case <-hangups:
-			if p.gatherer != nil {
+			if p.aggregator != nil {
 				p.reload()
 			}
 		case s := <-signals:
 			p.log.WithField("signal", s.String()).Info("stopping")
-			p.stop(time.Now())
+			p.shutdown(time.Now())
 			return nil
 		case err := <-p.served:
 			return fmt.Errorf("stopped serving: %w", err)
@@ -71,23 +80,24 @@
 	}
 }
 
-func load(path string) (*config.Config, error) {
-	c, err := &config.Config{ID: "alderproxy"}, error(nil)
+func loadConfig(path string) (*config.Config, error) {
+	c := &config.Config{ID: "alderproxy"}
 	if path = ConfigPath(path); path != "" {
+		var err error
 		if c, err = config.Load(path); err != nil {
 			return nil, err
 		}
 	}
 	if named := os.Getenv("EDGE_CONFIG"); named != "" {
-		c.Gatherer = named
+		c.PlatformConfigPath = named
 	}
-	if c.Gatherer == "" && c.OpenSearch == nil {
+	if c.PlatformConfigPath == "" && c.OpenSearch == nil {
 		return nil, errors.New("nothing to serve: EDGE_CONFIG names no configuration and the OpenSearch front is off")
 	}
 	return c, nil
 }
 
-func logger(c config.Log) *logrus.Logger {
+func newLogger(c config.Log) *logrus.Logger {
 	l := logrus.New()
 	l.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "15:04:05.000"})
 	if c.Format == "json" {
@@ -99,154 +109,179 @@
 	return l
 }
 
-// program is what one process runs.
+// program is the parts that one process runs, in the order in which they start.
 type program struct {
-	config   *config.Config
-	log      *logrus.Logger
-	search   *opensearch.Service
-	gatherer *platform.Aggregator
-	served   <-chan error
-
-	agreement *agreement    // nil: the instance stands alone
-	fleet     *gossip.Node  // nil: the instance is no member of a fleet
-	operators *admin.Server // nil: there is nothing to operate
-	telling   ends          // of the goroutine that tells the fleet of this instance
-	sharing   ends          // of the one that follows its share
-}
-
-// ends are where a goroutine of the program hears that it is to end, and where it says that it has.
-type ends struct{ stop, done chan struct{} }
-
-func (p *program) start() (err error) {
-	var edge *platform.Config
-	if p.config.Gatherer != "" {
-		if edge, err = gathererConfig(p.config.Gatherer); err != nil {
-			return err
-		}
-		useLimits(edge)
+	config       *config.Config
+	log          *logrus.Logger
+	onChangeStep func(step string) // see Options
+
+	sharedConfig *sharedConfig        // nil: the instance has its own configuration only
+	gossip       *gossip.Node         // nil: the instance is not a member of a fleet
+	admin        *admin.Server        // nil: the admin server is off
+	openSearch   *opensearch.Service  // nil: this front is off
+	aggregator   *platform.Aggregator // nil: this front is off
+	served       <-chan error         // yields why the platform's front stopped serving
+	publisher    *worker              // publishes this instance's facts to the fleet
+	quotas       *worker              // follows this instance's quota of the stores' capacity
+}
+
+// worker is a goroutine that runs until it is stopped.
+type worker struct {
+	stopping chan struct{}
+	done     chan struct{}
+}
+
+// startWorker runs a function in a goroutine. It has to return once the channel that it gets is closed.
+func startWorker(run func(stopping <-chan struct{})) *worker {
+	w := &worker{stopping: make(chan struct{}), done: make(chan struct{})}
+	go func() {
+		defer close(w.done)
+		run(w.stopping)
+	}()
+	return w
+}
+
+// stop ends the worker and waits until it has returned. A nil worker never ran.
+func (w *worker) stop() {
+	if w == nil {
+		return
+	}
+	close(w.stopping)
+	<-w.done
+}
+
+func (p *program) start() error {
+	edge, err := p.loadPlatformConfig()
+	if err != nil {
+		return err
+	}
+	if edge != nil {
+		applyResourceLimits(edge)
 	}
 	if p.config.Agreement != nil {
-		if err := p.agree(edge); err != nil {
+		if err := p.joinConfigGroup(edge); err != nil {
 			return err
 		}
 	}
-	switch { // after the agreement, of which it tells
-	case p.config.Members != nil:
-		err = p.join(p.config.Members, false)
-	case p.config.PeersTell && edge != nil && len(edge.Gossip.Addresses) > 0:
-		err = p.join(tier(edge), true)
-	}
-	if err != nil {
+	if err := p.startMembership(edge); err != nil {
 		return err
 	}
-	if p.config.Admin != "" {
-		if err := p.operate(); err != nil {
+	if p.config.AdminAddr != "" {
+		if err := p.startAdmin(); err != nil {
 			return err
 		}
 	}
-	if p.agreement == nil {
-		var terms *broker.Terms
-		if p.config.OpenSearch != nil {
-			if terms, err = p.config.OpenSearch.Terms(0, p.config.Own); err != nil {
-				return err
-			}
-		}
-		return p.fronts(edge, terms, nil, nil)
+	if p.sharedConfig == nil {
+		return p.startStandalone(edge)
 	}
-	a := p.agreement
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	search, own, err := a.first()
-	if err != nil {
-		return err
+	return p.sharedConfig.startFronts(edge)
+}
+
+// startStandalone starts the fronts by the instance's own configuration.
+func (p *program) startStandalone(edge *platform.Config) error {
+	var terms *broker.Terms
+	if p.config.OpenSearch != nil {
+		var err error
+		if terms, err = p.config.OpenSearch.Terms(0, p.config.Document); err != nil {
+			return err
+		}
 	}
-	return p.fronts(edge, search, a.gate, &platform.ReplicatedTerms{Initial: own, Gate: a.gate})
+	return p.startFronts(edge, terms, nil, nil)
 }
 
-// fronts starts those that are on.
-func (p *program) fronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.ReplicatedTerms) (err error) {
+// startFronts starts the fronts that are on, and the workers that depend on them.
+func (p *program) startFronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.ReplicatedTerms) (err error) {
 	if p.config.OpenSearch != nil {
-		if p.search, err = opensearch.Start(p.config.OpenSearch, terms, gate, p.log.WithField("front", "opensearch")); err != nil {
+		if p.openSearch, err = opensearch.Start(p.config.OpenSearch, terms, gate, p.log.WithField("front", "opensearch")); err != nil {
 			return err
 		}
 	}
 	if edge != nil {
-		if p.gatherer, err = platform.Start(edge, agreed, p.log.WithField("gatherer", edge.Name)); err != nil {
+		if p.aggregator, err = platform.Start(edge, agreed, p.log.WithField("gatherer", edge.Name)); err != nil {
 			return err
 		}
-		p.served = p.gatherer.ServeError()
-	}
-	if p.fleet != nil { // what it tells and follows is there now
-		p.telling = ends{make(chan struct{}), make(chan struct{})}
-		go p.tellFacts()
-		if p.search != nil {
-			p.sharing = ends{make(chan struct{}), make(chan struct{})}
-			go p.followShare()
+		p.served = p.aggregator.ServeError()
+	}
+	if p.gossip != nil {
+		p.publisher = startWorker(p.publishFacts)
+		if p.openSearch != nil {
+			p.quotas = startWorker(p.followQuota)
 		}
 	}
 	return nil
 }
 
-// stop makes a planned stop that began then.
-func (p *program) stop(began time.Time) {
-	if p.fleet != nil {
-		p.fleet.Leave()
+// shutdown makes the graceful shutdown of a process that received its signal at the given time.
+func (p *program) shutdown(began time.Time) {
+	if p.gossip != nil {
+		p.gossip.Leave()
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if p.search != nil {
-			p.search.Stop(began.Add(platform.MinServeDuration), began.Add(platform.MaxDrainDuration))
+		if p.openSearch != nil {
+			p.openSearch.Shutdown(began.Add(platform.MinServeDuration), began.Add(platform.MaxDrainDuration))
 		}
 	}()
-	if p.gatherer != nil {
-		p.gatherer.Shutdown(began)
+	if p.aggregator != nil {
+		p.aggregator.Shutdown(began)
 	}
 	<-done
 }
 
 func (p *program) close() {
-	if p.operators != nil {
-		p.operators.Close()
+	if p.admin != nil {
+		if err := p.admin.Close(); err != nil {
+			p.log.WithError(err).Warn("admin server not closed cleanly")
+		}
 	}
-	if p.fleet != nil {
-		p.part()
+	if p.gossip != nil {
+		p.stopGossip()
 	}
-	if p.agreement != nil {
-		p.agreement.close()
+	if p.sharedConfig != nil {
+		p.sharedConfig.close()
 	}
 }
 
-// reload hands a configuration that was read again to the gatherer. One that cannot be used changes nothing.
+// reload reads the platform's configuration again. One that cannot be used changes nothing.
 func (p *program) reload() {
-	c, err := gathererConfig(p.config.Gatherer)
-	if err != nil {
+	if err := p.applyPlatformConfig(); err != nil {
 		p.log.WithError(err).Error("new configuration unusable: the old one stands")
-		return
 	}
-	if p.agreement != nil {
-		err = p.agreement.reload(c)
+}
+
+func (p *program) applyPlatformConfig() error {
+	c, err := p.loadPlatformConfig()
+	if err != nil {
+		return err
+	}
+	if p.sharedConfig != nil {
+		err = p.sharedConfig.reload(c)
 	} else {
-		err = p.gatherer.Reload(c)
+		err = p.aggregator.Reload(c)
 	}
 	if err != nil {
-		p.log.WithError(err).Error("new configuration unusable: the old one stands")
-		return
+		return err
 	}
-	useLimits(c)
+	applyResourceLimits(c)
+	return nil
 }
 
-func gathererConfig(path string) (*platform.Config, error) {
-	text, err := os.ReadFile(path)
+// loadPlatformConfig reads the platform's configuration; nil: the instance has none.
+func (p *program) loadPlatformConfig() (*platform.Config, error) {
+	if p.config.PlatformConfigPath == "" {
+		return nil, nil
+	}
+	text, err := os.ReadFile(p.config.PlatformConfigPath)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	return platform.ParseConfig(text)
 }
 
-// useLimits keeps the process within the memory and the cores that it was given.
-func useLimits(c *platform.Config) {
-	if c.MemoryMB > 0 { // the collector works harder before the limit is reached; a quarter is for the rest
+// applyResourceLimits keeps the process within the memory and the cores that its configuration grants.
+func applyResourceLimits(c *platform.Config) {
+	if c.MemoryMB > 0 { // a quarter is left for memory that the collector does not count
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4)
 	}
 	if c.Cores > 0 {
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -1,10 +1,8 @@
 package httpwire_test
 
 import (
-	"errors"
 	"io"
 	"net"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,26 +19,45 @@
 // serving starts a server whose handler answers at once, but for /wait: that waits for the channel it returns, or
 // until the client has left. gone tells which, after a first value when the request was taken.
 func serving(t *testing.T, s *httpwire.Server) (addr string, release chan struct{}, gone chan bool) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
+	t.Helper()
+	l := listen(t)
 	release, gone = make(chan struct{}), make(chan bool, 16)
 	s.Log = testserver.Log()
 	s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			gone <- false
-			go func() { <-release; x.Wake() }()
-			left := x.Wait()
+			go func() { <-release; x.CancelWait() }()
+			left := x.AwaitClientGone()
 			if gone <- left; left {
 				return nil
 			}
 		}
 		return &httpwire.Reply{Status: 200, Body: []byte("{}")}
 	}
-	go s.Serve(l)
-	t.Cleanup(s.Close)
+	startServing(t, s, l)
 	return l.Addr().String(), release, gone
 }
 
+// startServing serves a listener until the test ends.
+func startServing(t *testing.T, s *httpwire.Server, l net.Listener) {
+	t.Helper()
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(s.Close)
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	return l
+}
+
+func write(t *testing.T, c io.Writer, text string) {
+	t.Helper()
+	_, err := c.Write([]byte(text))
+	require.NoError(t, err)
+}
+
 func status(c *testserver.Client, target string) int {
 	c.Send("GET", target, "")
 	return c.Read().Status
@@ -48,7 +65,7 @@
 
 // Clients that keep their connections for good must not crowd out new ones.
 func TestIdleConnectionYieldsToANewOne(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{MaxConns: 4})
+	addr, _, _ := serving(t, &httpwire.Server{MaxConnections: 4})
 	for range 12 {
 		assert.Equal(t, 200, status(testserver.Dial(t, addr), "/"))
 	}
@@ -57,7 +74,7 @@
 // Clients that ask once and stay use up what clients may hold: beyond a bound the one idle longest ends, though nobody
 // new comes.
 func TestTooManyIdleConnectionsYieldAtOnce(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{MaxIdle: 2})
+	addr, _, _ := serving(t, &httpwire.Server{MaxIdleConnections: 2})
 	var clients []*testserver.Client
 	for range 3 {
 		c := testserver.Dial(t, addr)
@@ -89,7 +106,7 @@
 
 // A connection with an open request never yields: the new client is told.
 func TestOpenRequestNeverYields(t *testing.T) {
-	addr, release, gone := serving(t, &httpwire.Server{MaxConns: 2})
+	addr, release, gone := serving(t, &httpwire.Server{MaxConnections: 2})
 	var held []*testserver.Client
 	for range 2 {
 		c := testserver.Dial(t, addr)
@@ -107,10 +124,10 @@
 
 // Who says nothing, or never ends what it sends, is owed an end within seconds.
 func TestClientThatNeverAsksIsEnded(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{FirstLimit: 30 * time.Millisecond})
+	addr, _, _ := serving(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
 		c := testserver.Dial(t, addr)
-		c.Write([]byte(text))
+		write(t, c, text)
 		got, _ := c.R.ReadString(' ')
 		rest, _ := c.R.ReadString(' ')
 		assert.Equal(t, want, strings.TrimSpace(got+rest))
@@ -149,75 +166,12 @@
 	assert.Equal(t, 413, c.Read().Status)
 }
 
-// gated is a connection of the server's with hooks before and after what the server does to it.
-type gated struct {
-	*net.TCPConn
-	*hooks
-}
-
-// hooks tell of calls on a connection, and hold them up. Each may be nil.
-type hooks struct {
-	deadline func(at time.Time, set func()) // around SetReadDeadline
-	read     func()                         // before Read
-	end      func()                         // before CloseWrite or Close, whichever comes first
-	once     sync.Once
-}
-
-func (g gated) SetReadDeadline(at time.Time) error {
-	if g.deadline == nil {
-		return g.TCPConn.SetReadDeadline(at)
-	}
-	g.deadline(at, func() { g.TCPConn.SetReadDeadline(at) })
-	return nil
-}
-
-func (g gated) Read(b []byte) (int, error) {
-	if g.read != nil {
-		g.read()
-	}
-	return g.TCPConn.Read(b)
-}
-
-func (g gated) CloseWrite() error { g.ending(); return g.TCPConn.CloseWrite() }
-func (g gated) Close() error      { g.ending(); return g.TCPConn.Close() }
 func (g gated) ending() {
 	if g.end != nil {
 		g.once.Do(g.end)
 	}
 }
 
-// gate is a listener whose connections have hooks, the first of them its own.
-type gate struct {
-	*net.TCPListener
-	accept func() // before Accept
-	none   func() // after an Accept that found nothing in its time
-	first  *hooks
-}
-
-func (g *gate) Accept() (net.Conn, error) {
-	if g.accept != nil {
-		g.accept()
-	}
-	c, err := g.TCPListener.Accept()
-	if errors.Is(err, os.ErrDeadlineExceeded) && g.none != nil {
-		g.none()
-	}
-	if err != nil {
-		return nil, err
-	}
-	h := g.first
-	if g.first = nil; h == nil {
-		h = &hooks{}
-	}
-	return gated{c.(*net.TCPConn), h}, nil
-}
-
-func newGate(t *testing.T, first *hooks) *gate {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	return &gate{TCPListener: l.(*net.TCPListener), first: first}
-}
-
 // Connections come between the server's last look for one and the close of its listener: they are served.
 func TestConnectionThatComesBeforeTheListenerClosesIsServed(t *testing.T) {
 	g := newGate(t, nil)
@@ -237,7 +191,7 @@
 	go func() { done <- s.Serve(g) }()
 	require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
 	s.Close()
-	assert.NoError(t, <-done)
+	require.NoError(t, <-done)
 	require.Len(t, late, 3)
 	for _, c := range late {
 		resp := c.Read()
@@ -258,11 +212,10 @@
 		taken, gone := make(chan struct{}), make(chan bool, 1)
 		s := &httpwire.Server{Log: testserver.Log(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 			close(taken)
-			gone <- x.Wait()
+			gone <- x.AwaitClientGone()
 			return nil
 		}}
-		go s.Serve(g)
-		t.Cleanup(s.Close)
+		startServing(t, s, g)
 		c := testserver.Dial(t, g.Addr().String())
 		c.Send("GET", "/", "")
 		<-taken
@@ -324,15 +277,14 @@
 		}
 	}})
 	release := make(chan struct{})
-	s := &httpwire.Server{Log: testserver.Log(), FirstLimit: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.Log(), FirstRequestTimeout: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
-			go func() { <-release; x.Wake() }()
-			x.Wait()
+			go func() { <-release; x.CancelWait() }()
+			x.AwaitClientGone()
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
-	go s.Serve(g)
-	t.Cleanup(s.Close)
+	startServing(t, s, g)
 	c := testserver.Dial(t, g.Addr().String())
 	close(release)
 	assert.Equal(t, 200, status(c, "/wait"))
@@ -346,12 +298,12 @@
 func TestRequestThatCameBeforeTheEndIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool // request of the connection
-		end   func(*httpwire.Server, string, *testing.T)
+		end   func(t *testing.T, s *httpwire.Server, addr string)
 	}{
-		"closes, resting":   {false, func(s *httpwire.Server, _ string, _ *testing.T) { s.Close() }},
-		"closes, new":       {true, func(s *httpwire.Server, _ string, _ *testing.T) { s.Close() }},
-		"yields, resting":   {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(testserver.Dial(t, addr), "/") }},
-		"too many, resting": {false, func(_ *httpwire.Server, addr string, t *testing.T) { status(testserver.Dial(t, addr), "/") }},
+		"closes, resting":   {false, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"closes, new":       {true, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"yields, resting":   {false, func(t *testing.T, _ *httpwire.Server, addr string) { t.Helper(); status(testserver.Dial(t, addr), "/") }},
+		"too many, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) { t.Helper(); status(testserver.Dial(t, addr), "/") }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold, reached := make(chan struct{}), make(chan struct{}, 64)
@@ -369,24 +321,23 @@
 				}
 			}
 			g := newGate(t, h)
-			s := &httpwire.Server{Log: testserver.Log(), MaxConns: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
+			s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
 				return &httpwire.Reply{Status: 200}
 			}}
 			switch {
 			case strings.HasPrefix(name, "yields"):
-				s.MaxConns = 1
+				s.MaxConnections = 1
 			case strings.HasPrefix(name, "too many"):
-				s.MaxIdle = 1
+				s.MaxIdleConnections = 1
 			}
-			go s.Serve(g)
-			t.Cleanup(s.Close)
+			startServing(t, s, g)
 			cl := testserver.Dial(t, g.Addr().String())
 			if !c.first {
 				require.Equal(t, 200, status(cl, "/"))
 			}
 			<-reached
 			cl.Send("GET", "/", "")
-			c.end(s, g.Addr().String(), t)
+			c.end(t, s, g.Addr().String())
 			select {
 			case <-told:
 			case <-time.After(5 * time.Second):
@@ -419,16 +370,15 @@
 			}
 		},
 	})
-	s := &httpwire.Server{Log: testserver.Log(), MaxConns: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
-	go s.Serve(g)
-	t.Cleanup(s.Close)
+	s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	startServing(t, s, g)
 	cl := testserver.Dial(t, g.Addr().String())
-	cl.Write([]byte("GET / HTTP/1.1\r\n"))
+	write(t, cl, "GET / HTTP/1.1\r\n")
 	<-reached
 	yields.Store(true)
 	other := testserver.Dial(t, g.Addr().String())
 	<-yielded
-	cl.Write([]byte("\r\n"))
+	write(t, cl, "\r\n")
 	time.Sleep(60 * time.Millisecond) // three times a last look
 	close(hold)
 	assert.Equal(t, 200, cl.Read().Status)
@@ -465,7 +415,7 @@
 	for _, c := range late {
 		assert.Equal(t, 200, c.Read().Status)
 	}
-	assert.NoError(t, <-done)
+	require.NoError(t, <-done)
 	assert.True(t, s.Wait(5*time.Second))
 }
 
@@ -474,15 +424,14 @@
 func TestAnswerThatNobodyReadsHoldsUpNobody(t *testing.T) {
 	g := newGate(t, nil)
 	writes := make(chan struct{})
-	s := &httpwire.Server{Log: testserver.Log(), WriteLimit: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.Log(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/much" {
 			close(writes)
 			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than two systems' buffers hold
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
-	go s.Serve(g)
-	t.Cleanup(s.Close)
+	startServing(t, s, g)
 	other := testserver.Dial(t, g.Addr().String())
 	require.Equal(t, 200, status(other, "/"))
 	testserver.Dial(t, g.Addr().String()).Send("GET", "/much", "")
@@ -497,7 +446,7 @@
 // connection ends in order, where a close over what was not read would reset it.
 func TestRequestThatCrossesTheEndIsNotServed(t *testing.T) {
 	for name, s := range map[string]*httpwire.Server{
-		"idle for long": {IdleLimit: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdle: 1},
+		"idle for long": {IdleTimeout: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdleConnections: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var cl *testserver.Client
@@ -512,8 +461,7 @@
 			served := make(chan string, 16)
 			s.Log = testserver.Log()
 			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply { served <- x.Path(); return &httpwire.Reply{Status: 200} }
-			go s.Serve(g)
-			t.Cleanup(s.Close)
+			startServing(t, s, g)
 			cl = testserver.Dial(t, g.Addr().String())
 			require.Equal(t, 200, status(cl, "/"))
 			switch name {
@@ -525,7 +473,7 @@
 				<-served
 			}
 			_, err := cl.R.Peek(1)
-			assert.ErrorIs(t, err, io.EOF)
+			require.ErrorIs(t, err, io.EOF)
 			assert.Equal(t, "/", <-served)
 			assert.Empty(t, served)
 		})
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -3,144 +3,97 @@
 import (
 	"encoding/binary"
 	"hash/fnv"
-	"slices"
-	"strconv"
 )
 
-// Fact is a small value that a member attaches to itself. Of two of one name the higher version is the newer.
+// microsPerMilli is the number of microseconds in a millisecond.
+const microsPerMilli = 1000
+
+// Fact is a small named value that a member publishes about itself. Of two facts of the same owner and name the one with
+// the higher version is the newer.
 type Fact struct {
-	Owner       ID
-	Name, Value string
-	Version     uint32
-	Left        Micros // until it expires
+	Owner   ID
+	Name    string
+	Value   string // empty: the fact was withdrawn
+	Version uint32
+	// TTL is the remaining time until the fact expires. It is a duration since the members' clocks differ.
+	TTL Micros
+}
+
+// isValid reports whether the name and value are within the limits.
+func (f Fact) isValid() bool {
+	return f.Name != "" && len(f.Name) <= MaxFactNameLength && len(f.Value) <= MaxFactValueLength
 }
 
-type fact struct {
+// heldFact is a fact with its time of expiry on this member's clock.
+type heldFact struct {
 	Fact
-	ends Micros
+	expiresAt Micros
 }
 
-func (f *fact) hash() uint32 {
+func (f *heldFact) hash() uint32 {
 	h := fnv.New32a()
 	h.Write(binary.BigEndian.AppendUint32([]byte(f.Name), f.Version)) // never fails
 	return h.Sum32()
 }
 
-// told words a fact for others. What is left of its time travels with it, since clocks differ.
-func (f *fact) told(now Micros) Fact {
-	t := f.Fact
-	t.Left = f.ends - now
-	return t
+// withRemainingTTL returns the fact as it is sent now.
+func (f *heldFact) withRemainingTTL(now Micros) Fact {
+	fact := f.Fact
+	fact.TTL = f.expiresAt - now
+	return fact
 }
 
-// publish attaches a fact to this member. What is too long, or one too many, is logged and dropped.
-func (g *Group) publish(p Publish) {
-	old := g.self.facts[p.Name]
-	switch {
-	case p.Name == "" || len(p.Name) > MostFact || len(p.Value) > MostValue || p.For < 0:
-		g.log("fact %q of %d bytes for %d ms cannot be told", p.Name, len(p.Value), p.For/1000)
+// publishFact attaches a fact to this member. A fact beyond the limits is logged and dropped.
+func (g *Group) publishFact(event PublishFact) {
+	fact := Fact{Owner: g.self.ID, Name: event.Name, Value: event.Value, Version: 1, TTL: event.TTL}
+	previous := g.self.facts[event.Name]
+	if !fact.isValid() || event.TTL < 0 {
+		g.logf("fact %q of %d bytes with a TTL of %d ms is invalid", event.Name, len(event.Value), event.TTL/microsPerMilli)
 		return
-	case old == nil && len(g.self.facts) >= MostFacts:
-		g.log("fact %q is one too many", p.Name)
+	}
+	if previous == nil && len(g.self.facts) >= MaxFacts {
+		g.logf("fact %q exceeds the limit of %d facts", event.Name, MaxFacts)
 		return
 	}
-	f := &fact{Fact: Fact{Owner: g.self.ID, Name: p.Name, Value: p.Value, Version: 1}, ends: g.now + p.For}
-	if old != nil {
-		f.Version = old.Version + 1
+	if previous != nil {
+		fact.Version = previous.Version + 1
 	}
-	note(&g.self.facts, p.Name, f)
-	g.tell(subject{id: g.self.ID, is: p.Name})
-	g.touch()
+	g.holdFact(g.self, fact)
 }
 
-// learnFact takes a fact of another member's. A member's facts are bounded in number, and end with it.
-func (g *Group) learnFact(f Fact) {
-	m := g.members[f.Owner]
-	if m == nil || m == g.self || m.Standing > Suspect || f.Left <= 0 || f.Left > g.Forget ||
-		f.Name == "" || len(f.Name) > MostFact || len(f.Value) > MostValue {
+// applyFact merges a fact of another member. A fact is ignored if it is invalid, not newer than the one held, one too
+// many or of a member that is not present.
+func (g *Group) applyFact(fact Fact) {
+	owner := g.members[fact.Owner]
+	if owner == nil || owner == g.self || !owner.State.Present() {
 		return
 	}
-	old := m.facts[f.Name]
-	if old != nil && f.Version <= old.Version || old == nil && len(m.facts) >= MostFacts {
+	if !fact.isValid() || fact.TTL <= 0 || fact.TTL > g.TombstoneTTL {
 		return
 	}
-	note(&m.facts, f.Name, &fact{Fact: f, ends: g.now + f.Left})
-	g.tell(subject{id: f.Owner, is: f.Name})
-	g.touch()
-}
-
-// refresh drops what has expired, tells this member's own facts anew before that, and forgets those long gone.
-func (g *Group) refresh() {
-	if g.now < g.renewAt {
+	previous := owner.facts[fact.Name]
+	if previous != nil && fact.Version <= previous.Version {
 		return
 	}
-	g.renewAt = g.now + g.Period
-	if len(g.members) == 1 && g.now-g.began >= lonely*g.Period {
-		g.settle()
-	}
-	for _, m := range g.all {
-		for name, f := range m.facts {
-			if f.ends <= g.now {
-				delete(m.facts, name)
-				g.touch()
-			}
-		}
-	}
-	for _, m := range slices.Clone(g.all) {
-		if m.Standing > Suspect && m != g.self && g.now-m.Since >= g.Forget {
-			g.forget(m)
-		}
-	}
-}
-
-func (g *Group) forget(m *member) {
-	delete(g.members, m.ID)
-	g.all = slices.DeleteFunc(g.all, func(o *member) bool { return o == m })
-	if i := slices.Index(g.order, m.ID); i >= 0 {
-		g.order = slices.Delete(g.order, i, i+1)
-		if i < g.next {
-			g.next--
-		}
+	if previous == nil && len(owner.facts) >= MaxFacts {
+		return
 	}
-	g.touch()
-}
-
-// Key is a kind of fact: its name on the wire and the form of its values.
-type Key[T any] struct {
-	Name string
-	word func(T) string
-	read func(string) (T, error)
-}
-
-// NewKey returns a kind of fact. word must not return an empty text, which takes a fact back.
-func NewKey[T any](name string, word func(T) string, read func(string) (T, error)) Key[T] {
-	return Key[T]{name, word, read}
+	g.holdFact(owner, fact)
 }
 
-// Number returns a kind of fact whose values are numbers.
-func Number(name string) Key[uint64] {
-	return NewKey(name, func(v uint64) string { return strconv.FormatUint(v, 36) },
-		func(s string) (uint64, error) { return strconv.ParseUint(s, 36, 64) })
+// holdFact stores a fact of a member and queues it for dissemination.
+func (g *Group) holdFact(owner *memberRecord, fact Fact) {
+	setEntry(&owner.facts, fact.Name, &heldFact{Fact: fact, expiresAt: g.now + fact.TTL})
+	g.queueUpdate(updateKey{id: owner.ID, factName: fact.Name})
+	g.markViewDirty()
 }
 
-// What members tell of themselves.
-var (
-	Document = Number("document") // the version of the agreed document that it serves by
-	Stores   = Number("stores")   // the digest of the list of stores that it serves by
-)
-
-// Publish is the event that attaches a value.
-func (k Key[T]) Publish(v T, last Micros) Publish { return Publish{k.Name, k.word(v), last} }
-
-// Withdraw is the event that takes the value back.
-func (k Key[T]) Withdraw(last Micros) Publish { return Publish{Name: k.Name, For: last} }
-
-// Of is a member's value. One that cannot be read, as a later version of the program may word it, is none.
-func (k Key[T]) Of(m Member) (v T, ok bool) {
-	i := slices.IndexFunc(m.Facts, func(f Fact) bool { return f.Name == k.Name })
-	if i < 0 {
-		return v, false
+// expireFacts removes the facts of a member that have expired.
+func (g *Group) expireFacts(member *memberRecord) {
+	for name, fact := range member.facts {
+		if fact.expiresAt <= g.now {
+			delete(member.facts, name)
+			g.markViewDirty()
+		}
 	}
-	v, err := k.read(m.Facts[i].Value)
-	return v, err == nil
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -1,389 +1,198 @@
 package membership
 
-import (
-	"maps"
-	"net/netip"
-	"slices"
-)
+import "slices"
 
 const (
-	helpers    = 3 // members that are asked to ask where no answer came
-	mostHealth = 8
-	healthy    = 4 // of eight rounds in which anybody answered, for a view to be trusted
-	strayEvery = 5 // periods between words to one that is held to be gone, or to an address that may be somebody
+	// probeAttempts is the number of intervals into which a probe's time is divided: the ping is sent at the start of
+	// the first one and repeated at the start of the others.
+	probeAttempts = 4
+	// maxLocalHealth is the worst local health score, which extends time limits by a factor of five.
+	maxLocalHealth = 8
+	// minAnsweredProbes is how many of the last probeOutcomeCount probes somebody must have answered for the view to be
+	// trusted.
+	minAnsweredProbes = 4
+	// maxProbesFinished bounds the counter of finished probes.
+	maxProbesFinished = 1 << 30
 )
 
-// probe is a question to one member, by this member and then by helpers.
+// probe is one round of the failure detector: pings to one target, and then ping-reqs to helpers.
 type probe struct {
-	seq            uint32
-	id             ID
-	at, askAt, end Micros
-	asked          []ID
-	direct         bool // it answered us
-	through        bool // it answered a helper
-	hearsUs        bool // and said that it has word from us
-	denied         []ID // helpers that had no answer either
-}
-
-// relay is a question that another member asked us to put.
-type relay struct {
-	from  ID
-	seq   uint32
-	about ID
-	end   Micros
-}
-
-// stretch is a time limit of ours: who was slow itself grants others more.
-func (g *Group) stretch(span Micros) Micros {
-	if g.off&ownHealth != 0 {
-		return span
-	}
-	return span * Micros(2+g.health) / 2
-}
-
-// probing begins and ends this member's rounds.
-func (g *Group) probing() {
-	g.probes = slices.DeleteFunc(g.probes, func(p *probe) bool {
-		if !p.direct && g.now >= p.askAt {
-			g.askAgain(p)
-		}
-		if p.direct || g.now >= p.end {
-			g.conclude(p)
-			return true
-		}
-		return false
+	number        uint32
+	target        ID
+	startedAt     Micros
+	nextAttemptAt Micros
+	deadline      Micros
+	// helpers are the members that were asked to ping the target.
+	helpers []ID
+	// acked means that an ack of the target arrived.
+	acked bool
+	// indirectlyAcked means that a helper received an ack of the target.
+	indirectlyAcked bool
+	// heardUs means that the target recently received a message of this member.
+	heardUs bool
+	// nackedBy are the helpers that received no ack either.
+	nackedBy []ID
+}
+
+// runProbes repeats and finishes pending probes, and starts the next one when it is due.
+func (g *Group) runProbes() {
+	g.pendingProbes = slices.DeleteFunc(g.pendingProbes, func(p *probe) bool {
+		if !p.acked && g.now >= p.nextAttemptAt {
+			g.retryProbe(p)
+		}
+		finished := p.acked || g.now >= p.deadline
+		if finished {
+			g.finishProbe(p)
+		}
+		return finished
 	})
-	g.denyLate()
-	if g.now < g.probeAt || g.leaving {
+	g.expireIndirectProbes()
+	if g.now < g.nextProbeAt || g.leaving {
 		return
 	}
-	g.probeAt = max(g.probeAt+g.Period, g.now+g.Period/2)
-	if m := g.nextInRound(); m != nil {
-		g.seq++
-		p := &probe{seq: g.seq, id: m.ID, at: g.now, askAt: g.now + g.stretch(g.Period/4), end: g.now + g.stretch(g.Period)}
-		g.probes = append(g.probes, p)
-		g.send(m.Addr, Message{Kind: Ping, Seq: p.seq, Target: m.ID}, m)
+	g.nextProbeAt = max(g.nextProbeAt+g.ProbeInterval, g.now+g.ProbeInterval/2)
+	if target := g.nextProbeTarget(); target != nil {
+		g.startProbe(target)
 	}
 }
 
-// denyLate tells those who had this member ask for them that no answer came: that they hear so shows them that it is
-// not they who are cut off.
-func (g *Group) denyLate() {
-	for _, seq := range slices.Sorted(maps.Keys(g.relays)) {
-		if r := g.relays[seq]; g.now >= r.end {
-			delete(g.relays, seq)
-			if to := g.members[r.from]; to != nil {
-				g.send(to.Addr, Message{Kind: Deny, Seq: r.seq, Target: r.about}, to)
-			}
-		}
-	}
-}
-
-// nextInRound is the member to be asked next: all in turn, in an order drawn anew each round, so that the longest
-// time until one is asked is two rounds.
-func (g *Group) nextInRound() *member {
-	for range 2*len(g.order) + 1 {
-		if g.next >= len(g.order) {
-			g.next = 0
-			g.rng.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
-			if len(g.order) == 0 {
+// nextProbeTarget returns the next member of the round, or nil if there is none. Each round visits all members in a
+// new random order, which bounds the time between two probes of a member to two rounds.
+func (g *Group) nextProbeTarget() *memberRecord {
+	for range 2*len(g.probeOrder) + 1 {
+		if g.nextProbeIndex >= len(g.probeOrder) {
+			g.nextProbeIndex = 0
+			g.rng.Shuffle(len(g.probeOrder), func(i, j int) {
+				g.probeOrder[i], g.probeOrder[j] = g.probeOrder[j], g.probeOrder[i]
+			})
+			if len(g.probeOrder) == 0 {
 				return nil
 			}
 		}
-		m := g.members[g.order[g.next]]
-		g.next++
-		if m != nil && m.Standing <= Suspect {
-			return m
+		target := g.members[g.probeOrder[g.nextProbeIndex]]
+		g.nextProbeIndex++
+		if target != nil && target.State.Present() {
+			return target
 		}
 	}
 	return nil
 }
 
-// askAgain puts a question anew, twice at most, and has others put it: one lost datagram is no silence.
-func (g *Group) askAgain(p *probe) {
-	m := g.members[p.id]
-	p.askAt += (p.end - p.at) / 4
-	if m == nil || p.askAt >= p.end {
-		return
-	}
-	if g.off&askingAgain == 0 {
-		g.send(m.Addr, Message{Kind: Ping, Seq: p.seq, Target: m.ID}, m)
-	}
-	if len(p.asked) > 0 || g.off&askingOthers != 0 {
-		return
-	}
-	fit := func(o *member) bool { return o.ID != p.id && o.Standing == Alive && o.Reach != Unreachable }
-	for _, h := range g.some(helpers, fit) {
-		p.asked = append(p.asked, h.ID)
-		g.send(h.Addr, Message{Kind: Ask, Seq: p.seq, Target: p.id, Updates: []Update{g.update(m)}}, h)
+func (g *Group) startProbe(target *memberRecord) {
+	g.lastProbeNumber++
+	p := &probe{
+		number:        g.lastProbeNumber,
+		target:        target.ID,
+		startedAt:     g.now,
+		nextAttemptAt: g.now + g.scaleByLocalHealth(g.ProbeInterval/probeAttempts),
+		deadline:      g.now + g.scaleByLocalHealth(g.ProbeInterval),
 	}
+	g.pendingProbes = append(g.pendingProbes, p)
+	g.sendPing(p, target)
 }
 
-// conclude ends a round: what came back says how the member and this one hear each other, and whether this one is
-// heard by anybody at all.
-func (g *Group) conclude(p *probe) {
-	answered := p.direct || p.through || len(p.denied) > 0
-	if g.rounds[g.round%len(g.rounds)] = answered; g.round < 1<<30 {
-		g.round++
-	}
-	if g.trusted() != g.view.Trusted {
-		g.touch()
-	}
-	m := g.members[p.id]
-	if m == nil || m.Standing > Suspect {
+func (g *Group) sendPing(p *probe, target *memberRecord) {
+	g.send(target.Addr, Message{Kind: KindPing, ProbeNumber: p.number, Target: target.ID}, target)
+}
+
+// retryProbe repeats the ping of a probe and, the first time, asks helpers to ping the target.
+func (g *Group) retryProbe(p *probe) {
+	target := g.members[p.target]
+	p.nextAttemptAt += (p.deadline - p.startedAt) / probeAttempts
+	if target == nil || p.nextAttemptAt >= p.deadline {
 		return
 	}
-	switch {
-	case p.direct:
-		g.health = max(0, g.health-1)
-		if m.hearsUs > 0 && p.hearsUs {
-			g.reach(m, Reachable)
-		}
-	case p.through && p.hearsUs:
-		g.reach(m, OneWay)
-	case p.through:
-		g.reach(m, ThroughOthers)
-	default:
-		if len(p.denied) == 0 { // not even a helper spoke: this may be our own trouble
-			g.health = min(g.health+1, mostHealth)
-		}
-		m.Reach = Unreachable // no view for this alone: what comes of the suspicion is one
-		g.suspect(m, m.Inc, g.self.ID, "no answer to this member")
-		for _, id := range p.denied {
-			g.suspect(m, m.Inc, id, "")
-		}
+	if g.enabled(probeRetry) {
+		g.sendPing(p, target)
 	}
-}
-
-func (g *Group) reach(m *member, r Reach) {
-	if m.Reach.settled() != r.settled() {
-		g.touch()
+	if len(p.helpers) == 0 && g.enabled(indirectProbing) {
+		g.sendPingReqs(p, target)
 	}
-	m.Reach = r
 }
 
-// trusted tells whether anybody answered in enough of the newest rounds. A member that is alone has nobody to ask.
-func (g *Group) trusted() bool {
-	if g.there <= 1 && len(g.members) == 1 {
-		return true
-	}
-	n := 0
-	for _, ok := range g.rounds {
-		if ok {
-			n++
+// pendingProbe returns the pending probe of a number and target, or nil if there is none.
+func (g *Group) pendingProbe(number uint32, target ID) *probe {
+	for _, p := range g.pendingProbes {
+		if p.number == number && p.target == target {
+			return p
 		}
 	}
-	return n >= healthy
+	return nil
 }
 
-// receive takes a message: it is word from its sender, whatever else it says.
-func (g *Group) receive(r Received) {
-	m := r.Message
-	if m.From == g.self.ID {
-		if m.Birth != g.self.Birth && r.From != g.Addr {
-			g.namesake(r.From, m)
-		}
-		return
-	}
-	if m.Kind == Conflict {
-		g.conflict(r.From, m)
-		return
-	}
-	s := g.members[m.From]
-	if s != nil && s.Birth != m.Birth && !g.successor(s, r.From, m) {
+// finishProbe updates the target's reachability by the outcome of a probe and suspects it if nobody reached it. The
+// outcome also tells how well connected this member is itself.
+func (g *Group) finishProbe(p *probe) {
+	g.recordProbeOutcome(p.acked || p.indirectlyAcked || len(p.nackedBy) > 0)
+	target := g.members[p.target]
+	if target == nil || !target.State.Present() {
 		return
 	}
-	if s != nil && s.Birth == m.Birth {
-		if !s.told.take(m.Count) {
-			g.repeats++
-			return // it changes nothing
-		}
-		g.word(s, r.From, m)
-	}
-	for _, u := range m.Updates {
-		g.learn(u, m.From)
-	}
-	for _, f := range m.Facts {
-		g.learnFact(f)
-	}
-	if s = g.members[m.From]; s == nil {
-		// Somebody that this member knows nothing of asks: it answers, and the answer has the asker tell of itself.
-		if m.Kind == Ping {
-			g.send(r.From, Message{Kind: Ack, Seq: m.Seq, Target: g.self.ID}, nil)
-			g.send(r.From, Message{Kind: Sync, Updates: []Update{g.update(g.self)}, Buckets: g.buckets()}, nil)
-		}
-		return
-	}
-	g.compare(s, m)
-	switch m.Kind {
-	case Ping:
-		if m.Target != g.self.ID && m.Target != 0 {
-			return // meant for another that had this address
-		}
-		// Who asks for another wants to know as well whether that one's own question came.
-		about := g.members[m.About]
-		g.send(r.From, Message{
-			Kind: Ack, Seq: m.Seq, Target: m.From, Heard: true,
-			HeardAbout: about != nil && about.heard > 0 && g.now-about.heard < 2*g.Period,
-		}, s)
-	case Ack:
-		g.acked(s, m)
-	case Ask:
-		if t := g.members[m.Target]; t != nil && t != g.self && len(g.relays) < 64 {
-			g.seq++
-			g.relays[g.seq] = relay{m.From, m.Seq, m.Target, g.now + g.Period/2}
-			g.send(t.Addr, Message{Kind: Ping, Seq: g.seq, Target: t.ID, About: m.From}, t)
-		} else {
-			g.send(r.From, Message{Kind: Deny, Seq: m.Seq, Target: m.Target}, s)
-		}
-	case Relayed, Deny:
-		for _, p := range g.probes {
-			if p.seq == m.Seq && p.id == m.Target && slices.Contains(p.asked, m.From) {
-				if m.Kind == Relayed {
-					p.through, p.hearsUs = true, p.hearsUs || m.Heard
-					if t := g.members[p.id]; t != nil {
-						note(&t.vouched, m.From, g.now)
-						g.clear(t)
-					}
-				} else if !slices.Contains(p.denied, m.From) {
-					p.denied = append(p.denied, m.From)
-				}
-			}
-		}
-	case Sync:
-		g.answerSync(r.From, s, m)
-	case Bye:
-		g.learn(Update{ID: s.ID, Birth: s.Birth, Inc: m.Inc, Standing: Left, By: s.ID}, s.ID)
+	switch {
+	case p.acked:
+		g.improveLocalHealth()
+		if target.heardFromUsAt > 0 && p.heardUs {
+			g.setReachability(target, Reachable)
+		}
+	case p.indirectlyAcked && p.heardUs:
+		g.setReachability(target, ReachableOneWay)
+	case p.indirectlyAcked:
+		g.setReachability(target, ReachableIndirectly)
+	default:
+		g.suspectAfterProbe(p, target)
 	}
 }
 
-// word notes that a member spoke to this one.
-func (g *Group) word(s *member, from netip.AddrPort, m Message) {
-	s.heard, s.LastHeardAt, s.refused = g.now, g.now, false
-	// Whoever speaks of itself in a later incarnation has answered what was said of it. That its own news of it went
-	// unheard, on a way that was cut, must not keep it out.
-	if (s.Standing == Suspect || s.Standing == Dead) && m.Inc > s.Inc && m.Kind != Bye {
-		g.learn(Update{ID: s.ID, Birth: m.Birth, Inc: m.Inc, Standing: Alive, Addr: from, Name: s.Name, Zone: s.Zone}, s.ID)
-	}
-	if s.Standing == Suspect && m.Inc >= s.Inc {
-		g.clear(s)
+// suspectAfterProbe raises this member's suspicion of a target that nobody reached, and the suspicions of the helpers
+// that sent a nack.
+func (g *Group) suspectAfterProbe(p *probe, target *memberRecord) {
+	if len(p.nackedBy) == 0 {
+		// No helper answered either, so that the fault may be this member's own.
+		g.degradeLocalHealth()
 	}
-	if s.Standing >= Dead && m.Inc <= s.Inc && m.Kind != Bye {
-		// It does not know that it is held to be gone: told so, it says that it is there.
-		g.send(from, Message{Kind: Gossip, Updates: []Update{g.update(s)}}, s)
-	}
-	if from != s.Addr && m.Inc >= s.Inc && s.Standing <= Suspect && m.Kind != Ack {
-		s.Addr = from
-		g.touch()
+	// This does not make the view dirty: only the outcome of the suspicion does.
+	target.Reachability = Unreachable
+	g.suspect(target, target.Incarnation, g.self.ID, reasonNoAck)
+	for _, helper := range p.nackedBy {
+		g.suspect(target, target.Incarnation, helper, "")
 	}
 }
 
-// acked takes an answer: to this member's own question, or to one that it put for another.
-func (g *Group) acked(s *member, m Message) {
-	note(&s.vouched, g.self.ID, g.now)
-	if m.Heard {
-		s.hearsUs = g.now
-	}
-	if r, ok := g.relays[m.Seq]; ok && r.about == s.ID {
-		delete(g.relays, m.Seq)
-		if to := g.members[r.from]; to != nil {
-			g.send(to.Addr, Message{Kind: Relayed, Seq: r.seq, Target: s.ID, Heard: m.HeardAbout}, to)
-		}
-		return
+// recordProbeOutcome records whether the target of a probe or any helper answered.
+func (g *Group) recordProbeOutcome(answered bool) {
+	g.probeOutcomes[g.probesFinished%probeOutcomeCount] = answered
+	if g.probesFinished < maxProbesFinished {
+		g.probesFinished++
 	}
-	for _, p := range g.probes {
-		if p.seq == m.Seq && p.id == s.ID {
-			p.direct, p.hearsUs = true, true // it answers our question, so it heard that
-		}
-	}
-}
-
-// refusal is proof that nothing listens where a member was: it is suspected at once, and for a shorter time.
-func (g *Group) refusal(addr netip.AddrPort) {
-	for _, m := range g.all {
-		if m != g.self && m.Addr == addr && m.Standing <= Suspect && g.now-m.heard > g.Period/4 {
-			m.refused = true
-			g.suspect(m, m.Inc, g.self.ID, "nothing listens at its address")
-		}
+	if g.trusted() != g.view.Trusted {
+		g.markViewDirty()
 	}
 }
 
-// namesake is called as another process of this one's name speaks. The one that was there first stays: a member
-// that has others to vouch for it does not give way.
-func (g *Group) namesake(from netip.AddrPort, m Message) {
-	if m.Birth > g.self.Birth {
-		g.log("another member at %v has this one's name", from)
-		g.send(from, Message{Kind: Conflict, Target: g.self.ID}, nil)
-		return
+// trusted reports whether somebody answered enough of the recent probes to rule out that this member is isolated. A
+// member that never knew another one is trusted.
+func (g *Group) trusted() bool {
+	if g.presentCount <= 1 && len(g.members) == 1 {
+		return true
 	}
-	if m.Kind == Conflict {
-		g.log("the name %s is taken by the member at %v: this one is refused", g.Name, from)
-		g.refused = true
-		g.do(Taken{from})
+	answered := 0
+	for _, outcome := range g.probeOutcomes {
+		if outcome {
+			answered++
+		}
 	}
+	return answered >= minAnsweredProbes
 }
 
-// successor is called as another process speaks under a member's name, and tells whether it is the member now. It
-// is once the former one left, died or does not answer; while that is asked, the newcomer is nobody.
-func (g *Group) successor(s *member, from netip.AddrPort, m Message) bool {
-	if m.Birth < s.Birth {
-		// The former one's words, late; or a newcomer whose clock was set back: told of the life that is known here, it
-		// begins a later one.
-		g.repeats++
-		g.send(from, Message{Kind: Gossip, Updates: []Update{g.update(s)}}, nil)
-		return false
-	}
-	if !g.vacant(s, from, m.Birth) {
-		return false
+// scaleByLocalHealth extends a time limit by Lifeguard's local health multiplier: a member that is slow itself gives
+// the others more time.
+func (g *Group) scaleByLocalHealth(limit Micros) Micros {
+	if !g.enabled(localHealthScaling) {
+		return limit
 	}
-	g.renew(s, m.Birth, m.Inc, from)
-	s.heard = g.now
-	return true
-}
-
-// renew makes another process the member of a name.
-func (g *Group) renew(s *member, birth, inc uint32, addr netip.AddrPort) {
-	s.Birth, s.Inc, s.Addr, s.told, s.heard, s.refused, s.claim, s.returns = birth, inc, addr, window{}, 0, false, nil, 0
-	clear(s.facts)
-	g.summed = false
-	g.stand(s, Alive, "started anew")
-	g.spread(s)
+	return limit * Micros(2+g.localHealth) / 2
 }
 
-// vacant tells whether the member of a name is gone for another process to take its place: that one asks from there.
-func (g *Group) vacant(s *member, from netip.AddrPort, birth uint32) bool {
-	asked := s.claim != nil && s.claim.birth == birth
-	switch {
-	case s.Standing >= Dead || s.refused || from == s.Addr: // one address has one process
-		return true
-	case !asked:
-		s.claim = &claim{from, birth, g.now + 2*g.Period}
-		g.send(s.Addr, Message{Kind: Ping, Target: s.ID}, s)
-	case g.now < s.claim.until:
-	case s.heard < s.claim.until-2*g.Period:
-		return true
-	default:
-		g.log("two members have the name %s: %v stays, %v is refused", s.Name, s.Addr, from)
-		told := Message{Kind: Conflict, Target: s.ID, Updates: []Update{g.update(s)}}
-		g.send(from, told, nil)
-		g.send(s.Addr, told, s)
-		s.claim = nil
-	}
-	return false
-}
+func (g *Group) degradeLocalHealth() { g.localHealth = min(g.localHealth+1, maxLocalHealth) }
 
-// conflict is word from a third member that two have this one's name, and which of them stays.
-func (g *Group) conflict(from netip.AddrPort, m Message) {
-	for _, u := range m.Updates {
-		if m.Target != g.self.ID || u.ID != g.self.ID {
-			continue
-		}
-		if u.Birth == g.self.Birth {
-			g.log("the member at %v says that another has this one's name; this one stays", from)
-		} else {
-			g.log("the name %s is taken by the member at %v: this one is refused", g.Name, u.Addr)
-			g.refused = true
-			g.do(Taken{u.Addr})
-		}
-	}
-}
+func (g *Group) improveLocalHealth() { g.localHealth = max(0, g.localHealth-1) }
--- /dev/null
+++ b/processtest/client_gone_test.go
@@ -0,0 +1,45 @@
+package processtest
+
+import (
+	"fmt"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/internal/testserver"
+)
+
+// The process is stopped while clients connect, send a request and disconnect, more of them each time, and is resumed: none
+// of their requests reaches a store.
+func TestStoppedProcessBeginsNothingForClientsThatLeft(t *testing.T) {
+	s := testserver.NewFrameStore(t)
+	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
+	go discardLog(lines)
+	for round := range 10 {
+		require.NoError(t, c.Process.Signal(syscall.SIGSTOP))
+		require.Eventually(t, func() bool { return allThreadsStopped(t, c.Process.Pid) }, 5*time.Second, time.Millisecond)
+		for i := range 8 * (round + 1) {
+			left := testserver.Dial(t, cl.RemoteAddr().String()) // the kernel accepts it
+			sendLookup(left, fmt.Sprintf("left%d-%d", round, i))
+			left.Close()
+		}
+		require.NoError(t, c.Process.Signal(syscall.SIGCONT))
+		behind := testserver.Dial(t, cl.RemoteAddr().String())
+		sendLookup(behind, fmt.Sprint("behind", round))
+		assert.Equal(t, 200, behind.Read().Status)
+		behind.Close()
+	}
+	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
+	assert.NoError(t, c.Wait()) // what it was ever to send is there
+	var begun []string
+	for len(s.Parts) > 0 {
+		if frame := <-s.Parts; strings.HasPrefix(frame, "1left") {
+			begun = append(begun, frame)
+		}
+	}
+	assert.Empty(t, begun)
+}
--- /dev/null
+++ b/processtest/descriptors_test.go
@@ -0,0 +1,103 @@
+package processtest
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/httpwire"
+	"alderproxy/internal/testserver"
+)
+
+// Clients use all descriptors that they may, some without sending anything, some waiting for unresponsive stores;
+// connections to stores use the rest, and discovery does not answer meanwhile. A drain that discovery reports when it is
+// back is received nevertheless: descriptors are reserved for it.
+func TestClientsAtTheBoundLeaveRoomForDiscovery(t *testing.T) {
+	const sockets = 64
+	s := testserver.NewFrameStore(t)
+	recordCalls(s)
+	var entries []string
+	for i := range 24 { // more stores than there is room for connections
+		entries = append(entries, testserver.Entry(fmt.Sprint("s-", i), s, "in_service"))
+	}
+	d := testserver.NewDiscovery(t, entries...)
+	config := strings.Replace(platformConfig(d), `"settings":`, fmt.Sprintf(`"limits":{"sockets":%d},"settings":`, sockets), 1)
+	c, _ := processCommand(t, config)
+	c.Path, c.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf("ulimit -n %d; exec %q", sockets, os.Args[0])}
+	out, err := c.StderrPipe()
+	require.NoError(t, err)
+	require.NoError(t, c.Start())
+	t.Cleanup(func() { _ = c.Process.Kill() })
+	lines := bufio.NewScanner(out)
+	addr := waitForLog(t, lines, listenPattern)[1]
+	var full atomic.Int64
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for lines.Scan() {
+			if strings.Contains(lines.Text(), "too many open files") {
+				full.Add(1)
+			}
+		}
+	}()
+	d.Silence(true)
+	s.SetFault(testserver.Mute)
+	stopClients := startShortLivedClients(addr, 3*sockets)
+	for len(d.Targets) > 0 {
+		<-d.Targets
+	}
+	for range 30 { // calls that are out, each with a descriptor
+		<-d.Targets
+	}
+	d.Silence(false)
+	d.Tell(false, testserver.Entry("s-0", s, "terminating"))
+	heard := fmt.Sprintf("from=%d&", d.Version())
+	require.Eventually(t, func() bool { return strings.Contains(<-d.Targets, heard) }, 5*time.Second, time.Millisecond)
+	stopClients()
+	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
+	<-ended
+	assert.NoError(t, c.Wait())
+	assert.Zero(t, full.Load(), "descriptors ran out")
+}
+
+// startShortLivedClients starts clients that connect, send a request (three in four of them) and wait for the answer, again
+// and again, until the returned function is called.
+func startShortLivedClients(addr string, count int) (stop func()) {
+	stopping := make(chan struct{})
+	var clients sync.WaitGroup
+	for i := range count {
+		clients.Go(func() {
+			for n := 0; ; n++ {
+				select {
+				case <-stopping:
+					return
+				default:
+				}
+				nc, err := (&net.Dialer{Timeout: time.Second}).Dial("tcp", addr)
+				if err != nil {
+					continue
+				}
+				nc.SetDeadline(time.Now().Add(3 * time.Second))
+				if i%4 > 0 {
+					_, _ = nc.Write(lookupRequest(fmt.Sprint("q", i, "-", n)))
+				}
+				_, _ = httpwire.ReadResponse(bufio.NewReader(nc)) // served, rejected or closed
+				nc.Close()
+			}
+		})
+	}
+	return func() {
+		close(stopping)
+		clients.Wait()
+	}
+}
--- a/measure_test.go
+++ b/processtest/measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package alderproxy
+package processtest
 
 import (
 	"bufio"
@@ -18,8 +18,11 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"alderproxy"
 	"alderproxy/config"
 	"alderproxy/document"
 	"alderproxy/internal/testserver"
@@ -28,6 +31,7 @@
 )
 
 func quantiles(t *testing.T, all []time.Duration) (median, p99, most time.Duration) {
+	t.Helper()
 	require.NotEmpty(t, all)
 	slices.Sort(all)
 	return all[len(all)/2], all[len(all)*99/100], all[len(all)-1]
@@ -35,12 +39,13 @@
 
 // until polls as fast as it can.
 func until(t *testing.T, is func() bool) {
+	t.Helper()
 	for began := time.Now(); !is(); time.Sleep(200 * time.Microsecond) {
 		require.Less(t, time.Since(began), 30*time.Second)
 	}
 }
 
-func (r *trio) allServe(version uint64, names ...string) bool {
+func (r *cluster) allServe(version uint64, names ...string) bool {
 	for _, name := range names {
 		s, err := r.instances[name].client().Status()
 		if err != nil || s.Serving < version {
@@ -52,12 +57,12 @@
 
 // From put to done, and to active at all three; real processes.
 func TestMeasurePutToActive(t *testing.T) {
-	r := newTrio(t, 5*time.Second, "")
-	r.leadBy("n1")
+	r := startCluster(t, 5*time.Second, "")
+	r.transferLeadershipToN1()
 	var done, everywhere []time.Duration
 	for v := uint64(1); v <= 200; v++ {
 		began := time.Now()
-		o, err := r.instances["n2"].client().Put(put(fmt.Sprint(v), v, int(v)+1))
+		o, err := r.instances["n2"].client().Put(configPut(fmt.Sprint(v), v, int(v)+1))
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		done = append(done, time.Since(began))
@@ -72,7 +77,7 @@
 
 // Time without a leader after a kill, and queries that were not served meanwhile.
 func TestMeasureLeaderKilled(t *testing.T) {
-	r := newTrio(t, 5*time.Second, "")
+	r := startCluster(t, 5*time.Second, "")
 	var gaps, puts []time.Duration
 	var asked, lost atomic.Int64
 	for round := range 20 {
@@ -95,7 +100,7 @@
 			go func() {
 				defer wg.Done()
 				for n := 0; !stop.Load(); n++ {
-					status, _, err := r.instances[name].ask()
+					status, _, err := r.instances[name].search()
 					if asked.Add(1); status != 200 || err != nil {
 						lost.Add(1)
 					}
@@ -112,7 +117,7 @@
 		gaps = append(gaps, time.Since(began))
 		v, err := r.instances[others[0]].client().Show(0, false)
 		require.NoError(t, err)
-		o, err := r.instances[others[0]].client().Put(put(fmt.Sprint("after ", round), v.Number, round+1000))
+		o, err := r.instances[others[0]].client().Put(configPut(fmt.Sprint("after ", round), v.Number, round+1000))
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		puts = append(puts, time.Since(began))
@@ -120,7 +125,7 @@
 		wg.Wait()
 		<-r.instances[leader].ended
 		r.instances[leader].start("")
-		r.serving(o.Version, "n1", "n2", "n3")
+		r.waitUntilServing(o.Version, "n1", "n2", "n3")
 	}
 	for what, all := range map[string][]time.Duration{"a new leader is known": gaps, "a change is done": puts} {
 		median, _, most := quantiles(t, all)
@@ -131,8 +136,8 @@
 
 // Throughput and tail of the OpenSearch front during ten changes in ten seconds, beside none; in turns.
 func TestMeasureFrontDuringChanges(t *testing.T) {
-	r := newTrio(t, 5*time.Second, "")
-	r.leadBy("n1")
+	r := startCluster(t, 5*time.Second, "")
+	r.transferLeadershipToN1()
 	load := func(changes bool) *hdrhistogram.Histogram {
 		var mu sync.Mutex
 		sum := hdrhistogram.New(1, 10_000_000, 3)
@@ -143,17 +148,20 @@
 			go func() {
 				defer wg.Done()
 				own := hdrhistogram.New(1, 10_000_000, 3)
-				c, err := net.Dial("tcp", r.instances["n2"].search)
-				require.NoError(t, err)
+				c, err := new(net.Dialer).DialContext(t.Context(), "tcp", r.instances["n2"].searchAddr)
+				if !assert.NoError(t, err) {
+					return
+				}
 				defer c.Close()
 				c.SetDeadline(end.Add(10 * time.Second))
 				for in := bufio.NewReader(c); time.Now().Before(end); {
 					began := time.Now()
-					c.Write(searchRequest())
-					status, _, err := answered(in)
-					require.NoError(t, err)
-					require.Equal(t, 200, status)
-					own.RecordValue(time.Since(began).Microseconds())
+					_, _ = c.Write(searchRequest()) // an error shows in what is read
+					status, _, err := readAnswer(in)
+					if !assert.NoError(t, err) || !assert.Equal(t, 200, status) {
+						return
+					}
+					assert.NoError(t, own.RecordValue(time.Since(began).Microseconds()))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -164,7 +172,7 @@
 			time.Sleep(950 * time.Millisecond)
 			v, err := r.instances["n3"].client().Show(0, false)
 			require.NoError(t, err)
-			o, err := r.instances["n3"].client().Put(put(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
+			o, err := r.instances["n3"].client().Put(configPut(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
 			require.NoError(t, err)
 			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
@@ -183,21 +191,23 @@
 
 // Size of the folder and time to start with 1,000 versions, compacted and not.
 func TestMeasureThousandVersions(t *testing.T) {
+	quiet := logrus.New()
+	quiet.SetLevel(logrus.ErrorLevel)
 	for _, after := range []int{100_000, 200} {
 		lone := t.TempDir()
 		text := fmt.Sprintf("[instance]\nid = n1\nfolder = %s\nadmin = 127.0.0.1:0\n[agreement]\nlisten = 127.0.0.1:0\nspeed = 4\nsnapshot_after = %d\n",
 			lone, after)
 		c, err := config.Parse("lone.ini", text)
 		require.NoError(t, err)
-		first := fmt.Sprintf(sharedText, 1)
-		_, err = Init(c, first, "test")
+		first := fmt.Sprintf(documentTemplate, 1)
+		_, err = alderproxy.Init(c, first, "test")
 		require.NoError(t, err)
 		open := func() *raftnode.Node {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			n, err := raftnode.Open(raftnode.Config{
 				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, Speed: 4,
-				SnapshotAfter: after, Log: logger(config.Log{Level: "error"}).WithField("measure", true),
+				SnapshotAfter: after, Log: quiet.WithField("measure", true),
 				Check: func(string) error { return nil }, Activate: func(sharedconfig.Version) error { return nil },
 			})
 			require.NoError(t, err)
@@ -205,14 +215,19 @@
 		}
 		n := open()
 		for v := uint64(1); v < 1000; v++ {
-			text := fmt.Sprintf(sharedText, v+1)
+			text := fmt.Sprintf(documentTemplate, v+1)
 			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
 			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
 		}
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
 		require.NoError(t, n.Close())
 		var size int64
-		filepath.Walk(lone, func(_ string, f os.FileInfo, _ error) error { size += f.Size(); return nil })
+		require.NoError(t, filepath.Walk(lone, func(_ string, f os.FileInfo, err error) error {
+			if err == nil {
+				size += f.Size()
+			}
+			return err
+		}))
 		began := time.Now()
 		n = open()
 		opened := time.Since(began)
@@ -224,95 +239,118 @@
 	}
 }
 
-// Ten processes, at a fifth of the usual times, one of which is killed again and again under queries: from SIGKILL
-// until one, half and all of the others hold it to be gone, and what each sends meanwhile; then leader kills, and how
-// long a replaced version was served at any time by those that follow.
+// Ten processes with a fifth of the usual periods, under queries. One is killed again and again: how long it takes until
+// one, half and all of the others consider it dead, and what each sends meanwhile. Then leaders are killed: how soon all
+// followers serve the next version, and that none serves a replaced one for longer than the staleness bound.
 func TestMeasureFleetOfProcesses(t *testing.T) {
-	r := newFleet(t, 3*time.Second, "", true, 7)
-	all := r.names()
-	r.agree(all, 30*time.Second)
-	load := r.traffic("n1", "f1")
-	var one, half, every []time.Duration
-	others := without(all, "f7")
-	sent := func() (n, bytes uint64) {
-		for _, name := range others {
-			c := r.instances[name].members().Counts
-			n, bytes = n+c.Sent, bytes+c.SentBytes
-		}
-		return n, bytes
+	r := startClusterWithFollowers(t, 3*time.Second, "", true, 7)
+	all := r.instanceNames()
+	r.waitForView(all, 30*time.Second)
+	load := r.startLoad("n1", "f1")
+	r.measureDeathDetection(all, without(all, "f7"))
+	sum := load.stop()
+	require.Empty(t, sum.violations)
+	t.Logf("%d queries meanwhile, %d rejected", sum.sent, sum.rejected)
+
+	followers := without(all, "n1", "n2", "n3")
+	load = r.startLoad(followers...)
+	version := uint64(1)
+	for round := range 6 {
+		took := r.measureLeaderKill(load, round, version, followers)
+		version++
+		t.Logf("leader kill %d: all seven followers serve version %d after %v", round+1, version, took)
+		r.waitUntilServing(version, all...)
 	}
-	n, bytes := sent()
+	sum = load.stop()
+	require.Empty(t, sum.violations, "none may serve a replaced version beyond the bound of 3 s")
+	t.Logf("%d queries to followers, %d rejected", sum.sent, sum.rejected)
+}
+
+// detectionTimes are the times from SIGKILL until a share of the other members considers the killed one dead.
+type detectionTimes struct{ one, half, all []time.Duration }
+
+// measureDeathDetection kills f7 fifteen times.
+func (r *cluster) measureDeathDetection(all, others []string) {
+	datagrams, bytes := r.sent(others)
 	started := time.Now()
+	var times detectionTimes
 	for range 15 {
 		victim := r.instances["f7"]
 		victim.signal(syscall.SIGKILL)
-		began, known := time.Now(), 0
+		began := time.Now()
 		<-victim.ended
-		for known < len(others) {
-			known = 0
-			for _, name := range others {
-				if s := r.instances[name].member("f7").State; s == "dead" {
-					known++
-				}
-			}
-			took := time.Since(began)
-			require.Less(t, took, 30*time.Second)
-			if known >= 1 && len(one) == len(every) {
-				one = append(one, took)
-			}
-			if 2*known >= len(others) && len(half) == len(every) {
-				half = append(half, took)
-			}
-			time.Sleep(5 * time.Millisecond)
-		}
-		every = append(every, time.Since(began))
+		r.awaitDeath("f7", others, began, &times)
 		victim.start("")
-		r.agree(all, 30*time.Second)
+		r.waitForView(all, 30*time.Second)
 	}
-	n2, bytes2 := sent()
-	span := time.Since(started).Seconds() * float64(len(others))
-	for what, took := range map[string][]time.Duration{"one": one, "half": half, "all": every} {
-		m, p99, most := quantiles(t, took)
-		t.Logf("from SIGKILL until known to %s of nine: median %v, p99 %v, most %v; times 5 at the usual ones", what, m, p99, most)
+	datagramsAfter, bytesAfter := r.sent(others)
+	memberSeconds := time.Since(started).Seconds() * float64(len(others))
+	for what, took := range map[string][]time.Duration{"one": times.one, "half": times.half, "all": times.all} {
+		median, p99, most := quantiles(r.t, took)
+		r.t.Logf("from SIGKILL until known to %s of nine: median %v, p99 %v, most %v; times 5 at the usual ones", what, median, p99, most)
 	}
-	t.Logf("%.1f datagrams and %.0f bytes a member and second at a period of 200 ms; %d deaths logged for 15 kills", float64(n2-n)/span, float64(bytes2-bytes)/span, len(r.fell()))
-	sum := load.stop()
-	require.Empty(t, sum.bad)
-	t.Logf("%d queries meanwhile, %d refused", sum.asked, sum.refused)
+	r.t.Logf("%.1f datagrams and %.0f bytes a member and second at a period of 200 ms; %d deaths logged for 15 kills",
+		float64(datagramsAfter-datagrams)/memberSeconds, float64(bytesAfter-bytes)/memberSeconds, len(r.loggedDeaths()))
+}
 
-	follow := without(all, "n1", "n2", "n3")
-	load = r.traffic(follow...)
-	version := uint64(1)
-	for round := range 6 {
-		leader := ""
-		until(t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.Lease > 0 })
-		until(t, func() bool {
-			for _, name := range []string{"n1", "n2", "n3"} {
-				if s, err := r.instances[name].client().Status(); err == nil && s.Leader != "" {
-					leader = s.Leader
-				}
+// sent returns how many datagrams and bytes some members have sent.
+func (r *cluster) sent(names []string) (datagrams, bytes uint64) {
+	for _, name := range names {
+		counts := r.instances[name].members().Datagrams
+		datagrams += counts.Sent
+		bytes += counts.SentBytes
+	}
+	return datagrams, bytes
+}
+
+// awaitDeath waits until all the others consider a member dead, and records when the first, half and all of them do.
+func (r *cluster) awaitDeath(victim string, others []string, began time.Time, times *detectionTimes) {
+	for known := 0; known < len(others); time.Sleep(5 * time.Millisecond) {
+		known = 0
+		for _, name := range others {
+			if r.instances[name].member(victim).State == "dead" {
+				known++
 			}
-			return leader != ""
-		})
-		r.instances[leader].signal(syscall.SIGKILL)
-		<-r.instances[leader].ended
-		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
-		o := sharedconfig.Outcome{}
-		until(t, func() bool {
-			o, _ = r.instances[asked].client().Put(put(fmt.Sprint("round", round), version, int(version)+1))
-			return o.Status == sharedconfig.Done
-		})
-		load.changed(version)
-		began := time.Now()
-		version++
-		until(t, func() bool { return r.allServe(version, follow...) })
-		t.Logf("leader kill %d: all seven that follow serve by version %d after %v", round+1, version, time.Since(began))
-		r.instances[leader].start("")
-		r.serving(version, all...)
+		}
+		took := time.Since(began)
+		require.Less(r.t, took, 30*time.Second)
+		if known >= 1 && len(times.one) == len(times.all) {
+			times.one = append(times.one, took)
+		}
+		if 2*known >= len(others) && len(times.half) == len(times.all) {
+			times.half = append(times.half, took)
+		}
 	}
-	sum = load.stop()
-	require.Empty(t, sum.bad, "none may serve a replaced version beyond the bound of 3 s")
-	t.Logf("%d queries to those that follow, %d refused", sum.asked, sum.refused)
+	times.all = append(times.all, time.Since(began))
+}
+
+// measureLeaderKill kills the leader, changes the configuration and returns how long it took until all followers served
+// the new version. It starts the killed instance again.
+func (r *cluster) measureLeaderKill(load *queryLoad, round int, version uint64, followers []string) time.Duration {
+	voters := []string{"n1", "n2", "n3"}
+	leader := ""
+	until(r.t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.Lease > 0 })
+	until(r.t, func() bool {
+		for _, name := range voters {
+			if s, err := r.instances[name].client().Status(); err == nil && s.Leader != "" {
+				leader = s.Leader
+			}
+		}
+		return leader != ""
+	})
+	r.instances[leader].signal(syscall.SIGKILL)
+	<-r.instances[leader].ended
+	survivor := r.instances[without(voters, leader)[0]]
+	until(r.t, func() bool {
+		o, _ := survivor.client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
+		return o.Status == sharedconfig.Done
+	})
+	load.versionReplaced(version)
+	began := time.Now()
+	until(r.t, func() bool { return r.allServe(version+1, followers...) })
+	took := time.Since(began)
+	r.instances[leader].start("")
+	return took
 }
 
 // What one gatherer takes at so many stores: a process that has asked each of them, once idle and once while lists come.
@@ -330,9 +368,9 @@
 		}
 		d.Tell(true, entries...)
 		// The list is known at the start, so that its log lines come before anybody waits for the program.
-		c, _, cl, lines := running(t, strings.Replace(settings(d), `"settings"`, fmt.Sprintf(
+		c, _, cl, lines := startProcess(t, strings.Replace(platformConfig(d), `"settings"`, fmt.Sprintf(
 			`"limits":{"sockets":4096,"memory_mb":192},"known":{"version":1,"full":true,"servers":[%s]},"settings"`, strings.Join(entries, ",")), 1))
-		go drainLog(lines)
+		go discardLog(lines)
 		listed := func() string {
 			status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
 			require.NoError(t, err)
@@ -344,7 +382,7 @@
 		}
 		t.Logf("%4d stores, just listed: %s", stores, listed())
 		for i := range 6 * stores {
-			ask(cl, fmt.Sprint("q", i))
+			sendLookup(cl, fmt.Sprint("q", i))
 			require.Equal(t, 200, cl.Read().Status)
 		}
 		t.Logf("%4d stores, %d connections: %s", stores, s.Conns(), listed())
@@ -358,6 +396,6 @@
 		}
 		t.Logf("%4d stores, a whole list from discovery's word to the next call: %v", stores, time.Since(began)/lists)
 		require.NoError(t, c.Process.Kill())
-		c.Wait()
+		require.Error(t, c.Wait(), "killed")
 	}
 }
--- /dev/null
+++ b/processtest/membership_test.go
@@ -0,0 +1,178 @@
+package processtest
+
+import (
+	"os"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/gossip"
+	"alderproxy/internal/faultnet"
+	"alderproxy/sharedconfig"
+)
+
+func (i *instance) members() gossip.Status {
+	s, err := i.client().Members(0)
+	require.NoError(i.cluster.t, err, "%s: %s", i.name, i.logged())
+	return s
+}
+
+func (i *instance) member(name string) gossip.Member {
+	all := i.members().Members
+	k := slices.IndexFunc(all, func(m gossip.Member) bool { return m.Name == name })
+	if k < 0 {
+		return gossip.Member{State: "unknown"}
+	}
+	return all[k]
+}
+
+// presentMembers are the names that an instance holds to be there.
+func (i *instance) presentMembers() (all []string) {
+	for _, m := range i.members().Members {
+		if m.State == "alive" || m.State == "suspect" {
+			all = append(all, m.Name)
+		}
+	}
+	return all
+}
+
+// waitForView waits until each of some holds exactly these to be there, and returns how long that took.
+func (r *cluster) waitForView(these []string, within time.Duration) time.Duration {
+	began := time.Now()
+	slices.Sort(these)
+	for _, name := range these {
+		i := r.instances[name]
+		require.Eventually(r.t, func() bool { return slices.Equal(i.presentMembers(), these) }, within, 20*time.Millisecond, "%s holds %v to be there, not %v: %s",
+			name, i.presentMembers(), these, i.logged())
+	}
+	return time.Since(began)
+}
+
+// loggedDeaths tells which deaths any instance has logged.
+func (r *cluster) loggedDeaths() (all []string) {
+	for _, i := range r.instances {
+		for line := range strings.Lines(i.logged()) {
+			if strings.Contains(line, "fleet changed") && strings.Contains(line, "what=dead") {
+				all = append(all, line)
+			}
+		}
+	}
+	return all
+}
+
+// Nine processes at a fifth of the usual times. What is slow, lost or cut one way is no death; what is killed is one,
+// and known to all; each is logged by one.
+func TestFleetTellsTheSlowFromTheDead(t *testing.T) {
+	t.Parallel()
+	r := startClusterWithFollowers(t, 4*time.Second, "", true, 6)
+	all := r.instanceNames()
+	r.waitForView(all, 20*time.Second)
+	for _, name := range all { // all take a ninth of what the stores bear, though no file says how many they are
+		i := r.instances[name]
+		require.Eventually(t, func() bool { return strings.Contains(i.logged(), "fleet=9") }, 10*time.Second, 20*time.Millisecond, i.logged())
+	}
+	load := r.startLoad("n2", "f1", "f6")
+	digest := r.instances["n1"].members().Digest
+	for _, name := range all {
+		assert.Equal(t, digest, r.instances[name].members().Digest)
+	}
+
+	// A third of all datagrams lost, some twice, some late; and stops of one fifth of the 5 s that are granted.
+	r.faults.All(faultnet.Rule{Loss: 30, Twice: 10, Delay: 100 * time.Millisecond})
+	r.instances["f4"].signal(syscall.SIGSTOP)
+	time.Sleep(time.Second) // the stop
+	r.instances["f4"].signal(syscall.SIGCONT)
+	time.Sleep(4 * time.Second) // not a wait for an event: nothing is to happen
+	r.faults.Clear()
+	r.waitForView(all, 10*time.Second)
+	assert.Empty(t, r.loggedDeaths())
+
+	// f3 no longer hears f2, which hears it: both stay, and f3 can say why.
+	r.faults.Set("f2", "f3", faultnet.Rule{Cut: true})
+	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reachability == "one-way" }, 20*time.Second, 50*time.Millisecond)
+	r.waitForView(all, 10*time.Second)
+	assert.Equal(t, "reachable", r.instances["f1"].member("f2").Reachability)
+	r.faults.Clear()
+	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reachability == "reachable" }, 20*time.Second, 50*time.Millisecond)
+	assert.Empty(t, r.loggedDeaths())
+
+	// Killed: known to all, logged once.
+	r.instances["f5"].signal(syscall.SIGKILL)
+	<-r.instances["f5"].ended
+	took := r.waitForView(without(all, "f5"), 20*time.Second)
+	t.Logf("a killed process is out of all views after %v, at a fifth of the usual times", took)
+	require.Eventually(t, func() bool { return len(r.loggedDeaths()) > 0 }, 5*time.Second, 20*time.Millisecond)
+	assert.Len(t, r.loggedDeaths(), 1, "each death is logged by one member")
+	for _, kind := range []string{"folder", "ini"} { // it starts anew, with nothing kept
+		require.NoError(t, os.RemoveAll(r.instances["f5"].path(kind)))
+	}
+	r.instances["f5"].writeConfig()
+	r.instances["f5"].start("")
+	r.waitForView(all, 20*time.Second)
+
+	// A planned stop is told as one, at once and before the process has ended.
+	r.instances["f3"].signal(syscall.SIGTERM)
+	require.Eventually(t, func() bool { return r.instances["n1"].member("f3").State == "left" }, 2*time.Second, 10*time.Millisecond)
+	r.waitForView(without(all, "f3"), 5*time.Second)
+	<-r.instances["f3"].ended
+	assert.Equal(t, 0, r.instances["f3"].cmd.ProcessState.ExitCode(), r.instances["f3"].logged())
+	assert.Len(t, r.loggedDeaths(), 1)
+
+	sum := load.stop()
+	assert.Empty(t, sum.violations)
+	t.Logf("%d queries meanwhile, %d refused: the loss met the voters' frames too", sum.sent, sum.rejected)
+}
+
+// Long stops, and a split in two with a leader in the smaller part: who stood still accuses nobody, both sides go on,
+// and after it they are one.
+func TestFleetThroughStopsAndSplits(t *testing.T) {
+	t.Parallel()
+	r := startClusterWithFollowers(t, 4*time.Second, "", true, 5)
+	all := r.instanceNames()
+	r.transferLeadershipToN1()
+	r.waitForView(all, 20*time.Second)
+	load := r.startLoad("n2", "n3", "f1")
+	for _, span := range []time.Duration{5 * time.Second, 20 * time.Second} { // 25 and 100 s at the usual times: deaths
+		f2 := r.instances["f2"]
+		f2.signal(syscall.SIGSTOP)
+		until := time.Now().Add(span)
+		r.waitForView(without(all, "f2"), span)
+		time.Sleep(time.Until(until)) // the stop
+		f2.signal(syscall.SIGCONT)
+		r.waitForView(all, 20*time.Second)
+		assert.Contains(t, f2.logged(), "this member stood still")
+		for _, line := range r.loggedDeaths() {
+			assert.Contains(t, line, "[f2]", "who stood still accuses nobody")
+		}
+	}
+
+	here, there := []string{"n1", "f3", "f4"}, []string{"n2", "n3", "f1", "f2", "f5"}
+	for _, name := range here {
+		r.faults.Isolate(name, there...)
+	}
+	client := r.instances["n2"].client()
+	require.Eventually(t, func() bool { // the larger side has another leader
+		s, err := client.Status()
+		return err == nil && s.Leader != "" && s.Leader != "n1"
+	}, 20*time.Second, 50*time.Millisecond)
+	o, err := client.Put(configPut("split", 1, 2))
+	require.NoError(t, err)
+	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+	load.versionReplaced(1)
+	r.waitForView(there, 30*time.Second)
+	// Whoever is on the smaller side stops by the bound: it cannot know that its version was not replaced.
+	for _, name := range here {
+		require.Eventually(t, func() bool { s, _, err := r.instances[name].search(); return err == nil && s == 503 }, 2*r.stalenessBound, 50*time.Millisecond, name)
+	}
+	r.faults.Clear()
+	r.waitForView(all, 30*time.Second)
+	r.waitUntilServing(2, all...)
+	sum := load.stop()
+	assert.Empty(t, sum.violations)
+	t.Logf("%d queries, %d refused", sum.sent, sum.rejected)
+}
--- /dev/null
+++ b/processtest/query_load_test.go
@@ -0,0 +1,113 @@
+package processtest
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// queryLoad sends queries to both fronts of some instances, one after the other on one connection for each front, until it
+// is stopped.
+type queryLoad struct {
+	cluster    *cluster
+	stopping   atomic.Bool
+	mu         sync.Mutex
+	replacedAt map[string]time.Time // when a version was known to be replaced
+	results    chan loadResult
+	workers    int
+}
+
+// loadResult counts queries. A violation is a query without exactly one final answer, an answer by a version that was
+// replaced longer ago than the staleness bound, or by a version older than that of the answer before.
+type loadResult struct {
+	sent       int
+	served     int
+	rejected   int
+	violations []string
+}
+
+func (r *loadResult) violation(values ...any) {
+	r.violations = append(r.violations, fmt.Sprint(values...))
+}
+
+func (r *cluster) startLoad(names ...string) *queryLoad {
+	l := &queryLoad{cluster: r, replacedAt: map[string]time.Time{}, results: make(chan loadResult)}
+	for _, name := range names {
+		i := r.instances[name]
+		go l.run(i.searchAddr, func(int) []byte { return searchRequest() })
+		go l.run(i.platformAddr, func(n int) []byte { return lookupRequest(fmt.Sprint(name, "-", n)) })
+		l.workers += 2
+	}
+	return l
+}
+
+// versionReplaced records that a version has been replaced by now.
+func (l *queryLoad) versionReplaced(old uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.replacedAt[fmt.Sprint(old)] = time.Now()
+}
+
+func (l *queryLoad) run(addr string, request func(int) []byte) {
+	var sum loadResult
+	defer func() { l.results <- sum }()
+	last := ""
+	// One connection: a second answer to a query would come before the answer to the next one.
+	c, err := new(net.Dialer).DialContext(l.cluster.t.Context(), "tcp", addr)
+	if err != nil {
+		sum.violation(err)
+		return
+	}
+	defer c.Close()
+	in := bufio.NewReader(c)
+	for n := 0; !l.stopping.Load() && len(sum.violations) == 0; n++ {
+		began := time.Now()
+		c.SetDeadline(began.Add(5 * time.Second))
+		_, _ = c.Write(request(n)) // an error shows in what is read
+		status, version, err := readAnswer(in)
+		sum.sent++
+		l.mu.Lock()
+		at, old := l.replacedAt[version]
+		l.mu.Unlock()
+		switch {
+		case err != nil || in.Buffered() > 0 || status != 200 && status != 429 && status != 503:
+			sum.violation(status, " ", err, " ", in.Buffered())
+		case status != 200:
+			sum.rejected++
+		case len(version) < len(last) || len(version) == len(last) && version < last:
+			sum.violation(version, " after ", last)
+		case old && began.Sub(at) > l.cluster.stalenessBound:
+			sum.violation("version ", version, " served ", began.Sub(at), " after it was replaced")
+		default:
+			sum.served++
+			last = version
+		}
+		if status != 200 {
+			time.Sleep(10 * time.Millisecond) // as Retry-After asks, but sooner
+		}
+	}
+	if len(sum.violations) > 0 {
+		return
+	}
+	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+		sum.violation("more came than was asked for: ", err)
+	}
+}
+
+func (l *queryLoad) stop() (sum loadResult) {
+	l.stopping.Store(true)
+	for range l.workers {
+		t := <-l.results
+		sum.sent += t.sent
+		sum.served += t.served
+		sum.rejected += t.rejected
+		sum.violations = append(sum.violations, t.violations...)
+	}
+	return sum
+}
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -1,232 +1,189 @@
 package sharedconfig
 
 import (
-	"cmp"
-	"fmt"
 	"maps"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// PollRequest is what an instance without a vote asks a voter.
-type PollRequest struct {
-	Have   uint64 `json:"have"` // the version that it has; 0: none
-	Digest string `json:"digest"`
-}
-
-// ReplyReceived is a voter's answer. Where OK is false it tells nothing but Why: this voter has no lease itself.
-type ReplyReceived struct {
-	Seq     uint64   `json:"-"`
-	OK      bool     `json:"ok"`
-	Why     string   `json:"why,omitempty"`
-	Group   string   `json:"group,omitempty"`
-	Version uint64   `json:"version,omitempty"` // which the voter's lease covers
-	Left    Micros   `json:"left,omitempty"`    // of that lease, on the voter's clock
-	Active  *Version `json:"active,omitempty"`  // nil: the asker has it
-	Voters  []Member `json:"voters,omitempty"`
-}
-
-// CallTimedOut says that a voter did not answer an ask, or that the answer could not be used.
-type CallTimedOut struct{ Seq uint64 }
-
-func (ReplyReceived) event() {}
-func (CallTimedOut) event()  {}
-
-// PollVoter asks the voter at an address: one Told or Silent, if any.
-type PollVoter struct {
-	Seq     uint64
-	Voter   Member // of one known by the file alone the address is known
-	Request PollRequest
-}
-
-func (PollVoter) action() {}
-
-// Answer is what a voter with this state and lease tells an instance that follows.
-func Answer(s State, l Lease, now Micros, roster []Member, a PollRequest) ReplyReceived {
-	v := s.Active()
-	if !l.Holds(now, v.Number) {
-		return ReplyReceived{Why: cmp.Or(l.Reason(now, v.Number), "no lease")}
-	}
-	t := ReplyReceived{OK: true, Group: s.Group, Version: v.Number, Left: l.Until(v.Number) - now}
-	for _, m := range roster {
-		if m.Voter {
-			t.Voters = append(t.Voters, m)
-		}
-	}
-	if a.Have != v.Number || a.Digest != v.Digest {
-		t.Active = &v
-	}
-	return t
-}
+// pollRetryDivisor is how much more often a follower polls while a poll is unanswered or its lease has expired.
+const pollRetryDivisor = 4
 
-// Follower decides for an instance without a vote, of which there may be hundreds: it takes the agreed document and its
-// lease from any voter that has one. What is left of the voter's lease when it answers counts from when the ask left,
-// so that a follower's lease never outlasts the one that it came from: the bound on staleness is the voters' own,
-// and no majority is asked for it. Its calls must not overlap.
+// Follower makes the decisions of an instance without a vote, of which there may be hundreds. It polls the voters, one
+// at a time, for the active version and a lease. Its lease ends no later than the voter's: the remaining duration that
+// the voter reports counts from the time at which the poll was sent. So the staleness bound holds for followers too,
+// without load on the leader. Calls of its methods must not overlap.
 type Follower struct {
-	set    Settings
-	now    Micros
-	acts   []Action
-	seeds  []Member // by its own file: addresses alone
-	voters []Member // by the newest answer
-	active Version
-	group  string // empty: nobody has told yet
-	lease  Lease
-
-	asks    map[uint64]asked
-	lastAsk uint64
-	askedAt Micros
-	failed  map[string]Micros // when a voter last failed, by address
-	refused string            // the newest group that was not this one's, as it was logged
+	stepState
+	settings     Settings
+	seedVoters   []Member // from the settings, with addresses only
+	knownVoters  []Member // by the latest reply
+	active       Version
+	group        string // ID of the group; empty before the first reply
+	loggedGroup  string // the latest other group that was logged
+	lease        Lease
+	pendingPolls map[uint64]pendingPoll
+	lastPoll     uint64 // sequence number
+	polledAt     Micros
+	failedAt     map[string]Micros // time of a voter's last failure by address
 }
 
-type asked struct {
-	at Micros
-	of Member
+// pendingPoll is a poll that may still be answered.
+type pendingPoll struct {
+	sentAt Micros
+	voter  Member
 }
 
-// NewFollower returns the decisions of an instance that served by a version last (Number 0: by none) and knows these
-// addresses of voters.
-func NewFollower(set Settings, voters []string, last Version) *Follower {
+// NewFollower returns the decisions of an instance that knows the addresses of some voters. last is the version that it
+// served before its start, with the number 0 if there is none.
+func NewFollower(settings Settings, voters []string, last Version) *Follower {
 	f := &Follower{
-		set: set, active: last, lease: Lease{Serve: set.ServeWhenStale}, asks: map[uint64]asked{}, askedAt: -set.LeaseInterval,
-		failed: map[string]Micros{},
+		settings:     settings,
+		active:       last,
+		lease:        Lease{Serve: settings.ServeWhenStale},
+		pendingPolls: map[uint64]pendingPoll{},
+		polledAt:     -settings.LeaseInterval,
+		failedAt:     map[string]Micros{},
 	}
-	for _, a := range voters {
-		f.seeds = append(f.seeds, Member{Addr: a, Voter: true})
+	for _, addr := range voters {
+		f.seedVoters = append(f.seedVoters, Member{Addr: addr, Voter: true})
 	}
 	return f
 }
 
-// Active is the version that this instance knows to be the newest.
+// Active returns the latest version that this instance knows.
 func (f *Follower) Active() Version { return f.active }
 
-// Group is the one that is followed; empty: nobody has told yet.
+// Group returns the ID of the group that this instance follows. It is empty before the first reply.
 func (f *Follower) Group() string { return f.group }
 
-// Voters are those known, in the order in which this instance asks them.
-func (f *Follower) Voters() []Member { return f.order() }
+// Voters returns the known voters in this instance's order of preference.
+func (f *Follower) Voters() []Member { return f.votersByPreference() }
 
-// Step takes what happened and returns what to do now, in order.
+// Step handles events that have occurred up to the time now and returns the resulting actions.
 func (f *Follower) Step(now Micros, events []Event) []Action {
-	f.now, f.acts = max(now, f.now), nil
+	f.begin(now)
 	for _, e := range events {
 		switch e := e.(type) {
 		case ReplyReceived:
-			f.told(e)
+			f.handleReply(e)
 		case CallTimedOut:
-			if a, out := f.asks[e.Seq]; out {
-				delete(f.asks, e.Seq)
-				f.fail(a.of)
-			}
+			f.handleCallTimedOut(e)
 		}
 	}
-	f.ask()
-	return f.acts
+	f.poll()
+	return f.actions
 }
 
-func (f *Follower) do(a Action) { f.acts = append(f.acts, a) }
-
-func (f *Follower) fail(m Member) { f.failed[m.Addr] = f.now }
-
-// ask asks for a lease as often as a voter does. A voter that has not answered the last ask by then is passed over
-// for as long as the bound, since there is only so much time.
-func (f *Follower) ask() {
-	every := f.set.LeaseInterval
-	if len(f.asks) > 0 || f.lastAsk == 0 || !f.lease.Holds(f.now, f.active.Number) {
-		every /= 4 // there is something to catch up on
-	}
-	if f.now < f.askedAt+every {
+// poll polls the preferred voter when a poll is due.
+func (f *Follower) poll() {
+	if f.now < f.polledAt+f.pollInterval() {
 		return
 	}
-	for _, seq := range slices.Sorted(maps.Keys(f.asks)) {
-		a := f.asks[seq]
-		if f.now-a.at >= f.set.LeaseInterval/2 {
-			f.fail(a.of)
-		}
-		if f.now-a.at >= f.set.StalenessBound { // an answer would be worth nothing
-			delete(f.asks, seq)
-		}
-	}
-	all := f.order()
-	if len(all) == 0 {
+	f.expirePolls()
+	voters := f.votersByPreference()
+	if len(voters) == 0 {
 		return
 	}
-	f.lastAsk++
-	f.askedAt = f.now
-	f.asks[f.lastAsk] = asked{f.now, all[0]}
-	a := PollRequest{Have: f.active.Number, Digest: f.active.Digest}
-	if f.group == "" { // what it had may be of a group that was begun anew since
-		a = PollRequest{}
+	f.lastPoll++
+	f.polledAt = f.now
+	f.pendingPolls[f.lastPoll] = pendingPoll{sentAt: f.now, voter: voters[0]}
+	f.emit(PollVoter{Seq: f.lastPoll, Voter: voters[0], Request: f.pollRequest()})
+}
+
+func (f *Follower) pollInterval() Micros {
+	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Holds(f.now, f.active.Number)
+	if isCurrent {
+		return f.settings.LeaseInterval
 	}
-	f.do(PollVoter{f.lastAsk, all[0], a})
+	return f.settings.LeaseInterval / pollRetryDivisor
 }
 
-// order is the voters in the order in which this instance wants them: its own, drawn from its folder's name, so that
-// all instances spread over the voters; those that failed within the bound come last, the one that failed longest ago
-// first. Addresses by its own file count while no voter is known to work.
-func (f *Follower) order() []Member {
-	all := slices.Clone(f.voters)
-	fresh := slices.ContainsFunc(all, func(m Member) bool { return !f.failing(m) })
-	if !fresh {
-		for _, s := range f.seeds {
-			if !slices.ContainsFunc(all, func(m Member) bool { return m.Addr == s.Addr }) {
-				all = append(all, s)
-			}
+// expirePolls marks voters as failed that have not answered within half a lease interval. A poll older than the
+// staleness bound is dropped, since a reply could grant no lease any more.
+func (f *Follower) expirePolls() {
+	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
+		pending := f.pendingPolls[seq]
+		age := f.now - pending.sentAt
+		if age >= f.settings.LeaseInterval/2 {
+			f.markFailed(pending.voter)
 		}
-	}
-	weight := func(m Member) uint64 { return xxhash.Sum64String(f.set.InstanceID + " " + m.Addr) }
-	slices.SortFunc(all, func(x, y Member) int {
-		if a, b := f.failing(x), f.failing(y); a || b {
-			if a != b {
-				return map[bool]int{true: 1, false: -1}[a]
-			}
-			return cmp.Or(cmp.Compare(f.failed[x.Addr], f.failed[y.Addr]), cmp.Compare(weight(x), weight(y)))
+		if age >= f.settings.StalenessBound {
+			delete(f.pendingPolls, seq)
 		}
-		return cmp.Or(cmp.Compare(weight(x), weight(y)), cmp.Compare(x.Addr, y.Addr))
-	})
-	return all
+	}
 }
 
-func (f *Follower) failing(m Member) bool {
-	at, known := f.failed[m.Addr]
-	return known && f.now-at < f.set.StalenessBound
+// pollRequest names the version that this instance has. Before the first reply it names none, since the version may be
+// of a group that was bootstrapped again since.
+func (f *Follower) pollRequest() PollRequest {
+	if f.group == "" {
+		return PollRequest{}
+	}
+	return PollRequest{Have: f.active.Number, Digest: f.active.Digest}
 }
 
-func (f *Follower) told(e ReplyReceived) {
-	a, out := f.asks[e.Seq]
-	if !out {
-		return // it came twice, or too late
+func (f *Follower) handleCallTimedOut(e CallTimedOut) {
+	pending, isPending := f.pendingPolls[e.Seq]
+	if !isPending {
+		return
 	}
-	delete(f.asks, e.Seq)
-	switch {
-	case !e.OK:
-		f.fail(a.of)
+	delete(f.pendingPolls, e.Seq)
+	f.markFailed(pending.voter)
+}
+
+func (f *Follower) handleReply(e ReplyReceived) {
+	pending, isPending := f.pendingPolls[e.Seq]
+	if !isPending { // a duplicate, or too late
 		return
-	case f.group != "" && e.Group != f.group:
-		f.fail(a.of)
-		if f.refused != e.Group {
-			f.refused = e.Group
-			f.do(Log{fmt.Sprintf("the voter at %s is of group %s and not of %s: it is not followed; if the group was begun anew, restart this instance", a.of.Addr, e.Group, f.group)})
-		}
+	}
+	delete(f.pendingPolls, e.Seq)
+	if !e.OK {
+		f.markFailed(pending.voter)
+		return
+	}
+	isFirstReply := f.group == ""
+	if !isFirstReply && e.Group != f.group {
+		f.rejectGroup(pending.voter, e.Group)
 		return
 	}
-	delete(f.failed, a.of.Addr)
-	first := f.group == ""
 	f.group = e.Group
 	if len(e.Voters) > 0 {
-		f.voters = e.Voters
+		f.knownVoters = e.Voters
 	}
-	maps.DeleteFunc(f.failed, func(_ string, at Micros) bool { return f.now-at >= f.set.StalenessBound })
-	// Versions never go back, but for the first answer: what was kept may be of a group that was begun anew.
-	if v := e.Active; v != nil && (v.Number > f.active.Number || first && (v.Number != f.active.Number || v.Digest != f.active.Digest)) {
-		f.active = *v
-		f.do(Activate{*v})
+	f.clearFailures(pending.voter)
+	if e.Active != nil && f.replacesActive(*e.Active, isFirstReply) {
+		f.active = *e.Active
+		f.emit(Activate{Version: f.active})
 	}
-	left := min(e.Left, f.set.StalenessBound)
-	if until := a.at + left - left/clockSlack; until > f.now {
-		f.lease = f.lease.with(Grant{e.Version, until}, f.now)
-		f.do(NewLease{f.lease})
+	f.extendLease(pending.sentAt, e)
+}
+
+// rejectGroup ignores a voter of another group and logs that once for each group.
+func (f *Follower) rejectGroup(voter Member, group string) {
+	f.markFailed(voter)
+	if f.loggedGroup == group {
+		return
+	}
+	f.loggedGroup = group
+	f.logf("ignoring the voter at %s: it belongs to group %s and not to %s; if the group was bootstrapped again, restart this instance",
+		voter.Addr, group, f.group)
+}
+
+// replacesActive reports whether a version replaces the one that this instance has. Numbers only grow, except with the
+// first reply: the stored version may be of a group that was bootstrapped again since.
+func (f *Follower) replacesActive(version Version, isFirstReply bool) bool {
+	if version.Number > f.active.Number {
+		return true
+	}
+	return isFirstReply && (version.Number != f.active.Number || version.Digest != f.active.Digest)
+}
+
+// extendLease adds the grant of a reply to a poll that was sent at the given time.
+func (f *Follower) extendLease(sentAt Micros, e ReplyReceived) {
+	until := grantUntil(sentAt, min(e.Left, f.settings.StalenessBound))
+	if until <= f.now {
+		return
 	}
+	f.lease = f.lease.withGrant(Grant{Version: e.Version, Until: until}, f.now)
+	f.emit(NewLease{Lease: f.lease})
 }
