--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 
+	"alderproxy/internal/platformsettings"
 	"alderproxy/internal/simcodec"
 	"alderproxy/policy"
 )
@@ -19,7 +20,7 @@
 
 // instance is one decision module.
 type instance struct {
-	settings  *simcodec.Facts
+	settings  *platformsettings.Values
 	policy    *policy.Aggregator
 	endpoints []policy.Endpoint
 	events    []policy.Event // of this batch
@@ -71,7 +72,7 @@
 }
 
 func (h *host) start(number uint16, start simcodec.Start) error {
-	values := simcodec.ParseFacts(start.Settings)
+	values := platformsettings.Parse(start.Settings)
 	settings, err := values.Settings()
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
@@ -111,10 +112,10 @@
 		it.endpoints = e.Apply(it.endpoints)
 		return policy.EndpointList{Endpoints: it.endpoints}
 	case simcodec.AttemptResult:
-		e.Report = it.settings.Report(e.LoadValues)
+		e.Report = it.settings.LoadReport(e.LoadValues)
 		return e.AttemptResult
 	case simcodec.HealthCheckResult:
-		e.Report = it.settings.Report(e.LoadValues)
+		e.Report = it.settings.LoadReport(e.LoadValues)
 		return e.HealthCheckResult
 	case policy.Event:
 		return e
--- /dev/null
+++ b/internal/platformsettings/json.go
@@ -0,0 +1,66 @@
+package platformsettings
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"alderproxy/internal/jsonscan"
+)
+
+// ParseJSON reads settings that are a nested JSON object, with the same names and units as the lines of Parse.
+func ParseJSON(object []byte) (*Values, error) {
+	v := &Values{texts: map[string]string{}}
+	if err := jsonscan.Object(object, v.flatten); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	v.loadColumns = v.List("feedback.columns")
+	return v, nil
+}
+
+// flatten adds a value, and those in it, by their paths.
+func (v *Values) flatten(path string, raw []byte) error {
+	switch raw[0] {
+	case '{':
+		return jsonscan.Object(raw, func(key string, raw []byte) error { return v.flatten(join(path, key), raw) })
+	case '[':
+		return v.flattenArray(path, raw)
+	}
+	text, err := scalarText(raw)
+	v.texts[path] = text
+	return err
+}
+
+// flattenArray adds an array of plain values as a list, and one of objects as a count and paths with each one's index.
+func (v *Values) flattenArray(path string, raw []byte) error {
+	var plain []string
+	count := 0
+	err := jsonscan.Array(raw, func(item []byte) error {
+		index := count
+		count++
+		if item[0] == '{' || item[0] == '[' {
+			return v.flatten(join(path, strconv.Itoa(index)), item)
+		}
+		text, err := scalarText(item)
+		plain = append(plain, text)
+		return err
+	})
+	if len(plain) > 0 || count == 0 {
+		v.texts[path] = strings.Join(plain, ",")
+	}
+	if len(plain) < count || count == 0 {
+		v.texts[join(path, "count")] = strconv.Itoa(count)
+	}
+	return err
+}
+
+func join(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+
+// scalarText returns a plain value as the lines of Parse would have it: names have no spaces or commas there.
+func scalarText(raw []byte) (string, error) {
+	if raw[0] != '"' {
+		return strings.TrimPrefix(string(raw), "null"), nil
+	}
+	text, err := jsonscan.String(raw)
+	return strings.NewReplacer(" ", "_", ",", "_").Replace(text), err
+}
--- /dev/null
+++ b/internal/platformsettings/settings.go
@@ -0,0 +1,90 @@
+package platformsettings
+
+import (
+	"fmt"
+
+	"alderproxy/policy"
+)
+
+// idempotencies are the protocol's names of what a retry of a class does.
+var idempotencies = map[string]policy.Idempotency{
+	"read_like":       policy.Idempotent,
+	"idempotency_key": policy.IdempotentByKey,
+	"non_idempotent":  policy.NonIdempotent,
+}
+
+// Settings returns the decision module's settings. A missing value means none, as the protocol has it. The error names the
+// first value that cannot be read.
+func (v *Values) Settings() (policy.Settings, error) {
+	s := policy.Settings{
+		InstanceIndex:         v.integer("my_number"),
+		InstanceCount:         v.integer("fleet_size"),
+		Tick:                  v.Micros("tick_us"),
+		OverQuotaWeight:       v.number("over_share_worth"),
+		Zone:                  v.integer("locality"),
+		Shards:                v.integer("family_info.slices"),
+		RingSize:              v.integer("family_info.cells"),
+		ReplicationFactor:     v.integer("family_info.reach"),
+		MaxBatchSize:          v.integer("family_info.batch"),
+		BatchOverhead:         v.Micros("family_info.per_call_work_us"),
+		ServersCacheKeys:      v.Flag("family_info.warm_keys"),
+		MaxAttempts:           v.integer("permissions.max_attempts"),
+		MaxOpen:               v.integer("permissions.max_open"),
+		AllowHedging:          v.Flag("permissions.second_copies"),
+		AllowCancel:           v.Flag("permissions.cancel"),
+		AllowHealthChecks:     v.Flag("permissions.probes"),
+		SendRetryAfter:        v.Flag("permissions.retry_after"),
+		MaxRetryAfter:         v.Micros("permissions.max_retry_after_us"),
+		LoadByHealthCheckOnly: v.texts["feedback.how"] == "on_probe",
+		PollEndpoints:         v.texts["discovery"] == "subscribe",
+		PollInterval:          v.Micros("guarantees.ask_within_us"),
+		AnswerSlack:           v.Micros("guarantees.answer_slack_us"),
+		DrainGrace:            v.Micros("guarantees.drain_grace_us"),
+		SlowStartFraction:     v.number("guarantees.cold_share"),
+		SlowStartDuration:     v.Micros("guarantees.cold_us"),
+		OverloadFactor:        v.number("guarantees.fall_multiple"),
+		OverloadDuration:      v.Micros("guarantees.overload_for_us"),
+		RetryBudgetMinimum:    v.number("guarantees.budget_free"),
+		RetryBudgetRatio:      v.number("guarantees.further_ratio"),
+		PriceCrossZone:        v.number("penalties.cross_zone"),
+		PriceHealthCheck:      v.number("penalties.probe"),
+	}
+	_, hasMinimum := v.texts["guarantees.budget_free"]
+	_, hasRatio := v.texts["guarantees.further_ratio"]
+	if hasMinimum || hasRatio {
+		s.RetryBudgetWindow = v.Micros("guarantees.budget_span_us")
+	}
+	for i := range v.count("grades.count") {
+		s.Classes = append(s.Classes, v.class(i))
+	}
+	for i := range v.count("realms.count") {
+		s.Tenants = append(s.Tenants, v.tenant(i))
+	}
+	return s, v.err
+}
+
+func (v *Values) class(index int) policy.Class {
+	prefix := fmt.Sprintf("grades.%d.", index)
+	idempotency, known := idempotencies[v.texts[prefix+"effect"]]
+	if !known {
+		v.fail(prefix+"effect", errUnknownIdempotency)
+	}
+	return policy.Class{
+		Name:                v.texts[prefix+"name"],
+		LatencyObjective:    v.Micros(prefix + "promise_us"),
+		Timeout:             v.Micros(prefix + "give_up_us"),
+		PriorityWeight:      v.number(prefix + "gain"),
+		LateWeight:          v.number(prefix + "late_worth"),
+		Idempotency:         idempotency,
+		DeduplicationWindow: v.Micros(prefix + "window_us"),
+		MinCoverage:         v.item("family_info.least_share", index, 1),
+		RequiredCoverage:    v.item("family_info.need_by_class", index, 1),
+		PartialWeight:       v.item("family_info.partial_earns", index, 0),
+		FetchParts:          int(v.item("family_info.fetch_parts", index, 0)),
+	}
+}
+
+func (v *Values) tenant(index int) policy.Tenant {
+	prefix := fmt.Sprintf("realms.%d.", index)
+	return policy.Tenant{Name: v.texts[prefix+"name"], QueriesPerSecond: v.number(prefix + "allowance_per_s")}
+}
--- a/internal/simcodec/events.go
+++ b/internal/simcodec/events.go
@@ -22,7 +22,7 @@
 // Start starts an instance.
 type Start struct {
 	Salt     uint64 // the seed of its random numbers
-	Settings string // see ParseFacts
+	Settings string // see platformsettings.Parse
 }
 
 // Stop kills an instance.
@@ -81,7 +81,7 @@
 	Data []byte
 }
 
-// AttemptResult is the result of an attempt with the values of its load report, which Facts.Report names.
+// AttemptResult is the result of an attempt with the values of its load report, which platformsettings.Values.LoadReport names.
 type AttemptResult struct {
 	policy.AttemptResult
 
@@ -89,7 +89,7 @@
 	Final      bool
 }
 
-// HealthCheckResult is the result of a health check with the values of its load report, which Facts.Report names.
+// HealthCheckResult is the result of a health check with the values of its load report, which platformsettings.Values.LoadReport names.
 type HealthCheckResult struct {
 	policy.HealthCheckResult
 
--- a/storepool/helpers_test.go
+++ b/storepool/helpers_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"alderproxy/broker"
-	"alderproxy/internal/simcodec"
+	"alderproxy/internal/platformsettings"
 	"alderproxy/internal/testserver"
 	"alderproxy/policy"
 )
@@ -42,7 +42,7 @@
 // one before it has ended, and the final answer out of the second.
 func submitQuery(t *testing.T) (attemptQueue, responses) {
 	t.Helper()
-	facts, err := simcodec.FlattenFacts(fmt.Appendf(nil, testserver.Settings, testserver.Save, 0, 15_000_000))
+	facts, err := platformsettings.ParseJSON(fmt.Appendf(nil, testserver.Settings, testserver.Save, 0, 15_000_000))
 	require.NoError(t, err)
 	settings, err := facts.Settings()
 	require.NoError(t, err)
