--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -9,7 +9,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// watchLeadership tells the event loop when this instance becomes the leader and when it ends to be it.
+// watchLeadership notifies the event loop when this instance becomes the leader and when it stops being the leader.
 func (n *Node) watchLeadership(changes <-chan bool) {
 	for {
 		select {
@@ -26,7 +26,7 @@
 	}
 }
 
-// waitUntilReady tells the event loop when this instance has applied all entries of earlier terms.
+// waitUntilReady notifies the event loop when this instance has applied all entries of earlier terms.
 func (n *Node) waitUntilReady(term uint64) {
 	const noTimeout = 0
 	if n.raft.Barrier(noTimeout).Error() == nil {
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -58,11 +58,9 @@
 	return n, nil
 }
 
+// newNode returns a node that has not started anything.
 func newNode(config Config, directory *dataDirectory) (*Node, error) {
-	_, directoryID, err := parseServerID(string(directory.id))
-	if err != nil {
-		return nil, err
-	}
+	_, directoryID, _ := parseServerID(string(directory.id)) // an id that identify has made
 	group, err := directory.group()
 	if err != nil {
 		return nil, err
@@ -112,7 +110,8 @@
 	return nil
 }
 
-// startRaft starts Raft, the endpoint for the other instances and the goroutines.
+// startRaft starts the endpoint for the other instances, Raft and the goroutines, in this order. The endpoint answers
+// no call before Raft has started.
 func (n *Node) startRaft(snapshots raft.SnapshotStore) error {
 	ready := make(chan struct{}) // closed when calls can be handled
 	raftTransport := newTransport(n.config.Address)
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -96,7 +96,8 @@
 
 // InstallSnapshot sends a snapshot.
 func (t *transport) InstallSnapshot(
-	id raft.ServerID, address raft.ServerAddress, request *raft.InstallSnapshotRequest, response *raft.InstallSnapshotResponse, data io.Reader,
+	id raft.ServerID, address raft.ServerAddress, request *raft.InstallSnapshotRequest,
+	response *raft.InstallSnapshotResponse, data io.Reader,
 ) error {
 	return t.callWithStream(peerTarget(id, address), rpcInstallSnapshot, request, response, data, installSnapshotTimeout)
 }
