--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -199,11 +199,11 @@
 	switch {
 	case current.rejection != nil:
 		decision.Instance = current.rejectedBy
-		decision.Why = current.rejection.Reason
+		decision.Reason = current.rejection.Reason
 	case len(current.unanswered) > 0 && c.now < current.checkDeadline:
 		return
 	case current.acceptCount <= c.voterCount()/2:
-		decision.Why = fmt.Sprintf("only %d of %d instances could check it", current.acceptCount, c.voterCount())
+		decision.Reason = fmt.Sprintf("only %d of %d instances could check it", current.acceptCount, c.voterCount())
 	default:
 		decision.Accept = true
 	}
--- /dev/null
+++ b/sharedconfig/encoding_test.go
@@ -0,0 +1,54 @@
+package sharedconfig
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestEncodedNames checks the names in stored and sent data, which must not change with the names in the code.
+func TestEncodedNames(t *testing.T) {
+	change := Change{
+		Request: "r", Expect: 1, Text: "t", Digest: "d", Author: "a", Reason: "why", At: 5, Restores: 6,
+	}
+	version := Version{
+		Number: 2, Digest: "d", Author: "a", Reason: "why", At: 5, Request: "r", Restores: 6, Text: "t",
+	}
+	member := Member{Name: "n1", Folder: "f1", Addr: "a1", Voter: true}
+	outcome := Outcome{Request: "r", Status: Refused, Version: 2, Instance: "n1", Why: "no"}
+	const (
+		changeJSON  = `{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"why","at":5,"restores":6}`
+		versionJSON = `{"number":2,"digest":"d","author":"a","reason":"why","at":5,"request":"r","restores":6,"text":"t"}`
+		memberJSON  = `{"name":"n1","folder":"f1","addr":"a1","voter":true}`
+		outcomeJSON = `{"request":"r","status":"refused","version":2,"instance":"n1","why":"no"}`
+	)
+	for want, value := range map[string]any{
+		changeJSON:  change,
+		versionJSON: version,
+		memberJSON:  member,
+		outcomeJSON: outcome,
+		`{"found":{"group":"g","keep":3,"first":` + changeJSON + `}}`: Entry{
+			Found: &Bootstrap{Group: "g", Keep: 3, First: change},
+		},
+		`{"propose":` + changeJSON + `}`: Entry{Propose: &change},
+		`{"decide":{"request":"r","accept":true,"instance":"n1","why":"no"}}`: Entry{
+			Decide: &Decision{Request: "r", Accept: true, Instance: "n1", Reason: "no"},
+		},
+		`{"retire":{"folder":"f1"}}`: Entry{Retire: &Retirement{InstanceID: "f1"}},
+		`{"group":"g","keep":3,"versions":[` + versionJSON + `],"pending":` + changeJSON +
+			`,"outcomes":[` + outcomeJSON + `],"retired":["f1"]}`: State{
+			Group: "g", MaxVersions: 3, Versions: []Version{version}, Pending: &change, Outcomes: []Outcome{outcome}, Retired: []string{"f1"},
+		},
+		`{"have":2,"digest":"d"}`: PollRequest{Version: 2, Digest: "d"},
+		`{"ok":true,"why":"no","group":"g","version":2,"left":7,"active":` + versionJSON + `,"voters":[` + memberJSON + `]}`: ReplyReceived{
+			Seq: 9, OK: true, Reason: "no", Group: "g", Version: 2, LeaseRemaining: 7, Active: &version, Voters: []Member{member},
+		},
+		`{"Call":4,"OK":true,"Version":2,"Removed":true}`: AnswerLeaseRequest{Call: 4, OK: true, Version: 2, Removed: true},
+	} {
+		got, err := json.Marshal(value)
+		require.NoError(t, err)
+		assert.Equal(t, want, string(got))
+	}
+}
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -7,10 +7,10 @@
 
 // Entry is an entry of the replicated log. Exactly one field is set.
 type Entry struct {
-	Found   *Bootstrap `json:"found,omitempty"`
-	Propose *Change    `json:"propose,omitempty"`
-	Decide  *Decision  `json:"decide,omitempty"`
-	Retire  *Retire    `json:"retire,omitempty"`
+	Found   *Bootstrap  `json:"found,omitempty"`
+	Propose *Change     `json:"propose,omitempty"`
+	Decide  *Decision   `json:"decide,omitempty"`
+	Retire  *Retirement `json:"retire,omitempty"`
 }
 
 // Bootstrap creates a group with its first version.
@@ -25,12 +25,12 @@
 	Request  string `json:"request"`
 	Accept   bool   `json:"accept"`
 	Instance string `json:"instance,omitempty"` // name of the instance that rejected it
-	Why      string `json:"why,omitempty"`      // reason of a rejection
+	Reason   string `json:"why,omitempty"`      // reason of a rejection
 }
 
-// Retire records the ID of a removed instance, which must never become a member again.
-type Retire struct {
-	Folder string `json:"folder"`
+// Retirement records the ID of a removed instance, which must never become a member again.
+type Retirement struct {
+	InstanceID string `json:"folder"`
 }
 
 // Encode returns the entry in its form in the log, which DecodeEntry reads.
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -90,14 +90,14 @@
 
 // ReplyReceived is a voter's answer to PollVoter. If OK is false, the voter has no lease itself and only Why is set.
 type ReplyReceived struct {
-	Seq     uint64   `json:"-"`
-	OK      bool     `json:"ok"`
-	Why     string   `json:"why,omitempty"`
-	Group   string   `json:"group,omitempty"`
-	Version uint64   `json:"version,omitempty"` // active version, which the voter's lease covers
-	Left    Micros   `json:"left,omitempty"`    // remaining duration of that lease on the voter's clock
-	Active  *Version `json:"active,omitempty"`  // nil: the poll named the same version
-	Voters  []Member `json:"voters,omitempty"`
+	Seq            uint64   `json:"-"`
+	OK             bool     `json:"ok"`
+	Reason         string   `json:"why,omitempty"`
+	Group          string   `json:"group,omitempty"`
+	Version        uint64   `json:"version,omitempty"` // active version, which the voter's lease covers
+	LeaseRemaining Micros   `json:"left,omitempty"`    // remaining duration of that lease on the voter's clock
+	Active         *Version `json:"active,omitempty"`  // nil: the poll named the same version
+	Voters         []Member `json:"voters,omitempty"`
 }
 
 // CallTimedOut reports that a voter did not answer a poll, or that its answer was invalid.
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -119,7 +119,7 @@
 	if f.group == "" {
 		return PollRequest{}
 	}
-	return PollRequest{Have: f.active.Number, Digest: f.active.Digest}
+	return PollRequest{Version: f.active.Number, Digest: f.active.Digest}
 }
 
 func (f *Follower) handleCallTimedOut(e CallTimedOut) {
@@ -180,10 +180,10 @@
 
 // extendLease adds the grant of a reply to a poll that was sent at the given time.
 func (f *Follower) extendLease(sentAt Micros, e ReplyReceived) {
-	until := grantUntil(sentAt, min(e.Left, f.settings.StalenessBound))
+	until := grantUntil(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
 	if until <= f.now {
 		return
 	}
-	f.lease = f.lease.withGrant(Grant{Version: e.Version, Until: until}, f.now)
+	f.lease = f.lease.withGrant(Grant{Version: e.Version, ExpiresAt: until}, f.now)
 	f.emit(NewLease{Lease: f.lease})
 }
--- a/sharedconfig/follower_test.go
+++ b/sharedconfig/follower_test.go
@@ -21,13 +21,13 @@
 // grantingReply returns a voter's reply with a full lease. Its active version has the digest "d".
 func grantingReply(seq uint64, group string, version uint64, voters []Member) ReplyReceived {
 	return ReplyReceived{
-		Seq:     seq,
-		OK:      true,
-		Group:   group,
-		Version: version,
-		Left:    modelStalenessBound,
-		Active:  &Version{Number: version, Digest: "d"},
-		Voters:  voters,
+		Seq:            seq,
+		OK:             true,
+		Group:          group,
+		Version:        version,
+		LeaseRemaining: modelStalenessBound,
+		Active:         &Version{Number: version, Digest: "d"},
+		Voters:         voters,
 	}
 }
 
@@ -48,7 +48,7 @@
 		require.Equal(t, "a0", first.Voter.Addr)
 
 		second := stepForPoll(f, 100_000, grantingReply(first.Seq, "g", 3, voters))
-		require.Equal(t, PollRequest{Have: 3, Digest: "d"}, second.Request)
+		require.Equal(t, PollRequest{Version: 3, Digest: "d"}, second.Request)
 		require.Equal(t, uint64(3), f.Active().Number)
 		preferred[second.Voter.Addr]++
 
@@ -56,7 +56,7 @@
 		require.NotEqual(t, second.Voter.Addr, third.Voter.Addr)
 		failedOverTo[third.Voter.Addr]++
 
-		late := ReplyReceived{Seq: second.Seq, OK: true, Group: "g", Version: 3, Left: bound}
+		late := ReplyReceived{Seq: second.Seq, OK: true, Group: "g", Version: 3, LeaseRemaining: bound}
 		require.Empty(t, f.Step(201_000, []Event{late}), "a poll counts once")
 
 		stepForPoll(f, 300_000, grantingReply(third.Seq, "other", 9, nil))
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -14,8 +14,8 @@
 // was the active version at t or later. Any newer version became active after t, so v and all newer versions may be
 // served until t plus the staleness bound.
 type Grant struct {
-	Version uint64
-	Until   Micros
+	Version   uint64 // lowest version that the grant covers
+	ExpiresAt Micros
 }
 
 // grantUntil returns the end of a grant of the given duration. It counts from the time of the request: however late the
@@ -26,7 +26,7 @@
 
 // covers reports whether g allows everything that other allows.
 func (g Grant) covers(other Grant) bool {
-	return g.Version <= other.Version && g.Until >= other.Until
+	return g.Version <= other.Version && g.ExpiresAt >= other.ExpiresAt
 }
 
 // Lease is what an instance was granted: which versions it may serve and until when. A Lease is immutable.
@@ -41,7 +41,7 @@
 	until := Micros(0)
 	for _, grant := range l.Grants {
 		if grant.Version <= version {
-			until = max(until, grant.Until)
+			until = max(until, grant.ExpiresAt)
 		}
 	}
 	return until
@@ -61,7 +61,7 @@
 func (l Lease) withGrant(grant Grant, now Micros) Lease {
 	var grants []Grant
 	for _, other := range l.Grants {
-		if other.Until > now && !grant.covers(other) {
+		if other.ExpiresAt > now && !grant.covers(other) {
 			grants = append(grants, other)
 		}
 	}
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -45,7 +45,7 @@
 	if until <= c.now {
 		return
 	}
-	c.lease = c.lease.withGrant(Grant{Version: e.Version, Until: until}, c.now)
+	c.lease = c.lease.withGrant(Grant{Version: e.Version, ExpiresAt: until}, c.now)
 	c.emit(NewLease{Lease: c.lease})
 }
 
--- a/sharedconfig/lease_test.go
+++ b/sharedconfig/lease_test.go
@@ -18,14 +18,14 @@
 		for range rapid.IntRange(1, 30).Draw(t, "grants") {
 			now += Micros(rapid.IntRange(0, 5).Draw(t, "passes"))
 			grant := Grant{
-				Version: uint64(rapid.IntRange(1, 6).Draw(t, "version")),
-				Until:   now + Micros(rapid.IntRange(1, 10).Draw(t, "for")),
+				Version:   uint64(rapid.IntRange(1, 6).Draw(t, "version")),
+				ExpiresAt: now + Micros(rapid.IntRange(1, 10).Draw(t, "for")),
 			}
 			all = append(all, grant)
 			lease = lease.withGrant(grant, now)
 			for version := uint64(0); version <= 7; version++ {
 				want := slices.ContainsFunc(all, func(g Grant) bool {
-					return version > 0 && g.Version <= version && now < g.Until
+					return version > 0 && g.Version <= version && now < g.ExpiresAt
 				})
 				require.Equal(t, want, lease.Holds(now, version), "version %d at %d of %v by %v", version, now, all, lease.Grants)
 			}
@@ -39,7 +39,7 @@
 	assert.False(t, serving.Allows(1, 0), "no version is known yet")
 	assert.False(t, Lease{Serve: true, Removed: true}.Allows(1, 3))
 
-	granted := Lease{Grants: []Grant{{Version: 1, Until: 10}}}
+	granted := Lease{Grants: []Grant{{Version: 1, ExpiresAt: 10}}}
 	assert.False(t, granted.Allows(10, 1))
 	assert.True(t, granted.Allows(9, 1))
 
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -53,7 +53,7 @@
 			member.Name, c.reachableVoters(member.Folder), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
-		c.emit(Append{Entry: Entry{Retire: &Retire{Folder: member.Folder}}})
+		c.emit(Append{Entry: Entry{Retire: &Retirement{InstanceID: member.Folder}}})
 		c.submitMembershipChange()
 	}
 }
--- a/sharedconfig/poll.go
+++ b/sharedconfig/poll.go
@@ -4,8 +4,8 @@
 
 // PollRequest is what a Follower sends to a voter.
 type PollRequest struct {
-	Have   uint64 `json:"have"`   // number of the version that the follower has; 0: none
-	Digest string `json:"digest"` // of that version
+	Version uint64 `json:"have"`   // number of the version that the follower has; 0: none
+	Digest  string `json:"digest"` // of that version
 }
 
 // Answer returns a voter's reply to a poll: the active version and the rest of the voter's lease, if that covers the
@@ -13,20 +13,20 @@
 func Answer(state State, lease Lease, now Micros, members []Member, request PollRequest) ReplyReceived {
 	active := state.Active()
 	if !lease.Holds(now, active.Number) {
-		return ReplyReceived{Why: cmp.Or(lease.Reason(now, active.Number), "no lease")}
+		return ReplyReceived{Reason: cmp.Or(lease.Reason(now, active.Number), "no lease")}
 	}
 	reply := ReplyReceived{
-		OK:      true,
-		Group:   state.Group,
-		Version: active.Number,
-		Left:    lease.Until(active.Number) - now,
+		OK:             true,
+		Group:          state.Group,
+		Version:        active.Number,
+		LeaseRemaining: lease.Until(active.Number) - now,
 	}
 	for _, member := range members {
 		if member.Voter {
 			reply.Voters = append(reply.Voters, member)
 		}
 	}
-	if request.Have != active.Number || request.Digest != active.Digest {
+	if request.Version != active.Number || request.Digest != active.Digest {
 		reply.Active = &active
 	}
 	return reply
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -17,12 +17,12 @@
 // State is the result of the log's entries up to a point. Methods return new states and never modify what a state
 // refers to, so a copy stays valid.
 type State struct {
-	Group    string    `json:"group"`    // ID of the group; empty before the bootstrap
-	Keep     int       `json:"keep"`     // number of versions retained
-	Versions []Version `json:"versions"` // by ascending number; the last one is active
-	Pending  *Change   `json:"pending,omitempty"`
-	Outcomes []Outcome `json:"outcomes"`          // of the latest changes, in the order of their decisions
-	Retired  []string  `json:"retired,omitempty"` // IDs of removed instances
+	Group       string    `json:"group"`    // ID of the group; empty before the bootstrap
+	MaxVersions int       `json:"keep"`     // number of versions retained
+	Versions    []Version `json:"versions"` // by ascending number; the last one is active
+	Pending     *Change   `json:"pending,omitempty"`
+	Outcomes    []Outcome `json:"outcomes"`          // of the latest changes, in the order of their decisions
+	Retired     []string  `json:"retired,omitempty"` // IDs of removed instances
 }
 
 // Active returns the active version. Its number is 0 before the bootstrap.
@@ -68,14 +68,14 @@
 	switch {
 	case e.Found != nil && len(s.Versions) == 0:
 		s.Group = e.Found.Group
-		s.Keep = max(minRetainedVersions, e.Found.Keep)
+		s.MaxVersions = max(minRetainedVersions, e.Found.Keep)
 		return s.activate(e.Found.First)
 	case e.Propose != nil && len(s.Versions) > 0:
 		return s.propose(*e.Propose)
 	case e.Decide != nil:
 		return s.decide(*e.Decide)
-	case e.Retire != nil && !s.IsRetired(e.Retire.Folder):
-		s.Retired = append(slices.Clip(s.Retired), e.Retire.Folder)
+	case e.Retire != nil && !s.IsRetired(e.Retire.InstanceID):
+		s.Retired = append(slices.Clip(s.Retired), e.Retire.InstanceID)
 	}
 	return s, Outcome{}
 }
@@ -117,7 +117,7 @@
 			Request:  decision.Request,
 			Status:   Refused,
 			Instance: decision.Instance,
-			Why:      decision.Why,
+			Why:      decision.Reason,
 		}
 		return s.recordOutcome(outcome), outcome
 	}
@@ -135,7 +135,7 @@
 		Restores: change.Restores,
 		Text:     change.Text,
 	}
-	s.Versions = appendBounded(s.Versions, version, s.Keep)
+	s.Versions = appendBounded(s.Versions, version, s.MaxVersions)
 	outcome := Outcome{Request: change.Request, Status: Done, Version: version.Number}
 	return s.recordOutcome(outcome), outcome
 }
@@ -171,7 +171,7 @@
 			return fmt.Errorf("version %d stands where another belongs", v.Number)
 		}
 	}
-	if len(s.Versions) > 0 && (s.Group == "" || s.Keep < minRetainedVersions) {
+	if len(s.Versions) > 0 && (s.Group == "" || s.MaxVersions < minRetainedVersions) {
 		return errors.New("versions without a group")
 	}
 	return nil
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -47,7 +47,7 @@
 		expect := state.Active().Number - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
 		return Entry{Propose: &Change{Request: request, Text: text, Digest: text, Expect: expect}}
 	case 2:
-		return Entry{Decide: &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Why: "no"}}
+		return Entry{Decide: &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Reason: "no"}}
 	default:
 		return Entry{Found: &Bootstrap{Group: "other"}}
 	}
