--- a/sharedconfig/actions.go
+++ b/sharedconfig/actions.go
@@ -1,7 +1,5 @@
 package sharedconfig
 
-import "fmt"
-
 // Action is an output of a Core or Follower: one of the types that implement it in this package. The caller carries out
 // actions in the order given.
 type Action interface{ action() }
@@ -77,21 +75,3 @@
 func (NewLease) action()           {}
 func (Log) action()                {}
 func (PollVoter) action()          {}
-
-// stepState is the clock reading and the collected actions of a Core's or Follower's current step.
-type stepState struct {
-	now     Micros
-	actions []Action
-}
-
-// begin starts a step. The clock never runs backwards, whatever the caller passes.
-func (s *stepState) begin(now Micros) {
-	s.now = max(now, s.now)
-	s.actions = nil
-}
-
-func (s *stepState) emit(action Action) { s.actions = append(s.actions, action) }
-
-func (s *stepState) logf(format string, args ...any) {
-	s.emit(Log{Text: fmt.Sprintf(format, args...)})
-}
