--- a/policy/actions.go
+++ b/policy/actions.go
@@ -25,7 +25,7 @@
 	Complete bool
 }
 
-// Reject ends a query without an answer. None of its effects is in doubt, so the client may retry it.
+// Reject ends a query without an answer. Its parts did not run or may run again, so the client may retry it.
 type Reject struct {
 	Query uint64 // ID
 
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -197,8 +197,8 @@
 	a.rebuildReplicas()
 }
 
-// extendShards makes room for the state of more shards. It never removes any: open parts may belong to shards
-// that no longer exist.
+// extendShards adds the state of new shards. It never removes any: open parts may belong to shards that no longer
+// exist.
 func (a *Aggregator) extendShards(shards int) {
 	for len(a.replicas) < shards {
 		a.replicas = append(a.replicas, nil)
--- a/policy/crashsuspects.go
+++ b/policy/crashsuspects.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// minBrokenServers is the number of servers that must break a query's connections before it is given up.
+// minBrokenServers is the number of servers that must break a query's connections before it is ended.
 const minBrokenServers = 2
 
-// handleBrokenConnection gives up a query that may crash servers: one whose connections two servers broke before
+// handleBrokenConnection ends a query that may crash servers: one whose connections two servers broke before
 // any part was answered. For the slow start duration, queries with the same key and retries then send one part
 // ahead of the others. Several connections that a single server breaks are no evidence, nor are resets that spare
 // some of the query's parts.
--- a/policy/events.go
+++ b/policy/events.go
@@ -78,7 +78,7 @@
 	// Key identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
 	Key uint64
 
-	// Deadline is when the client gives up this try.
+	// Deadline is when the client stops waiting for this try.
 	Deadline Micros
 
 	// Parts is the number of the parts that follow.
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -68,7 +68,8 @@
 	})
 	r := f.Run(10 * second)
 	before, after := r.Seconds[2], r.Seconds[6]
-	assert.Greater(t, after.Served/after.Asked, before.Served/before.Asked-0.1, "share answered a second after the restart")
+	assert.Greater(t, after.Served/after.Asked, before.Served/before.Asked-0.1,
+		"share answered a second after the restart")
 	assert.Less(t, float64(r.Sends)/float64(r.Parts), 1.1, "attempts per part")
 }
 
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// mayReplaceLate reports whether the limits leave room for another attempt at a late part.
+// mayReplaceLate reports whether the rules and limits permit another attempt at a late part.
 func (a *Aggregator) mayReplaceLate(p *part) bool {
 	return !a.attemptsExhausted(p) && a.withinRetryBudget() &&
 		p.isIdempotent() && a.queuedReportRate <= maxQueuedReportRate
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -9,7 +9,7 @@
 
 // The last part of a query, at a slow server while the others are idle, is hedged as long as the latency objective
 // can be met. The parts of a query without answers are not, since all are late under overload, nor is the last part
-// replaced in place, which would give up the attempt in flight.
+// replaced in place, which would lose the attempt in flight.
 func TestStragglerIsHedgedBeforeTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		answered     int // of 5 parts
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -41,10 +41,13 @@
 
 // predictLatency returns the predicted latency of a part at a server in microseconds, the inverse of its utility.
 func (a *Aggregator) predictLatency(s *server, p *part) float64 {
-	loadFactor := 1 + loadSensitivity*a.estimateLoad(s)
-	return p.query.class.referenceLatency*p.relativeCost*a.slowness(s)*loadFactor + float64(a.backlog(s))
+	idleLatency := p.query.class.referenceLatency * p.relativeCost * a.slowness(s)
+	return idleLatency*loadFactor(a.estimateLoad(s)) + float64(a.backlog(s))
 }
 
+// loadFactor returns the factor by which requests at a server raise its latency.
+func loadFactor(load float64) float64 { return 1 + loadSensitivity*load }
+
 // slowness returns a server's latency ratio plus a penalty for its failures.
 func (a *Aggregator) slowness(s *server) float64 {
 	return a.currentLatencyRatio(s) + failurePenalty*a.decayedFailureRate(s)
@@ -68,8 +71,8 @@
 // ageRatio returns the age of an attempt as a multiple of the latency expected of an average server.
 func (a *Aggregator) ageRatio(attempt *attempt) float64 {
 	p := attempt.part
-	loadFactor := 1 + loadSensitivity*attempt.assumedLoad
-	return float64(a.now-attempt.sentAt) / (p.query.class.referenceLatency * p.relativeCost * loadFactor)
+	expected := p.query.class.referenceLatency * p.relativeCost * loadFactor(attempt.assumedLoad)
+	return float64(a.now-attempt.sentAt) / expected
 }
 
 // decayedFailureRate returns the share of a server's attempts, 0 to 1, that are expected to fail.
@@ -112,8 +115,7 @@
 // an idle server.
 func (a *Aggregator) idleLatency(attempt *attempt) float64 {
 	c := attempt.part.query.class
-	loadFactor := 1 + loadSensitivity*attempt.assumedLoad
-	latency := float64(a.now-attempt.sentAt) / loadFactor / attempt.part.relativeCost
+	latency := float64(a.now-attempt.sentAt) / loadFactor(attempt.assumedLoad) / attempt.part.relativeCost
 	return min(latency, maxSampleRatio*c.referenceLatency)
 }
 
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -1,7 +1,7 @@
 package policy
 
-// withinRetryBudget reports whether another retry fits the budget. The window is one tick narrower for accepted
-// queries and parts, and one tick wider for retries, than the rule demands: the owner may count by another clock.
+// withinRetryBudget reports whether another retry fits the budget. To stay on the safe side, the window is one tick
+// narrower for accepted queries and parts, and one tick wider for retries.
 func (a *Aggregator) withinRetryBudget() bool {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return true
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ruleChecker reports random valid events to an aggregator and checks the rules on its actions. It does not model
-// servers: results and delays are drawn at random.
+// ruleChecker reports random valid events to an aggregator and checks the rules on its actions (rulechecks_test.go).
+// It does not model servers: results and delays are drawn at random.
 type ruleChecker struct {
 	test       *testing.T
 	settings   Settings
@@ -43,13 +43,6 @@
 	repeatSettings bool
 }
 
-// warmingSend is work sent to a server during its slow start.
-type warmingSend struct {
-	sentAt          Micros
-	serverStartedAt Micros
-	work            float64 // microseconds
-}
-
 type checkedQuery struct {
 	class              Class // as of the query's arrival
 	deadline           Micros
@@ -316,14 +309,6 @@
 	}
 }
 
-func (c *ruleChecker) checkDeadlines() {
-	for id, query := range c.queries {
-		if !query.closed && c.now > query.deadline+c.settings.AnswerSlack {
-			c.test.Fatalf("query %d got no final action by its deadline", id)
-		}
-	}
-}
-
 func (c *ruleChecker) check(action Action) {
 	switch action := action.(type) {
 	case SendAttempt:
@@ -362,77 +347,6 @@
 	c.endedQueries++
 }
 
-func (c *ruleChecker) checkReject(action Reject) {
-	query := c.queries[action.Query]
-	for _, p := range query.parts {
-		if query.class.Idempotency == NonIdempotent && p.hasEffect() {
-			c.test.Fatalf("query %d rejected although a part of it may have run", action.Query)
-		}
-	}
-	c.endQuery(action.Query)
-}
-
-// hasEffect reports whether an attempt at the part may have run or may still run.
-func (p *checkedPart) hasEffect() bool { return p.mayHaveRun || len(p.inFlight) > 0 }
-
-func (c *ruleChecker) checkAnswer(action Answer) {
-	const tolerance = 1e-4
-	query := c.queries[action.Query]
-	class := query.class
-	coverage := 0.0
-	answered := 0
-	for _, p := range query.parts {
-		if p.answered {
-			coverage += p.weight
-			answered++
-		}
-	}
-	required := class.RequiredCoverage
-	if query.phase == fetchPhase {
-		required = 1
-	}
-	if coverage < class.MinCoverage-tolerance {
-		c.test.Fatalf("query %d answered at a coverage of %v, minimum %v", action.Query, coverage, class.MinCoverage)
-	}
-	isIncomplete := coverage < required-tolerance || query.phase == fetchPhase && !query.firstPhaseComplete
-	if action.Complete && isIncomplete {
-		c.test.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.Query, coverage, query.phase)
-	}
-	if query.phase == firstPhase && class.FetchParts > 0 {
-		query.phase = fetchPhase
-		query.firstPhaseComplete = action.Complete
-		number := c.aggregator.queries[action.Query].Number
-		c.addParts(query, number, min(answered, class.FetchParts))
-		return
-	}
-	c.endQuery(action.Query)
-}
-
-// checkSend checks an attempt and draws its result.
-func (c *ruleChecker) checkSend(action SendAttempt) {
-	p := c.parts[action.Part]
-	if p.query.closed {
-		c.test.Fatalf("part %d sent after its query ended", action.Part)
-	}
-	c.checkServer(action, p)
-	c.checkSlowStart(action.Server, c.aggregator.parts[action.Part].query.class.referenceLatency)
-	c.checkIdempotency(action, p)
-	if p.attempts >= c.settings.MaxAttempts {
-		c.test.Fatalf("part %d sent more than %d times", action.Part, c.settings.MaxAttempts)
-	}
-	if p.attempts > 0 {
-		c.retries = append(c.retries, c.now)
-		c.checkRetryBudget()
-	}
-	if !p.hasEffect() {
-		p.firstSentAt = c.now
-	}
-	p.inFlight[p.attempts] = true
-	c.startAttempt(action, p.attempts)
-	p.attempts++
-	c.sentAttempts++
-}
-
 func (c *ruleChecker) startAttempt(action SendAttempt, index int) {
 	status := OK
 	if c.random.IntN(3) == 0 {
@@ -454,73 +368,3 @@
 		status: status,
 	})
 }
-
-func (c *ruleChecker) checkServer(action SendAttempt, p *checkedPart) {
-	if at, ok := c.drainedAt[action.Server]; ok && c.now > at+c.settings.DrainGrace {
-		c.test.Fatalf("part %d sent to server %d, which is draining or removed", action.Part, action.Server)
-	}
-	size := c.settings.RingSize
-	distance := (c.servers[action.Server].RingPosition - p.shard + 2*size) % size
-	if distance >= c.settings.ReplicationFactor {
-		c.test.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.Part, p.shard, action.Server)
-	}
-}
-
-func (c *ruleChecker) checkIdempotency(action SendAttempt, p *checkedPart) {
-	class := p.query.class
-	if len(p.inFlight) > 0 && !c.settings.AllowHedging {
-		c.test.Fatalf("part %d hedged although hedging is not allowed", action.Part)
-	}
-	if class.Idempotency == NonIdempotent && p.hasEffect() {
-		c.test.Fatalf("non-idempotent part %d retried although it may have run", action.Part)
-	}
-	isTooLate := c.now > p.firstSentAt+class.DeduplicationWindow
-	if class.Idempotency == IdempotentByKey && p.hasEffect() && isTooLate {
-		c.test.Fatalf("part %d retried after its deduplication window", action.Part)
-	}
-}
-
-func (c *ruleChecker) checkRetryBudget() {
-	windowStart := c.now - c.settings.RetryBudgetWindow
-	retries := countSince(c.retries, windowStart)
-	accepted := countSince(c.accepted, windowStart)
-	if float64(retries) > c.settings.RetryBudgetMinimum+c.settings.RetryBudgetRatio*float64(accepted) {
-		c.test.Fatalf("%d retries for %d accepted queries and parts", retries, accepted)
-	}
-}
-
-// checkSlowStart checks that the work sent to a warming server within the overload duration stays within this
-// aggregator's share. The work is that which the aggregator has learned. Where the share is less than a part, two
-// parts may fall within the duration; TestWarmingServersAreNotOverloaded checks the sum over all aggregators.
-func (c *ruleChecker) checkSlowStart(id uint32, work float64) {
-	server := c.servers[id]
-	if server.StartedAt <= 0 || c.now >= server.StartedAt+c.settings.SlowStartDuration {
-		return
-	}
-	c.warmingSends[id] = append(c.warmingSends[id], warmingSend{c.now, server.StartedAt, work})
-	sum := 0.0
-	parts := 0
-	for _, sent := range c.warmingSends[id] {
-		if sent.serverStartedAt == server.StartedAt && sent.sentAt > c.now-c.settings.OverloadDuration {
-			sum += sent.work
-			parts++
-		}
-	}
-	progress := float64(c.now-server.StartedAt) / float64(c.settings.SlowStartDuration)
-	fraction := c.settings.SlowStartFraction + (1-c.settings.SlowStartFraction)*progress
-	duration := float64(c.settings.OverloadDuration)
-	limit := c.settings.OverloadFactor * fraction * duration / float64(c.settings.InstanceCount)
-	if sum > limit*1.001 && parts > 2 {
-		c.test.Fatalf("warming server %d was sent %d parts of work %v, limit %v", id, parts, sum, limit)
-	}
-}
-
-func countSince(times []Micros, from Micros) int {
-	count := 0
-	for _, at := range times {
-		if at >= from {
-			count++
-		}
-	}
-	return count
-}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -125,8 +125,8 @@
 	// PollEndpoints says that the endpoint list arrives only after a PollEndpoints action.
 	PollEndpoints bool
 
-	// PollInterval is the time between polls of the endpoint list, failed ones included, after which an aggregator
-	// must know the list. It limits the backoff of polls; 0 if there is no limit.
+	// PollInterval is the time since its last poll, failed ones included, after which an aggregator counts as knowing
+	// the endpoint list. It limits the backoff of polls; 0 if there is no limit.
 	PollInterval Micros
 
 	// AnswerSlack is the time past a query's deadline that its final action may come at the latest.
