--- a/admin/config.go
+++ b/admin/config.go
@@ -136,7 +136,7 @@
 	sharedconfig.Done:     http.StatusOK,
 	sharedconfig.Conflict: http.StatusConflict,
 	sharedconfig.Busy:     http.StatusConflict,
-	sharedconfig.Refused:  http.StatusUnprocessableEntity,
+	sharedconfig.Rejected: http.StatusUnprocessableEntity,
 	sharedconfig.Unknown:  http.StatusServiceUnavailable,
 }
 
--- a/broker/admission.go
+++ b/broker/admission.go
@@ -96,11 +96,11 @@
 	q.parts = append(q.parts, p)
 	b.partsByID[p.id] = p
 	b.emit(policy.Part{
-		ID:       p.id,
-		Number:   q.id,
-		Shard:    spec.Shard,
-		Key:      spec.AffinityKey,
-		Weight:   spec.Weight,
-		CostHint: spec.CostHint,
+		ID:          p.id,
+		Number:      q.id,
+		Shard:       spec.Shard,
+		AffinityKey: spec.AffinityKey,
+		Weight:      spec.Weight,
+		CostHint:    spec.CostHint,
 	})
 }
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
 	n, err := raftnode.Open(raftnode.Config{
-		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, Speed: 5,
+		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
 		Log: testserver.Log(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
--- a/cmd/alderproxy/client.go
+++ b/cmd/alderproxy/client.go
@@ -58,23 +58,23 @@
 	}
 	switch {
 	case outcome.Status == sharedconfig.Unknown && outcome.Request != "":
-		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Why, outcome.Request)
+		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Reason, outcome.Request)
 	case outcome.Status == sharedconfig.Unknown:
-		return fmt.Errorf("unknown whether it was done: %s", outcome.Why)
+		return fmt.Errorf("unknown whether it was done: %s", outcome.Reason)
 	case outcome.Instance != "":
-		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.Instance, outcome.Why)
+		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.Instance, outcome.Reason)
 	}
-	return fmt.Errorf("%s: %s", outcome.Status, outcome.Why)
+	return fmt.Errorf("%s: %s", outcome.Status, outcome.Reason)
 }
 
 func printDone(out *output, outcome sharedconfig.Outcome) {
 	switch {
-	case outcome.Version > 0 && outcome.Why != "":
-		out.printf("version %d is active: %s\n", outcome.Version, outcome.Why)
+	case outcome.Version > 0 && outcome.Reason != "":
+		out.printf("version %d is active: %s\n", outcome.Version, outcome.Reason)
 	case outcome.Version > 0:
 		out.printf("version %d is active\n", outcome.Version)
-	case outcome.Why != "":
-		out.printf("%s\n", outcome.Why)
+	case outcome.Reason != "":
+		out.printf("%s\n", outcome.Reason)
 	default:
 		out.printf("done\n")
 	}
--- a/cmd/alderproxy/instances.go
+++ b/cmd/alderproxy/instances.go
@@ -25,7 +25,7 @@
 		a.groupCommand("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1),
 			func(given []string) raftnode.Command {
 				successor := strings.Join(given, "")
-				return raftnode.Command{HandOver: &successor}
+				return raftnode.Command{TransferLeadership: &successor}
 			}),
 	)
 	return c
@@ -73,12 +73,12 @@
 func printInstances(out *output, status raftnode.Status) {
 	var rows []string
 	for _, m := range status.Members {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s", m.Name, m.Addr, yesOrNo(m.Voter), yesOrNo(m.Name == status.Leader), m.Folder))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s", m.Name, m.Addr, yesOrNo(m.Voter), yesOrNo(m.Name == status.Leader), m.DataDirectoryID))
 	}
 	out.table("INSTANCE\tADDRESS\tVOTE\tLEADS\tFOLDER", rows)
 	out.printf("%s serves version %d of %d; term %d", status.Name, status.Serving, status.Version, status.Term)
-	if status.Why != "" {
-		out.printf("; not as agreed: %s", status.Why)
+	if status.Reason != "" {
+		out.printf("; not as agreed: %s", status.Reason)
 	}
 	out.printf("\n")
 }
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -51,7 +51,7 @@
 func printRecoveryReport(out *output, directory string, report raftnode.RecoveryReport) {
 	active := report.State.Active()
 	out.printf("folder %s of %s: %d versions, the newest is %d (%s) by %s; the log ends at entry %d of term %d\n",
-		directory, report.Name, len(report.State.Versions), active.Number, active.Digest, active.Author, report.Last, report.Term)
+		directory, report.Name, len(report.State.Versions), active.Number, active.Digest, active.Author, report.LastLogIndex, report.Term)
 	if pending := report.State.Pending; pending != nil {
 		out.printf("change %s by %s is pending: it will be dropped\n", pending.Request, pending.Author)
 	}
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -37,7 +37,7 @@
 		MaxRetryAfter:         v.Micros("permissions.max_retry_after_us"),
 		LoadByHealthCheckOnly: v.texts["feedback.how"] == "on_probe",
 		PollEndpoints:         v.texts["discovery"] == "subscribe",
-		PollInterval:          v.Micros("guarantees.ask_within_us"),
+		MaxPollInterval:       v.Micros("guarantees.ask_within_us"),
 		AnswerSlack:           v.Micros("guarantees.answer_slack_us"),
 		DrainGrace:            v.Micros("guarantees.drain_grace_us"),
 		SlowStartFraction:     v.number("guarantees.cold_share"),
--- a/policy/crashsuspects.go
+++ b/policy/crashsuspects.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if len(q.brokenServers) >= minBrokenServers || q.canaryFirst {
-		a.crashSuspectKey = q.Key
+		a.crashSuspectKey = q.Fingerprint
 		a.crashSuspectUntil = a.now + a.settings.SlowStartDuration
 		a.rejectOrFail(q)
 	}
@@ -25,6 +25,6 @@
 
 // mayCrashServers reports whether a new query may be one that has recently broken connections.
 func (a *Aggregator) mayCrashServers(q *query) bool {
-	hasSuspectKey := q.Key != 0 && q.Key == a.crashSuspectKey
+	hasSuspectKey := q.Fingerprint != 0 && q.Fingerprint == a.crashSuspectKey
 	return a.now < a.crashSuspectUntil && (q.Retry || hasSuspectKey)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -84,7 +84,7 @@
 	}
 	a.failedPolls = min(a.failedPolls+1, maxBackoffDoublings)
 	spread := minPollSpread + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
-	longest := cmp.Or(a.settings.PollInterval, math.MaxInt64)
+	longest := cmp.Or(a.settings.MaxPollInterval, math.MaxInt64)
 	wait := min(Micros(a.meanObjective*spread)<<a.failedPolls, longest)
 	a.pollAt = a.now + wait
 	a.emit(SetTimer{After: wait})
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -28,7 +28,7 @@
 		s.InstanceCount = instances
 		s.InstanceIndex = index
 		s.PollEndpoints = true
-		s.PollInterval = 10_000_000
+		s.MaxPollInterval = 10_000_000
 		h := newHarness(t, s)
 		require.Len(t, actionsOf[PollEndpoints](h.actions), 1, "at the start")
 		var waits []Micros
@@ -38,7 +38,7 @@
 		firstWaits[waits[0]] = true
 		assert.GreaterOrEqual(t, waits[0], Micros(h.aggregator.meanObjective)/2, "instance %d: %v", index, waits)
 		assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "instance %d: %v", index, waits)
-		assert.LessOrEqual(t, waits[4], s.PollInterval+2*testTick, "instance %d: %v", index, waits)
+		assert.LessOrEqual(t, waits[4], s.MaxPollInterval+2*testTick, "instance %d: %v", index, waits)
 		h.step(testTick, EndpointList{readyEndpoints(1, 2, 3)})
 		assert.Zero(t, h.aggregator.failedPolls, "instance %d", index)
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -75,8 +75,8 @@
 	Class  int
 	Tenant int
 
-	// Key identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
-	Key uint64
+	// Fingerprint identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
+	Fingerprint uint64
 
 	// Deadline is when the client stops waiting for this try.
 	Deadline Micros
@@ -97,8 +97,8 @@
 
 	Shard int
 
-	// Key is the part's affinity key; 0 if there is none. The decisions do not use it.
-	Key uint64
+	// AffinityKey is the part's affinity key; 0 if there is none. The decisions do not use it.
+	AffinityKey uint64
 
 	// Weight is the part's share of the answer, 0 to 1. The weights of a phase's parts add up to 1.
 	Weight float64
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -44,7 +44,7 @@
 	s.InstanceCount = []int{2, 11, 32, 90}[seed%4]
 	s.InstanceIndex = int(seed) % s.InstanceCount
 	s.PollEndpoints = seed%2 == 1
-	s.PollInterval = 10_000_000
+	s.MaxPollInterval = 10_000_000
 	if seed%5 == 0 {
 		s.Tenants = nil
 	}
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -209,14 +209,14 @@
 	}
 	c.queries[id] = query
 	c.add(Query{
-		ID:       id,
-		Number:   c.lastNumber,
-		Class:    classIndex,
-		Tenant:   c.random.IntN(2),
-		Deadline: query.deadline,
-		Parts:    parts,
-		Retry:    c.random.IntN(5) == 0,
-		Key:      uint64(c.random.IntN(4)),
+		ID:          id,
+		Number:      c.lastNumber,
+		Class:       classIndex,
+		Tenant:      c.random.IntN(2),
+		Deadline:    query.deadline,
+		Parts:       parts,
+		Retry:       c.random.IntN(5) == 0,
+		Fingerprint: uint64(c.random.IntN(4)),
 	})
 	c.accepted = append(c.accepted, c.now)
 	c.addParts(query, c.lastNumber, parts)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -125,9 +125,9 @@
 	// PollEndpoints says that the endpoint list arrives only after a PollEndpoints action.
 	PollEndpoints bool
 
-	// PollInterval is the time since its last poll, failed ones included, after which an aggregator counts as knowing
+	// MaxPollInterval is the time since its last poll, failed ones included, after which an aggregator counts as knowing
 	// the endpoint list. It limits the backoff of polls; 0 if there is no limit.
-	PollInterval Micros
+	MaxPollInterval Micros
 
 	// AnswerSlack is the time past a query's deadline that its final action may come at the latest.
 	AnswerSlack Micros
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -155,7 +155,7 @@
 		add := &sharedconfig.Member{Name: name, Addr: r.instances[name].peerProxy.Addr()}
 		o, err := first.client().Execute(raftnode.Command{Add: add})
 		require.NoError(r.t, err)
-		require.Equal(r.t, sharedconfig.Done, o.Status, o.Why)
+		require.Equal(r.t, sharedconfig.Done, o.Status, o.Reason)
 	}
 }
 
@@ -331,7 +331,7 @@
 func (r *cluster) transferLeadershipToN1() {
 	name := "n1"
 	require.Eventually(r.t, func() bool {
-		o, err := r.instances["n2"].client().Execute(raftnode.Command{HandOver: &name})
+		o, err := r.instances["n2"].client().Execute(raftnode.Command{TransferLeadership: &name})
 		s, err2 := r.instances[name].client().Status()
 		return err == nil && err2 == nil && o.Status == sharedconfig.Done && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -39,7 +39,7 @@
 			require.Eventually(t, func() bool { // the survivors agree on what became of it, and so does the one that died
 				for k, name := range []string{"n1", "n2", "n3"} {
 					s, err := r.instances[name].client().Status()
-					if err != nil || s.Pending != "" || s.Leader == "" || s.Why != "" {
+					if err != nil || s.Pending != "" || s.Leader == "" || s.Reason != "" {
 						return false
 					}
 					versions[k] = s.Serving
@@ -81,7 +81,7 @@
 		require.NoError(t, err)
 		o, err := r.instances["n2"].client().Put(configPut("while "+name, s.Number, 10+int(s.Number)))
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		var waiting []*bufio.Reader
 		for range 5 { // the kernel takes these for it
 			c, err := new(net.Dialer).DialContext(t.Context(), "tcp", i.searchAddr)
@@ -113,7 +113,7 @@
 			go func() {
 				o, err := r.instances[name].client().Put(configPut(fmt.Sprint(round, name), round+1, 100*int(round)+k+2))
 				if err != nil {
-					o.Why = err.Error()
+					o.Reason = err.Error()
 				}
 				results <- o
 			}()
@@ -133,9 +133,9 @@
 	} {
 		o, err := r.instances["n3"].client().Put(admin.ConfigChange{Request: what, Expect: 6, Text: text, Author: "test"})
 		if err == nil {
-			assert.Equal(t, sharedconfig.Refused, o.Status)
+			assert.Equal(t, sharedconfig.Rejected, o.Status)
 			assert.NotEmpty(t, o.Instance)
-			err = errors.New(o.Why)
+			err = errors.New(o.Reason)
 		}
 		require.ErrorContains(t, err, what)
 	}
@@ -160,7 +160,7 @@
 			o, err = client.Put(configPut(fmt.Sprint("c", v), v, int(v)+1))
 			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
 		}, 20*time.Second, 10*time.Millisecond)
-		require.Equal(t, sharedconfig.Done, o.Status, "%s %v", o.Why, err)
+		require.Equal(t, sharedconfig.Done, o.Status, "%s %v", o.Reason, err)
 	}
 	r.waitUntilServing(9, "n2", "n3")
 	sum := load.stop()
--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -40,7 +40,7 @@
 			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
 		}, 20*time.Second, 20*time.Millisecond)
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		load.versionReplaced(version)
 		version++
 		r.waitUntilServing(version, follow...)
@@ -51,8 +51,8 @@
 	f1 := r.instances["f1"].client()
 	o, err := f1.Put(configPut("elsewhere", version, 99))
 	require.NoError(t, err)
-	assert.Equal(t, sharedconfig.Refused, o.Status)
-	assert.Contains(t, o.Why, r.instances["n2"].peerProxy.Addr())
+	assert.Equal(t, sharedconfig.Rejected, o.Status)
+	assert.Contains(t, o.Reason, r.instances["n2"].peerProxy.Addr())
 	v, err := f1.Show(0, true)
 	require.NoError(t, err)
 	assert.Equal(t, version, v.Number)
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -64,7 +64,7 @@
 		began := time.Now()
 		o, err := r.instances["n2"].client().Put(configPut(fmt.Sprint(v), v, int(v)+1))
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		done = append(done, time.Since(began))
 		until(t, func() bool { return r.allServe(v+1, "n1", "n2", "n3") })
 		everywhere = append(everywhere, time.Since(began))
@@ -85,7 +85,7 @@
 		until(t, func() bool {
 			s, err := r.instances["n2"].client().Status()
 			leader = s.Leader
-			return err == nil && leader != "" && s.Why == ""
+			return err == nil && leader != "" && s.Reason == ""
 		})
 		var others []string
 		for _, name := range []string{"n1", "n2", "n3"} {
@@ -119,7 +119,7 @@
 		require.NoError(t, err)
 		o, err := r.instances[others[0]].client().Put(configPut(fmt.Sprint("after ", round), v.Number, round+1000))
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		puts = append(puts, time.Since(began))
 		stop.Store(true)
 		wg.Wait()
@@ -174,7 +174,7 @@
 			require.NoError(t, err)
 			o, err := r.instances["n3"].client().Put(configPut(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
 			require.NoError(t, err)
-			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+			require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		}
 		wg.Wait()
 		return sum
@@ -206,8 +206,8 @@
 			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			n, err := raftnode.Open(raftnode.Config{
-				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, Speed: 4,
-				SnapshotAfter: after, Log: quiet.WithField("measure", true),
+				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, RaftSpeedup: 4,
+				SnapshotThreshold: after, Log: quiet.WithField("measure", true),
 				Check: func(string) error { return nil }, Activate: func(sharedconfig.Version) error { return nil },
 			})
 			require.NoError(t, err)
@@ -217,7 +217,7 @@
 		for v := uint64(1); v < 1000; v++ {
 			text := fmt.Sprintf(documentTemplate, v+1)
 			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
-			require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+			require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		}
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
 		require.NoError(t, n.Close())
@@ -234,7 +234,7 @@
 		until(t, func() bool { ok, _ := n.Gate(n.ServedVersion()); return ok && n.State().Active().Number == 1000 })
 		st := n.Status()
 		t.Logf("1,000 versions, snapshot_after %d: folder %d KiB, log entries %d to %d, opened in %v, serving by version %d after %v", after, size>>10,
-			st.LogFirst, st.LogLast, opened, n.ServedVersion(), time.Since(began))
+			st.FirstLogIndex, st.LastLogIndex, opened, n.ServedVersion(), time.Since(began))
 		require.NoError(t, n.Close())
 	}
 }
@@ -329,7 +329,7 @@
 func (r *cluster) measureLeaderKill(load *queryLoad, round int, version uint64, followers []string) time.Duration {
 	voters := []string{"n1", "n2", "n3"}
 	leader := ""
-	until(r.t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.Lease > 0 })
+	until(r.t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.LeaseRemaining > 0 })
 	until(r.t, func() bool {
 		for _, name := range voters {
 			if s, err := r.instances[name].client().Status(); err == nil && s.Leader != "" {
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -162,7 +162,7 @@
 	}, 20*time.Second, 50*time.Millisecond)
 	o, err := client.Put(configPut("split", 1, 2))
 	require.NoError(t, err)
-	require.Equal(t, sharedconfig.Done, o.Status, o.Why)
+	require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 	load.versionReplaced(1)
 	r.waitForView(there, 30*time.Second)
 	// Whoever is on the smaller side stops by the bound: it cannot know that its version was not replaced.
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -50,8 +50,8 @@
 // checkChange asks a member, perhaps this one, whether it could serve a change's document.
 func (n *Node) checkChange(action sharedconfig.Check) {
 	result := sharedconfig.CheckResult{
-		Request: action.Change.Request,
-		Folder:  action.Member.Folder,
+		Request:    action.Change.Request,
+		InstanceID: action.Member.DataDirectoryID,
 	}
 	rejection, err := n.requestCheck(action)
 	if err != nil {
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -66,14 +66,14 @@
 func (c *testCluster) newConfig(name string) Config {
 	c.t.Helper()
 	config := Config{
-		Name:           name,
-		DataDirectory:  filepath.Join(c.directory, name),
-		Key:            []byte("k"),
-		StalenessBound: c.stalenessBound,
-		Speed:          5,
-		SnapshotAfter:  8,
-		Log:            testserver.Log(),
-		Activate:       func(sharedconfig.Version) error { return nil },
+		Name:              name,
+		DataDirectory:     filepath.Join(c.directory, name),
+		Key:               []byte("k"),
+		StalenessBound:    c.stalenessBound,
+		RaftSpeedup:       5,
+		SnapshotThreshold: 8,
+		Log:               testserver.Log(),
+		Activate:          func(sharedconfig.Version) error { return nil },
 		Check: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
 				return fmt.Errorf("%s has no such index", name)
@@ -133,7 +133,7 @@
 		config := c.newConfig(name)
 		c.open(config)
 		outcome := n1.Execute(addCommand(name, config.Address), 15*time.Second)
-		require.Equal(c.t, sharedconfig.Done, outcome.Status, outcome.Why)
+		require.Equal(c.t, sharedconfig.Done, outcome.Status, outcome.Reason)
 	}
 	c.waitUntilServing(1)
 }
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -13,10 +13,10 @@
 
 // Command is an operator's command to the group. Exactly one field is set.
 type Command struct {
-	Change   *sharedconfig.Change `json:"change,omitempty"`
-	Add      *sharedconfig.Member `json:"add,omitempty"`       // only its name and address are used
-	Remove   string               `json:"remove,omitempty"`    // a member's name
-	HandOver *string              `json:"hand_over,omitempty"` // the next leader's name; empty: any voter
+	Change             *sharedconfig.Change `json:"change,omitempty"`
+	Add                *sharedconfig.Member `json:"add,omitempty"`       // only its name and address are used
+	Remove             string               `json:"remove,omitempty"`    // a member's name
+	TransferLeadership *string              `json:"hand_over,omitempty"` // the next leader's name; empty: any voter
 }
 
 const (
@@ -35,7 +35,7 @@
 // repeated.
 func (n *Node) Execute(command Command, timeout time.Duration) sharedconfig.Outcome {
 	deadline := time.Now().Add(timeout)
-	outcome := sharedconfig.Outcome{Why: ErrNoLeader.Error()}
+	outcome := sharedconfig.Outcome{Reason: ErrNoLeader.Error()}
 	if command.Change != nil {
 		outcome.Request = command.Change.Request
 	}
@@ -71,7 +71,7 @@
 	}
 	outcome, err := n.forward(command, id, address, timeout)
 	if err != nil {
-		outcome = sharedconfig.Outcome{Request: outcome.Request, Why: err.Error()}
+		outcome = sharedconfig.Outcome{Request: outcome.Request, Reason: err.Error()}
 	}
 	return outcome, true
 }
@@ -114,8 +114,8 @@
 		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
 			return sharedconfig.RemoveRequested{Call: call, Name: command.Remove}
 		})
-	case command.HandOver != nil:
-		return n.transferLeadershipTo(*command.HandOver)
+	case command.TransferLeadership != nil:
+		return n.transferLeadershipTo(*command.TransferLeadership)
 	}
 	return refusedOutcome("an empty order")
 }
@@ -133,7 +133,7 @@
 	if name != member.Name {
 		return refusedOutcome(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
 	}
-	added := sharedconfig.Member{Name: name, Folder: directoryID, Addr: member.Addr}
+	added := sharedconfig.Member{Name: name, DataDirectoryID: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(call uint64) sharedconfig.Event {
 		return sharedconfig.AddRequested{Call: call, Member: added}
 	})
@@ -143,11 +143,11 @@
 func (n *Node) callCore(timeout time.Duration, newEvent func(call uint64) sharedconfig.Event) sharedconfig.Outcome {
 	outcome, ok := callEventLoop(n, n.commands, timeout, newEvent)
 	if !ok {
-		return sharedconfig.Outcome{Why: "not decided in time"}
+		return sharedconfig.Outcome{Reason: "not decided in time"}
 	}
 	return outcome
 }
 
 func refusedOutcome(reason string) sharedconfig.Outcome {
-	return sharedconfig.Outcome{Status: sharedconfig.Refused, Why: reason}
+	return sharedconfig.Outcome{Status: sharedconfig.Rejected, Reason: reason}
 }
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -53,7 +53,7 @@
 		DataDirectory:  filepath.Join(directory, name),
 		Key:            []byte("k"),
 		StalenessBound: time.Second,
-		Speed:          5,
+		RaftSpeedup:    5,
 		Log:            testserver.Log(),
 		Check:          func(string) error { return nil },
 		Activate:       func(sharedconfig.Version) error { return nil },
@@ -120,7 +120,7 @@
 	require.NoError(t, err)
 	assertStoredAs(t, "state", report.State)
 	assertStoredAs(t, "members", report.Members)
-	assert.Equal(t, written.Status.LogLast, report.Last)
+	assert.Equal(t, written.Status.LastLogIndex, report.LastLogIndex)
 	assert.Equal(t, written.Status.Term, report.Term)
 
 	stored, err := openDataDirectory(n1, "n1")
@@ -147,5 +147,5 @@
 	t.Cleanup(func() { assert.NoError(t, node.Close()) })
 	assert.NotZero(t, node.ServedVersion())
 	assert.False(t, isServing(node))
-	assert.Equal(t, ErrRemoved.Error(), node.Status().Why)
+	assert.Equal(t, ErrRemoved.Error(), node.Status().Reason)
 }
--- a/raftnode/config.go
+++ b/raftnode/config.go
@@ -30,11 +30,11 @@
 	Voters []string
 	// ServeWhenStale lets the instance serve without a lease.
 	ServeWhenStale bool
-	// Speed divides Raft's default timeouts. 0 and 1 leave them as they are.
-	Speed int
-	// SnapshotAfter is how many entries the log may have until it is compacted. 0: Raft's default.
-	SnapshotAfter int
-	Log           *logrus.Entry
+	// RaftSpeedup divides Raft's default timeouts. 0 and 1 leave them as they are.
+	RaftSpeedup int
+	// SnapshotThreshold is how many entries the log may have until it is compacted. 0: Raft's default.
+	SnapshotThreshold int
+	Log               *logrus.Entry
 	// Check returns why the instance could not serve a document.
 	Check func(text string) error
 	// Activate makes the instance serve a version. It is called for one version after another, never concurrently.
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -142,19 +142,19 @@
 	active := f.active.Load()
 	served := f.servedVersion.Load()
 	status := Status{
-		Name:    f.config.Name,
-		Group:   *f.group.Load(),
-		Version: active.Number,
-		Serving: served,
-		Digest:  active.Digest,
-		Lease:   f.leaseRemaining(),
-		Why:     f.lease.Load().Reason(clock.Now(), served),
+		Name:           f.config.Name,
+		Group:          *f.group.Load(),
+		Version:        active.Number,
+		Serving:        served,
+		Digest:         active.Digest,
+		LeaseRemaining: f.leaseRemaining(),
+		Reason:         f.lease.Load().Reason(clock.Now(), served),
 	}
 	for _, voter := range *f.voters.Load() {
 		if voter.Name != "" {
 			status.Members = append(status.Members, voter)
 		}
-		status.Follows = append(status.Follows, voter.Addr)
+		status.VoterAddresses = append(status.VoterAddresses, voter.Addr)
 	}
 	return status
 }
@@ -186,4 +186,4 @@
 	return outcome
 }
 
-func (f *Follower) voterAddresses() string { return strings.Join(f.Status().Follows, ", ") }
+func (f *Follower) voterAddresses() string { return strings.Join(f.Status().VoterAddresses, ", ") }
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -64,7 +64,7 @@
 // transferLeadershipTo transfers the leadership to the voter with a name, or to any voter if the name is empty.
 func (n *Node) transferLeadershipTo(name string) sharedconfig.Outcome {
 	if name != "" && name == n.config.Name {
-		return sharedconfig.Outcome{Status: sharedconfig.Done, Why: name + " leads"}
+		return sharedconfig.Outcome{Status: sharedconfig.Done, Reason: name + " leads"}
 	}
 	var future raft.Future
 	if name == "" {
@@ -74,11 +74,11 @@
 		if !found {
 			return refusedOutcome("there is no instance " + name + " with a vote")
 		}
-		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.Folder), raft.ServerAddress(voter.Addr))
+		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.DataDirectoryID), raft.ServerAddress(voter.Addr))
 	}
 	err := future.Error()
 	if errors.Is(err, raft.ErrNotLeader) {
-		return sharedconfig.Outcome{Why: "this instance does not lead"}
+		return sharedconfig.Outcome{Reason: "this instance does not lead"}
 	}
 	if err != nil {
 		return refusedOutcome(err.Error())
--- a/raftnode/linearizability_test.go
+++ b/raftnode/linearizability_test.go
@@ -56,7 +56,7 @@
 			return []any{current}
 		}
 		return nil
-	case sharedconfig.Refused:
+	case sharedconfig.Rejected:
 		return []any{current}
 	default: // unknown: it may have been written, now or later, or not
 		if expectationHolds {
--- a/raftnode/membership_test.go
+++ b/raftnode/membership_test.go
@@ -25,26 +25,26 @@
 	node := c.open(config)
 	add := addCommand(name, config.Address)
 	outcome := leader.Execute(add, 5*time.Second)
-	assert.Equal(t, sharedconfig.Refused, outcome.Status)
-	assert.Contains(t, outcome.Why, "another folder")
+	assert.Equal(t, sharedconfig.Rejected, outcome.Status)
+	assert.Contains(t, outcome.Reason, "another folder")
 	assert.Zero(t, node.Status().Term, "it was asked for its vote")
 
 	require.Equal(t, sharedconfig.Done, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
 	outcome = leader.Execute(add, 15*time.Second)
-	require.Equal(t, sharedconfig.Done, outcome.Status, outcome.Why)
+	require.Equal(t, sharedconfig.Done, outcome.Status, outcome.Reason)
 	c.waitUntilServing(1)
 
 	require.Equal(t, sharedconfig.Done, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
-	require.Eventually(t, func() bool { return node.Status().Why == ErrRemoved.Error() }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return node.Status().Reason == ErrRemoved.Error() }, 10*time.Second, 5*time.Millisecond)
 	outcome = leader.Execute(add, 5*time.Second)
-	assert.Contains(t, outcome.Why, "removed from this group for good")
+	assert.Contains(t, outcome.Reason, "removed from this group for good")
 }
 
 // An instance that restarts at another address with its data directory keeps its vote.
 func TestInstanceMovesToAnotherAddress(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
-	c.leader().Execute(Command{HandOver: new(string)}, time.Second)
+	c.leader().Execute(Command{TransferLeadership: new(string)}, time.Second)
 	config := c.closeNode("n2")
 	c.moveToNewAddress(&config)
 	n2 := c.open(config)
@@ -80,7 +80,7 @@
 	require.NoError(t, leader.Close())
 	delete(c.nodes, leader.config.Name)
 	outcome := <-outcomes
-	assert.Equal(t, sharedconfig.Done, outcome.Status, outcome.Why)
+	assert.Equal(t, sharedconfig.Done, outcome.Status, outcome.Reason)
 	c.waitUntilServing(13)
 	voters := 0
 	for _, member := range n4.Members() {
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -160,15 +160,15 @@
 	config := raft.DefaultConfig()
 	config.LocalID = n.directory.id
 	config.MaxAppendEntries = maxAppendEntries
-	if speed := time.Duration(n.config.Speed); speed > 1 {
+	if speed := time.Duration(n.config.RaftSpeedup); speed > 1 {
 		config.HeartbeatTimeout /= speed
 		config.ElectionTimeout /= speed
 		config.LeaderLeaseTimeout /= speed
 		config.CommitTimeout /= speed
 	}
-	if n.config.SnapshotAfter > 0 {
-		config.SnapshotThreshold = uint64(n.config.SnapshotAfter)
-		config.TrailingLogs = uint64(n.config.SnapshotAfter) / trailingLogsDivisor
+	if n.config.SnapshotThreshold > 0 {
+		config.SnapshotThreshold = uint64(n.config.SnapshotThreshold)
+		config.TrailingLogs = uint64(n.config.SnapshotThreshold) / trailingLogsDivisor
 		config.SnapshotInterval = snapshotInterval
 	}
 	return config
--- a/raftnode/node_test.go
+++ b/raftnode/node_test.go
@@ -26,7 +26,7 @@
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
 	outcome := c.nodes["n1"].Execute(changeCommand("a", 1, "bad for n3"), 10*time.Second)
-	want := sharedconfig.Outcome{Request: "a", Status: sharedconfig.Refused, Instance: "n3", Why: "n3 has no such index"}
+	want := sharedconfig.Outcome{Request: "a", Status: sharedconfig.Rejected, Instance: "n3", Reason: "n3 has no such index"}
 	assert.Equal(t, want, outcome)
 	c.waitUntilServing(1)
 	assert.Equal(t, sharedconfig.Done, c.nodes["n2"].Execute(changeCommand("b", 1, "two"), 10*time.Second).Status)
@@ -41,7 +41,7 @@
 	others := c.otherNames(partitioned.config.Name)
 	c.faults.Isolate(partitioned.config.Name, others...)
 	outcome := c.nodes[others[0]].Execute(changeCommand("a", 1, "two"), 10*time.Second)
-	require.Equal(t, sharedconfig.Done, outcome.Status, outcome.Why)
+	require.Equal(t, sharedconfig.Done, outcome.Status, outcome.Reason)
 	replaced := time.Now()
 	require.Eventually(t, func() bool { return !isServing(partitioned) }, 10*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(replaced), c.stalenessBound)
@@ -87,7 +87,7 @@
 	node := restart()
 	c.waitUntilServing(1)
 	partition()
-	require.Eventually(t, func() bool { return node.Status().Lease == 0 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return node.Status().LeaseRemaining == 0 }, 10*time.Second, 5*time.Millisecond)
 	assert.True(t, isServing(node))
 	node = restart()
 	assert.True(t, isServing(node))
--- a/raftnode/recovery.go
+++ b/raftnode/recovery.go
@@ -15,11 +15,11 @@
 
 // RecoveryReport is what a data directory holds, for the decision whether to recover a group from it.
 type RecoveryReport struct {
-	Name    string                // of the instance
-	Members []sharedconfig.Member // by the newest member list
-	Last    uint64                // index of the log's last entry
-	Term    uint64                // of that entry
-	State   sharedconfig.State    // after that entry, committed or not
+	Name         string                // of the instance
+	Members      []sharedconfig.Member // by the newest member list
+	LastLogIndex uint64                // index of the log's last entry
+	Term         uint64                // of that entry
+	State        sharedconfig.State    // after that entry, committed or not
 }
 
 // Examine reads what an instance's data directory holds, and changes nothing.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return report, err
 	}
-	for index := report.Last + 1; index <= lastIndex; index++ {
+	for index := report.LastLogIndex + 1; index <= lastIndex; index++ {
 		var entry raft.Log
 		if err := store.GetLog(index, &entry); err != nil {
 			return report, err
@@ -105,7 +105,7 @@
 			machine.Apply(&entry)
 		default: // the other types change nothing that is reported
 		}
-		report.Last = entry.Index
+		report.LastLogIndex = entry.Index
 		report.Term = entry.Term
 	}
 	report.Members = membersOf(members)
@@ -127,7 +127,7 @@
 	if err := machine.Restore(reader); err != nil {
 		return none, err
 	}
-	report.Last = meta.Index
+	report.LastLogIndex = meta.Index
 	report.Term = meta.Term
 	return meta.Configuration, nil
 }
@@ -151,8 +151,8 @@
 func (r *recoverySource) otherDirectoryIDs() []string {
 	var ids []string
 	for _, member := range r.report.Members {
-		if serverID(member.Name, member.Folder) != r.directory.id {
-			ids = append(ids, member.Folder)
+		if serverID(member.Name, member.DataDirectoryID) != r.directory.id {
+			ids = append(ids, member.DataDirectoryID)
 		}
 	}
 	slices.Sort(ids)
--- a/raftnode/recovery_test.go
+++ b/raftnode/recovery_test.go
@@ -41,7 +41,7 @@
 	oldConfig.Listener = listen(t, anyLocalPort)
 	n1 := c.open(oldConfig)
 	outcome := n3.Execute(addCommand("n1", oldConfig.Listener.Addr().String()), 5*time.Second)
-	assert.Equal(t, sharedconfig.Refused, outcome.Status, "a member of the old group has joined the new one")
+	assert.Equal(t, sharedconfig.Rejected, outcome.Status, "a member of the old group has joined the new one")
 	assert.False(t, isServing(n1))
 }
 
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -25,9 +25,9 @@
 			Call: 1, OK: true, Version: 2, Removed: true,
 		},
 		`{"remove":"n2"}`:    Command{Remove: name},
-		`{"hand_over":"n2"}`: Command{HandOver: &name},
+		`{"hand_over":"n2"}`: Command{TransferLeadership: &name},
 		`{"add":{"name":"n2","folder":"f","addr":"a","voter":true}}`: Command{
-			Add: &sharedconfig.Member{Name: name, Folder: "f", Addr: "a", Voter: true},
+			Add: &sharedconfig.Member{Name: name, DataDirectoryID: "f", Addr: "a", Voter: true},
 		},
 		`{"change":{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"w","at":2}}`: Command{
 			Change: &sharedconfig.Change{Request: "r", Expect: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", At: 2},
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -19,15 +19,15 @@
 	Serving uint64 `json:"serving"`
 	Digest  string `json:"digest"`            // of the active version
 	Pending string `json:"pending,omitempty"` // request of the change in progress
-	// Lease is for how many milliseconds the lease still covers the served version.
-	Lease int64 `json:"lease_ms"`
-	// Why is the reason why the instance does not serve under a lease.
-	Why     string                `json:"why,omitempty"`
+	// LeaseRemaining is for how many milliseconds the lease still covers the served version.
+	LeaseRemaining int64 `json:"lease_ms"`
+	// Reason is the reason why the instance does not serve under a lease.
+	Reason  string                `json:"why,omitempty"`
 	Members []sharedconfig.Member `json:"members"`
-	// Follows are the addresses of a follower's voters in the order in which it polls them.
-	Follows  []string `json:"follows,omitempty"`
-	LogFirst uint64   `json:"log_first"` // index of the log's first entry
-	LogLast  uint64   `json:"log_last"`  // index of the log's last entry
+	// VoterAddresses are the addresses of a follower's voters in the order in which it polls them.
+	VoterAddresses []string `json:"follows,omitempty"`
+	FirstLogIndex  uint64   `json:"log_first"` // index of the log's first entry
+	LastLogIndex   uint64   `json:"log_last"`  // index of the log's last entry
 }
 
 // Status returns how this instance sees its group.
@@ -39,18 +39,18 @@
 	served := n.servedVersion.Load()
 	firstIndex, _ := n.directory.store.FirstIndex() // 0 if it cannot be read
 	status := Status{
-		Name:     n.config.Name,
-		Group:    state.Group,
-		Leader:   leader,
-		Term:     n.raft.CurrentTerm(),
-		Version:  state.Active().Number,
-		Serving:  served,
-		Digest:   state.Active().Digest,
-		Lease:    n.leaseRemaining(),
-		Why:      n.lease.Load().Reason(now, served),
-		Members:  n.Members(),
-		LogFirst: firstIndex,
-		LogLast:  n.raft.LastIndex(),
+		Name:           n.config.Name,
+		Group:          state.Group,
+		Leader:         leader,
+		Term:           n.raft.CurrentTerm(),
+		Version:        state.Active().Number,
+		Serving:        served,
+		Digest:         state.Active().Digest,
+		LeaseRemaining: n.leaseRemaining(),
+		Reason:         n.lease.Load().Reason(now, served),
+		Members:        n.Members(),
+		FirstLogIndex:  firstIndex,
+		LastLogIndex:   n.raft.LastIndex(),
 	}
 	if state.Pending != nil {
 		status.Pending = state.Pending.Request
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -73,19 +73,19 @@
 	shared.platform.Store(edge)
 	log := p.log.WithField("instance", p.config.ID)
 	node := raftnode.Config{
-		Name:           p.config.ID,
-		DataDirectory:  p.config.DataDirectory,
-		Address:        c.Address,
-		Key:            key,
-		Voters:         c.Voters,
-		StalenessBound: c.StalenessBound,
-		ServeWhenStale: c.ServeWhenStale,
-		Speed:          c.Speed,
-		SnapshotAfter:  c.SnapshotAfter,
-		Log:            log,
-		Check:          shared.check,
-		Activate:       shared.activate,
-		OnStep:         p.onChangeStep,
+		Name:              p.config.ID,
+		DataDirectory:     p.config.DataDirectory,
+		Address:           c.Address,
+		Key:               key,
+		Voters:            c.Voters,
+		StalenessBound:    c.StalenessBound,
+		ServeWhenStale:    c.ServeWhenStale,
+		RaftSpeedup:       c.Speed,
+		SnapshotThreshold: c.SnapshotAfter,
+		Log:               log,
+		Check:             shared.check,
+		Activate:          shared.activate,
+		OnStep:            p.onChangeStep,
 	}
 	if len(c.Voters) > 0 {
 		err = shared.follow(node)
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -30,7 +30,7 @@
 	isDecided := known.Status != Unknown && known.Status != Pending
 	switch {
 	case !c.leading:
-		c.emit(Reply{Call: e.Call, Outcome: Outcome{Request: e.Change.Request, Why: reasonNotLeader}})
+		c.emit(Reply{Call: e.Call, Outcome: Outcome{Request: e.Change.Request, Reason: reasonNotLeader}})
 	case c.currentChange != nil && c.currentChange.Request == e.Change.Request:
 		c.currentChange.calls = append(c.currentChange.calls, e.Call)
 	case isDecided && c.ready:
@@ -69,7 +69,7 @@
 	if c.currentChange == nil {
 		return
 	}
-	c.replyAll(c.currentChange.calls, Outcome{Request: c.currentChange.Request, Why: reason})
+	c.replyAll(c.currentChange.calls, Outcome{Request: c.currentChange.Request, Reason: reason})
 	c.currentChange = nil
 }
 
@@ -147,7 +147,7 @@
 	if current.callDeadline == 0 || c.now < current.callDeadline {
 		return
 	}
-	c.replyAll(current.calls, Outcome{Request: current.Request, Why: reasonChangeTimedOut})
+	c.replyAll(current.calls, Outcome{Request: current.Request, Reason: reasonChangeTimedOut})
 	current.calls = nil
 	current.callDeadline = 0
 }
@@ -161,7 +161,7 @@
 	current.checkDeadline = c.now + c.settings.CheckTimeout
 	current.unanswered = map[string]Member{}
 	for _, member := range c.members {
-		current.unanswered[member.Folder] = member
+		current.unanswered[member.DataDirectoryID] = member
 		c.emit(Check{Member: member, Change: current.Change})
 	}
 }
@@ -171,11 +171,11 @@
 	if current == nil || current.Request != e.Request || current.decided {
 		return
 	}
-	member, outstanding := current.unanswered[e.Folder]
+	member, outstanding := current.unanswered[e.InstanceID]
 	if !outstanding {
 		return
 	}
-	delete(current.unanswered, e.Folder)
+	delete(current.unanswered, e.InstanceID)
 	switch {
 	case e.TimedOut:
 		c.logf("instance %s did not check change %s: %s", member.Name, e.Request, cmp.Or(e.Reason, "no answer"))
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -146,7 +146,7 @@
 func (c *Core) failPendingCalls() {
 	c.abandonCurrentChange(reasonLeadershipLost)
 	for _, queued := range c.queuedChanges {
-		c.emit(Reply{Call: queued.Call, Outcome: Outcome{Request: queued.Change.Request, Why: reasonLeadershipLost}})
+		c.emit(Reply{Call: queued.Call, Outcome: Outcome{Request: queued.Change.Request, Reason: reasonLeadershipLost}})
 	}
 	c.finishMembershipChange(Unknown, reasonLeadershipLost)
 	for _, request := range slices.Concat(c.waitingLeases, c.verifyingLeases) {
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -14,9 +14,9 @@
 	core := New(Defaults("f1", 1_000_000, false), State{})
 	core.Step(0, []Event{
 		MemberList{Members: []Member{
-			{Name: "n1", Folder: "f1", Addr: "a1", Voter: true},
-			{Name: "n2", Folder: "f2", Addr: "a2", Voter: true},
-			{Name: "n3", Folder: "f3", Addr: "a3", Voter: false},
+			{Name: "n1", DataDirectoryID: "f1", Addr: "a1", Voter: true},
+			{Name: "n2", DataDirectoryID: "f2", Addr: "a2", Voter: true},
+			{Name: "n3", DataDirectoryID: "f3", Addr: "a3", Voter: false},
 		}},
 		Applied{State: state},
 		Role{Leading: true, Term: 4},
@@ -69,10 +69,10 @@
 		},
 	} {
 		core := newLeader()
-		verify := actionsOf[Verify](core.Step(1, []Event{LeaseRequested{Call: 1, Folder: c.instanceID}}))
+		verify := actionsOf[Verify](core.Step(1, []Event{LeaseRequested{Call: 1, InstanceID: c.instanceID}}))
 		require.Len(t, verify, 1, name)
 		// A request during a verification waits for the next one.
-		assert.Empty(t, actionsOf[Verify](core.Step(2, []Event{LeaseRequested{Call: 2, Folder: "f2"}})), name)
+		assert.Empty(t, actionsOf[Verify](core.Step(2, []Event{LeaseRequested{Call: 2, InstanceID: "f2"}})), name)
 		c.verified.Seq = verify[0].Seq
 		actions := core.Step(3, []Event{c.verified})
 		assert.Equal(t, []AnswerLeaseRequest{c.want}, actionsOf[AnswerLeaseRequest](actions), name)
--- a/sharedconfig/encoding_test.go
+++ b/sharedconfig/encoding_test.go
@@ -16,8 +16,8 @@
 	version := Version{
 		Number: 2, Digest: "d", Author: "a", Reason: "why", At: 5, Request: "r", Restores: 6, Text: "t",
 	}
-	member := Member{Name: "n1", Folder: "f1", Addr: "a1", Voter: true}
-	outcome := Outcome{Request: "r", Status: Refused, Version: 2, Instance: "n1", Why: "no"}
+	member := Member{Name: "n1", DataDirectoryID: "f1", Addr: "a1", Voter: true}
+	outcome := Outcome{Request: "r", Status: Rejected, Version: 2, Instance: "n1", Reason: "no"}
 	const (
 		changeJSON  = `{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"why","at":5,"restores":6}`
 		versionJSON = `{"number":2,"digest":"d","author":"a","reason":"why","at":5,"request":"r","restores":6,"text":"t"}`
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -35,17 +35,17 @@
 
 // CheckResult is a member's answer to Check.
 type CheckResult struct {
-	Request  string
-	Folder   string // instance ID of the member
-	Accepted bool
-	TimedOut bool   // the member did not answer; Accepted has no meaning then
-	Reason   string // of a rejection or of a missing answer
+	Request    string
+	InstanceID string // instance ID of the member
+	Accepted   bool
+	TimedOut   bool   // the member did not answer; Accepted has no meaning then
+	Reason     string // of a rejection or of a missing answer
 }
 
 // LeaseRequested is a member's request for a lease. It is answered by one AnswerLeaseRequest.
 type LeaseRequested struct {
-	Call   uint64
-	Folder string // instance ID of the member
+	Call       uint64
+	InstanceID string // instance ID of the member
 }
 
 // Verified is the answer to Verify: whether a majority still took this instance for the leader of the term.
@@ -83,7 +83,7 @@
 }
 
 // CaughtUp reports that a member without a vote has the whole log as it was at the time of WaitForCatchUp.
-type CaughtUp struct{ Folder string }
+type CaughtUp struct{ InstanceID string }
 
 // Tick reports only that time has passed.
 type Tick struct{}
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -56,7 +56,7 @@
 		c.emit(AnswerLeaseRequest{Call: e.Call})
 		return
 	}
-	c.lastRequestFrom[e.Folder] = c.now
+	c.lastRequestFrom[e.InstanceID] = c.now
 	c.waitingLeases = append(c.waitingLeases, e)
 }
 
@@ -84,9 +84,9 @@
 	for _, request := range c.verifyingLeases {
 		answer := AnswerLeaseRequest{Call: request.Call}
 		if isLeader && c.verifyingVersion > 0 {
-			_, isMember := c.findMember(func(m Member) bool { return m.Folder == request.Folder })
+			_, isMember := c.findMember(func(m Member) bool { return m.DataDirectoryID == request.InstanceID })
 			answer.Version = c.verifyingVersion
-			answer.Removed = c.state.IsRetired(request.Folder)
+			answer.Removed = c.state.IsRetired(request.InstanceID)
 			answer.OK = isMember || answer.Removed
 		}
 		c.emit(answer)
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -22,14 +22,14 @@
 	occupant, occupied := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
 	case !c.acceptMembershipRequest(e.Call):
-	case c.state.IsRetired(member.Folder):
+	case c.state.IsRetired(member.DataDirectoryID):
 		c.reject(e.Call, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
-	case known && current.Folder != member.Folder:
+	case known && current.DataDirectoryID != member.DataDirectoryID:
 		c.reject(e.Call, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
 	case occupied:
 		c.reject(e.Call, "%s is the address of %s", member.Addr, occupant.Name)
 	case known && current.Addr == member.Addr && current.Voter:
-		c.emit(Reply{Call: e.Call, Outcome: Outcome{Status: Done, Why: member.Name + " is a member already"}})
+		c.emit(Reply{Call: e.Call, Outcome: Outcome{Status: Done, Reason: member.Name + " is a member already"}})
 	default:
 		member.Voter = known && current.Voter
 		c.beginMembershipChange(membershipChange{call: e.Call, member: member})
@@ -48,12 +48,12 @@
 		c.reject(e.Call, "there is no instance %s", e.Name)
 	case member.Voter && remaining == 0:
 		c.reject(e.Call, "%s is the last instance with a vote", member.Name)
-	case member.Voter && c.reachableVoters(member.Folder) <= remaining/2:
+	case member.Voter && c.reachableVoters(member.DataDirectoryID) <= remaining/2:
 		c.reject(e.Call, "without %s no majority would be reachable: %d of %d",
-			member.Name, c.reachableVoters(member.Folder), remaining)
+			member.Name, c.reachableVoters(member.DataDirectoryID), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
-		c.emit(Append{Entry: Entry{Retire: &Retirement{InstanceID: member.Folder}}})
+		c.emit(Append{Entry: Entry{Retire: &Retirement{InstanceID: member.DataDirectoryID}}})
 		c.submitMembershipChange()
 	}
 }
@@ -62,18 +62,18 @@
 func (c *Core) acceptMembershipRequest(call uint64) bool {
 	switch {
 	case !c.leading || !c.ready:
-		c.emit(Reply{Call: call, Outcome: Outcome{Why: reasonNotLeader}})
+		c.emit(Reply{Call: call, Outcome: Outcome{Reason: reasonNotLeader}})
 		return false
 	case c.membershipChange != nil:
 		reason := "the change of " + c.membershipChange.member.Name + " is under way"
-		c.emit(Reply{Call: call, Outcome: Outcome{Status: Busy, Why: reason}})
+		c.emit(Reply{Call: call, Outcome: Outcome{Status: Busy, Reason: reason}})
 		return false
 	}
 	return true
 }
 
 func (c *Core) reject(call uint64, format string, args ...any) {
-	c.emit(Reply{Call: call, Outcome: Outcome{Status: Refused, Why: fmt.Sprintf(format, args...)}})
+	c.emit(Reply{Call: call, Outcome: Outcome{Status: Rejected, Reason: fmt.Sprintf(format, args...)}})
 }
 
 func (c *Core) beginMembershipChange(change membershipChange) {
@@ -107,7 +107,7 @@
 	if c.membershipChange == nil {
 		return
 	}
-	c.emit(Reply{Call: c.membershipChange.call, Outcome: Outcome{Status: status, Why: reason}})
+	c.emit(Reply{Call: c.membershipChange.call, Outcome: Outcome{Status: status, Reason: reason}})
 	c.membershipChange = nil
 }
 
@@ -115,7 +115,7 @@
 // that an earlier leader began with. It also ends a membership change after its deadline.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
-		isRetired := c.state.IsRetired(member.Folder)
+		isRetired := c.state.IsRetired(member.DataDirectoryID)
 		if isRetired && c.membershipChange == nil {
 			c.beginMembershipChange(membershipChange{member: member, remove: true})
 			c.submitMembershipChange()
@@ -129,11 +129,11 @@
 
 // requestCatchUp asks a member without a vote to report when it has caught up, again after each check timeout.
 func (c *Core) requestCatchUp(member Member) {
-	requestedAt, requested := c.catchUpRequestedAt[member.Folder]
+	requestedAt, requested := c.catchUpRequestedAt[member.DataDirectoryID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
 		return
 	}
-	c.catchUpRequestedAt[member.Folder] = c.now
+	c.catchUpRequestedAt[member.DataDirectoryID] = c.now
 	c.emit(WaitForCatchUp{Member: member})
 }
 
@@ -151,8 +151,8 @@
 
 // handleCaughtUp gives a member a vote. If another membership change is in progress, the member is asked again later.
 func (c *Core) handleCaughtUp(e CaughtUp) {
-	member, isMember := c.findMember(func(m Member) bool { return m.Folder == e.Folder })
-	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.Folder) {
+	member, isMember := c.findMember(func(m Member) bool { return m.DataDirectoryID == e.InstanceID })
+	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.DataDirectoryID) {
 		return
 	}
 	member.Voter = true
@@ -160,7 +160,7 @@
 	switch {
 	case change == nil: // an earlier leader added it
 		c.beginMembershipChange(membershipChange{member: member})
-	case change.seq == 0 && change.member.Folder == member.Folder:
+	case change.seq == 0 && change.member.DataDirectoryID == member.DataDirectoryID:
 		change.member = member
 	default:
 		return
@@ -174,12 +174,12 @@
 func (c *Core) reachableVoters(except string) int {
 	count := 0
 	for _, member := range c.members {
-		if !member.Voter || member.Folder == except {
+		if !member.Voter || member.DataDirectoryID == except {
 			continue
 		}
-		requestedAt, hasRequested := c.lastRequestFrom[member.Folder]
+		requestedAt, hasRequested := c.lastRequestFrom[member.DataDirectoryID]
 		isRecent := hasRequested && requestedAt+c.settings.ReachableFor > c.now
-		if member.Folder == c.settings.InstanceID || isRecent {
+		if member.DataDirectoryID == c.settings.InstanceID || isRecent {
 			count++
 		}
 	}
--- a/sharedconfig/membership_test.go
+++ b/sharedconfig/membership_test.go
@@ -8,7 +8,7 @@
 )
 
 func addRequest(name, instanceID, addr string) Event {
-	return AddRequested{Call: 1, Member: Member{Name: name, Folder: instanceID, Addr: addr}}
+	return AddRequested{Call: 1, Member: Member{Name: name, DataDirectoryID: instanceID, Addr: addr}}
 }
 
 func removeRequest(name string) Event { return RemoveRequested{Call: 1, Name: name} }
@@ -64,7 +64,7 @@
 			require.Len(t, second, 1, name)
 			assert.Equal(t, Busy, second[0].Outcome.Status, name)
 		} else if assert.Len(t, replies, 1, name) {
-			assert.Equal(t, c.want, replies[0].Outcome.Why, name)
+			assert.Equal(t, c.want, replies[0].Outcome.Reason, name)
 			assert.Empty(t, changes, name)
 		}
 	}
@@ -82,7 +82,7 @@
 
 	core = newLeader()
 	assert.Len(t, actionsOf[WaitForCatchUp](core.Step(5_000_000, []Event{Tick{}})), 1)
-	changes = actionsOf[ChangeMembership](core.Step(5_000_001, []Event{CaughtUp{Folder: "f3"}}))
+	changes = actionsOf[ChangeMembership](core.Step(5_000_001, []Event{CaughtUp{InstanceID: "f3"}}))
 	require.Len(t, changes, 1)
 	assert.True(t, changes[0].Member.Voter)
 }
--- a/sharedconfig/model_invariants_test.go
+++ b/sharedconfig/model_invariants_test.go
@@ -37,7 +37,7 @@
 				continue
 			case Done:
 				done++
-			case Refused, Conflict:
+			case Rejected, Conflict:
 				refused++
 			default:
 				t.Fatalf("seed %d: call %d was answered %v", seed, call, outcome)
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -73,7 +73,7 @@
 	for i := range nodeCount {
 		name := fmt.Sprint("n", i)
 		instanceID := fmt.Sprint("f", i)
-		m.members = append(m.members, Member{Name: name, Folder: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
+		m.members = append(m.members, Member{Name: name, DataDirectoryID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
 		m.nodes = append(m.nodes, newModelNode(name, instanceID, Micros(m.rng.IntN(maxClockOffset))))
 	}
 	return m
@@ -249,15 +249,15 @@
 
 func (m *model) sendCheck(i int, a Check) {
 	for j, n := range m.nodes {
-		if n.instanceID != a.Member.Folder {
+		if n.instanceID != a.Member.DataDirectoryID {
 			continue
 		}
 		m.sendBetween(i, j, func(n *modelNode) {
 			result := CheckResult{
-				Request:  a.Change.Request,
-				Folder:   n.instanceID,
-				Accepted: !n.rejectsChanges,
-				Reason:   "no",
+				Request:    a.Change.Request,
+				InstanceID: n.instanceID,
+				Accepted:   !n.rejectsChanges,
+				Reason:     "no",
 			}
 			m.sendBetween(j, i, func(n *modelNode) { n.events = append(n.events, result) })
 		})
@@ -281,7 +281,7 @@
 	m.leaseRequestSeqs[call] = a.Seq
 	sender := m.nodes[i]
 	m.sendBetween(i, to, func(n *modelNode) {
-		n.events = append(n.events, LeaseRequested{Call: call, Folder: sender.instanceID})
+		n.events = append(n.events, LeaseRequested{Call: call, InstanceID: sender.instanceID})
 	})
 }
 
--- a/sharedconfig/records.go
+++ b/sharedconfig/records.go
@@ -34,7 +34,7 @@
 	Pending  Status = "pending"  // proposed and not decided yet
 	Conflict Status = "conflict" // based on another version than the active one
 	Busy     Status = "busy"     // another change is in progress
-	Refused  Status = "refused"  // rejected by an instance, or not checked by a majority
+	Rejected Status = "refused"  // rejected by an instance, or not checked by a majority
 )
 
 // Outcome is the result of a change or of a membership change.
@@ -43,13 +43,13 @@
 	Status   Status `json:"status"`
 	Version  uint64 `json:"version,omitempty"`  // Done: number of the active version
 	Instance string `json:"instance,omitempty"` // Refused: name of the instance that rejected the change
-	Why      string `json:"why,omitempty"`      // reason, for people
+	Reason   string `json:"why,omitempty"`      // reason, for people
 }
 
 // Member is an instance of the group.
 type Member struct {
-	Name   string `json:"name"`
-	Folder string `json:"folder"` // instance ID of its data directory
-	Addr   string `json:"addr"`
-	Voter  bool   `json:"voter"`
+	Name            string `json:"name"`
+	DataDirectoryID string `json:"folder"` // instance ID of its data directory
+	Addr            string `json:"addr"`
+	Voter           bool   `json:"voter"`
 }
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -89,16 +89,16 @@
 	switch {
 	case s.Pending != nil: // not recorded, so that the request may be repeated
 		outcome.Status = Busy
-		outcome.Why = "change " + s.Pending.Request + " is under way"
+		outcome.Reason = "change " + s.Pending.Request + " is under way"
 		return s, outcome
 	case change.Expect != active.Number:
 		outcome.Status = Conflict
-		outcome.Why = fmt.Sprintf("version %d is active and not %d", active.Number, change.Expect)
+		outcome.Reason = fmt.Sprintf("version %d is active and not %d", active.Number, change.Expect)
 		return s.recordOutcome(outcome), outcome
 	case change.Digest == active.Digest && change.Text == active.Text:
 		outcome.Status = Done
 		outcome.Version = active.Number
-		outcome.Why = "nothing to change"
+		outcome.Reason = "nothing to change"
 		return s.recordOutcome(outcome), outcome
 	}
 	s.Pending = &change
@@ -115,9 +115,9 @@
 	if !decision.Accept {
 		outcome := Outcome{
 			Request:  decision.Request,
-			Status:   Refused,
+			Status:   Rejected,
 			Instance: decision.Instance,
-			Why:      decision.Reason,
+			Reason:   decision.Reason,
 		}
 		return s.recordOutcome(outcome), outcome
 	}
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -27,7 +27,7 @@
 			require.LessOrEqual(t, len(next.Versions), keep)
 			require.Equal(t, "g", next.Group)
 			requireValidActivation(t, state, next, entry, made)
-			if outcome.Status == Done || outcome.Status == Refused || outcome.Status == Conflict {
+			if outcome.Status == Done || outcome.Status == Rejected || outcome.Status == Conflict {
 				if earlier, known := reported[outcome.Request]; known {
 					require.Equal(t, earlier, outcome)
 				}
