--- /dev/null
+++ b/policy/aggregator_test.go
@@ -0,0 +1,78 @@
+package policy
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A reconfiguration shortens the latency objective of a class and removes another one, while a query of the removed
+// class is open.
+func TestOpenQueriesKeepTheirSettings(t *testing.T) {
+	settings := testSettings()
+	settings.Classes = settings.Classes[:2]
+	a, err := New(settings, 1)
+	require.NoError(t, err)
+	servers := []Endpoint{
+		{ID: 1, State: Ready, RingPosition: 0},
+		{ID: 2, State: Ready, RingPosition: 1},
+	}
+	a.Step(1_000_000, []Event{
+		EndpointList{servers},
+		Query{ID: 7, Number: 7, Deadline: 7_000_000, Parts: 1},
+		Part{ID: 8, Number: 7, Shard: 1, Weight: 1},
+	})
+	changed := settings
+	changed.Classes = []Class{settings.Classes[1]}
+	actions := a.Step(1_010_000, []Event{Reconfigure{changed}})
+	actions = append(actions, a.Step(2_500_000, []Event{Timer{}})...)
+	for _, action := range actions {
+		switch action.(type) {
+		case Reject, Fail, Answer:
+			t.Fatalf("the reconfiguration ended the open query: %#v", action)
+		}
+	}
+	actions = a.Step(2_600_000, []Event{
+		AttemptResult{Part: 8, Server: 1, Status: OK, Report: NoLoadReport},
+		AttemptResult{Part: 8, Server: 2, Status: OK, Report: NoLoadReport},
+	})
+	assert.Contains(t, actions, Action(Answer{Query: 7, Complete: true}))
+	actions = a.Step(2_700_000, []Event{Query{ID: 9, Number: 9, Class: 1, Deadline: 9_000_000, Parts: 1}})
+	assert.Contains(t, actions, Action(Reject{Query: 9}), "the class is unknown now")
+}
+
+func TestInvalidInputIsIgnored(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	h.step(0,
+		AttemptResult{Part: 1, Server: 1},
+		AttemptResult{Server: 77},
+		HealthCheckResult{Server: 1},
+		HealthCheckResult{Server: 77},
+		ClientCanceled{5},
+		Part{ID: 3, Number: 99},
+		EndpointListFailed{},
+		Timer{},
+	)
+	id, events := h.newQuery(idempotentClass, 1)
+	events = append(events,
+		events[0],
+		events[1],
+		Part{ID: 4, Number: id, Shard: -1},
+		Part{ID: 5, Number: id, Shard: 99},
+		Part{ID: 6, Number: id, Weight: math.NaN()},
+	)
+	result := resultOf(h.sends(0, events...)[0], OK)
+	result.Report.Inflight = math.NaN()
+	result.Report.Rate = math.Inf(1)
+	h.step(-50_000, result, result) // twice, and the time runs backwards
+	require.Equal(t, 1, h.finalActions(id))
+	actions := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, Parts: 1})
+	require.Len(t, actionsOf[Reject](actions), 1, "a query of an unknown class")
+	h.step(0, EndpointList{nil})
+	h.step(0, EndpointList{[]Endpoint{
+		{ID: 1, State: Ready, RingPosition: -3},
+		{ID: 2, State: Ready, RingPosition: 99},
+	}})
+}
--- /dev/null
+++ b/policy/capacity_test.go
@@ -0,0 +1,21 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Each aggregator may have two attempts in flight at a server, and more if few aggregators share it.
+func TestConcurrencyLimitDependsOnTheInstanceCount(t *testing.T) {
+	for instances, limit := range map[int]int{1: 6, 2: 3, 3: 2, 32: 2} {
+		s := singleRingSettings()
+		s.InstanceCount = instances
+		h := newHarness(t, s, readyEndpoints(1)...)
+		for range 9 {
+			_, events := h.newQuery(idempotentClass, 1)
+			h.step(0, events...)
+		}
+		assert.Len(t, actionsOf[SendAttempt](h.actions), limit, "%d aggregators", instances)
+	}
+}
--- /dev/null
+++ b/policy/completion_test.go
@@ -0,0 +1,43 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestEveryQueryEndsBeforeItsTimeout(t *testing.T) {
+	for class, settings := range testClasses() {
+		h := newHarness(t, singleRingSettings())
+		id, events := h.newQuery(class, 3)
+		h.step(0, events...)
+		for end := h.now + settings.Timeout; h.now < end-testTick; {
+			h.step(testTick, Timer{})
+		}
+		assert.Equal(t, 1, h.finalActions(id), "class %s", settings.Name)
+	}
+}
+
+// The class requires a coverage of 1 for a complete answer and of 0.8 for any.
+func TestAnswersReportTheirCoverage(t *testing.T) {
+	const parts = 5
+	for _, answered := range []int{3, 4, 5} {
+		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
+		id, events := h.newQuery(fetchClass, parts)
+		sent := h.sends(0, events...)
+		for i := range answered { // some parts are sent only after quick answers
+			sent = append(sent, h.sends(1000, resultOf(sent[i], OK))...)
+		}
+		for range 360 {
+			h.step(testTick, Timer{})
+		}
+		answers := actionsOf[Answer](h.actions)
+		if answered < 4 {
+			assert.Empty(t, answers, "%d of %d parts answered", answered, parts)
+			continue
+		}
+		require.Len(t, answers, 1, "%d of %d parts answered", answered, parts)
+		assert.Equal(t, Answer{Query: id, Complete: answered == parts}, answers[0])
+	}
+}
--- /dev/null
+++ b/policy/fleet_slowstart_test.go
@@ -0,0 +1,83 @@
+package policy_test
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"alderproxy/internal/simnet/simfleet"
+)
+
+// workFactor is the factor on the parts' work, and the times of their classes, of simfleet.Large. With parts this
+// heavy a warming server bears some tens of them within the overload duration, so that chance matters.
+const workFactor = 4
+
+// restarts are the ways in which aggregators lose what they know of their attempts during a run.
+var restarts = map[string]func(*simfleet.Fleet){
+	"none": func(*simfleet.Fleet) {},
+	"a tenth at a time": func(f *simfleet.Fleet) {
+		for i := range f.Nodes {
+			f.At(3*second+simfleet.Micros(i*10/len(f.Nodes))*second, func() { f.Restart(i, second/2) })
+		}
+	},
+	"all at once": func(f *simfleet.Fleet) {
+		for _, at := range []simfleet.Micros{4 * second, 8 * second} {
+			f.At(at, func() {
+				for i := range f.Nodes {
+					f.Restart(i, second/5)
+				}
+			})
+		}
+	},
+}
+
+// The load of all aggregators together on a warming server stays within the limit up to chance, whatever their
+// number: under uneven traffic, while some receive endpoint lists late, all replicas of a third of the ring positions
+// are replaced at once, and aggregators restart.
+func TestFleetOfAnySizeKeepsWarmingServersBelowTheirLimit(t *testing.T) {
+	for _, size := range []struct{ aggregators, positions int }{{3, 8}, {20, 16}, {30, 20}, {300, 30}} {
+		for name, restart := range restarts {
+			t.Run(fmt.Sprint(size.aggregators, " aggregators, restarts: ", name), func(t *testing.T) {
+				t.Parallel()
+				seeds := uint64(2)
+				if size.aggregators > 100 { // these runs take long
+					seeds = 1
+				}
+				for seed := uint64(1); seed <= seeds; seed++ {
+					f := replacingFleet(seed, size.aggregators, size.positions)
+					restart(f)
+					r := f.Run(11 * second)
+					t.Logf("seed %d: share answered %.3f, peak load %.2f of what a server can do, %.1f parts beyond chance",
+						seed, r.Share(), r.Peak, r.Excess)
+					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d", seed)
+				}
+			})
+		}
+	}
+}
+
+// replacingFleet returns a fleet that replaces all servers at each third ring position after two seconds.
+func replacingFleet(seed uint64, aggregators, positions int) *simfleet.Fleet {
+	p := simfleet.Large(seed, aggregators, positions, 0.55)
+	p.Skew = 0.5
+	p.Uneven = 1
+	rate := p.Rate
+	p.Rate = func(now simfleet.Micros) float64 { return rate(now) / workFactor }
+	for i := range p.Mix {
+		p.Mix[i].Work *= workFactor
+	}
+	for i := range p.Settings.Classes {
+		class := &p.Settings.Classes[i]
+		class.LatencyObjective *= workFactor
+		class.Timeout *= workFactor
+	}
+	f := simfleet.New(p)
+	for i := range f.Stores {
+		if i%positions%3 == 0 {
+			f.At(2*second, func() { f.Replace(i) })
+		}
+	}
+	f.At(2*second, func() { f.List(3 * second) })
+	return f
+}
--- /dev/null
+++ b/policy/latency_test.go
@@ -0,0 +1,83 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestImmediateErrorsRaiseTheSlowness(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	h.answerQueries(idempotentClass, 30, 200_000)
+	server := h.aggregator.servers[2]
+	_, events := h.newQuery(idempotentClass, 3)
+	for _, sent := range h.sends(testTick, events...) {
+		if sent.Server == server.ID {
+			h.step(1000, resultOf(sent, ServerError))
+		}
+	}
+	assert.GreaterOrEqual(t, h.aggregator.slowness(server), 2.0)
+}
+
+// Resets make a shard's only replica an outlier but don't cause rejections: they end at once, and the parts are
+// retried.
+func TestResetsByTheOnlyReplicaCauseNoRejections(t *testing.T) {
+	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	a := h.aggregator
+	objective := a.settings.Classes[idempotentClass].LatencyObjective
+	a.settings.RetryBudgetWindow = 0
+	h.answerQueries(idempotentClass, 20, objective/10)
+	for range 8 {
+		_, events := h.newQuery(idempotentClass, 1)
+		sent := h.sends(testTick, events...)
+		retries := h.sends(objective/100, resultOf(sent[0], ConnectionBroken))
+		h.step(objective/10, resultOfAttempt(retries[0], 1, OK))
+	}
+	server := a.servers[1]
+	for range int(a.concurrencyLimit()) + 1 { // one more than the server has capacity for
+		_, events := h.newQuery(idempotentClass, 1)
+		rejected := actionsOf[Reject](h.step(0, events...))
+		require.Empty(t, rejected, "%d in flight, slowness %.1f", len(server.inFlight), a.slowness(server))
+	}
+	assert.True(t, a.isOutlier(server))
+}
+
+// A server that rejects a part gets no further one for a while, which is longer after each rejection.
+func TestRejectingServersAreBackedOffFrom(t *testing.T) {
+	const longest = 2_000_000
+	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	h.answerQueries(idempotentClass, 40, 100_000)
+	_, events := h.newQuery(idempotentClass, 1)
+	sent := h.sends(0, events...)
+	var waits []Micros
+	for attempt := range 2 {
+		rejectedAt := h.now
+		sent = h.sends(testTick, resultOfAttempt(sent[0], attempt, Rejected))
+		for len(sent) == 0 && h.now < rejectedAt+longest {
+			sent = h.sends(testTick, Timer{})
+		}
+		require.NotEmpty(t, sent)
+		waits = append(waits, h.now-rejectedAt)
+	}
+	assert.GreaterOrEqual(t, waits[0], Micros(50_000))
+	assert.GreaterOrEqual(t, waits[1], waits[0]*3/2)
+}
+
+// The predicted latency of a part grows with half the logarithm of its cost hint.
+func TestCostHintsScaleThePredictedLatency(t *testing.T) {
+	a := newHarness(t, singleRingSettings()).aggregator
+	c := a.classes[idempotentClass]
+	for i := range 300 {
+		c.relativeCost(Micros(50_000 << (i % 3)))
+	}
+	assert.InDelta(t, 2.0, c.relativeCost(200_000)/c.relativeCost(50_000), 0.1, "four times the hint")
+	assert.InDelta(t, 1.0, c.relativeCost(0), 0, "without a hint")
+	assert.InDelta(t, 1.0, c.relativeCost(-5), 0, "without a hint")
+
+	q := &query{class: c}
+	light := &part{query: q, relativeCost: c.relativeCost(50_000)}
+	heavy := &part{query: q, relativeCost: c.relativeCost(200_000)}
+	server := a.serversByID[0]
+	assert.GreaterOrEqual(t, a.predictLatency(server, heavy), 1.5*a.predictLatency(server, light))
+}
--- /dev/null
+++ b/policy/loadreports_test.go
@@ -0,0 +1,50 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestLoadReportsRaiseThePredictedLatency(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	a := h.aggregator
+	h.answerQueries(idempotentClass, 30, 200_000)
+	server := a.servers[2]
+	p := &part{query: &query{class: a.classes[idempotentClass]}, relativeCost: 1}
+	before := a.predictLatency(server, p)
+
+	report := NoLoadReport
+	report.Inflight = 8
+	a.recordLoad(server, report)
+	assert.GreaterOrEqual(t, a.predictLatency(server, p), 2*before)
+
+	h.now += 2 * a.classes[idempotentClass].LatencyObjective
+	h.step(0)
+	assert.InDelta(t, before, a.predictLatency(server, p), 0.2*before, "the report is out of date")
+}
+
+// Servers that report queued requests but no requests in flight report a load all the same. With many aggregators it
+// is the only information about it, since the own attempts are few.
+func TestQueuedRequestsCountAsLoad(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	a := h.aggregator
+	h.answerQueries(idempotentClass, 30, 100_000)
+	busy, idle := a.serversByID[0], a.serversByID[1]
+	report := NoLoadReport
+	report.Queue = 12
+	report.Rate = 40
+	a.recordLoad(busy, report)
+	h.actions = nil
+	for range 12 {
+		_, events := h.newQuery(idempotentClass, 1)
+		for _, sent := range h.sends(0, events...) {
+			h.step(0, resultOf(sent, OK))
+		}
+	}
+	parts := map[uint32]int{}
+	for _, sent := range actionsOf[SendAttempt](h.actions) {
+		parts[sent.Server]++
+	}
+	assert.LessOrEqual(t, 3*parts[busy.ID], parts[idle.ID], "parts by server: %v", parts)
+}
--- /dev/null
+++ b/policy/outliers_test.go
@@ -0,0 +1,69 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestUnresponsiveServerIsAnOutlierBeforeTheTimeout(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	h.answerQueries(idempotentClass, 30, 200_000)
+	_, events := h.newQuery(idempotentClass, 3)
+	h.step(testTick, events...)
+	h.step(900_000, Timer{})
+	server := h.aggregator.servers[1]
+	assert.True(t, h.aggregator.isOutlier(server), "slowness %v", h.aggregator.slowness(server))
+}
+
+func TestUniformSlowdownMakesNoOutliers(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	h.answerQueries(idempotentClass, 60, 100_000)
+	h.answerQueries(idempotentClass, 60, 250_000)
+	for _, s := range h.aggregator.serversByID {
+		assert.False(t, h.aggregator.isOutlier(s), "server %d", s.ID)
+	}
+}
+
+// countTrials returns the number of parts sent to server 1, which answers none, within 20 mean latency objectives.
+// Its health checks end with the given status.
+func countTrials(t *testing.T, s Settings, healthCheckStatus Status) int {
+	t.Helper()
+	const unresponsive = 1
+	h := newHarness(t, s)
+	h.answerQueries(idempotentClass, 40, 100_000)
+	trials := 0
+	for end := h.now + 20*Micros(h.aggregator.meanObjective); h.now < end; {
+		_, events := h.newQuery(idempotentClass, 1)
+		queue := h.sends(100_000, events...)
+		healthChecks := actionsOf[HealthCheck](h.actions)
+		h.actions = nil
+		for _, check := range healthChecks {
+			result := HealthCheckResult{Server: check.Server, Status: OK, Report: NoLoadReport}
+			if check.Server == unresponsive {
+				result.Status = healthCheckStatus
+			}
+			h.step(0, result)
+		}
+		for ; len(queue) > 0; queue = queue[1:] { // retries join the queue
+			sent := queue[0]
+			attempt := h.aggregator.parts[sent.Part].attempts - 1
+			latency, status := Micros(100_000), OK
+			if sent.Server == unresponsive {
+				trials++
+				latency, status = 400_000, TimedOut
+			}
+			queue = append(queue, h.sends(latency, resultOfAttempt(sent, attempt, status))...)
+		}
+	}
+	return trials
+}
+
+// An unresponsive server gets few parts, and even fewer while its health checks fail.
+func TestUnresponsiveServerIsTriedRarely(t *testing.T) {
+	unchecked := countTrials(t, singleRingSettings(), OK)
+	checked := countTrials(t, healthCheckSettings(), TimedOut)
+	assert.GreaterOrEqual(t, unchecked, 2)
+	assert.LessOrEqual(t, unchecked, 10)
+	assert.Less(t, checked, unchecked)
+}
--- /dev/null
+++ b/policy/requesting_test.go
@@ -0,0 +1,33 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// While servers are busy, the light parts of a query that may be answered in part are sent one for each quick answer.
+func TestLightPartsAreDeferredUnderLoad(t *testing.T) {
+	for _, c := range []struct {
+		utilization float64
+		first       int // parts sent at once
+		next        int // parts sent after a quick answer
+	}{
+		{0.2, 6, 0},
+		{0.9, 2, 1},
+	} {
+		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
+		h.answerQueries(fetchClass, 40, 100_000)
+		h.aggregator.meanUtilization = c.utilization
+		_, events := h.newQuery(fetchClass, 6)
+		for i, weight := range []float64{0.5, 0.3, 0.08, 0.06, 0.04, 0.02} {
+			p := events[i+1].(Part)
+			p.Weight = weight
+			events[i+1] = p
+		}
+		sent := h.sends(testTick, events...)
+		require.Len(t, sent, c.first, "utilization %.1f", c.utilization)
+		assert.Len(t, h.sends(testTick, resultOf(sent[0], OK)), c.next, "utilization %.1f", c.utilization)
+	}
+}
--- /dev/null
+++ b/policy/retrybudget_test.go
@@ -0,0 +1,45 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestRetriesStayWithinTheBudget(t *testing.T) {
+	h := newHarness(t, singleRingSettings())
+	accepted := 0
+	for range 40 {
+		_, events := h.newQuery(idempotentClass, 1)
+		accepted += len(events)
+		sent := h.sends(testTick, events...)
+		for range 3 {
+			var results []Event
+			for _, s := range sent {
+				attempt := h.aggregator.parts[s.Part].attempts - 1
+				results = append(results, resultOfAttempt(s, attempt, ServerError))
+			}
+			sent = h.sends(testTick, results...)
+		}
+	}
+	attempts := map[uint64]int{}
+	retries := 0
+	for _, s := range actionsOf[SendAttempt](h.actions) {
+		retries += boolToInt(attempts[s.Part] > 0)
+		attempts[s.Part]++
+	}
+	settings := h.aggregator.settings
+	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
+	assert.Positive(t, retries)
+	assert.LessOrEqual(t, retries, limit)
+}
+
+// Without a budget nothing trims the histories, so they must stay empty.
+func TestNoHistoryIsKeptWithoutARetryBudget(t *testing.T) {
+	settings := singleRingSettings()
+	settings.RetryBudgetWindow = 0
+	h := newHarness(t, settings)
+	h.answerQueries(idempotentClass, 50, 1000)
+	assert.Empty(t, h.aggregator.acceptedHistory)
+	assert.Empty(t, h.aggregator.retryHistory)
+}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,79 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// loadWarmingServer lets several aggregators, all with more parts than it can take, use one warming server that alone
+// holds their shard. It returns the most work within the overload duration as a share of what the server can do, and
+// the rate of work in seconds per second.
+func loadWarmingServer(t *testing.T, instances int, report LoadReport) (peak, rate float64) {
+	t.Helper()
+	const work = 100_000
+	s := singleRingSettings()
+	s.OverloadFactor = 2
+	s.SlowStartFraction = 0.25
+	s.InstanceCount = instances
+	var harnesses []*harness
+	for i := range instances {
+		s.InstanceIndex = i
+		h := newHarness(t, s)
+		h.answerQueries(idempotentClass, 60, work)
+		for range 40 {
+			h.aggregator.recordLoad(h.aggregator.servers[1], report)
+		}
+		harnesses = append(harnesses, h)
+	}
+	start := harnesses[0].now
+	server := Endpoint{ID: 9, State: Ready, StartedAt: start}
+	var sentAt []Micros
+	for now := start; now < start+s.SlowStartDuration; now += 4 * s.Tick {
+		for _, h := range harnesses {
+			for range h.sendToWarmingServer(now, server, work) {
+				sentAt = append(sentAt, now)
+			}
+		}
+		recentWork := float64(work * countSince(sentAt, now-s.OverloadDuration+1))
+		progress := float64(now-start) / float64(s.SlowStartDuration)
+		fraction := s.SlowStartFraction + (1-s.SlowStartFraction)*progress
+		limit := s.OverloadFactor * fraction * float64(s.OverloadDuration) * harnesses[0].aggregator.sustainedRate
+		peak = max(peak, recentWork/limit)
+	}
+	return peak, work * float64(len(sentAt)) / float64(s.SlowStartDuration)
+}
+
+// sendToWarmingServer starts a query, answers its attempts at once and returns them. Queries that are still open are
+// closed first. The latencies stay those of the given work.
+func (h *harness) sendToWarmingServer(now Micros, server Endpoint, work float64) []SendAttempt {
+	a := h.aggregator
+	h.now = now
+	for _, q := range a.openQueries {
+		a.closeQuery(q)
+	}
+	_, events := h.newQuery(idempotentClass, 1)
+	sent := h.sends(0, append(events, EndpointList{[]Endpoint{server}})...)
+	for _, attempt := range sent {
+		h.step(0, resultOf(attempt, OK))
+		a.classes[idempotentClass].referenceLatency = work
+		a.meanLatency = work
+		a.baseLatency = work
+	}
+	return sent
+}
+
+// All aggregators together use a warming server without overloading it, whatever their number.
+func TestWarmingServersAreNotOverloaded(t *testing.T) {
+	for _, instances := range []int{1, 2, 11, 32, 90} {
+		peak, rate := loadWarmingServer(t, instances, NoLoadReport)
+		assert.LessOrEqual(t, peak, 1.0, "%d aggregators: share of the limit", instances)
+		// On average the server can do 0.62 of one part at a time.
+		assert.GreaterOrEqual(t, rate, 0.2, "%d aggregators: rate of work", instances)
+	}
+	busy := NoLoadReport
+	busy.Rate = 30
+	_, without := loadWarmingServer(t, 11, NoLoadReport)
+	_, with := loadWarmingServer(t, 11, busy)
+	assert.Greater(t, with, without, "rate of work if warm servers report a higher rate")
+}
