--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
 	n, err := raftnode.Open(raftnode.Config{
 		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
-		Log: testserver.Log(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
+		Log: testserver.DiscardLog(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
 			}
@@ -43,7 +43,7 @@
 	t.Cleanup(func() { assert.NoError(t, n.Close()) })
 	l, err = new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := admin.Start(l, admin.Services{Config: n}, token, testserver.Log())
+	s := admin.Start(l, admin.Services{Config: n}, token, testserver.DiscardLog())
 	t.Cleanup(func() { assert.NoError(t, s.Close()) })
 	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
 	return s.Addr()
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	l := listen(t)
 	release, gone = make(chan struct{}), make(chan bool, 16)
-	s.Log = testserver.Log()
+	s.Log = testserver.DiscardLog()
 	s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			gone <- false
@@ -59,8 +59,8 @@
 }
 
 func status(c *testserver.Client, target string) int {
-	c.Send("GET", target, "")
-	return c.Read().Status
+	c.SendRequest("GET", target, "")
+	return c.ReadResponse().Status
 }
 
 // Clients that keep their connections for good must not crowd out new ones.
@@ -88,19 +88,19 @@
 	}
 	ends := make(chan end, len(clients))
 	for i, c := range clients {
-		go func() { _, err := c.R.Peek(1); ends <- end{i, err} }()
+		go func() { _, err := c.Reader.Peek(1); ends <- end{i, err} }()
 	}
 	first := <-ends
 	require.ErrorIs(t, first.err, io.EOF)
 	for i, c := range clients {
 		if i != first.client {
-			c.Send("GET", "/", "")
+			c.SendRequest("GET", "/", "")
 		}
 	}
 	for range clients[1:] {
 		e := <-ends
 		require.NoError(t, e.err)
-		assert.Equal(t, 200, clients[e.client].Read().Status)
+		assert.Equal(t, 200, clients[e.client].ReadResponse().Status)
 	}
 }
 
@@ -110,14 +110,14 @@
 	var held []*testserver.Client
 	for range 2 {
 		c := testserver.Dial(t, addr)
-		c.Send("GET", "/wait", "")
+		c.SendRequest("GET", "/wait", "")
 		<-gone // it is open
 		held = append(held, c)
 	}
-	assert.Equal(t, 503, testserver.Dial(t, addr).Read().Status)
+	assert.Equal(t, 503, testserver.Dial(t, addr).ReadResponse().Status)
 	close(release)
 	for _, c := range held {
-		assert.Equal(t, 200, c.Read().Status)
+		assert.Equal(t, 200, c.ReadResponse().Status)
 		assert.False(t, <-gone)
 	}
 }
@@ -128,8 +128,8 @@
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
 		c := testserver.Dial(t, addr)
 		write(t, c, text)
-		got, _ := c.R.ReadString(' ')
-		rest, _ := c.R.ReadString(' ')
+		got, _ := c.Reader.ReadString(' ')
+		rest, _ := c.Reader.ReadString(' ')
 		assert.Equal(t, want, strings.TrimSpace(got+rest))
 	}
 }
@@ -139,8 +139,8 @@
 	addr, release, gone := serving(t, &httpwire.Server{})
 	defer close(release)
 	c := testserver.Dial(t, addr)
-	c.Send("GET", "/wait", "")
-	c.Send("GET", "/", "")
+	c.SendRequest("GET", "/wait", "")
+	c.SendRequest("GET", "/", "")
 	<-gone // it is open
 	c.Close()
 	select {
@@ -163,7 +163,7 @@
 		}
 	}
 	require.NoError(t, err)
-	assert.Equal(t, 413, c.Read().Status)
+	assert.Equal(t, 413, c.ReadResponse().Status)
 }
 
 func (g gated) ending() {
@@ -181,12 +181,12 @@
 		if looks++; looks == 2 {
 			for range 3 {
 				c := testserver.Dial(t, g.Addr().String())
-				c.Send("GET", "/", "")
+				c.SendRequest("GET", "/", "")
 				late = append(late, c)
 			}
 		}
 	}
-	s := &httpwire.Server{Log: testserver.Log(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(g) }()
 	require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
@@ -194,7 +194,7 @@
 	require.NoError(t, <-done)
 	require.Len(t, late, 3)
 	for _, c := range late {
-		resp := c.Read()
+		resp := c.ReadResponse()
 		assert.Equal(t, 200, resp.Status)
 		assert.True(t, resp.Close)
 	}
@@ -210,14 +210,14 @@
 		var looks atomic.Int32
 		g := newGate(t, &hooks{deadline: func(_ time.Time, set func()) { looks.Add(1); set() }})
 		taken, gone := make(chan struct{}), make(chan bool, 1)
-		s := &httpwire.Server{Log: testserver.Log(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+		s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 			close(taken)
 			gone <- x.AwaitClientGone()
 			return nil
 		}}
 		startServing(t, s, g)
 		c := testserver.Dial(t, g.Addr().String())
-		c.Send("GET", "/", "")
+		c.SendRequest("GET", "/", "")
 		<-taken
 		before := looks.Load()
 		_, err := c.Write([]byte(strings.Repeat("x", ahead)))
@@ -234,14 +234,14 @@
 	for ahead, last := range map[int]bool{6 << 10: false, 200 << 10: true} {
 		addr, release, gone := serving(t, &httpwire.Server{})
 		c := testserver.Dial(t, addr)
-		c.Send("GET", "/wait", "")
+		c.SendRequest("GET", "/wait", "")
 		<-gone
 		for n := 0; n < ahead; n += 1 << 10 {
-			c.Send("GET", "/"+strings.Repeat("x", 1<<10), "")
+			c.SendRequest("GET", "/"+strings.Repeat("x", 1<<10), "")
 		}
 		time.AfterFunc(50*time.Millisecond, func() { close(release) }) // when does not matter to the outcome
 		for n := 0; n <= ahead; n += 1 << 10 {
-			resp := c.Read()
+			resp := c.ReadResponse()
 			assert.Equal(t, 200, resp.Status)
 			if assert.Equal(t, last, resp.Close, ahead); last {
 				break
@@ -277,7 +277,7 @@
 		}
 	}})
 	release := make(chan struct{})
-	s := &httpwire.Server{Log: testserver.Log(), FirstRequestTimeout: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.DiscardLog(), FirstRequestTimeout: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			go func() { <-release; x.CancelWait() }()
 			x.AwaitClientGone()
@@ -289,8 +289,8 @@
 	close(release)
 	assert.Equal(t, 200, status(c, "/wait"))
 	<-struck
-	c.Send("GET", "/", "")
-	assert.False(t, c.Read().Close, "it struck the connection at rest")
+	c.SendRequest("GET", "/", "")
+	assert.False(t, c.ReadResponse().Close, "it struck the connection at rest")
 }
 
 // A connection yields, or the server closes, in the moment in which a whole request has come that was not read yet. It
@@ -321,7 +321,7 @@
 				}
 			}
 			g := newGate(t, h)
-			s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
+			s := &httpwire.Server{Log: testserver.DiscardLog(), MaxConnections: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
 				return &httpwire.Reply{Status: 200}
 			}}
 			switch {
@@ -336,14 +336,14 @@
 				require.Equal(t, 200, status(cl, "/"))
 			}
 			<-reached
-			cl.Send("GET", "/", "")
+			cl.SendRequest("GET", "/", "")
 			c.end(t, s, g.Addr().String())
 			select {
 			case <-told:
 			case <-time.After(5 * time.Second):
 			}
 			close(hold)
-			resp := cl.Read()
+			resp := cl.ReadResponse()
 			assert.Equal(t, 200, resp.Status)
 			assert.True(t, resp.Close)
 		})
@@ -370,7 +370,7 @@
 			}
 		},
 	})
-	s := &httpwire.Server{Log: testserver.Log(), MaxConnections: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.DiscardLog(), MaxConnections: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	startServing(t, s, g)
 	cl := testserver.Dial(t, g.Addr().String())
 	write(t, cl, "GET / HTTP/1.1\r\n")
@@ -381,7 +381,7 @@
 	write(t, cl, "\r\n")
 	time.Sleep(60 * time.Millisecond) // three times a last look
 	close(hold)
-	assert.Equal(t, 200, cl.Read().Status)
+	assert.Equal(t, 200, cl.ReadResponse().Status)
 	assert.Equal(t, 200, status(other, "/"))
 }
 
@@ -390,7 +390,7 @@
 	hold := make(chan struct{})
 	g := newGate(t, nil)
 	g.accept = func() { <-hold }
-	s := &httpwire.Server{Log: testserver.Log(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
+	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(g) }()
 	hold <- struct{}{} // it serves, and accepts no more
@@ -407,13 +407,13 @@
 	var late []*testserver.Client
 	for range 3 {
 		c := testserver.Dial(t, g.Addr().String())
-		c.Send("GET", "/", "")
+		c.SendRequest("GET", "/", "")
 		late = append(late, c)
 	}
 	s.Close()
 	close(hold)
 	for _, c := range late {
-		assert.Equal(t, 200, c.Read().Status)
+		assert.Equal(t, 200, c.ReadResponse().Status)
 	}
 	require.NoError(t, <-done)
 	assert.True(t, s.Wait(5*time.Second))
@@ -424,7 +424,7 @@
 func TestAnswerThatNobodyReadsHoldsUpNobody(t *testing.T) {
 	g := newGate(t, nil)
 	writes := make(chan struct{})
-	s := &httpwire.Server{Log: testserver.Log(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: testserver.DiscardLog(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/much" {
 			close(writes)
 			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than two systems' buffers hold
@@ -434,11 +434,11 @@
 	startServing(t, s, g)
 	other := testserver.Dial(t, g.Addr().String())
 	require.Equal(t, 200, status(other, "/"))
-	testserver.Dial(t, g.Addr().String()).Send("GET", "/much", "")
+	testserver.Dial(t, g.Addr().String()).SendRequest("GET", "/much", "")
 	<-writes
-	other.Send("GET", "/", "")
+	other.SendRequest("GET", "/", "")
 	s.Close()
-	assert.Equal(t, 200, other.Read().Status)
+	assert.Equal(t, 200, other.ReadResponse().Status)
 	assert.True(t, s.Wait(5*time.Second))
 }
 
@@ -452,14 +452,14 @@
 			var cl *testserver.Client
 			resting := make(chan struct{})
 			rests := sync.OnceFunc(func() { close(resting) })
-			h := &hooks{end: func() { cl.Send("GET", "/late", "") }, deadline: func(at time.Time, set func()) {
+			h := &hooks{end: func() { cl.SendRequest("GET", "/late", "") }, deadline: func(at time.Time, set func()) {
 				if set(); time.Until(at) > 20*time.Second { // the last to be set before it rests
 					rests()
 				}
 			}}
 			g := newGate(t, h)
 			served := make(chan string, 16)
-			s.Log = testserver.Log()
+			s.Log = testserver.DiscardLog()
 			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply { served <- x.Path(); return &httpwire.Reply{Status: 200} }
 			startServing(t, s, g)
 			cl = testserver.Dial(t, g.Addr().String())
@@ -472,7 +472,7 @@
 				require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
 				<-served
 			}
-			_, err := cl.R.Peek(1)
+			_, err := cl.Reader.Peek(1)
 			require.ErrorIs(t, err, io.EOF)
 			assert.Equal(t, "/", <-served)
 			assert.Empty(t, served)
--- a/internal/faultnet/datagrams.go
+++ b/internal/faultnet/datagrams.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Post stands before an instance's datagrams, by the same rules as a Front before its connections. What one instance
+// DatagramProxy stands before an instance's datagrams, by the same rules as a Front before its connections. What one instance
 // sends another's post leaves from its own, so that each sees the others at the addresses that it knows.
-type Post struct {
+type DatagramProxy struct {
 	net    *Network
 	name   string
 	conn   *net.UDPConn
 	behind netip.AddrPort // guarded by the network's lock
 }
 
-// Post begins to stand before an instance: what comes goes to it once Behind was told.
-func (n *Network) Post(name string) (*Post, error) {
+// ProxyDatagrams begins to stand before an instance: what comes goes to it once Behind was told.
+func (n *Network) ProxyDatagrams(name string) (*DatagramProxy, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	p := &Post{net: n, name: name, conn: c}
+	p := &DatagramProxy{net: n, name: name, conn: c}
 	go p.pass()
 	return p, nil
 }
 
 // Addr is the address by which the others know the instance.
-func (p *Post) Addr() netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (p *DatagramProxy) Addr() netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Behind tells where the instance is, now.
-func (p *Post) Behind(addr string) error {
+// SetTarget tells where the instance is, now.
+func (p *DatagramProxy) SetTarget(addr string) error {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return err
@@ -45,10 +45,10 @@
 }
 
 // Close ends it.
-func (p *Post) Close() error { return p.conn.Close() }
+func (p *DatagramProxy) Close() error { return p.conn.Close() }
 
 // pass ends when the post is closed.
-func (p *Post) pass() {
+func (p *DatagramProxy) pass() {
 	b := make([]byte, 2048)
 	for {
 		k, from, err := p.conn.ReadFromUDPAddrPort(b)
@@ -62,7 +62,7 @@
 			continue
 		}
 		p.net.Datagrams.Add(1)
-		times, delay := p.net.draw(sender.name, p.name)
+		times, delay := p.net.decide(sender.name, p.name)
 		text := slices.Clone(b[:k])
 		for range times { // copies come one after the other
 			time.AfterFunc(delay, func() { sender.conn.WriteToUDPAddrPort(text, to) })
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -19,8 +19,8 @@
 
 // Rule is what happens to the frames on a way.
 type Rule struct {
-	Loss, Twice int           // of 100
-	Delay       time.Duration // at most
+	LossPercent, DuplicatePercent int           // of 100
+	MaxDelay       time.Duration // at most
 	Cut         bool          // nothing comes through
 }
 
@@ -31,18 +31,18 @@
 	rules map[[2]string]Rule
 	all   Rule
 
-	posts map[netip.AddrPort]*Post // by the address that the instance behind sends from
+	posts map[netip.AddrPort]*DatagramProxy // by the address that the instance behind sends from
 
-	Frames, Datagrams, Lost, Twice atomic.Int64
+	Frames, Datagrams, Lost, Duplicated atomic.Int64
 }
 
 // New returns a network that does no harm.
 func New(seed uint64) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 3)), rules: map[[2]string]Rule{}, posts: map[netip.AddrPort]*Post{}}
+	return &Network{rng: rand.New(rand.NewPCG(seed, 3)), rules: map[[2]string]Rule{}, posts: map[netip.AddrPort]*DatagramProxy{}}
 }
 
-// All sets what happens on every way that has no rule of its own.
-func (n *Network) All(r Rule) {
+// SetDefault sets what happens on every way that has no rule of its own.
+func (n *Network) SetDefault(r Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.all = r
@@ -79,60 +79,60 @@
 	return n.all
 }
 
-// draw decides on one frame or datagram.
-func (n *Network) draw(from, to string) (times int, delay time.Duration) {
+// decide decides on one frame or datagram.
+func (n *Network) decide(from, to string) (times int, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.rule(from, to)
 	delay = n.delay(r)
 	switch {
-	case r.Cut || n.rng.IntN(100) < r.Loss:
+	case r.Cut || n.rng.IntN(100) < r.LossPercent:
 		n.Lost.Add(1)
 		return 0, 0
-	case n.rng.IntN(100) < r.Twice:
-		n.Twice.Add(1)
+	case n.rng.IntN(100) < r.DuplicatePercent:
+		n.Duplicated.Add(1)
 		return 2, delay
 	}
 	return 1, delay
 }
 
 func (n *Network) delay(r Rule) time.Duration {
-	if r.Delay <= 0 {
+	if r.MaxDelay <= 0 {
 		return 0
 	}
-	return time.Duration(n.rng.Int64N(int64(r.Delay)))
+	return time.Duration(n.rng.Int64N(int64(r.MaxDelay)))
 }
 
-// Front stands before an instance.
-type Front struct {
+// ConnectionProxy stands before an instance.
+type ConnectionProxy struct {
 	net    *Network
 	name   string
 	l      net.Listener
 	behind atomic.Pointer[string]
 }
 
-// Front begins to stand before an instance: what comes in at l goes to it, by the rules, once Behind was told.
-func (n *Network) Front(name string, l net.Listener) *Front {
-	f := &Front{net: n, name: name, l: l}
+// ProxyConnections begins to stand before an instance: what comes in at l goes to it, by the rules, once Behind was told.
+func (n *Network) ProxyConnections(name string, l net.Listener) *ConnectionProxy {
+	f := &ConnectionProxy{net: n, name: name, l: l}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go n.pass(f, c)
+			go n.forwardConnection(f, c)
 		}
 	}()
 	return f
 }
 
 // Addr is the address by which the others know the instance.
-func (f *Front) Addr() string { return f.l.Addr().String() }
+func (f *ConnectionProxy) Addr() string { return f.l.Addr().String() }
 
-// Behind tells where the instance is, now.
-func (f *Front) Behind(addr string) { f.behind.Store(&addr) }
+// SetTarget tells where the instance is, now.
+func (f *ConnectionProxy) SetTarget(addr string) { f.behind.Store(&addr) }
 
-func (n *Network) pass(front *Front, in net.Conn) {
+func (n *Network) forwardConnection(front *ConnectionProxy, in net.Conn) {
 	defer in.Close()
 	r := bufio.NewReader(in)
 	first, err := peer.ReadFrame(r) // the greeting tells who dials
@@ -155,12 +155,12 @@
 	defer out.Close()
 	go func() {
 		defer in.Close()
-		n.copy(name, from, bufio.NewReader(out), in, nil)
+		n.forwardFrames(name, from, bufio.NewReader(out), in, nil)
 	}()
-	n.copy(from, name, r, out, &first)
+	n.forwardFrames(from, name, r, out, &first)
 }
 
-func (n *Network) copy(from, to string, r io.Reader, w io.WriteCloser, first *peer.Frame) {
+func (n *Network) forwardFrames(from, to string, r io.Reader, w io.WriteCloser, first *peer.Frame) {
 	defer w.Close()
 	for {
 		var f peer.Frame
@@ -171,7 +171,7 @@
 			}
 		}
 		n.Frames.Add(1)
-		times, delay := n.draw(from, to)
+		times, delay := n.decide(from, to)
 		time.Sleep(delay)
 		for range times {
 			if _, err := w.Write(f.Append(nil)); err != nil {
--- a/internal/testserver/standin.go
+++ b/internal/testserver/standin.go
@@ -27,41 +27,41 @@
 // The faults that can be injected.
 const (
 	None      Fault = ""
-	Error     Fault = "error"     // answers that it failed
+	ServerError     Fault = "error"     // answers that it failed
 	Partial   Fault = "partial"   // a search answers success with a failed shard; frames have only Error for it
-	Late      Fault = "late"      // a search answers success, timed out; frames have only Error for it
-	Busy      Fault = "busy"      // turns the part away
+	TimedOut      Fault = "late"      // a search answers success, timed out; frames have only Error for it
+	Rejecting      Fault = "busy"      // turns the part away
 	Reset     Fault = "reset"     // ends the connection instead of answering
-	Silent    Fault = "silent"    // takes the part and says nothing
-	Mute      Fault = "mute"      // the connection stays open and brings nothing from then on (frames only)
+	Unresponsive    Fault = "silent"    // takes the part and says nothing
+	Stalled      Fault = "mute"      // the connection stays open and brings nothing from then on (frames only)
 	Malformed Fault = "malformed" // answers what is not the protocol
 	Down      Fault = "down"      // accepts no connection
 )
 
-// Case is one row of the table of faults that both fronts must pass alike.
-type Case struct {
+// FaultCase is one row of the table of faults that both fronts must pass alike.
+type FaultCase struct {
 	Fault Fault
-	One   int // status when one replica of two has the fault
-	Both  int // on the platform, when both have
-	Query int // on the OpenSearch front, when both have
+	OneReplicaStatus   int // status when one replica of two has the fault
+	PlatformStatus  int // on the platform, when both have
+	OpenSearchStatus int // on the OpenSearch front, when both have
 }
 
-// Cases is the table.
-var Cases = []Case{
+// FaultCases is the table.
+var FaultCases = []FaultCase{
 	{None, 200, 200, 200},
-	{Error, 200, 429, 503},
+	{ServerError, 200, 429, 503},
 	{Partial, 200, 429, 503},
-	{Late, 200, 429, 503},
-	{Busy, 200, 429, 429},
+	{TimedOut, 200, 429, 503},
+	{Rejecting, 200, 429, 429},
 	{Reset, 200, 429, 503},
-	{Silent, 200, 429, 504},
+	{Unresponsive, 200, 429, 504},
 	{Malformed, 200, 429, 503},
 	{Down, 200, 429, 503},
 }
 
-// Settings are those of all tests, as JSON: two slices in one cell, held by every store. A class that is safe,
+// SettingsTemplate are those of all tests, as JSON: two slices in one cell, held by every store. A class that is safe,
 // one that may be answered in part, and one that is keyed.
-const Settings = `{"my_number":0,"fleet_size":1,"tick_us":5000,"dcs":["a"],
+const SettingsTemplate = `{"my_number":0,"fleet_size":1,"tick_us":5000,"dcs":["a"],
  "family_info":{"slices":2,"cells":1,"reach":1,"batch":1,"need_by_class":[1,1,1],"least_share":[1,0.5,1]},
  "grades":[%s],
  "guarantees":{"answer_slack_us":20000,"drain_grace_us":500000},
@@ -70,13 +70,13 @@
 
 // Classes of the settings.
 const (
-	Lookup = `{"name":"lookup","effect":"read_like","promise_us":600000,"give_up_us":2000000,"gain":1}`
-	Report = `{"name":"report","effect":"read_like","promise_us":600000,"give_up_us":2000000,"gain":5}`
-	Save   = `{"name":"save","effect":"idempotency_key","window_us":3000000,"promise_us":600000,"give_up_us":2000000,"gain":1}`
+	LookupClass = `{"name":"lookup","effect":"read_like","promise_us":600000,"give_up_us":2000000,"gain":1}`
+	ReportClass = `{"name":"report","effect":"read_like","promise_us":600000,"give_up_us":2000000,"gain":5}`
+	SaveClass   = `{"name":"save","effect":"idempotency_key","window_us":3000000,"promise_us":600000,"give_up_us":2000000,"gain":1}`
 )
 
-// Log is a logger that says nothing.
-func Log() *logrus.Entry {
+// DiscardLog is a logger that says nothing.
+func DiscardLog() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l.WithField("test", true)
@@ -85,14 +85,14 @@
 // Store is a stand-in store.
 type Store struct {
 	Addr  string
-	Parts chan string // what came, in order: the frame's text, or a search's line and body
+	Requests chan string // what came, in order: the frame's text, or a search's line and body
 
 	mu     sync.Mutex
 	fault  Fault
-	only   string        // the slice that has the fault; empty: all
+	faultShard   string        // the slice that has the fault; empty: all
 	hold   chan struct{} // answers wait until it is closed; nil: they don't
-	l      net.Listener
-	ended  chan struct{} // the listener is closed for good
+	listener      net.Listener
+	stopped  chan struct{} // the listener is closed for good
 	conns  map[net.Conn]bool
 	Closed chan struct{} // gets one for each connection that has ended
 }
@@ -100,27 +100,27 @@
 // SetFault changes what the store does from now on.
 func (s *Store) SetFault(f Fault) {
 	if f == Down { // while Accept is still to be woken, the kernel would go on taking connections
-		s.l.Close()
-		<-s.ended
+		s.listener.Close()
+		<-s.stopped
 	}
 	s.mu.Lock()
 	s.fault = f
 	s.mu.Unlock()
 	if f == Down {
-		s.CloseConns()
+		s.CloseConnections()
 	}
 }
 
-// SetFaultAt is SetFault for the parts of one slice.
-func (s *Store) SetFaultAt(slice int, f Fault) {
+// SetShardFault is SetFault for the parts of one slice.
+func (s *Store) SetShardFault(slice int, f Fault) {
 	s.SetFault(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.only = strconv.Itoa(slice)
+	s.faultShard = strconv.Itoa(slice)
 }
 
-// Hold makes answers wait until release is called.
-func (s *Store) Hold() (release func()) {
+// HoldAnswers makes answers wait until release is called.
+func (s *Store) HoldAnswers() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hold := make(chan struct{})
@@ -128,8 +128,8 @@
 	return sync.OnceFunc(func() { close(hold) })
 }
 
-// CloseConns ends the connections that are open, and not the listener.
-func (s *Store) CloseConns() {
+// CloseConnections ends the connections that are open, and not the listener.
+func (s *Store) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -137,32 +137,32 @@
 	}
 }
 
-// Conns is how many connections are open.
-func (s *Store) Conns() int {
+// Connections is how many connections are open.
+func (s *Store) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-func (s *Store) now(slice string) (Fault, chan struct{}) {
+func (s *Store) behavior(slice string) (Fault, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.only != "" && s.only != slice {
+	if s.faultShard != "" && s.faultShard != slice {
 		return None, s.hold
 	}
 	return s.fault, s.hold
 }
 
-func newStore(t *testing.T, speak func(*Store, net.Conn)) *Store {
+func startStore(t *testing.T, speak func(*Store, net.Conn)) *Store {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &Store{
-		Addr: l.Addr().String(), l: l, Parts: make(chan string, 256), conns: map[net.Conn]bool{},
-		Closed: make(chan struct{}, 256), ended: make(chan struct{}),
+		Addr: l.Addr().String(), listener: l, Requests: make(chan string, 256), conns: map[net.Conn]bool{},
+		Closed: make(chan struct{}, 256), stopped: make(chan struct{}),
 	}
 	t.Cleanup(func() { s.SetFault(Down) })
 	go func() {
-		defer close(s.ended)
+		defer close(s.stopped)
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -191,7 +191,7 @@
 
 // NewFrameStore starts a store that speaks the platform's frames. A part's value is "v" and its slice.
 func NewFrameStore(t *testing.T) *Store {
-	return newStore(t, func(s *Store, c net.Conn) {
+	return startStore(t, func(s *Store, c net.Conn) {
 		r, w := bufio.NewReader(c), sync.Mutex{}
 		send := func(letter byte, rest string) {
 			w.Lock()
@@ -207,7 +207,7 @@
 			if _, err := io.ReadFull(r, rest); err != nil {
 				return
 			}
-			s.Parts <- string(head[4]) + string(rest)
+			s.Requests <- string(head[4]) + string(rest)
 			if head[4] == '4' {
 				send('4', "qps=12.5,queue=3")
 			}
@@ -215,15 +215,15 @@
 				continue
 			}
 			words := strings.Fields(string(rest))
-			fault, hold := s.now(words[1])
+			fault, hold := s.behavior(words[1])
 			switch fault {
-			case Error, Partial, Late:
+			case ServerError, Partial, TimedOut:
 				send('5', words[0]+" E 0 -\n")
-			case Busy:
+			case Rejecting:
 				send('5', words[0]+" B 0 -\n")
 			case Malformed:
 				send('5', "nonsense")
-			case Mute:
+			case Stalled:
 				io.Copy(io.Discard, r)
 				return
 			case Reset:
@@ -243,52 +243,52 @@
 // NewSearchStore starts a store that answers searches. Its hits are the lines of docs that begin with the slice
 // and a blank; the rest of a line is the hit.
 func NewSearchStore(t *testing.T, docs string) *Store {
-	return newStore(t, func(s *Store, c net.Conn) {
+	return startStore(t, func(s *Store, c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			req, err := httpwire.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			s.Parts <- req.Target + "\n" + string(req.Body)
-			fault, hold := s.now(sliceOf(req.Target))
+			s.Requests <- req.Target + "\n" + string(req.Body)
+			fault, hold := s.behavior(shardOf(req.Target))
 			status, body := 200, ""
 			switch fault {
-			case Error:
+			case ServerError:
 				status, body = 500, `{"error":{"type":"boom"},"status":500}`
 			case Partial:
 				body = `{"timed_out":false,"_shards":{"total":1,"failed":1},"hits":{"total":{"value":0},"hits":[]}}`
-			case Late:
+			case TimedOut:
 				body = `{"timed_out":true,"_shards":{"total":1,"failed":0},"hits":{"total":{"value":0},"hits":[]}}`
-			case Busy:
+			case Rejecting:
 				status, body = 429, `{"error":{"type":"rejected_execution_exception"},"status":429}`
 			case Malformed:
 				c.Write([]byte("nonsense\r\n\r\n"))
 				return
 			case Reset:
 				return
-			case Silent:
+			case Unresponsive:
 				io.Copy(io.Discard, r)
 				return
 			case None:
 				if hold != nil {
 					<-hold
 				}
-				body = hits(docs, req.Target)
+				body = searchHits(docs, req.Target)
 			}
 			c.Write(httpwire.AppendResponse(nil, status, nil, []byte(body), false))
 		}
 	})
 }
 
-func sliceOf(target string) string {
+func shardOf(target string) string {
 	_, slice, _ := strings.Cut(target, "_shards:")
 	slice, _, _ = strings.Cut(slice, "&")
 	return slice
 }
 
-func hits(docs, target string) string {
-	slice := sliceOf(target)
+func searchHits(docs, target string) string {
+	slice := shardOf(target)
 	var own []string
 	for line := range strings.Lines(docs) {
 		if hit, ok := strings.CutPrefix(strings.TrimSpace(line), slice+" "); ok {
@@ -302,40 +302,40 @@
 // Discovery is a stand-in for discovery: it tells what it is given, at once or when the wait of a watch is over.
 type Discovery struct {
 	Addr    string
-	Targets chan string // what was asked; what nobody takes is dropped
+	Calls chan string // what was asked; what nobody takes is dropped
 
 	mu      sync.Mutex
-	l       net.Listener
+	listener       net.Listener
 	version int
 	answer  string
 	changed chan struct{}
-	refuse  int // status of the next call's answer; 0: the list
-	silent  bool
-	raw     string                 // goes out in place of an answer, and nothing behind it
+	rejectStatus  int // status of the next call's answer; 0: the list
+	unresponsive  bool
+	rawAnswer     string                 // goes out in place of an answer, and nothing behind it
 	conns   map[net.Conn]chan bool // closed where a connection says nothing more
 }
 
 // NewDiscovery starts discovery with a full list of entries.
 func NewDiscovery(t *testing.T, entries ...string) *Discovery {
 	d := &Discovery{
-		Addr: "127.0.0.1:0", Targets: make(chan string, 256), changed: make(chan struct{}),
+		Addr: "127.0.0.1:0", Calls: make(chan string, 256), changed: make(chan struct{}),
 		conns: map[net.Conn]chan bool{},
 	}
-	require.NoError(t, d.Up())
-	t.Cleanup(d.Down)
-	d.Tell(true, entries...)
+	require.NoError(t, d.Start())
+	t.Cleanup(d.Stop)
+	d.Publish(true, entries...)
 	return d
 }
 
-// Up has it listen (again) on its address.
-func (d *Discovery) Up() error {
+// Start has it listen (again) on its address.
+func (d *Discovery) Start() error {
 	l, err := net.Listen("tcp", d.Addr)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.l, d.Addr = l, l.Addr().String()
+	d.listener, d.Addr = l, l.Addr().String()
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -348,16 +348,16 @@
 	return nil
 }
 
-// Down ends its process: connections are reset and new ones refused.
-func (d *Discovery) Down() {
+// Stop ends its process: connections are reset and new ones refused.
+func (d *Discovery) Stop() {
 	d.mu.Lock()
-	d.l.Close()
+	d.listener.Close()
 	d.mu.Unlock()
-	d.Reset()
+	d.ResetConnections()
 }
 
-// Reset ends all open connections.
-func (d *Discovery) Reset() {
+// ResetConnections ends all open connections.
+func (d *Discovery) ResetConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
@@ -365,8 +365,8 @@
 	}
 }
 
-// Mute has all open connections stay open and say nothing more. New ones are served.
-func (d *Discovery) Mute() {
+// StallConnections has all open connections stay open and say nothing more. New ones are served.
+func (d *Discovery) StallConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c, mute := range d.conns {
@@ -377,26 +377,26 @@
 	}
 }
 
-// Silence has calls that come from now on never answered, also not later, and those that are out. False ends it.
-func (d *Discovery) Silence(on bool) {
+// SetUnresponsive has calls that come from now on never answered, also not later, and those that are out. False ends it.
+func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
-	d.silent = on
+	d.unresponsive = on
 	d.mu.Unlock()
 	if on {
-		d.Mute()
+		d.StallConnections()
 	}
 }
 
-// Raw has each connection say text where an answer is due, and then nothing more. Empty ends it.
-func (d *Discovery) Raw(text string) {
+// SetRawAnswer has each connection say text where an answer is due, and then nothing more. Empty ends it.
+func (d *Discovery) SetRawAnswer(text string) {
 	d.mu.Lock()
-	d.raw = text
+	d.rawAnswer = text
 	d.mu.Unlock()
-	d.Mute()
+	d.StallConnections()
 }
 
-// Tell brings out news.
-func (d *Discovery) Tell(full bool, entries ...string) {
+// Publish brings out news.
+func (d *Discovery) Publish(full bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -412,18 +412,18 @@
 	return d.version
 }
 
-// Refuse has the next call answered with a status and no list; 0: with the list.
-func (d *Discovery) Refuse(status int) {
+// RejectNext has the next call answered with a status and no list; 0: with the list.
+func (d *Discovery) RejectNext(status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refuse = status
+	d.rejectStatus = status
 }
 
-// refusal is the status that Refuse set for this call.
-func (d *Discovery) refusal() (status int) {
+// takeRejection is the status that Refuse set for this call.
+func (d *Discovery) takeRejection() (status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	status, d.refuse = d.refuse, 0
+	status, d.rejectStatus = d.rejectStatus, 0
 	return status
 }
 
@@ -444,14 +444,14 @@
 			return
 		}
 		select {
-		case d.Targets <- req.Target:
+		case d.Calls <- req.Target:
 		default:
 		}
-		if status := d.refusal(); status != 0 {
+		if status := d.takeRejection(); status != 0 {
 			c.Write(httpwire.AppendResponse(nil, status, nil, nil, false))
 			continue
 		}
-		out, ok := d.due(req.Target, mute)
+		out, ok := d.awaitAnswer(req.Target, mute)
 		if c.Write(out); !ok { // says nothing more, and stays open until the other side leaves
 			io.Copy(io.Discard, r)
 			return
@@ -459,8 +459,8 @@
 	}
 }
 
-// due waits until an answer is and returns it; not ok: nothing follows it on its connection.
-func (d *Discovery) due(target string, mute chan bool) (out []byte, ok bool) {
+// awaitAnswer waits until an answer is and returns it; not ok: nothing follows it on its connection.
+func (d *Discovery) awaitAnswer(target string, mute chan bool) (out []byte, ok bool) {
 	var hold time.Duration
 	if _, ms, watch := strings.Cut(target, "hold_ms="); watch {
 		n, _ := strconv.Atoi(ms)
@@ -471,7 +471,7 @@
 		d.mu.Lock()
 		answer, changed, held := d.answer, d.changed, strings.Contains(target, "from="+strconv.Itoa(d.version)+"&")
 		nothing := fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, d.version)
-		silent, raw := d.silent, d.raw
+		silent, raw := d.unresponsive, d.rawAnswer
 		d.mu.Unlock()
 		switch {
 		case silent:
@@ -491,8 +491,8 @@
 	}
 }
 
-// Entry is one line of discovery's list.
-func Entry(name string, s *Store, state string) string {
+// EndpointEntry is one line of discovery's list.
+func EndpointEntry(name string, s *Store, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":0,"state":%q,"weight":1,"started_ms":0}`,
 		name, s.Addr, state)
 }
@@ -500,7 +500,7 @@
 // Client is a connection of a client.
 type Client struct {
 	net.Conn
-	R *bufio.Reader
+	Reader *bufio.Reader
 	t *testing.T
 }
 
@@ -513,34 +513,34 @@
 	return &Client{c, bufio.NewReader(c), t}
 }
 
-// lateReads is a listener whose connections wait before each read: before tells which one it is.
-type lateReads struct {
+// gatedListener is a listener whose connections wait before each read: before tells which one it is.
+type gatedListener struct {
 	*net.TCPListener
 	before func(c *net.TCPConn, read int)
 }
 
-type lateConn struct {
+type gatedConn struct {
 	*net.TCPConn
-	l     lateReads
+	l     gatedListener
 	reads int
 }
 
-func (l lateReads) Accept() (net.Conn, error) {
+func (l gatedListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &lateConn{TCPConn: c, l: l}, nil
+	return &gatedConn{TCPConn: c, l: l}, nil
 }
 
-func (c *lateConn) Read(b []byte) (int, error) {
+func (c *gatedConn) Read(b []byte) (int, error) {
 	c.reads++
 	c.l.before(c.TCPConn, c.reads)
 	return c.TCPConn.Read(b)
 }
 
-// PeerEnded tells that the other side has ended its side of a connection, whether or not what came before was read.
-func PeerEnded(c *net.TCPConn) (ended bool) {
+// PeerClosed tells that the other side has ended its side of a connection, whether or not what came before was read.
+func PeerClosed(c *net.TCPConn) (ended bool) {
 	const closeWait = 8 // TCP_CLOSE_WAIT of Linux
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -553,20 +553,20 @@
 	return ended
 }
 
-// AskAndLeave has a server with a handle read a request once its client has left, as a process does that was held up. It
+// SendAndDisconnect has a server with a handle read a request once its client has left, as a process does that was held up. It
 // returns when the request is over, or is waited for: what further reads there are wait until release is called.
-func AskAndLeave(t *testing.T, handle func(*httpwire.Exchange) *httpwire.Reply, ask func(*Client)) (release func()) {
+func SendAndDisconnect(t *testing.T, handle func(*httpwire.Exchange) *httpwire.Reply, ask func(*Client)) (release func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	over, hold := make(chan struct{}), make(chan struct{})
 	end := sync.OnceFunc(func() { close(over) })
-	s := &httpwire.Server{Log: Log(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
+	s := &httpwire.Server{Log: DiscardLog(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		defer end()
 		return handle(x)
 	}}
-	go s.Serve(lateReads{l.(*net.TCPListener), func(c *net.TCPConn, read int) {
+	go s.Serve(gatedListener{l.(*net.TCPListener), func(c *net.TCPConn, read int) {
 		if read == 1 {
-			for late := time.Now().Add(5 * time.Second); !PeerEnded(c) && time.Now().Before(late); {
+			for late := time.Now().Add(5 * time.Second); !PeerClosed(c) && time.Now().Before(late); {
 				time.Sleep(time.Millisecond)
 			}
 			return
@@ -587,8 +587,8 @@
 	return release
 }
 
-// Send writes a request.
-func (c *Client) Send(method, target, body string, header ...string) {
+// SendRequest writes a request.
+func (c *Client) SendRequest(method, target, body string, header ...string) {
 	var h httpwire.Header
 	for i := 0; i+1 < len(header); i += 2 {
 		h = append(h, httpwire.Field{Name: header[i], Value: header[i+1]})
@@ -597,17 +597,17 @@
 	require.NoError(c.t, err)
 }
 
-// Read reads a response.
-func (c *Client) Read() *httpwire.Response {
-	resp, err := httpwire.ReadResponse(c.R)
+// ReadResponse reads a response.
+func (c *Client) ReadResponse() *httpwire.Response {
+	resp, err := httpwire.ReadResponse(c.Reader)
 	require.NoError(c.t, err)
 	return resp
 }
 
-// Next is the next part that came to a store, or a failed test.
-func Next(t *testing.T, s *Store) string {
+// NextRequest is the next part that came to a store, or a failed test.
+func NextRequest(t *testing.T, s *Store) string {
 	select {
-	case p := <-s.Parts:
+	case p := <-s.Requests:
 		return p
 	case <-time.After(5 * time.Second):
 		require.Fail(t, "nothing came to the store")
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -69,7 +69,7 @@
 		})
 	}
 	var err error
-	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(documentTemplate, maxOpen)), nil, testserver.Log())
+	r.Service, err = Start(r.config, r.terms(t, 0, fmt.Sprintf(documentTemplate, maxOpen)), nil, testserver.DiscardLog())
 	require.NoError(t, err)
 	t.Cleanup(func() { r.server.Close(); r.broker.Close(); r.pool.Close() })
 	return r
@@ -87,7 +87,7 @@
 func (r *rig) search(t *testing.T, target, body string) *testserver.Client {
 	t.Helper()
 	c := testserver.Dial(t, r.Addr())
-	c.Send("POST", target, body)
+	c.SendRequest("POST", target, body)
 	return c
 }
 
@@ -135,7 +135,7 @@
 		{"sort descending", "", `{"sort":[{"price":"desc"},{"name":{"order":"desc"}}]}`, "acdb"},
 		{"missing last", "", `{"sort":[{"x":{"missing":"_last"}}],"track_total_hits":true}`, "bdca"},
 	} {
-		resp := r.search(t, "/catalogue/_search"+c.query, c.body).Read()
+		resp := r.search(t, "/catalogue/_search"+c.query, c.body).ReadResponse()
 		require.Equal(t, 200, resp.Status, c.name)
 		a := decode(t, resp.Body)
 		assert.Equal(t, c.ids, a.ids(), c.name)
@@ -149,11 +149,11 @@
 func TestStoresGetTheQueryAsItCame(t *testing.T) {
 	r := startRig(t, 1000)
 	query := `{"match" : {"name":"éß \u00e9"}}`
-	require.Equal(t, 200, r.search(t, "/catalogue/_search", `{"from":5,"size":3,"query":`+query+`}`).Read().Status)
+	require.Equal(t, 200, r.search(t, "/catalogue/_search", `{"from":5,"size":3,"query":`+query+`}`).ReadResponse().Status)
 	var part string
 	select {
-	case part = <-r.stores[0].Parts:
-	case part = <-r.stores[1].Parts:
+	case part = <-r.stores[0].Requests:
+	case part = <-r.stores[1].Requests:
 	}
 	assert.Regexp(t, `^/catalogue/_search\?preference=_shards:[01]&timeout=\d+ms&allow_partial`, part)
 	assert.Contains(t, part, "\n"+`{"query":`+query+`,"from":0,"size":8}`)
@@ -162,19 +162,19 @@
 // The same faults as on the platform's path, with the same outcomes. A success status with a failed shard or a
 // time-out in it is a missing part and never a whole answer.
 func TestFaults(t *testing.T) {
-	for _, c := range testserver.Cases {
-		for both, want := range map[bool]int{false: c.One, true: c.Query} {
+	for _, c := range testserver.FaultCases {
+		for both, want := range map[bool]int{false: c.OneReplicaStatus, true: c.OpenSearchStatus} {
 			t.Run(fmt.Sprintf("%s/both=%v", c.Fault, both), func(t *testing.T) {
 				t.Parallel()
 				r := startRig(t, 1000)
 				for range 6 { // until the decisions know what is late
-					require.Equal(t, 200, r.search(t, "/catalogue/_search", `{}`).Read().Status)
+					require.Equal(t, 200, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status)
 				}
 				r.stores[0].SetFault(c.Fault)
 				if both {
 					r.stores[1].SetFault(c.Fault)
 				}
-				resp := r.search(t, "/catalogue/_search", `{}`).Read()
+				resp := r.search(t, "/catalogue/_search", `{}`).ReadResponse()
 				assert.Equal(t, want, resp.Status, "%s", resp.Body)
 				a := decode(t, resp.Body)
 				if want == 200 {
@@ -192,12 +192,12 @@
 
 // A class that takes half of its parts is answered from these, and the answer tells of the failed shard.
 func TestPartialResponseCountsTheFailedShard(t *testing.T) {
-	for _, fault := range []testserver.Fault{testserver.Error, testserver.Partial, testserver.Late} {
+	for _, fault := range []testserver.Fault{testserver.ServerError, testserver.Partial, testserver.TimedOut} {
 		r := startRig(t, 1000)
 		for _, s := range r.stores {
-			s.SetFaultAt(1, fault)
+			s.SetShardFault(1, fault)
 		}
-		resp := r.search(t, "/families/_search", `{}`).Read()
+		resp := r.search(t, "/families/_search", `{}`).ReadResponse()
 		require.Equal(t, 200, resp.Status)
 		a := decode(t, resp.Body)
 		assert.Equal(t, "ab", a.ids())
@@ -215,7 +215,7 @@
 		`{"index":"catalogue"}`, `{"aggs":{}}`,
 		`{"index":["families"]}`, `{"from":20000}`,
 		`{"index":"families","routing":"x"}`, `{}`,
-	}, "\n")+"\n").Read()
+	}, "\n")+"\n").ReadResponse()
 	require.Equal(t, 200, resp.Status)
 	a := decode(t, resp.Body)
 	require.Len(t, a.Responses, 6)
@@ -233,9 +233,9 @@
 func TestMultiSearchItemIsRejectedAlone(t *testing.T) {
 	r := startRig(t, 3)
 	for _, s := range r.stores {
-		s.SetFault(testserver.Silent)
+		s.SetFault(testserver.Unresponsive)
 	}
-	resp := r.search(t, "/catalogue/_msearch", "{}\n{}\n{}\n{}\n").Read()
+	resp := r.search(t, "/catalogue/_msearch", "{}\n{}\n{}\n{}\n").ReadResponse()
 	a := decode(t, resp.Body)
 	require.Len(t, a.Responses, 2, "%s", resp.Body)
 	assert.Equal(t, 504, a.Responses[0].Status)
@@ -248,10 +248,10 @@
 	r := startRig(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
-		release = append(release, s.Hold())
+		release = append(release, s.HoldAnswers())
 	}
 	before := r.search(t, "/catalogue/_search", `{}`)
-	testserver.Next(t, r.stores[0])
+	testserver.NextRequest(t, r.stores[0])
 	require.NoError(t, r.SetTerms(r.terms(t, 2, `
 [layout]
 slices = 2
@@ -263,12 +263,12 @@
 class = sales/lookup
 slices = 0-1
 `)))
-	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).Read().Status, "the index is no more")
+	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status, "the index is no more")
 	for _, f := range release {
 		f()
 	}
-	assert.Equal(t, 200, before.Read().Status)
-	assert.Equal(t, 200, r.search(t, "/sales/_search", `{}`).Read().Status)
+	assert.Equal(t, 200, before.ReadResponse().Status)
+	assert.Equal(t, 200, r.search(t, "/sales/_search", `{}`).ReadResponse().Status)
 	assert.Equal(t, uint64(2), r.Version())
 }
 
@@ -277,7 +277,7 @@
 	r := startRig(t, 1000)
 	for _, s := range r.stores { // what comes there is of no matter, and a full channel would hold the store up
 		go func() {
-			for range s.Parts {
+			for range s.Requests {
 			}
 		}()
 	}
@@ -286,9 +286,9 @@
 		go func() {
 			c, count := testserver.Dial(t, r.Addr()), map[int]int{}
 			for range 100 {
-				c.Send("POST", "/_msearch", "{\"index\":\"catalogue\"}\n{}\n{\"index\":\"families\"}\n{}\n")
+				c.SendRequest("POST", "/_msearch", "{\"index\":\"catalogue\"}\n{}\n{\"index\":\"families\"}\n{}\n")
 				var a responseBody
-				assert.NoError(t, json.Unmarshal(c.Read().Body, &a))
+				assert.NoError(t, json.Unmarshal(c.ReadResponse().Body, &a))
 				for _, item := range a.Responses {
 					count[item.Status]++
 				}
@@ -326,41 +326,41 @@
 	var err error
 	r.Service, err = Start(r.config, r.terms(t, 3, fmt.Sprintf(documentTemplate, 10)), func(t *broker.Terms) (bool, time.Duration) {
 		return open.Load() && t.Version == 3, 1500 * time.Millisecond
-	}, testserver.Log())
+	}, testserver.DiscardLog())
 	require.NoError(t, err)
 	t.Cleanup(func() { r.server.Close(); r.broker.Close(); r.pool.Close() })
-	resp := r.search(t, "/catalogue/_search", `{}`).Read()
+	resp := r.search(t, "/catalogue/_search", `{}`).ReadResponse()
 	assert.Equal(t, 200, resp.Status)
 	assert.Equal(t, "3", resp.Header.Get("X-Config-Version"))
 	open.Store(false)
-	resp = r.search(t, "/catalogue/_search", `{}`).Read()
+	resp = r.search(t, "/catalogue/_search", `{}`).ReadResponse()
 	assert.Equal(t, 503, resp.Status)
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
 	assert.Equal(t, "cluster_block_exception", decode(t, resp.Body).Error.Type)
 	c := testserver.Dial(t, r.Addr())
-	c.Send("GET", "/healthz", "")
-	assert.Equal(t, 503, c.Read().Status)
+	c.SendRequest("GET", "/healthz", "")
+	assert.Equal(t, 503, c.ReadResponse().Status)
 }
 
 func TestShutdownAnswersAcceptedSearches(t *testing.T) {
 	r := startRig(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
-		release = append(release, s.Hold())
+		release = append(release, s.HoldAnswers())
 	}
 	c := r.search(t, "/catalogue/_search", `{}`)
-	testserver.Next(t, r.stores[0])
+	testserver.NextRequest(t, r.stores[0])
 	stopped := make(chan struct{})
 	now := time.Now()
 	go func() { r.Shutdown(now.Add(300*time.Millisecond), now.Add(2*time.Second)); close(stopped) }()
 	require.Eventually(t, r.draining.Load, 5*time.Second, time.Millisecond)
 	late := testserver.Dial(t, r.Addr()) // still served for a moment
-	late.Send("GET", "/healthz", "")
-	assert.Equal(t, 503, late.Read().Status)
+	late.SendRequest("GET", "/healthz", "")
+	assert.Equal(t, 503, late.ReadResponse().Status)
 	for _, f := range release {
 		f()
 	}
-	resp := c.Read()
+	resp := c.ReadResponse()
 	assert.Equal(t, 200, resp.Status)
 	assert.True(t, resp.Close)
 	<-stopped
@@ -369,14 +369,14 @@
 func TestRejection(t *testing.T) {
 	r := startRig(t, 3)
 	for _, s := range r.stores {
-		defer s.Hold()()
+		defer s.HoldAnswers()()
 	}
 	r.search(t, "/catalogue/_search", `{}`)
 	select {
-	case <-r.stores[0].Parts:
-	case <-r.stores[1].Parts:
+	case <-r.stores[0].Requests:
+	case <-r.stores[1].Requests:
 	}
-	resp := r.search(t, "/catalogue/_search", `{}`).Read()
+	resp := r.search(t, "/catalogue/_search", `{}`).ReadResponse()
 	assert.Equal(t, 429, resp.Status)
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
 	assert.Equal(t, "rejected_execution_exception", decode(t, resp.Body).Error.Type)
@@ -385,19 +385,19 @@
 func TestTimeoutOfTheQueryIsItsDeadline(t *testing.T) {
 	r := startRig(t, 1000)
 	for _, s := range r.stores {
-		defer s.Hold()()
+		defer s.HoldAnswers()()
 	}
-	resp := r.search(t, "/catalogue/_search", `{"timeout":"100ms"}`).Read()
+	resp := r.search(t, "/catalogue/_search", `{"timeout":"100ms"}`).ReadResponse()
 	assert.Equal(t, 504, resp.Status)
 }
 
 func TestClientThatDisconnectsCancelsItsSearches(t *testing.T) {
 	r := startRig(t, 1000)
 	for _, s := range r.stores {
-		s.SetFault(testserver.Silent)
+		s.SetFault(testserver.Unresponsive)
 	}
 	c := r.search(t, "/catalogue/_search", `{}`)
-	testserver.Next(t, r.stores[0])
+	testserver.NextRequest(t, r.stores[0])
 	c.Close()
 	<-r.stores[0].Closed
 }
@@ -417,10 +417,10 @@
 	require.Eventually(t, func() bool { return r.server.Connections() == 0 }, 5*time.Second, time.Millisecond)
 	next := r.search(t, "/catalogue/_search", `{"size":3}`)
 	close(hold)
-	assert.Equal(t, 200, next.Read().Status)
+	assert.Equal(t, 200, next.ReadResponse().Status)
 	for _, s := range r.stores {
-		for len(s.Parts) > 0 {
-			assert.NotContains(t, <-s.Parts, `"size":7`)
+		for len(s.Requests) > 0 {
+			assert.NotContains(t, <-s.Requests, `"size":7`)
 		}
 	}
 }
@@ -429,11 +429,11 @@
 func TestRequestReadAfterItsClientHasDisconnectedIsNotSent(t *testing.T) {
 	r := startRig(t, 1000)
 	for target, body := range map[string]string{"/catalogue/_search": `{"size":7}`, "/_msearch": "{\"index\":\"catalogue\"}\n{\"size\":7}\n"} {
-		release := testserver.AskAndLeave(t, r.server.Handle, func(c *testserver.Client) { c.Send("POST", target, body) })
-		assert.Equal(t, 200, r.search(t, "/catalogue/_search", `{"size":3}`).Read().Status)
+		release := testserver.SendAndDisconnect(t, r.server.Handle, func(c *testserver.Client) { c.SendRequest("POST", target, body) })
+		assert.Equal(t, 200, r.search(t, "/catalogue/_search", `{"size":3}`).ReadResponse().Status)
 		for _, s := range r.stores {
-			for len(s.Parts) > 0 {
-				assert.NotContains(t, <-s.Parts, `"size":7`)
+			for len(s.Requests) > 0 {
+				assert.NotContains(t, <-s.Requests, `"size":7`)
 			}
 		}
 		release()
@@ -464,12 +464,12 @@
 		{"/_msearch", "{\"index\":\n{}\n", 400, "parse_exception"},
 		{"/catalogue/_search", strings.Repeat(" ", 65<<10), 413, "parse_exception"},
 	} {
-		resp := r.search(t, c.target, c.body).Read()
+		resp := r.search(t, c.target, c.body).ReadResponse()
 		assert.Equal(t, c.status, resp.Status, "%s %.30s", c.target, c.body)
 		assert.Equal(t, c.kind, decode(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
 	}
-	assert.Empty(t, r.stores[0].Parts)
-	assert.Empty(t, r.stores[1].Parts)
+	assert.Empty(t, r.stores[0].Requests)
+	assert.Empty(t, r.stores[1].Requests)
 }
 
 // What an instance could not serve is named before it is asked to.
--- a/peer/endpoint_test.go
+++ b/peer/endpoint_test.go
@@ -41,7 +41,7 @@
 		ID:    id,
 		Group: func() string { return group },
 		Key:   []byte(key),
-		Log:   testserver.Log(),
+		Log:   testserver.DiscardLog(),
 	}
 	endpoint := Listen(config, listenTCP(t), map[byte]Handler{
 		callEcho: func(clientID string, body []byte, _ io.Reader) ([]byte, error) {
@@ -130,7 +130,7 @@
 	config := Config{
 		ID:       "voter",
 		Group:    group,
-		Log:      testserver.Log(),
+		Log:      testserver.DiscardLog(),
 		IsMember: func(id string) bool { return !strings.HasPrefix(id, "follower") },
 	}
 	endpoint := Listen(config, listenTCP(t), map[byte]Handler{
@@ -139,7 +139,7 @@
 	t.Cleanup(endpoint.Close)
 	target := Target{ID: "voter", Addr: endpoint.Addr()}
 	callFrom := func(id string) error {
-		client := New(Config{ID: id, Group: group, Log: testserver.Log()})
+		client := New(Config{ID: id, Group: group, Log: testserver.DiscardLog()})
 		t.Cleanup(client.Close)
 		_, err := client.Call(target, callEcho, nil, nil, 10*time.Second)
 		return err
--- a/processtest/client_gone_test.go
+++ b/processtest/client_gone_test.go
@@ -17,7 +17,7 @@
 // of their requests reaches a store.
 func TestStoppedProcessBeginsNothingForClientsThatLeft(t *testing.T) {
 	s := testserver.NewFrameStore(t)
-	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
+	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))))
 	go discardLog(lines)
 	for round := range 10 {
 		require.NoError(t, c.Process.Signal(syscall.SIGSTOP))
@@ -30,14 +30,14 @@
 		require.NoError(t, c.Process.Signal(syscall.SIGCONT))
 		behind := testserver.Dial(t, cl.RemoteAddr().String())
 		sendLookup(behind, fmt.Sprint("behind", round))
-		assert.Equal(t, 200, behind.Read().Status)
+		assert.Equal(t, 200, behind.ReadResponse().Status)
 		behind.Close()
 	}
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, c.Wait()) // what it was ever to send is there
 	var begun []string
-	for len(s.Parts) > 0 {
-		if frame := <-s.Parts; strings.HasPrefix(frame, "1left") {
+	for len(s.Requests) > 0 {
+		if frame := <-s.Requests; strings.HasPrefix(frame, "1left") {
 			begun = append(begun, frame)
 		}
 	}
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -57,8 +57,8 @@
 	name         string
 	cluster      *cluster
 	cmd          *exec.Cmd
-	peerProxy    *faultnet.Front // nil: the instance follows and has no listener for other instances
-	gossipProxy  *faultnet.Post  // nil: the instance has no gossip
+	peerProxy    *faultnet.ConnectionProxy // nil: the instance follows and has no listener for other instances
+	gossipProxy  *faultnet.DatagramProxy  // nil: the instance has no gossip
 	searchAddr   string
 	platformAddr string
 	adminAddr    string
@@ -112,12 +112,12 @@
 	for range 2 {
 		s := testserver.NewSearchStore(r.t, "0 {\"_id\":\"a\",\"_score\":1}\n1 {\"_id\":\"b\",\"_score\":2}\n")
 		r.stores = append(r.stores, s)
-		go discard(s.Parts)
+		go discard(s.Requests)
 	}
 	frames := testserver.NewFrameStore(r.t)
-	go discard(frames.Parts)
-	r.discovery = testserver.NewDiscovery(r.t, testserver.Entry("s-1", frames, "in_service"))
-	go discard(r.discovery.Targets)
+	go discard(frames.Requests)
+	r.discovery = testserver.NewDiscovery(r.t, testserver.EndpointEntry("s-1", frames, "in_service"))
+	go discard(r.discovery.Calls)
 }
 
 func discard(records <-chan string) {
@@ -131,11 +131,11 @@
 		l, err := new(net.ListenConfig).Listen(r.t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(r.t, err)
 		r.t.Cleanup(func() { l.Close() })
-		i.peerProxy = r.faults.Front(name, l)
+		i.peerProxy = r.faults.ProxyConnections(name, l)
 	}
 	if r.gossip {
 		var err error
-		i.gossipProxy, err = r.faults.Post(name)
+		i.gossipProxy, err = r.faults.ProxyDatagrams(name)
 		require.NoError(r.t, err)
 		r.t.Cleanup(func() { assert.NoError(r.t, i.gossipProxy.Close()) })
 	}
@@ -164,7 +164,7 @@
 func (i *instance) writeConfig() {
 	r := i.cluster
 	edge := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, i.name, r.discovery.Addr,
-		fmt.Sprintf(testserver.Settings, testserver.Lookup, 0, 15_000_000))
+		fmt.Sprintf(testserver.SettingsTemplate, testserver.LookupClass, 0, 15_000_000))
 	require.NoError(r.t, os.WriteFile(i.path("json"), []byte(edge), 0o600))
 	text := fmt.Sprintf("[instance]\nid = %s\nfolder = %s\nadmin = 127.0.0.1:0\n[gatherer]\nconfig = %s\n[opensearch]\nlisten = 127.0.0.1:0\n"+
 		"[agreement]\nstale_after = %s\nspeed = 2\n", i.name, i.path("folder"), i.path("json"), r.stalenessBound)
@@ -256,9 +256,9 @@
 func (i *instance) connect(l listener) {
 	switch l.service {
 	case "reachable for members":
-		require.NoError(i.cluster.t, i.gossipProxy.Behind(l.addr))
+		require.NoError(i.cluster.t, i.gossipProxy.SetTarget(l.addr))
 	case "reachable for instances":
-		i.peerProxy.Behind(l.addr)
+		i.peerProxy.SetTarget(l.addr)
 	case "serving operators":
 		i.adminAddr = l.addr
 	case "serving OpenSearch-style queries":
--- a/processtest/descriptors_test.go
+++ b/processtest/descriptors_test.go
@@ -28,7 +28,7 @@
 	recordCalls(s)
 	var entries []string
 	for i := range 24 { // more stores than there is room for connections
-		entries = append(entries, testserver.Entry(fmt.Sprint("s-", i), s, "in_service"))
+		entries = append(entries, testserver.EndpointEntry(fmt.Sprint("s-", i), s, "in_service"))
 	}
 	d := testserver.NewDiscovery(t, entries...)
 	config := strings.Replace(platformConfig(d), `"settings":`, fmt.Sprintf(`"limits":{"sockets":%d},"settings":`, sockets), 1)
@@ -50,19 +50,19 @@
 			}
 		}
 	}()
-	d.Silence(true)
-	s.SetFault(testserver.Mute)
+	d.SetUnresponsive(true)
+	s.SetFault(testserver.Stalled)
 	stopClients := startShortLivedClients(addr, 3*sockets)
-	for len(d.Targets) > 0 {
-		<-d.Targets
+	for len(d.Calls) > 0 {
+		<-d.Calls
 	}
 	for range 30 { // calls that are out, each with a descriptor
-		<-d.Targets
+		<-d.Calls
 	}
-	d.Silence(false)
-	d.Tell(false, testserver.Entry("s-0", s, "terminating"))
+	d.SetUnresponsive(false)
+	d.Publish(false, testserver.EndpointEntry("s-0", s, "terminating"))
 	heard := fmt.Sprintf("from=%d&", d.Version())
-	require.Eventually(t, func() bool { return strings.Contains(<-d.Targets, heard) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(<-d.Calls, heard) }, 5*time.Second, time.Millisecond)
 	stopClients()
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	<-ended
--- a/processtest/draining_store_test.go
+++ b/processtest/draining_store_test.go
@@ -26,7 +26,7 @@
 func recordCalls(s *testserver.Store) *callTimes {
 	a := &callTimes{}
 	go func() {
-		for p := range s.Parts {
+		for p := range s.Requests {
 			if p[0] == '1' {
 				a.mu.Lock()
 				a.at = append(a.at, time.Now())
@@ -69,7 +69,7 @@
 		if _, err := cl.Write(lookupRequest(fmt.Sprint("q", c.nextID.Add(1)))); err != nil {
 			return // the process was killed
 		}
-		resp, err := httpwire.ReadResponse(cl.R)
+		resp, err := httpwire.ReadResponse(cl.Reader)
 		if err != nil {
 			return
 		}
@@ -109,12 +109,12 @@
 // awaitCalls waits until discovery has received a number of further calls.
 func awaitCalls(t *testing.T, d *testserver.Discovery, n int) {
 	t.Helper()
-	for len(d.Targets) > 0 {
-		<-d.Targets
+	for len(d.Calls) > 0 {
+		<-d.Calls
 	}
 	for range n {
 		select {
-		case <-d.Targets:
+		case <-d.Calls:
 		case <-time.After(10 * time.Second):
 			require.Fail(t, "discovery gets no calls")
 		}
@@ -130,8 +130,8 @@
 	leaving, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
 	calls := recordCalls(leaving)
 	recordCalls(other)
-	ready, draining := testserver.Entry("s-1", leaving, "in_service"), testserver.Entry("s-1", leaving, "terminating")
-	otherReady := testserver.Entry("s-2", other, "in_service")
+	ready, draining := testserver.EndpointEntry("s-1", leaving, "in_service"), testserver.EndpointEntry("s-1", leaving, "terminating")
+	otherReady := testserver.EndpointEntry("s-2", other, "in_service")
 	d := testserver.NewDiscovery(t, ready, otherReady)
 	known := fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s,%s]}`, ready, otherReady)
 	config := func() string {
@@ -151,17 +151,17 @@
 		whenExpired func() // when the grace has passed twice
 	}{
 		{name: "no fault", fail: func() {}},
-		{name: "silent for a while", fail: func() { d.Silence(true); awaitCalls(t, d, 6*processes); d.Silence(false) }},
-		{name: "open watches fall silent", fail: d.Mute},
-		{name: "watches are reset", fail: d.Reset},
-		{name: "down and back", fail: func() { d.Down(); require.NoError(t, d.Up()) }},
+		{name: "silent for a while", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, 6*processes); d.SetUnresponsive(false) }},
+		{name: "open watches fall silent", fail: d.StallConnections},
+		{name: "watches are reset", fail: d.ResetConnections},
+		{name: "down and back", fail: func() { d.Stop(); require.NoError(t, d.Start()) }},
 		{name: "a process starts anew", fail: func() { all[0].kill(); all[0] = clients.startQueried(config()) }},
 		{
 			name: "stopped, and resumed late", fail: func() { all[1].signal(syscall.SIGSTOP) },
 			whenExpired: func() { all[1].signal(syscall.SIGCONT); time.Sleep(grace) },
 		},
 		{ // what the agent has counts from a new process's first moment
-			name: "killed, and discovery too", fail: func() { d.Silence(true); awaitCalls(t, d, processes); all[0].kill(); d.Silence(false) },
+			name: "killed, and discovery too", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, processes); all[0].kill(); d.SetUnresponsive(false) },
 			afterDrain: func() { all[0] = clients.startQueried(config()) },
 		},
 	} {
@@ -170,7 +170,7 @@
 			require.Eventually(t, func() bool { return calls.between(time.Time{}, time.Now()) > before+20 }, 10*time.Second, time.Millisecond,
 				"the store is in use")
 			c.fail()
-			d.Tell(true, draining, otherReady)
+			d.Publish(true, draining, otherReady)
 			reported := time.Now()
 			if c.afterDrain != nil {
 				c.afterDrain()
@@ -182,7 +182,7 @@
 			}
 			require.Greater(t, clients.answered.Load(), since, "queries went on")
 			assert.Zero(t, calls.between(reported.Add(grace), time.Now()), "calls reached the draining store")
-			d.Tell(true, ready, otherReady)
+			d.Publish(true, ready, otherReady)
 		})
 	}
 	t.Logf("%d queries answered, %d of them not served", clients.answered.Load(), clients.failed.Load())
--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -24,7 +24,7 @@
 	all := r.instanceNames()
 	follow := without(all, "n1", "n2", "n3")
 	load := r.startLoad(follow...)
-	r.faults.All(faultnet.Rule{Loss: 0, Delay: 30 * time.Millisecond})
+	r.faults.SetDefault(faultnet.Rule{LossPercent: 0, MaxDelay: 30 * time.Millisecond})
 	version := uint64(1)
 	for round := range 3 {
 		leader := ""
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -358,15 +358,15 @@
 	for _, stores := range []int{16, 200, 1024} {
 		s := testserver.NewFrameStore(t)
 		go func() {
-			for range s.Parts {
+			for range s.Requests {
 			}
 		}()
 		d := testserver.NewDiscovery(t)
 		var entries []string
 		for i := range stores {
-			entries = append(entries, testserver.Entry(fmt.Sprintf("s-%08x", i), s, "in_service"))
+			entries = append(entries, testserver.EndpointEntry(fmt.Sprintf("s-%08x", i), s, "in_service"))
 		}
-		d.Tell(true, entries...)
+		d.Publish(true, entries...)
 		// The list is known at the start, so that its log lines come before anybody waits for the program.
 		c, _, cl, lines := startProcess(t, strings.Replace(platformConfig(d), `"settings"`, fmt.Sprintf(
 			`"limits":{"sockets":4096,"memory_mb":192},"known":{"version":1,"full":true,"servers":[%s]},"settings"`, strings.Join(entries, ",")), 1))
@@ -383,15 +383,15 @@
 		t.Logf("%4d stores, just listed: %s", stores, listed())
 		for i := range 6 * stores {
 			sendLookup(cl, fmt.Sprint("q", i))
-			require.Equal(t, 200, cl.Read().Status)
+			require.Equal(t, 200, cl.ReadResponse().Status)
 		}
-		t.Logf("%4d stores, %d connections: %s", stores, s.Conns(), listed())
+		t.Logf("%4d stores, %d connections: %s", stores, s.Connections(), listed())
 		began := time.Now()
 		const lists = 50
 		for range lists {
-			d.Tell(true, entries...)
+			d.Publish(true, entries...)
 			for target := ""; !strings.HasPrefix(target, fmt.Sprintf("/v1/servers?from=%d&", d.Version())); {
-				target = <-d.Targets
+				target = <-d.Calls
 			}
 		}
 		t.Logf("%4d stores, a whole list from discovery's word to the next call: %v", stores, time.Since(began)/lists)
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -83,7 +83,7 @@
 	}
 
 	// A third of all datagrams lost, some twice, some late; and stops of one fifth of the 5 s that are granted.
-	r.faults.All(faultnet.Rule{Loss: 30, Twice: 10, Delay: 100 * time.Millisecond})
+	r.faults.SetDefault(faultnet.Rule{LossPercent: 30, DuplicatePercent: 10, MaxDelay: 100 * time.Millisecond})
 	r.instances["f4"].signal(syscall.SIGSTOP)
 	time.Sleep(time.Second) // the stop
 	r.instances["f4"].signal(syscall.SIGCONT)
--- a/processtest/process_test.go
+++ b/processtest/process_test.go
@@ -43,8 +43,8 @@
 	m := waitForLog(t, lines, listenPattern)
 	cl = testserver.Dial(t, m[1])
 	require.Eventually(t, func() bool { // as the platform does: clients come once it is ready
-		cl.Send("GET", "/healthz", "")
-		return cl.Read().Status == 200
+		cl.SendRequest("GET", "/healthz", "")
+		return cl.ReadResponse().Status == 200
 	}, 10*time.Second, 5*time.Millisecond)
 	return c, path, cl, lines
 }
@@ -66,11 +66,11 @@
 
 func platformConfig(d *testserver.Discovery) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, d.Addr,
-		fmt.Sprintf(testserver.Settings, testserver.Lookup, 0, 15_000_000))
+		fmt.Sprintf(testserver.SettingsTemplate, testserver.LookupClass, 0, 15_000_000))
 }
 
 func sendLookup(c *testserver.Client, id string) {
-	c.Send("POST", "/lookup", `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", id, "Request-Timeout", "2")
+	c.SendRequest("POST", "/lookup", `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", id, "Request-Timeout", "2")
 }
 
 func lookupRequest(id string) []byte {
--- a/processtest/reload_test.go
+++ b/processtest/reload_test.go
@@ -17,12 +17,12 @@
 // can't be used must change nothing.
 func TestSIGHUPMovesTheWatchAndKeepsOpenRequests(t *testing.T) {
 	s := testserver.NewFrameStore(t)
-	entry := testserver.Entry("s-1", s, "in_service")
+	entry := testserver.EndpointEntry("s-1", s, "in_service")
 	old, moved := testserver.NewDiscovery(t, entry), testserver.NewDiscovery(t, entry)
 	c, path, cl, lines := startProcess(t, platformConfig(old))
-	release := s.Hold()
+	release := s.HoldAnswers()
 	sendLookup(cl, "q1")
-	testserver.Next(t, s)
+	testserver.NextRequest(t, s)
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":`), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	waitForLog(t, lines, "new configuration unusable")
@@ -31,15 +31,15 @@
 	waitForLog(t, lines, `discovery moved`)
 	for target := ""; !strings.Contains(target, "hold_ms"); { // it watches the new one: it has taken its list in
 		select {
-		case target = <-moved.Targets:
+		case target = <-moved.Calls:
 		case <-time.After(5 * time.Second):
 			require.Fail(t, "the new address was not asked")
 		}
 	}
 	release()
-	assert.Equal(t, 200, cl.Read().Status)
+	assert.Equal(t, 200, cl.ReadResponse().Status)
 	sendLookup(cl, "q2") // and it serves on
-	assert.Equal(t, 200, cl.Read().Status)
+	assert.Equal(t, 200, cl.ReadResponse().Status)
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	for lines.Scan() { // to the end
 	}
@@ -50,11 +50,11 @@
 // them is answered by them. Settings that cannot be served change nothing.
 func TestSettingsAtSIGHUPTakeThePlaceOfAllOldOnes(t *testing.T) {
 	s := testserver.NewFrameStore(t)
-	d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
+	d := testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))
 	c, path, cl, lines := startProcess(t, platformConfig(d))
-	release := s.Hold()
+	release := s.HoldAnswers()
 	sendLookup(cl, "q1")
-	testserver.Next(t, s)
+	testserver.NextRequest(t, s)
 	reload := func(text, logs string) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		require.NoError(t, c.Process.Signal(syscall.SIGHUP))
@@ -62,11 +62,11 @@
 	}
 	post := func(class, key string) int {
 		other := testserver.Dial(t, cl.RemoteAddr().String())
-		other.Send("POST", "/"+class, `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", "r-"+class+key,
+		other.SendRequest("POST", "/"+class, `{"slices":[{"slice":0,"mass":1}],"filter":"x"}`, "Request-Id", "r-"+class+key,
 			"Request-Timeout", "2", "Idempotency-Key", key)
-		return other.Read().Status
+		return other.ReadResponse().Status
 	}
-	booking := strings.NewReplacer(testserver.Lookup, `{"name":"booking","effect":"idempotency_key","window_us":400000,"promise_us":300000,"give_up_us":900000,"gain":4}`,
+	booking := strings.NewReplacer(testserver.LookupClass, `{"name":"booking","effect":"idempotency_key","window_us":400000,"promise_us":300000,"give_up_us":900000,"gain":4}`,
 		`"drain_grace_us":500000`, `"drain_grace_us":250000`, `"max_streams":32`, `"max_streams":1`).Replace(platformConfig(d))
 	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "new configuration unusable")
 	reload(booking, `configuration read again.*next_start="\[\]".*settings=true`)
@@ -74,10 +74,10 @@
 	assert.Equal(t, 400, post("booking", ""), "the new class is keyed")
 	release()
 	assert.Equal(t, 200, post("booking", "k"))
-	assert.Equal(t, 200, cl.Read().Status, "what was taken by the old ones")
+	assert.Equal(t, 200, cl.ReadResponse().Status, "what was taken by the old ones")
 	require.Eventually(t, func() bool { // and lists are asked for by the new grace
 		select {
-		case target := <-d.Targets:
+		case target := <-d.Calls:
 			return strings.HasSuffix(target, "hold_ms=125")
 		default:
 			return false
--- a/processtest/shutdown_test.go
+++ b/processtest/shutdown_test.go
@@ -23,9 +23,9 @@
 
 func TestPlannedStopEndsWithStatusZero(t *testing.T) {
 	s := testserver.NewFrameStore(t)
-	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))))
+	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))))
 	sendLookup(cl, "q")
-	assert.Equal(t, 200, cl.Read().Status)
+	assert.Equal(t, 200, cl.ReadResponse().Status)
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	discardLog(lines)
 	assert.NoError(t, c.Wait())
@@ -70,13 +70,13 @@
 		return served
 	},
 	"right after a watch event": func(p *stoppingProcess) []int {
-		p.discovery.Tell(false, testserver.Entry("s-1", p.store, "terminating"))
+		p.discovery.Publish(false, testserver.EndpointEntry("s-1", p.store, "terminating"))
 		p.signal(syscall.SIGTERM)
 		p.release()
 		return served
 	},
 	"while discovery is unresponsive": func(p *stoppingProcess) []int {
-		p.discovery.Silence(true)
+		p.discovery.SetUnresponsive(true)
 		p.signal(syscall.SIGTERM)
 		p.release()
 		return served
@@ -99,11 +99,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := testserver.NewFrameStore(t)
-			d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
+			d := testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))
 			c, _, cl, lines := startProcess(t, platformConfig(d))
-			release := s.Hold()
+			release := s.HoldAnswers()
 			sendLookup(cl, "q1")
-			testserver.Next(t, s)
+			testserver.NextRequest(t, s)
 			_, err := cl.Write([]byte("POST /lookup HTTP/1.1\r\nConte")) // half of the next request lies unread
 			require.NoError(t, err)
 			began := time.Now()
@@ -111,18 +111,18 @@
 			discardLog(lines)
 			require.NoError(t, c.Wait())
 			assert.Less(t, time.Since(began), 5*time.Second)
-			assert.Contains(t, want, cl.Read().Status)
-			if _, err := cl.R.Peek(1); err == nil { // the answer to the half request
-				assert.Equal(t, 408, cl.Read().Status)
+			assert.Contains(t, want, cl.ReadResponse().Status)
+			if _, err := cl.Reader.Peek(1); err == nil { // the answer to the half request
+				assert.Equal(t, 408, cl.ReadResponse().Status)
 			}
-			_, err = cl.R.Peek(1)
+			_, err = cl.Reader.Peek(1)
 			assert.ErrorIs(t, err, io.EOF, "the connection ends without a reset")
 		})
 	}
 	t.Run("before it is ready", func(t *testing.T) {
 		t.Parallel()
 		d := testserver.NewDiscovery(t)
-		d.Silence(true)
+		d.SetUnresponsive(true)
 		c, _ := processCommand(t, platformConfig(d))
 		out, err := c.StderrPipe()
 		require.NoError(t, err)
@@ -157,7 +157,7 @@
 	for i := range 3 {
 		s := testserver.NewFrameStore(t)
 		stores = append(stores, s)
-		list = append(list, testserver.Entry(fmt.Sprint("s-", i), s, "in_service"))
+		list = append(list, testserver.EndpointEntry(fmt.Sprint("s-", i), s, "in_service"))
 		go clients.recordForwarded(s)
 	}
 	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, list...)))
@@ -169,7 +169,7 @@
 	}
 	time.Sleep(time.Duration(300+draw.IntN(400)) * time.Millisecond) // any moment will do
 	for _, s := range stores {
-		s.SetFault([]testserver.Fault{testserver.None, testserver.Silent, testserver.Mute, testserver.Reset, testserver.Busy}[seed%5])
+		s.SetFault([]testserver.Fault{testserver.None, testserver.Unresponsive, testserver.Stalled, testserver.Reset, testserver.Rejecting}[seed%5])
 	}
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, c.Wait())
@@ -197,7 +197,7 @@
 		select {
 		case <-c.t.Context().Done():
 			return
-		case frame := <-s.Parts:
+		case frame := <-s.Requests:
 			id, _, _ := strings.Cut(frame[1:], ".")
 			c.forwarded.Store(id, frame)
 		}
--- a/processtest/startup_test.go
+++ b/processtest/startup_test.go
@@ -50,10 +50,10 @@
 func TestNineInTenAreReadyInTimeOnOneCoreWithoutDiscovery(t *testing.T) {
 	const processes = 10
 	s := testserver.NewFrameStore(t)
-	d := testserver.NewDiscovery(t, testserver.Entry("s-1", s, "in_service"))
-	d.Silence(true)
+	d := testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))
+	d.SetUnresponsive(true)
 	config := strings.TrimSuffix(platformConfig(d), "}") + fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s]}}`,
-		testserver.Entry("s-1", s, "in_service"))
+		testserver.EndpointEntry("s-1", s, "in_service"))
 
 	var had, one unix.CPUSet
 	runtime.LockOSThread() // children have the cores of the thread that starts them
@@ -78,7 +78,7 @@
 			go scanForAddress(out, addr)
 			cl := testserver.Dial(t, <-addr)
 			for {
-				if cl.Send("GET", "/healthz", ""); cl.Read().Status == 200 {
+				if cl.SendRequest("GET", "/healthz", ""); cl.ReadResponse().Status == 200 {
 					ready <- time.Since(began)
 					return
 				}
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -72,7 +72,7 @@
 		StalenessBound:    c.stalenessBound,
 		RaftSpeedup:       5,
 		SnapshotThreshold: 8,
-		Log:               testserver.Log(),
+		Log:               testserver.DiscardLog(),
 		Activate:          func(sharedconfig.Version) error { return nil },
 		Check: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
@@ -92,7 +92,7 @@
 	front := listen(c.t, anyLocalPort)
 	config.Address = front.Addr().String()
 	config.Listener = listen(c.t, anyLocalPort)
-	c.faults.Front(config.Name, front).Behind(config.Listener.Addr().String())
+	c.faults.ProxyConnections(config.Name, front).SetTarget(config.Listener.Addr().String())
 }
 
 func (c *testCluster) open(config Config) *Node {
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -54,7 +54,7 @@
 		Key:            []byte("k"),
 		StalenessBound: time.Second,
 		RaftSpeedup:    5,
-		Log:            testserver.Log(),
+		Log:            testserver.DiscardLog(),
 		Check:          func(string) error { return nil },
 		Activate:       func(sharedconfig.Version) error { return nil },
 	}
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -159,7 +159,7 @@
 			faults.Clear()
 		}
 		if rng.IntN(3) == 0 {
-			faults.All(faultnet.Rule{Loss: 30, Twice: 10, Delay: 10 * time.Millisecond})
+			faults.SetDefault(faultnet.Rule{LossPercent: 30, DuplicatePercent: 10, MaxDelay: 10 * time.Millisecond})
 		}
 		switch rng.IntN(4) {
 		case 0: // one direction only
--- a/storepool/endpoints_test.go
+++ b/storepool/endpoints_test.go
@@ -85,9 +85,9 @@
 func testRetiredConnection(t *testing.T, change func(Store) []Store, written bool) {
 	t.Helper()
 	server := testserver.NewFrameStore(t)
-	server.SetFault(testserver.Silent)
+	server.SetFault(testserver.Unresponsive)
 	limits := Limits{ConnectTimeout: 5_000_000, IdleTimeout: time.Hour.Microseconds(), MaxInFlight: 32}
-	p := New(limits, callOnlyCodec{}, testserver.Log())
+	p := New(limits, callOnlyCodec{}, testserver.DiscardLog())
 	t.Cleanup(p.Close)
 	paused := newPausedDial()
 	p.SetDialer(paused.dial)
@@ -99,7 +99,7 @@
 	<-paused.started
 	if written {
 		close(paused.release)
-		testserver.Next(t, server)
+		testserver.NextRequest(t, server)
 		p.UpdateEndpoints(change(ready))
 		p.Cancel(a)
 	} else {
--- a/storepool/helpers_test.go
+++ b/storepool/helpers_test.go
@@ -42,13 +42,13 @@
 // one before it has ended, and the final answer out of the second.
 func submitQuery(t *testing.T) (attemptQueue, responses) {
 	t.Helper()
-	facts, err := platformsettings.ParseJSON(fmt.Appendf(nil, testserver.Settings, testserver.Save, 0, 15_000_000))
+	facts, err := platformsettings.ParseJSON(fmt.Appendf(nil, testserver.SettingsTemplate, testserver.SaveClass, 0, 15_000_000))
 	require.NoError(t, err)
 	settings, err := facts.Settings()
 	require.NoError(t, err)
 	attempts := make(attemptQueue, 16)
 	received := make(responses, 1)
-	b, err := broker.New(broker.Config{Settings: settings, Transport: attempts, Log: testserver.Log()})
+	b, err := broker.New(broker.Config{Settings: settings, Transport: attempts, Log: testserver.DiscardLog()})
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	b.UpdateEndpoints([]policy.Endpoint{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
@@ -69,7 +69,7 @@
 
 // unconnected returns a connection that is not established, in a pool without stores.
 func unconnected(maxInFlight int) *connection {
-	return newConnection(New(limitsWith(maxInFlight), nil, testserver.Log()), Store{})
+	return newConnection(New(limitsWith(maxInFlight), nil, testserver.DiscardLog()), Store{})
 }
 
 // listedStore returns a ready store with the number 1.
--- a/storepool/pool_test.go
+++ b/storepool/pool_test.go
@@ -32,7 +32,7 @@
 // A connection that is closed during its dial holds a descriptor until the dial returns, and counts until then.
 func TestConnectionCountsUntilDialReturns(t *testing.T) {
 	server := testserver.NewFrameStore(t)
-	p := New(limitsWith(32), nil, testserver.Log())
+	p := New(limitsWith(32), nil, testserver.DiscardLog())
 	paused := newPausedDial()
 	p.SetDialer(paused.dial)
 	p.UpdateEndpoints([]Store{listedStore(server.Addr)})
