--- a/sharedconfig/actions.go
+++ b/sharedconfig/actions.go
@@ -43,8 +43,8 @@
 	Remove bool
 }
 
-// WaitForCatchUp asks a member without a vote to report when it has the whole log. It is answered by one CaughtUp or not
-// at all.
+// WaitForCatchUp asks a member without a vote to report when it has the whole log. It is answered by one CaughtUp or
+// not at all.
 type WaitForCatchUp struct{ Member Member }
 
 // Activate reports a new active version, by which this instance has to serve from now on.
--- a/sharedconfig/datadir.go
+++ b/sharedconfig/datadir.go
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// checkStart returns an error if an instance must not start from the newest intact snapshot. corrupt is the error of the
-// corrupt snapshot before it; nil: there is none.
+// checkStart returns an error if an instance must not start from the newest intact snapshot. corrupt is the error
+// of the corrupt snapshot before it; nil: there is none.
 func (d DataDirectory) checkStart(snapshot SnapshotFound, corrupt error) error {
 	hasGap := d.Last > 0 && d.First > snapshot.Index+1
 	switch {
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// leaseRetryDivisor is how much more often an instance requests a lease while its last request is not granted. The group
-// may have a leader only for a short time.
+// leaseRetryDivisor is how much more often an instance requests a lease while its last request is not granted. The
+// group may have a leader only for a short time.
 const leaseRetryDivisor = 8
 
 // requestLease requests a lease when one is due. Requests are frequent enough that several in a row may be lost before
@@ -60,8 +60,8 @@
 	c.waitingLeases = append(c.waitingLeases, e)
 }
 
-// startVerification verifies the leadership for the waiting lease requests. It waits while a newer version may be active
-// that is not applied here, since a grant must not confirm a replaced version.
+// startVerification verifies the leadership for the waiting lease requests. It waits while a newer version may be
+// active that is not applied here, since a grant must not confirm a replaced version.
 func (c *Core) startVerification() {
 	if len(c.waitingLeases) == 0 || c.verificationSeq != 0 || c.mayBeActivating() {
 		return
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -169,8 +169,8 @@
 	c.submitMembershipChange()
 }
 
-// reachableVoters returns the number of voters, apart from the one with the given instance ID, that are this instance or
-// have recently requested a lease.
+// reachableVoters returns the number of voters, apart from the one with the given instance ID, that are this instance
+// or have recently requested a lease.
 func (c *Core) reachableVoters(except string) int {
 	count := 0
 	for _, member := range c.members {
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// maxOutcomes is the number of decided changes whose outcomes are retained. A request that is repeated after its outcome
-// was dropped counts as a new change, which then conflicts with the active version.
+// maxOutcomes is the number of decided changes whose outcomes are retained. A request that is repeated after its
+// outcome was dropped counts as a new change, which then conflicts with the active version.
 const maxOutcomes = 1024
 
 // minRetainedVersions is the smallest length of the history: the active version and the one that it replaced.
