--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -12,18 +12,9 @@
 
 	// maxBackoffDoublings is the number of times that any backoff doubles at most.
 	maxBackoffDoublings = 3
-
-	// initialSustainedRate is the rate of work of a warm server, in seconds per second, before servers report more.
-	initialSustainedRate = 1.0
-
-	// initialUtilization is the utilization of the servers' cores, 0 to 1, before they report it.
-	initialUtilization = 1.0
-
-	// initialFanOut is the number of a query's parts before a class has had queries.
-	initialFanOut = 1.0
 )
 
-// Aggregator decides for one aggregator. Its methods must not be called concurrently.
+// Aggregator makes the decisions of one aggregator. Its methods must not be called concurrently.
 type Aggregator struct {
 	settings  Settings
 	now       Micros
@@ -41,8 +32,7 @@
 	servers     map[uint32]*server // by ID
 	serversByID []*server          // in ascending order of ID
 	replicas    [][]*server        // by shard, each in ascending order of ID
-	pollAt      Micros             // when the endpoint list is polled next
-	failedPolls int                // polls that failed since the last list
+	polling     endpointPolling
 
 	// The open queries.
 	classes         []*class
@@ -53,33 +43,16 @@
 	queuedParts     []float64        // by shard: parts that found no capacity in the last dispatch
 	shardArrivals   []historyEntry   // by shard: accepted parts, decaying over the slow start duration
 
-	// The retry budget.
-	acceptedHistory []historyEntry // queries and parts accepted within the budget's window
-	retryHistory    []historyEntry // retries sent within the budget's window
-
-	// Statistics over all classes and servers.
-	meanLatency      float64 // smoothed latency of a part at an idle server, in microseconds
-	baseLatency      float64 // lowest meanLatency so far, in microseconds: estimates a part's work
-	answers          float64 // answered attempts that meanLatency is based on
-	sustainedRate    float64 // highest smoothed rate of work of a warm server, in seconds per second
-	meanUtilization  float64 // smoothed utilization of the servers' cores, 0 to 1
-	queuedReportRate float64 // smoothed share of load reports that tell of queued requests, 0 to 1
+	fleet         fleetStats
+	budget        retryBudget
+	connections   connectionEvidence
+	crashSuspects crashSuspects
 
 	// healthCheckCredits is the number of health checks that may be sent.
 	healthCheckCredits float64
 
 	// outlierLoggedAt is when a change of an outlier was last logged.
 	outlierLoggedAt Micros
-
-	// Evidence on idle connections.
-	freshConnectionSuccess float64 // smoothed share of attempts answered on fresh connections after a silence, 0 to 1
-	freshConnectionAt      Micros  // when an attempt was last sent on a fresh connection
-	idleLimitBase          Micros  // idle time from which connections are suspect, at idleLimitChangedAt
-	idleLimitChangedAt     Micros
-
-	// Queries with crashSuspectKey, and retries, may crash servers until crashSuspectUntil.
-	crashSuspectKey   uint64
-	crashSuspectUntil Micros
 }
 
 // New returns an aggregator without endpoints or statistics. The decisions draw no random numbers; the seed is
@@ -89,14 +62,18 @@
 		return nil, err
 	}
 	a := &Aggregator{
-		servers:                map[uint32]*server{},
-		queries:                map[uint64]*query{},
-		queriesByNumber:        map[uint64]*query{},
-		parts:                  map[uint64]*part{},
-		sustainedRate:          initialSustainedRate,
-		meanUtilization:        initialUtilization,
-		freshConnectionSuccess: initialConnectionSuccess,
-		idleLimitBase:          math.MaxInt64,
+		servers:         map[uint32]*server{},
+		queries:         map[uint64]*query{},
+		queriesByNumber: map[uint64]*query{},
+		parts:           map[uint64]*part{},
+		fleet: fleetStats{
+			sustainedRate:   initialSustainedRate,
+			meanUtilization: initialUtilization,
+		},
+		connections: connectionEvidence{
+			freshSuccess:  initialConnectionSuccess,
+			idleLimitBase: math.MaxInt64,
+		},
 	}
 	a.applySettings(settings)
 	return a, nil
@@ -128,7 +105,7 @@
 func (a *Aggregator) handleEvent(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
-		a.failedPolls = 0
+		a.polling.failures = 0
 		a.applyEndpoints(event.Endpoints)
 	case EndpointListFailed:
 		a.backOffPolling()
@@ -185,9 +162,9 @@
 		a.classes = append(a.classes, &class{c, stats})
 		a.meanObjective += float64(c.LatencyObjective) / float64(len(settings.Classes))
 	}
-	if a.answers == 0 {
-		a.meanLatency = a.meanObjective
-		a.baseLatency = a.meanObjective
+	if a.fleet.answers == 0 {
+		a.fleet.meanLatency = a.meanObjective
+		a.fleet.baseLatency = a.meanObjective
 	}
 	a.lateRatio = lateThreshold
 	if !settings.AllowHedging {
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -47,7 +47,7 @@
 	p := answered.part
 	p.state = partAnswered
 	p.query.canaryFirst = false
-	if float64(a.now-answered.sentAt) < quickAnswerRatio*a.baseLatency*p.relativeCost {
+	if float64(a.now-answered.sentAt) < quickAnswerRatio*a.fleet.baseLatency*p.relativeCost {
 		p.query.lightPartCredits++
 	}
 	for _, other := range p.inFlight {
--- a/policy/batching.go
+++ b/policy/batching.go
@@ -23,7 +23,7 @@
 // findSharedBatch returns the index of the first replica whose batch the part should join although its query uses
 // that server already, or -1. The replica's predicted latency may exceed the best one's by what the batch saves.
 func (a *Aggregator) findSharedBatch(p *part, ranked []candidate, hasHealthyReplica bool) int {
-	saving := min(maxBatchSaving, float64(a.settings.BatchOverhead)/a.baseLatency)
+	saving := min(maxBatchSaving, float64(a.settings.BatchOverhead)/a.fleet.baseLatency)
 	return slices.IndexFunc(ranked, func(c candidate) bool {
 		offsetsLoad := (1-saving)*(1+loadSensitivity) <= 1
 		isNearBest := c.predictedLatency*(1-saving) <= ranked[0].predictedLatency*(1+saving)
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -25,6 +25,20 @@
 	idleLimitDoublingTime = 4.0
 )
 
+// connectionEvidence is what is known of idle connections.
+type connectionEvidence struct {
+	// freshSuccess is the smoothed share, 0 to 1, of attempts that were answered on fresh connections after a silence
+	// on idle ones.
+	freshSuccess float64
+
+	// freshSentAt is when an attempt was last sent on a fresh connection.
+	freshSentAt Micros
+
+	// idleLimitBase is the idle time from which connections were suspect at idleLimitChangedAt.
+	idleLimitBase      Micros
+	idleLimitChangedAt Micros
+}
+
 // classifyConnection takes the end of an attempt, or its lateness as TimedOut, as evidence on idle connections. If
 // fresh connections mostly bring answers where idle ones were silent, idle connections are closed before use. Wrong
 // conclusions cost a handshake for each part, so an answer on an idle connection clears those that were idle for
@@ -39,10 +53,10 @@
 	attempt.classified = true
 	switch {
 	case attempt.freshConnection && status == OK:
-		smooth(&a.freshConnectionSuccess, 1, connectionGain)
+		smooth(&a.connections.freshSuccess, 1, connectionGain)
 	case status == ConnectFailed:
 		// The server can't be reached at all, so idle connections are not to blame.
-		a.freshConnectionSuccess = 0
+		a.connections.freshSuccess = 0
 	}
 	if status == TimedOut && float64(attempt.connectionIdle) > suspectIdleTime*a.meanObjective {
 		a.suspectIdleConnections(attempt)
@@ -52,10 +66,10 @@
 // clearIdleConnections counts an answer on a connection that was not fresh.
 func (a *Aggregator) clearIdleConnections(answered *attempt) {
 	answered.server.suspect = false
-	if answered.connectionIdle >= a.idleLimitBase {
-		a.idleLimitBase = 2 * answered.connectionIdle
-		a.idleLimitChangedAt = a.now
-		smooth(&a.freshConnectionSuccess, 0, connectionGain)
+	if answered.connectionIdle >= a.connections.idleLimitBase {
+		a.connections.idleLimitBase = 2 * answered.connectionIdle
+		a.connections.idleLimitChangedAt = a.now
+		smooth(&a.connections.freshSuccess, 0, connectionGain)
 	}
 }
 
@@ -64,15 +78,15 @@
 func (a *Aggregator) suspectIdleConnections(late *attempt) {
 	late.server.suspect = true
 	if float64(late.connectionIdle) < a.idleLimit() {
-		a.idleLimitBase = late.connectionIdle / 2
+		a.connections.idleLimitBase = late.connectionIdle / 2
 	}
-	a.idleLimitChangedAt = a.now
+	a.connections.idleLimitChangedAt = a.now
 }
 
 // idleLimit returns the idle time, in microseconds, from which connections are suspect. It grows without evidence.
 func (a *Aggregator) idleLimit() float64 {
-	age := float64(a.now - a.idleLimitChangedAt)
-	return float64(a.idleLimitBase) * math.Exp2(age/(idleLimitDoublingTime*a.meanObjective))
+	age := float64(a.now - a.connections.idleLimitChangedAt)
+	return float64(a.connections.idleLimitBase) * math.Exp2(age/(idleLimitDoublingTime*a.meanObjective))
 }
 
 // prepareConnection records how long an attempt's connection was idle, and closes idle connections first if they
@@ -90,14 +104,14 @@
 	sent.freshConnection = true
 	s.connectionUsedAt = a.now
 	s.suspect = false
-	a.freshConnectionAt = a.now
+	a.connections.freshSentAt = a.now
 }
 
 func (a *Aggregator) needsFreshConnection(sent *attempt) bool {
-	mayTest := a.freshConnectionSuccess >= probableConnectionSuccess ||
-		a.now-a.freshConnectionAt > Micros(a.meanObjective)
+	mayTest := a.connections.freshSuccess >= probableConnectionSuccess ||
+		a.now-a.connections.freshSentAt > Micros(a.meanObjective)
 	if sent.server.suspect && mayTest {
 		return true
 	}
-	return a.freshConnectionSuccess > provenConnectionSuccess && float64(sent.connectionIdle) >= a.idleLimit()
+	return a.connections.freshSuccess > provenConnectionSuccess && float64(sent.connectionIdle) >= a.idleLimit()
 }
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -34,7 +34,7 @@
 		s.suspect = false
 	}
 	if freshStatus == ConnectFailed { // one failure to connect revokes any evidence against idle connections
-		a.freshConnectionSuccess = 0.9
+		a.connections.freshSuccess = 0.9
 		a.classifyConnection(&attempt{server: a.serversByID[0], freshConnection: true}, ConnectFailed)
 	}
 	h.actions = nil
--- a/policy/crashsuspects.go
+++ b/policy/crashsuspects.go
@@ -5,6 +5,12 @@
 // minBrokenServers is the number of servers that must break a query's connections before it is ended.
 const minBrokenServers = 2
 
+// crashSuspects describes queries that may crash servers: those with the key, and any retries.
+type crashSuspects struct {
+	key   uint64
+	until Micros
+}
+
 // handleBrokenConnection ends a query that may crash servers: one whose connections two servers broke before
 // any part was answered. For the slow start duration, queries with the same key and retries then send one part
 // ahead of the others. Several connections that a single server breaks are no evidence, nor are resets that spare
@@ -17,14 +23,14 @@
 		return
 	}
 	if len(q.brokenServers) >= minBrokenServers || q.canaryFirst {
-		a.crashSuspectKey = q.Key
-		a.crashSuspectUntil = a.now + a.settings.SlowStartDuration
+		a.crashSuspects.key = q.Key
+		a.crashSuspects.until = a.now + a.settings.SlowStartDuration
 		a.rejectOrFail(q)
 	}
 }
 
 // mayCrashServers reports whether a new query may be one that has recently broken connections.
 func (a *Aggregator) mayCrashServers(q *query) bool {
-	hasSuspectKey := q.Key != 0 && q.Key == a.crashSuspectKey
-	return a.now < a.crashSuspectUntil && (q.Retry || hasSuspectKey)
+	hasSuspectKey := q.Key != 0 && q.Key == a.crashSuspects.key
+	return a.now < a.crashSuspects.until && (q.Retry || hasSuspectKey)
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -100,7 +100,7 @@
 	}
 	a.prepareConnection(sent)
 	if p.attempts > 0 {
-		a.recordForBudget(&a.retryHistory)
+		a.recordForBudget(&a.budget.retries)
 	}
 	if len(p.inFlight) == 0 && !p.mayHaveRun {
 		p.firstSentAt = a.now
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -12,8 +12,9 @@
 // # Invalid input
 //
 // Invalid input never panics and never breaks a rule. Events about unknown or closed IDs, a second result of the
-// same attempt, parts of shards that do not exist, load reports with values that are not numbers and servers
-// without a position on the ring are ignored. A query of an unknown class is rejected at once.
+// same attempt, parts of shards that do not exist and servers without a position on the ring are ignored. A query of
+// an unknown class is rejected at once. The owner must drop values of load reports that are not finite numbers: they
+// would enter the statistics.
 //
 // # Decisions
 //
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,6 +9,12 @@
 // minPollSpread is the factor on the polling backoff of the first instance; the last one's is nearly 1 more.
 const minPollSpread = 0.5
 
+// endpointPolling is the state of the polls of the endpoint list.
+type endpointPolling struct {
+	nextAt   Micros // when the next poll is due
+	failures int    // failed polls since the last list, up to maxBackoffDoublings
+}
+
 // server is the state of an endpoint.
 type server struct {
 	Endpoint
@@ -70,9 +76,9 @@
 
 // pollEndpoints asks for the endpoint list when a poll is due. The next poll follows a failed one.
 func (a *Aggregator) pollEndpoints() {
-	if a.settings.PollEndpoints && a.now >= a.pollAt {
+	if a.settings.PollEndpoints && a.now >= a.polling.nextAt {
 		a.emit(PollEndpoints{})
-		a.pollAt = math.MaxInt64
+		a.polling.nextAt = math.MaxInt64
 	}
 }
 
@@ -82,11 +88,11 @@
 	if !a.settings.PollEndpoints {
 		return
 	}
-	a.failedPolls = min(a.failedPolls+1, maxBackoffDoublings)
+	a.polling.failures = min(a.polling.failures+1, maxBackoffDoublings)
 	spread := minPollSpread + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
 	longest := cmp.Or(a.settings.PollInterval, math.MaxInt64)
-	wait := min(Micros(a.meanObjective*spread)<<a.failedPolls, longest)
-	a.pollAt = a.now + wait
+	wait := min(Micros(a.meanObjective*spread)<<a.polling.failures, longest)
+	a.polling.nextAt = a.now + wait
 	a.emit(SetTimer{After: wait})
 }
 
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -40,7 +40,7 @@
 		assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "instance %d: %v", index, waits)
 		assert.LessOrEqual(t, waits[4], s.PollInterval+2*testTick, "instance %d: %v", index, waits)
 		h.step(testTick, EndpointList{readyEndpoints(1, 2, 3)})
-		assert.Zero(t, h.aggregator.failedPolls, "instance %d", index)
+		assert.Zero(t, h.aggregator.polling.failures, "instance %d", index)
 	}
 	assert.Len(t, firstWaits, instances)
 }
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -67,12 +67,12 @@
 	s.healthCheckDelay = a.now - s.healthCheckAt
 	if result.Status != OK {
 		s.loadReport = NoLoadReport
-		s.healthCheckDelay = max(s.healthCheckDelay, Micros(failedCheckDelayRatio*a.meanLatency))
+		s.healthCheckDelay = max(s.healthCheckDelay, Micros(failedCheckDelayRatio*a.fleet.meanLatency))
 		return
 	}
 	s.respondedAt = a.now
 	if result.Report.Utilization >= 0 {
-		smooth(&a.meanUtilization, result.Report.Utilization, fleetGain)
+		smooth(&a.fleet.meanUtilization, result.Report.Utilization, fleetGain)
 	}
 	a.recordLoad(s, result.Report)
 }
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -80,7 +80,7 @@
 // mayReplaceLate reports whether the rules and limits permit another attempt at a late part.
 func (a *Aggregator) mayReplaceLate(p *part) bool {
 	return !a.attemptsExhausted(p) && a.withinRetryBudget() &&
-		p.isIdempotent() && a.queuedReportRate <= maxQueuedReportRate
+		p.isIdempotent() && a.fleet.queuedReportRate <= maxQueuedReportRate
 }
 
 // improvesOn reports whether a candidate is another, healthy server that would answer a late attempt's part in the
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -7,7 +7,7 @@
 
 // acceptQuery opens a query. It is admitted or rejected once all events of the step are handled.
 func (a *Aggregator) acceptQuery(event Query) {
-	a.recordForBudget(&a.acceptedHistory)
+	a.recordForBudget(&a.budget.accepted)
 	if a.queries[event.ID] != nil {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // acceptPart adds a part to its query and ignores invalid ones.
 func (a *Aggregator) acceptPart(event Part) {
-	a.recordForBudget(&a.acceptedHistory)
+	a.recordForBudget(&a.budget.accepted)
 	q := a.queriesByNumber[event.Number]
 	if q == nil || q.closed || !a.isValidPart(event) {
 		return
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -122,10 +122,10 @@
 // recordAnswer adds the latency of an answer, in microseconds, to the statistics.
 func (a *Aggregator) recordAnswer(s *server, c *class, latency float64) {
 	c.answers++
-	a.answers++
-	smooth(&a.meanLatency, latency, max(fleetGain, 1/(a.answers+objectivePriorWeight)))
+	a.fleet.answers++
+	smooth(&a.fleet.meanLatency, latency, max(fleetGain, 1/(a.fleet.answers+objectivePriorWeight)))
 	smooth(&c.referenceLatency, latency, max(fleetGain, 1/(c.answers+objectivePriorWeight)))
-	a.baseLatency = min(a.baseLatency, a.meanLatency)
+	a.fleet.baseLatency = min(a.fleet.baseLatency, a.fleet.meanLatency)
 	s.respondedAt = a.now
 	s.rejections = 0
 	smooth(&s.failureRate, 0, recoveryGain)
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -31,10 +31,10 @@
 	s.loadReportAt = a.now
 	s.inFlightAtReport = len(s.inFlight)
 	if report.Queue >= 0 {
-		smooth(&a.queuedReportRate, min(report.Queue, 1), fleetGain)
+		smooth(&a.fleet.queuedReportRate, min(report.Queue, 1), fleetGain)
 	}
 	if report.Rate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
-		smooth(&s.sustainedRate, report.Rate*a.meanLatency/microsPerSecond, sustainedRateGain)
-		a.sustainedRate = max(a.sustainedRate, s.sustainedRate)
+		smooth(&s.sustainedRate, report.Rate*a.fleet.meanLatency/microsPerSecond, sustainedRateGain)
+		a.fleet.sustainedRate = max(a.fleet.sustainedRate, s.sustainedRate)
 	}
 }
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -130,6 +130,9 @@
 	*classStats
 }
 
+// initialFanOut is the number of a query's parts before a class has had queries.
+const initialFanOut = 1.0
+
 // classStats are the statistics of a class.
 type classStats struct {
 	// referenceLatency is the smoothed latency of a part at an idle server, in microseconds.
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -67,5 +67,5 @@
 }
 
 func (a *Aggregator) serversAreBusy() bool {
-	return a.meanUtilization > busyUtilization || a.meanLatency > busyLatencyRatio*a.baseLatency
+	return a.fleet.meanUtilization > busyUtilization || a.fleet.meanLatency > busyLatencyRatio*a.fleet.baseLatency
 }
--- a/policy/requesting_test.go
+++ b/policy/requesting_test.go
@@ -19,7 +19,7 @@
 	} {
 		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		h.answerQueries(fetchClass, 40, 100_000)
-		h.aggregator.meanUtilization = c.utilization
+		h.aggregator.fleet.meanUtilization = c.utilization
 		_, events := h.newQuery(fetchClass, 6)
 		for i, weight := range []float64{0.5, 0.3, 0.08, 0.06, 0.04, 0.02} {
 			p := events[i+1].(Part)
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -1,5 +1,11 @@
 package policy
 
+// retryBudget is what counts toward the retry budget within its window.
+type retryBudget struct {
+	accepted []historyEntry // queries and parts
+	retries  []historyEntry
+}
+
 // withinRetryBudget reports whether another retry fits the budget. To stay on the safe side, the window is one tick
 // narrower for accepted queries and parts, and one tick wider for retries.
 func (a *Aggregator) withinRetryBudget() bool {
@@ -7,10 +13,10 @@
 		return true
 	}
 	windowStart := a.now - a.settings.RetryBudgetWindow
-	a.acceptedHistory = dropBefore(a.acceptedHistory, windowStart+a.settings.Tick)
-	a.retryHistory = dropBefore(a.retryHistory, windowStart-a.settings.Tick)
-	retries := float64(len(a.retryHistory) + 1)
-	accepted := float64(len(a.acceptedHistory))
+	a.budget.accepted = dropBefore(a.budget.accepted, windowStart+a.settings.Tick)
+	a.budget.retries = dropBefore(a.budget.retries, windowStart-a.settings.Tick)
+	retries := float64(len(a.budget.retries) + 1)
+	accepted := float64(len(a.budget.accepted))
 	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*accepted
 }
 
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -40,6 +40,6 @@
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
-	assert.Empty(t, h.aggregator.acceptedHistory)
-	assert.Empty(t, h.aggregator.retryHistory)
+	assert.Empty(t, h.aggregator.budget.accepted)
+	assert.Empty(t, h.aggregator.budget.retries)
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -20,23 +20,23 @@
 	overloadDuration := a.settings.OverloadDuration
 	progress := max(0, float64(a.now-overloadDuration-s.StartedAt)/float64(a.settings.SlowStartDuration))
 	fraction := min(1, a.settings.SlowStartFraction+(1-a.settings.SlowStartFraction)*progress)
-	fleetAllowance := a.settings.OverloadFactor * fraction * a.sustainedRate * float64(overloadDuration)
+	fleetAllowance := a.settings.OverloadFactor * fraction * a.fleet.sustainedRate * float64(overloadDuration)
 	return fleetAllowance / float64(a.settings.InstanceCount)
 }
 
 // slowStartWait returns the expected wait, in microseconds, until a part may be sent to a warming server.
 func (a *Aggregator) slowStartWait(s *server) float64 {
 	allowance := a.slowStartAllowance(s)
-	if allowance < a.baseLatency {
+	if allowance < a.fleet.baseLatency {
 		return float64(max(0, a.slowStartNextSend(s, allowance)-a.now))
 	}
-	return float64(a.settings.OverloadDuration) * a.baseLatency / allowance / 2
+	return float64(a.settings.OverloadDuration) * a.fleet.baseLatency / allowance / 2
 }
 
 // slowStartAllows reports whether a part may be sent to a server without exceeding the allowance while it warms up.
 func (a *Aggregator) slowStartAllows(s *server, p *part) bool {
 	allowance := a.slowStartAllowance(s)
-	if allowance < a.baseLatency {
+	if allowance < a.fleet.baseLatency {
 		return a.now >= a.slowStartNextSend(s, allowance)
 	}
 	work := p.query.class.referenceLatency
@@ -51,7 +51,7 @@
 // a part at its slot. Instead, the pause after a part and the mean time until the next one arrives add up to the
 // interval that the allowance permits.
 func (a *Aggregator) slowStartNextSend(s *server, allowance float64) Micros {
-	interval := a.baseLatency / allowance / slowStartUtilization * float64(a.settings.OverloadDuration)
+	interval := a.fleet.baseLatency / allowance / slowStartUtilization * float64(a.settings.OverloadDuration)
 	pause := Micros(interval - a.meanArrivalInterval(s))
 	if sent := len(s.sendHistory); sent > 0 {
 		return s.sendHistory[sent-1].at + max(pause, a.settings.OverloadDuration+a.settings.Tick)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -38,7 +38,7 @@
 		recentWork := float64(work * countSince(sentAt, now-s.OverloadDuration+1))
 		progress := float64(now-start) / float64(s.SlowStartDuration)
 		fraction := s.SlowStartFraction + (1-s.SlowStartFraction)*progress
-		limit := s.OverloadFactor * fraction * float64(s.OverloadDuration) * harnesses[0].aggregator.sustainedRate
+		limit := s.OverloadFactor * fraction * float64(s.OverloadDuration) * harnesses[0].aggregator.fleet.sustainedRate
 		peak = max(peak, recentWork/limit)
 	}
 	return peak, work * float64(len(sentAt)) / float64(s.SlowStartDuration)
@@ -57,8 +57,8 @@
 	for _, attempt := range sent {
 		h.step(0, resultOf(attempt, OK))
 		a.classes[idempotentClass].referenceLatency = work
-		a.meanLatency = work
-		a.baseLatency = work
+		a.fleet.meanLatency = work
+		a.fleet.baseLatency = work
 	}
 	return sent
 }
