--- a/admin/config.go
+++ b/admin/config.go
@@ -111,14 +111,14 @@
 		return
 	}
 	s.execute(w, raftnode.Command{Change: &sharedconfig.Change{
-		Request:  change.Request,
-		Expect:   change.Expect,
-		Text:     change.Text,
-		Digest:   document.Digest(change.Text),
-		Author:   change.Author,
-		Reason:   change.Reason,
-		At:       time.Now().UnixMilli(),
-		Restores: change.Restores,
+		Request:         change.Request,
+		ExpectedVersion: change.Expect,
+		Text:            change.Text,
+		Digest:          document.Digest(change.Text),
+		Author:          change.Author,
+		Reason:          change.Reason,
+		RequestedAt:     time.Now().UnixMilli(),
+		RestoredVersion: change.Restores,
 	}})
 }
 
--- a/broker/admission.go
+++ b/broker/admission.go
@@ -97,7 +97,7 @@
 	b.partsByID[p.id] = p
 	b.emit(policy.Part{
 		ID:          p.id,
-		Number:      q.id,
+		QueryNumber: q.id,
 		Shard:       spec.Shard,
 		AffinityKey: spec.AffinityKey,
 		Weight:      spec.Weight,
--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -55,7 +55,7 @@
 	case policy.HealthCheck:
 		b.checkHealth(action.Server, now)
 	case policy.SetTimer:
-		b.timers.add(now.Add(duration(action.After)), func(time.Time) { b.emit(policy.Timer{}) })
+		b.timers.add(now.Add(duration(action.After)), func(time.Time) { b.emit(policy.TimerFired{}) })
 	case policy.Log:
 		b.log.Info(action.Text)
 	}
--- a/broker/terms.go
+++ b/broker/terms.go
@@ -32,7 +32,7 @@
 			return fmt.Errorf("class %s: %w", class.Name, ErrFetchPhaseUnsupported)
 		}
 	}
-	return t.Settings.Check()
+	return t.Settings.Validate()
 }
 
 // Terms returns the terms by which queries are admitted now.
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -106,7 +106,7 @@
 	var all []sharedconfig.Version
 	require.NoError(t, json.Unmarshal([]byte(out), &all))
 	require.Len(t, all, 3)
-	assert.Equal(t, uint64(1), all[2].Restores)
+	assert.Equal(t, uint64(1), all[2].RestoredVersion)
 	assert.Equal(t, "back to version 1", all[2].Reason)
 	assert.Equal(t, all[0].Digest, all[2].Digest)
 	status, _, errs := command("config", "show", "--admin", addr)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -19,7 +19,7 @@
 	return b
 }
 
-var oneQuery = []any{policy.Query{ID: 10, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 11, Number: 1, Weight: 1}}
+var oneQuery = []any{policy.Query{ID: 10, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 11, QueryNumber: 1, Weight: 1}}
 
 // TestRestartWithinOneBatch: events before Stop are dropped, what comes after Start counts.
 func TestRestartWithinOneBatch(t *testing.T) {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	events := append(append([]any{}, oneQuery...), simcodec.Stop{}, start, list,
-		policy.Query{ID: 20, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 21, Number: 1, Weight: 1})
+		policy.Query{ID: 20, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 21, QueryNumber: 1, Weight: 1})
 	actions, err := h.step(batch(events...))
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 
 func TestInvalidBatches(t *testing.T) {
 	for name, what := range map[string]any{
-		"never started": policy.Timer{}, "unusable settings": simcodec.Start{Settings: "tick_us=5"},
+		"never started": policy.TimerFired{}, "unusable settings": simcodec.Start{Settings: "tick_us=5"},
 		"no number": simcodec.Start{Settings: "tick_us=five"},
 	} {
 		h := host{instances: map[uint16]*instance{}}
--- a/config/config.go
+++ b/config/config.go
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	kinds := maps.Clone(sectionKinds)
-	maps.Copy(kinds, document.Kinds)
+	maps.Copy(kinds, document.SectionKinds)
 	f.CheckKinds(kinds)
 	c := &Config{}
 	instance := f.Section("instance")
@@ -103,8 +103,8 @@
 	c.readAgreement(f.Section("agreement"), instance)
 	c.readMembership(f.Section("membership"))
 	c.checkAdmin(instance)
-	c.Document = document.Read(f)
-	c.DocumentText = document.Shared(f)
+	c.Document = document.FromFile(f)
+	c.DocumentText = document.SharedText(f)
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, validText, d.Text)
 	s := d.Settings(1, 3)
-	require.NoError(t, s.Check())
+	require.NoError(t, s.Validate())
 	assert.Equal(t, []policy.Class{
 		{
 			Name:             "sales/lookup",
@@ -117,7 +117,7 @@
 func TestShared(t *testing.T) {
 	f := inifile.Read("file", "[instance]\nid = n1\n"+validText+"[log]\nlevel = info\n")
 	require.NoError(t, f.Err())
-	text := Shared(f)
+	text := SharedText(f)
 	assert.NotContains(t, text, "instance")
 	assert.NotContains(t, text, "level")
 	extracted, err := Parse("doc", text)
@@ -125,7 +125,7 @@
 	original, err := Parse("doc", validText)
 	require.NoError(t, err)
 	assert.Equal(t, original.Settings(0, 1), extracted.Settings(0, 1))
-	assert.Equal(t, text, Shared(inifile.Read("doc", text)), "extracting twice changes the text")
+	assert.Equal(t, text, SharedText(inifile.Read("doc", text)), "extracting twice changes the text")
 	assert.NotEqual(t, Digest(text), Digest(validText))
 	assert.Len(t, Digest(text), 16)
 }
@@ -152,7 +152,7 @@
 	f.Add(validText)
 	f.Fuzz(func(t *testing.T, text string) {
 		if d, err := Parse("doc", text); err == nil && len(d.Classes) > 0 {
-			assert.NoError(t, d.Settings(0, 1).Check(), "accepted, but its settings are invalid")
+			assert.NoError(t, d.Settings(0, 1).Validate(), "accepted, but its settings are invalid")
 		}
 	})
 }
--- a/document/parse.go
+++ b/document/parse.go
@@ -9,8 +9,8 @@
 	"alderproxy/policy"
 )
 
-// Kinds lists the kinds of shared sections. The value is true if sections of the kind have a name.
-var Kinds = map[string]bool{"layout": false, "limits": false, "class": true, "team": true, "index": true}
+// SectionKinds lists the kinds of shared sections. The value is true if sections of the kind have a name.
+var SectionKinds = map[string]bool{"layout": false, "limits": false, "class": true, "team": true, "index": true}
 
 // MaxSize is the largest size of a document, in bytes. Every instance stores that much for each version it retains.
 const MaxSize = 256 << 10
@@ -39,21 +39,21 @@
 	}
 	file := inifile.Read(name, text)
 	if !file.Malformed() {
-		file.CheckKinds(Kinds)
+		file.CheckKinds(SectionKinds)
 	}
-	d := Read(file)
+	d := FromFile(file)
 	if err := file.Err(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// Shared returns the text of a file's shared sections, including the comments within them.
-func Shared(file *inifile.File) string {
+// SharedText returns the text of a file's shared sections, including the comments within them.
+func SharedText(file *inifile.File) string {
 	var out strings.Builder
 	lines := strings.SplitAfter(file.Text, "\n")
 	for _, section := range file.Sections {
-		if _, shared := Kinds[section.Kind]; !shared {
+		if _, shared := SectionKinds[section.Kind]; !shared {
 			continue
 		}
 		text := strings.Join(lines[section.Line-1:min(section.LastLine, len(lines))], "")
@@ -62,14 +62,14 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// Read parses the shared sections of a file. Errors are recorded in the file, see its Err method.
-func Read(file *inifile.File) *Document {
+// FromFile parses the shared sections of a file. Errors are recorded in the file, see its Err method.
+func FromFile(file *inifile.File) *Document {
 	d := &Document{Text: file.Text}
 	if file.Malformed() {
 		return d
 	}
 	// An instance's file may be longer than a document: only its shared sections count.
-	if size := len(Shared(file)); size > MaxSize {
+	if size := len(SharedText(file)); size > MaxSize {
 		file.Section("layout").Fault("", "the shared sections are over %d bytes", MaxSize)
 	}
 	d.readLayout(file.Section("layout"))
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -20,8 +20,8 @@
 // Rule is what happens to the frames on a way.
 type Rule struct {
 	LossPercent, DuplicatePercent int           // of 100
-	MaxDelay       time.Duration // at most
-	Cut         bool          // nothing comes through
+	MaxDelay                      time.Duration // at most
+	Cut                           bool          // nothing comes through
 }
 
 // Network is the ways between all instances. Names are the part of an instance's id before the first dot.
--- a/internal/platformsettings/loadreport.go
+++ b/internal/platformsettings/loadreport.go
@@ -13,11 +13,11 @@
 func (v *Values) LoadReport(values []float32) policy.LoadReport {
 	report := policy.NoLoadReport
 	fields := map[string]*float64{
-		"active":  &report.Inflight,
-		"waiting": &report.Queue,
+		"active":  &report.InFlight,
+		"waiting": &report.Queued,
 		"cpu":     &report.Utilization,
-		"rps":     &report.Rate,
-		"err_rps": &report.Errors,
+		"rps":     &report.RequestRate,
+		"err_rps": &report.ErrorRate,
 	}
 	for i, number := range values[:min(len(values), len(v.loadColumns))] {
 		value := float64(number)
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -46,8 +46,8 @@
 		OverloadDuration:      v.Micros("guarantees.overload_for_us"),
 		RetryBudgetMinimum:    v.number("guarantees.budget_free"),
 		RetryBudgetRatio:      v.number("guarantees.further_ratio"),
-		PriceCrossZone:        v.number("penalties.cross_zone"),
-		PriceHealthCheck:      v.number("penalties.probe"),
+		CrossZonePrice:        v.number("penalties.cross_zone"),
+		HealthCheckPrice:      v.number("penalties.probe"),
 	}
 	_, hasMinimum := v.texts["guarantees.budget_free"]
 	_, hasRatio := v.texts["guarantees.further_ratio"]
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("got %+v", s)
 	}
 	r := f.LoadReport([]float32{3, 1.5})
-	if r.Inflight != 3 || r.Latency != 1500 || r.Utilization != -1 {
+	if r.InFlight != 3 || r.Latency != 1500 || r.Utilization != -1 {
 		t.Fatalf("report %+v", r)
 	}
 	if r := f.LoadReport([]float32{float32(math.NaN())}); r != policy.NoLoadReport {
@@ -60,7 +60,7 @@
 	if zones := values.List("dcs"); len(zones) != 2 || zones[0] != "a_b" {
 		t.Fatalf("zones %q", zones)
 	}
-	if r := values.LoadReport([]float32{3, 4}); r.Rate != 3 || r.Queue != 4 {
+	if r := values.LoadReport([]float32{3, 4}); r.RequestRate != 3 || r.Queued != 4 {
 		t.Fatalf("report %+v", r)
 	}
 	for _, bad := range []string{"", "[]", "{", `{"a":}`, `{"a":[1,{]}`} {
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -61,15 +61,15 @@
 		{
 			"query", "10 c4913a5dbb660100 0100 0200 640ad2557c3bf091 da05840000000000 00000000 00005643 000080bf 00008040 0200", nil,
 			policy.Query{
-				ID: 0x166bb5d3a91c4, Number: 0x43560000, Class: 1, Tenant: 2, Fingerprint: 0x91f03b7c55d20a64,
+				ID: 0x166bb5d3a91c4, Number: 0x43560000, Class: 1, Tenant: 2, RequestKey: 0x91f03b7c55d20a64,
 				Deadline: 0x8405da, Parts: 4, Retry: true,
 			},
 		},
 		{
 			"part", "10 c4913a5dbb660100 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 00005643 00000000 0000003e 0100", nil,
-			policy.Part{ID: 0x166bb5d3a91c4, Number: 0x43560000, AffinityKey: 0x91f03b7c55d20a64, Weight: 0.125, CostHint: 12_000},
+			policy.Part{ID: 0x166bb5d3a91c4, QueryNumber: 0x43560000, AffinityKey: 0x91f03b7c55d20a64, Weight: 0.125, CostHint: 12_000},
 		},
-		{"timer", "15 4d000000", nil, policy.Timer{}},
+		{"timer", "15 4d000000", nil, policy.TimerFired{}},
 		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{Query: 0x35a0f0e6f2b19}},
 		{
 			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
--- a/internal/simcodec/decode.go
+++ b/internal/simcodec/decode.go
@@ -114,7 +114,7 @@
 	case eventClientCanceled:
 		return policy.ClientCanceled{Query: rec.u64(1)}, nil
 	case eventTimer:
-		return policy.Timer{}, nil
+		return policy.TimerFired{}, nil
 	case eventHealthCheckResult:
 		return rec.decodeHealthCheckResult()
 	case eventMessage:
@@ -153,7 +153,7 @@
 	number := uint64(r.u32(33)) // the bits of an f32: they are compared only
 	if shard := r.f32(37); shard >= 0 {
 		part := policy.Part{
-			ID: r.u64(1), Number: number, Shard: parseCount(shard), AffinityKey: r.u64(13),
+			ID: r.u64(1), QueryNumber: number, Shard: parseCount(shard), AffinityKey: r.u64(13),
 			Weight: float64(r.f32(41)),
 		}
 		if r.u16(45)&flagCostHint != 0 {
@@ -163,7 +163,7 @@
 	}
 	return policy.Query{
 		ID: r.u64(1), Number: number, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
-		Fingerprint: r.u64(13), Deadline: policy.Micros(r.u64(21)), Parts: parseCount(r.f32(41)),
+		RequestKey: r.u64(13), Deadline: policy.Micros(r.u64(21)), Parts: parseCount(r.f32(41)),
 		Retry: r.u16(45)&flagRetry != 0,
 	}
 }
--- a/internal/simnet/simfleet/aggregator.go
+++ b/internal/simnet/simfleet/aggregator.go
@@ -70,7 +70,7 @@
 	for _, p := range q.parts {
 		p.id = a.nextID()
 		a.parts[p.id] = p
-		events = append(events, policy.Part{ID: p.id, Number: q.id, Shard: p.shard, Weight: 1 / float64(len(q.parts))})
+		events = append(events, policy.Part{ID: p.id, QueryNumber: q.id, Shard: p.shard, Weight: 1 / float64(len(q.parts))})
 	}
 	if !a.fleet.plan.Plain {
 		a.step(events...)
@@ -113,7 +113,7 @@
 	case policy.CloseIdleConnections:
 		delete(a.connectionUsedAt, action.Server)
 	case policy.SetTimer:
-		a.fleet.Network.Schedule(a.node, action.After, func() { a.step(policy.Timer{}) })
+		a.fleet.Network.Schedule(a.node, action.After, func() { a.step(policy.TimerFired{}) })
 	}
 }
 
--- a/internal/simnet/simfleet/large.go
+++ b/internal/simnet/simfleet/large.go
@@ -62,8 +62,8 @@
 		SlowStartDuration: 17_000_000,
 		OverloadFactor:    2.5,
 		OverloadDuration:  2_000_000,
-		PriceHealthCheck:  0.08,
-		PriceCrossZone:    0.009,
+		HealthCheckPrice:  0.08,
+		CrossZonePrice:    0.009,
 		Classes: []policy.Class{
 			{
 				Name:             "report",
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -182,8 +182,8 @@
 	if s.reportedAt == 0 || now-s.reportedAt >= s.ReportInterval {
 		s.reportedAt = now
 		s.report = policy.NoLoadReport
-		s.report.Queue = float64(len(s.queued))
-		s.report.Rate = s.decayedArrivalRate(now)
+		s.report.Queued = float64(len(s.queued))
+		s.report.RequestRate = s.decayedArrivalRate(now)
 	}
 	return s.report
 }
--- a/internal/testserver/standin.go
+++ b/internal/testserver/standin.go
@@ -26,23 +26,23 @@
 
 // The faults that can be injected.
 const (
-	None      Fault = ""
-	ServerError     Fault = "error"     // answers that it failed
-	Partial   Fault = "partial"   // a search answers success with a failed shard; frames have only Error for it
-	TimedOut      Fault = "late"      // a search answers success, timed out; frames have only Error for it
-	Rejecting      Fault = "busy"      // turns the part away
-	Reset     Fault = "reset"     // ends the connection instead of answering
-	Unresponsive    Fault = "silent"    // takes the part and says nothing
+	None         Fault = ""
+	ServerError  Fault = "error"     // answers that it failed
+	Partial      Fault = "partial"   // a search answers success with a failed shard; frames have only Error for it
+	TimedOut     Fault = "late"      // a search answers success, timed out; frames have only Error for it
+	Rejecting    Fault = "busy"      // turns the part away
+	Reset        Fault = "reset"     // ends the connection instead of answering
+	Unresponsive Fault = "silent"    // takes the part and says nothing
 	Stalled      Fault = "mute"      // the connection stays open and brings nothing from then on (frames only)
-	Malformed Fault = "malformed" // answers what is not the protocol
-	Down      Fault = "down"      // accepts no connection
+	Malformed    Fault = "malformed" // answers what is not the protocol
+	Down         Fault = "down"      // accepts no connection
 )
 
 // FaultCase is one row of the table of faults that both fronts must pass alike.
 type FaultCase struct {
-	Fault Fault
-	OneReplicaStatus   int // status when one replica of two has the fault
-	PlatformStatus  int // on the platform, when both have
+	Fault            Fault
+	OneReplicaStatus int // status when one replica of two has the fault
+	PlatformStatus   int // on the platform, when both have
 	OpenSearchStatus int // on the OpenSearch front, when both have
 }
 
@@ -84,17 +84,17 @@
 
 // Store is a stand-in store.
 type Store struct {
-	Addr  string
+	Addr     string
 	Requests chan string // what came, in order: the frame's text, or a search's line and body
 
-	mu     sync.Mutex
-	fault  Fault
-	faultShard   string        // the slice that has the fault; empty: all
-	hold   chan struct{} // answers wait until it is closed; nil: they don't
-	listener      net.Listener
-	stopped  chan struct{} // the listener is closed for good
-	conns  map[net.Conn]bool
-	Closed chan struct{} // gets one for each connection that has ended
+	mu         sync.Mutex
+	fault      Fault
+	faultShard string        // the slice that has the fault; empty: all
+	hold       chan struct{} // answers wait until it is closed; nil: they don't
+	listener   net.Listener
+	stopped    chan struct{} // the listener is closed for good
+	conns      map[net.Conn]bool
+	Closed     chan struct{} // gets one for each connection that has ended
 }
 
 // SetFault changes what the store does from now on.
@@ -301,18 +301,18 @@
 
 // Discovery is a stand-in for discovery: it tells what it is given, at once or when the wait of a watch is over.
 type Discovery struct {
-	Addr    string
+	Addr  string
 	Calls chan string // what was asked; what nobody takes is dropped
 
-	mu      sync.Mutex
-	listener       net.Listener
-	version int
-	answer  string
-	changed chan struct{}
-	rejectStatus  int // status of the next call's answer; 0: the list
-	unresponsive  bool
-	rawAnswer     string                 // goes out in place of an answer, and nothing behind it
-	conns   map[net.Conn]chan bool // closed where a connection says nothing more
+	mu           sync.Mutex
+	listener     net.Listener
+	version      int
+	answer       string
+	changed      chan struct{}
+	rejectStatus int // status of the next call's answer; 0: the list
+	unresponsive bool
+	rawAnswer    string                 // goes out in place of an answer, and nothing behind it
+	conns        map[net.Conn]chan bool // closed where a connection says nothing more
 }
 
 // NewDiscovery starts discovery with a full list of entries.
@@ -501,7 +501,7 @@
 type Client struct {
 	net.Conn
 	Reader *bufio.Reader
-	t *testing.T
+	t      *testing.T
 }
 
 // Dial connects a client that waits for nothing longer than some seconds.
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -58,7 +58,7 @@
 // New returns an aggregator without endpoints or statistics. The decisions draw no random numbers; the seed is
 // ignored. The error is an *InvalidSettingError.
 func New(settings Settings, _ uint64) (*Aggregator, error) {
-	if err := settings.Check(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	a := &Aggregator{
@@ -136,7 +136,7 @@
 }
 
 func (a *Aggregator) reconfigure(settings Settings) {
-	if err := settings.Check(); err != nil {
+	if err := settings.Validate(); err != nil {
 		a.emit(Log{"invalid settings, the previous ones stay in effect: " + err.Error()})
 		return
 	}
--- a/policy/aggregator_test.go
+++ b/policy/aggregator_test.go
@@ -22,12 +22,12 @@
 	a.Step(1_000_000, []Event{
 		EndpointList{servers},
 		Query{ID: 7, Number: 7, Deadline: 7_000_000, Parts: 1},
-		Part{ID: 8, Number: 7, Shard: 1, Weight: 1},
+		Part{ID: 8, QueryNumber: 7, Shard: 1, Weight: 1},
 	})
 	changed := settings
 	changed.Classes = []Class{settings.Classes[1]}
 	actions := a.Step(1_010_000, []Event{Reconfigure{changed}})
-	actions = append(actions, a.Step(2_500_000, []Event{Timer{}})...)
+	actions = append(actions, a.Step(2_500_000, []Event{TimerFired{}})...)
 	for _, action := range actions {
 		switch action.(type) {
 		case Reject, Fail, Answer:
@@ -51,21 +51,21 @@
 		HealthCheckResult{Server: 1},
 		HealthCheckResult{Server: 77},
 		ClientCanceled{5},
-		Part{ID: 3, Number: 99},
+		Part{ID: 3, QueryNumber: 99},
 		EndpointListFailed{},
-		Timer{},
+		TimerFired{},
 	)
 	id, events := h.newQuery(idempotentClass, 1)
 	events = append(events,
 		events[0],
 		events[1],
-		Part{ID: 4, Number: id, Shard: -1},
-		Part{ID: 5, Number: id, Shard: 99},
-		Part{ID: 6, Number: id, Weight: math.NaN()},
+		Part{ID: 4, QueryNumber: id, Shard: -1},
+		Part{ID: 5, QueryNumber: id, Shard: 99},
+		Part{ID: 6, QueryNumber: id, Weight: math.NaN()},
 	)
 	result := resultOf(h.sends(0, events...)[0], OK)
-	result.Report.Inflight = math.NaN()
-	result.Report.Rate = math.Inf(1)
+	result.Report.InFlight = math.NaN()
+	result.Report.RequestRate = math.Inf(1)
 	h.step(-50_000, result, result) // twice, and the time runs backwards
 	require.Equal(t, 1, h.finalActions(id))
 	actions := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, Parts: 1})
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -98,7 +98,7 @@
 	events := []Event{Query{ID: id, Number: id, Deadline: deadline, Parts: parts}}
 	for i := range uint64(parts) {
 		shard := int(id*7+i*11) % l.settings.Shards
-		events = append(events, Part{ID: id + 1 + i, Number: id, Shard: shard, Weight: 1 / float64(parts)})
+		events = append(events, Part{ID: id + 1 + i, QueryNumber: id, Shard: shard, Weight: 1 / float64(parts)})
 	}
 	return events
 }
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -13,7 +13,7 @@
 		id, events := h.newQuery(class, 3)
 		h.step(0, events...)
 		for end := h.now + settings.Timeout; h.now < end-testTick; {
-			h.step(testTick, Timer{})
+			h.step(testTick, TimerFired{})
 		}
 		assert.Equal(t, 1, h.finalActions(id), "class %s", settings.Name)
 	}
@@ -30,7 +30,7 @@
 			sent = append(sent, h.sends(1000, resultOf(sent[i], OK))...)
 		}
 		for range 360 {
-			h.step(testTick, Timer{})
+			h.step(testTick, TimerFired{})
 		}
 		answers := actionsOf[Answer](h.actions)
 		if answered < 4 {
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -17,7 +17,7 @@
 	longIdle := 2 * Micros(a.meanObjective)
 	for range 20 {
 		h.actions = nil
-		h.step(longIdle, Timer{})
+		h.step(longIdle, TimerFired{})
 		_, events := h.newQuery(idempotentClass, 1)
 		sent := h.sends(0, events...)
 		require.Len(t, sent, 1)
@@ -38,7 +38,7 @@
 		a.classifyConnection(&attempt{server: a.serversByID[0], freshConnection: true}, ConnectFailed)
 	}
 	h.actions = nil
-	h.step(longIdle, Timer{})
+	h.step(longIdle, TimerFired{})
 	_, events := h.newQuery(idempotentClass, 3)
 	h.step(0, events...)
 	require.NotEmpty(t, actionsOf[SendAttempt](h.actions))
@@ -66,7 +66,7 @@
 			s.latencyRatio = 1
 		}
 		a.classes[idempotentClass].referenceLatency = 100_000
-		h.step(Micros(a.meanObjective), Timer{})
+		h.step(Micros(a.meanObjective), TimerFired{})
 		_, events := h.newQuery(idempotentClass, 1)
 		for _, sent := range h.sends(0, events...) {
 			latency := Micros(100_000)
@@ -74,7 +74,7 @@
 				latency = 700_000
 			}
 			for range latency / 50_000 {
-				h.step(50_000, Timer{})
+				h.step(50_000, TimerFired{})
 			}
 			h.step(0, resultOf(sent, OK))
 		}
--- a/policy/crashsuspects.go
+++ b/policy/crashsuspects.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if len(q.brokenServers) >= minBrokenServers || q.canaryFirst {
-		a.crashSuspects.key = q.Fingerprint
+		a.crashSuspects.key = q.RequestKey
 		a.crashSuspects.until = a.now + a.settings.SlowStartDuration
 		a.rejectOrFail(q)
 	}
@@ -31,6 +31,6 @@
 
 // mayCrashServers reports whether a new query may be one that has recently broken connections.
 func (a *Aggregator) mayCrashServers(q *query) bool {
-	hasSuspectKey := q.Fingerprint != 0 && q.Fingerprint == a.crashSuspects.key
+	hasSuspectKey := q.RequestKey != 0 && q.RequestKey == a.crashSuspects.key
 	return a.now < a.crashSuspects.until && (q.Retry || hasSuspectKey)
 }
--- a/policy/crashsuspects_test.go
+++ b/policy/crashsuspects_test.go
@@ -21,7 +21,7 @@
 func (h *harness) sendQueryWithKey(key uint64) (uint64, []SendAttempt) {
 	id, events := h.newQuery(idempotentClass, 3)
 	q := events[0].(Query)
-	q.Fingerprint = key
+	q.RequestKey = key
 	events[0] = q
 	return id, h.sends(testTick, events...)
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -13,7 +13,7 @@
 	start := h.now
 	actions := h.step(testTick, events...)
 	for len(actionsOf[PollEndpoints](actions)) == 0 && h.now < start+longest {
-		actions = h.step(testTick, Timer{})
+		actions = h.step(testTick, TimerFired{})
 	}
 	return h.now - start
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -33,22 +33,22 @@
 
 // LoadReport is a server's report of its own load. A negative field was not reported.
 type LoadReport struct {
-	Inflight    float64 // requests at the server
-	Queue       float64 // of these, the queued ones
+	InFlight    float64 // requests at the server
+	Queued      float64 // of these, the queued ones
 	Utilization float64 // of its cores, 0 to 1
 	Latency     Micros  // recent service time
-	Rate        float64 // requests per second
-	Errors      float64 // errors per second
+	RequestRate float64 // requests per second
+	ErrorRate   float64 // errors per second
 }
 
 // NoLoadReport is the load report of a server that reported nothing.
 var NoLoadReport = LoadReport{
-	Inflight:    -1,
-	Queue:       -1,
+	InFlight:    -1,
+	Queued:      -1,
 	Utilization: -1,
 	Latency:     -1,
-	Rate:        -1,
-	Errors:      -1,
+	RequestRate: -1,
+	ErrorRate:   -1,
 }
 
 // EndpointList is the complete endpoint list; each replaces the one before.
@@ -75,8 +75,8 @@
 	Class  int
 	Tenant int
 
-	// Fingerprint identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
-	Fingerprint uint64
+	// RequestKey identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
+	RequestKey uint64
 
 	// Deadline is when the client stops waiting for this try.
 	Deadline Micros
@@ -92,8 +92,8 @@
 type Part struct {
 	ID uint64
 
-	// Number is the Query.Number of the part's query.
-	Number uint64
+	// QueryNumber is the Query.Number of the part's query.
+	QueryNumber uint64
 
 	Shard int
 
@@ -148,8 +148,8 @@
 	Report  LoadReport
 }
 
-// Timer says that the time of a SetTimer has passed.
-type Timer struct{}
+// TimerFired says that the time of a SetTimer has passed.
+type TimerFired struct{}
 
 // ClientCanceled says that the client of a query has left: the query is closed without an answer.
 type ClientCanceled struct {
@@ -163,5 +163,5 @@
 func (Part) event()               {}
 func (AttemptResult) event()      {}
 func (HealthCheckResult) event()  {}
-func (Timer) event()              {}
+func (TimerFired) event()         {}
 func (ClientCanceled) event()     {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -36,8 +36,8 @@
 			{ID: 8, State: policy.Ready, RingPosition: 1},
 		}},
 		policy.Query{ID: 1, Number: 1, Deadline: now + 3_000_000, Parts: 2},
-		policy.Part{ID: 2, Number: 1, Shard: 0, Weight: 0.5},
-		policy.Part{ID: 3, Number: 1, Shard: 1, Weight: 0.5},
+		policy.Part{ID: 2, QueryNumber: 1, Shard: 0, Weight: 0.5},
+		policy.Part{ID: 3, QueryNumber: 1, Shard: 1, Weight: 0.5},
 	}
 	for len(events) > 0 {
 		actions := aggregator.Step(now, events)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -44,7 +44,7 @@
 		RetryBudgetWindow:  10_000_000,
 		RetryBudgetMinimum: 3,
 		RetryBudgetRatio:   0.1,
-		PriceHealthCheck:   0.01,
+		HealthCheckPrice:   0.01,
 		Tenants:            []Tenant{{"a", 5}, {"b", 5}},
 		Classes:            testClasses(),
 	}
@@ -137,10 +137,10 @@
 	events := []Event{Query{ID: id, Number: id, Class: class, Deadline: h.now + timeout, Parts: parts}}
 	for i := range parts {
 		events = append(events, Part{
-			ID:     id + uint64(i) + 1,
-			Number: id,
-			Shard:  i % h.aggregator.settings.Shards,
-			Weight: 1 / float64(parts),
+			ID:          id + uint64(i) + 1,
+			QueryNumber: id,
+			Shard:       i % h.aggregator.settings.Shards,
+			Weight:      1 / float64(parts),
 		})
 	}
 	return id, events
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -19,7 +19,7 @@
 // requestHealthChecks checks those of a part's replicas whose load is not known, as far as the parts so far have
 // paid for it, and holds the part back while health checks are in flight there.
 func (a *Aggregator) requestHealthChecks(p *part) {
-	price := max(a.settings.PriceHealthCheck, healthCheckBudget/float64(a.settings.ReplicationFactor))
+	price := max(a.settings.HealthCheckPrice, healthCheckBudget/float64(a.settings.ReplicationFactor))
 	a.healthCheckCredits = min(a.healthCheckCredits+healthCheckBudget/price, float64(len(a.serversByID)))
 	for _, s := range a.replicas[p.Shard] {
 		if a.mayCheckHealth(s) {
--- a/policy/healthchecks_test.go
+++ b/policy/healthchecks_test.go
@@ -12,7 +12,7 @@
 	s := singleRingSettings()
 	s.AllowHealthChecks = true
 	s.LoadByHealthCheckOnly = true
-	s.PriceHealthCheck = 0.001
+	s.HealthCheckPrice = 0.001
 	return s
 }
 
@@ -20,7 +20,7 @@
 func TestReplicaWithASlowHealthCheckIsAvoided(t *testing.T) {
 	for _, slow := range []uint32{1, 2, 3} {
 		h := newHarness(t, healthCheckSettings())
-		h.step(2_000_000, Timer{}) // all load reports are out of date now
+		h.step(2_000_000, TimerFired{}) // all load reports are out of date now
 		_, events := h.newQuery(idempotentClass, 1)
 		actions := h.step(0, events...)
 		require.Len(t, actionsOf[HealthCheck](actions), 3)
@@ -32,11 +32,11 @@
 			}
 		}
 		h.step(testTick, results...)
-		h.step(testTick, Timer{})
+		h.step(testTick, TimerFired{})
 		for range 3 { // by utility alone some of these parts would go to the slow server
 			_, events := h.newQuery(idempotentClass, 1)
 			h.step(0, events...)
-			h.step(2*testTick, Timer{})
+			h.step(2*testTick, TimerFired{})
 		}
 		sent := actionsOf[SendAttempt](h.actions)
 		assert.GreaterOrEqual(t, len(sent), 3, "slow server %d", slow)
@@ -48,8 +48,8 @@
 
 func TestUnansweredHealthChecksDelayPartsByTwoTicks(t *testing.T) {
 	h := newHarness(t, healthCheckSettings())
-	h.step(2_000_000, Timer{})
+	h.step(2_000_000, TimerFired{})
 	_, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
-	assert.Len(t, h.sends(2*testTick, Timer{}), 1)
+	assert.Len(t, h.sends(2*testTick, TimerFired{}), 1)
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -38,7 +38,7 @@
 		}
 		h.actions = nil
 		for range 380 {
-			h.step(testTick, Timer{})
+			h.step(testTick, TimerFired{})
 		}
 		attempts := len(actionsOf[CancelAttempt](h.actions)) + len(actionsOf[SendAttempt](h.actions))
 		assert.Equal(t, c.hedged, attempts > 0, "%+v: %d attempts and cancellations", c, attempts)
@@ -55,6 +55,6 @@
 	h.actions = nil
 	_, events := h.newQuery(partialClass, 5)
 	require.Len(t, h.sends(0, events...), 3)
-	h.step(900_000, Timer{})
+	h.step(900_000, TimerFired{})
 	assert.Len(t, actionsOf[SendAttempt](h.actions), 5)
 }
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -39,7 +39,7 @@
 // acceptPart adds a part to its query and ignores invalid ones.
 func (a *Aggregator) acceptPart(event Part) {
 	a.recordForBudget(&a.budget.accepted)
-	q := a.queriesByNumber[event.Number]
+	q := a.queriesByNumber[event.QueryNumber]
 	if q == nil || q.closed || !a.isValidPart(event) {
 		return
 	}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -55,7 +55,7 @@
 		rejectedAt := h.now
 		sent = h.sends(testTick, resultOfAttempt(sent[0], attempt, Rejected))
 		for len(sent) == 0 && h.now < rejectedAt+longest {
-			sent = h.sends(testTick, Timer{})
+			sent = h.sends(testTick, TimerFired{})
 		}
 		require.NotEmpty(t, sent)
 		waits = append(waits, h.now-rejectedAt)
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -14,7 +14,7 @@
 // load report says so. The report's weight falls with its age.
 func (a *Aggregator) estimateLoad(s *server) float64 {
 	own := float64(len(s.inFlight))
-	reported := max(s.loadReport.Inflight, s.loadReport.Queue)
+	reported := max(s.loadReport.InFlight, s.loadReport.Queued)
 	if reported < 0 {
 		return own
 	}
@@ -30,11 +30,11 @@
 	s.loadReport = report
 	s.loadReportAt = a.now
 	s.inFlightAtReport = len(s.inFlight)
-	if report.Queue >= 0 {
-		smooth(&a.fleet.queuedReportRate, min(report.Queue, 1), fleetGain)
+	if report.Queued >= 0 {
+		smooth(&a.fleet.queuedReportRate, min(report.Queued, 1), fleetGain)
 	}
-	if report.Rate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
-		smooth(&s.sustainedRate, report.Rate*a.fleet.meanLatency/microsPerSecond, sustainedRateGain)
+	if report.RequestRate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
+		smooth(&s.sustainedRate, report.RequestRate*a.fleet.meanLatency/microsPerSecond, sustainedRateGain)
 		a.fleet.sustainedRate = max(a.fleet.sustainedRate, s.sustainedRate)
 	}
 }
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -15,7 +15,7 @@
 	before := a.predictLatency(server, p)
 
 	report := NoLoadReport
-	report.Inflight = 8
+	report.InFlight = 8
 	a.recordLoad(server, report)
 	assert.GreaterOrEqual(t, a.predictLatency(server, p), 2*before)
 
@@ -32,8 +32,8 @@
 	h.answerQueries(idempotentClass, 30, 100_000)
 	busy, idle := a.serversByID[0], a.serversByID[1]
 	report := NoLoadReport
-	report.Queue = 12
-	report.Rate = 40
+	report.Queued = 12
+	report.RequestRate = 40
 	a.recordLoad(busy, report)
 	h.actions = nil
 	for range 12 {
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -11,7 +11,7 @@
 	h.answerQueries(idempotentClass, 30, 200_000)
 	_, events := h.newQuery(idempotentClass, 3)
 	h.step(testTick, events...)
-	h.step(900_000, Timer{})
+	h.step(900_000, TimerFired{})
 	server := h.aggregator.servers[1]
 	assert.True(t, h.aggregator.isOutlier(server), "slowness %v", h.aggregator.slowness(server))
 }
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -209,14 +209,14 @@
 	}
 	c.queries[id] = query
 	c.add(Query{
-		ID:          id,
-		Number:      c.lastNumber,
-		Class:       classIndex,
-		Tenant:      c.random.IntN(2),
-		Deadline:    query.deadline,
-		Parts:       parts,
-		Retry:       c.random.IntN(5) == 0,
-		Fingerprint: uint64(c.random.IntN(4)),
+		ID:         id,
+		Number:     c.lastNumber,
+		Class:      classIndex,
+		Tenant:     c.random.IntN(2),
+		Deadline:   query.deadline,
+		Parts:      parts,
+		Retry:      c.random.IntN(5) == 0,
+		RequestKey: uint64(c.random.IntN(4)),
 	})
 	c.accepted = append(c.accepted, c.now)
 	c.addParts(query, c.lastNumber, parts)
@@ -236,11 +236,11 @@
 		c.parts[id] = p
 		query.parts = append(query.parts, p)
 		c.add(Part{
-			ID:       id,
-			Number:   number,
-			Shard:    p.shard,
-			Weight:   p.weight,
-			CostHint: Micros(c.random.IntN(3)-1) * 40_000,
+			ID:          id,
+			QueryNumber: number,
+			Shard:       p.shard,
+			Weight:      p.weight,
+			CostHint:    Micros(c.random.IntN(3)-1) * 40_000,
 		})
 		c.accepted = append(c.accepted, c.now)
 	}
@@ -284,7 +284,7 @@
 		}
 		report := NoLoadReport
 		if c.random.IntN(2) == 0 {
-			report.Inflight = float64(c.random.IntN(6))
+			report.InFlight = float64(c.random.IntN(6))
 		}
 		c.add(AttemptResult{
 			Part:    attempt.part,
@@ -302,7 +302,7 @@
 func (c *ruleChecker) fireTimer() {
 	for i, at := range c.timers {
 		if at <= c.now {
-			c.add(Timer{})
+			c.add(TimerFired{})
 			c.timers = append(c.timers[:i:i], c.timers[i+1:]...)
 			return
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -151,10 +151,10 @@
 	RetryBudgetMinimum float64
 	RetryBudgetRatio   float64
 
-	// PriceCrossZone and PriceHealthCheck are the prices of a part sent to another zone and of a health check, in
+	// CrossZonePrice and PriceHealthCheck are the prices of a part sent to another zone and of a health check, in
 	// units of the value that a part earns.
-	PriceCrossZone   float64
-	PriceHealthCheck float64
+	CrossZonePrice   float64
+	HealthCheckPrice float64
 }
 
 // InvalidSettingError says that an aggregator can't work with its settings.
@@ -173,8 +173,8 @@
 	return &InvalidSettingError{Field: field, Problem: fmt.Sprintf(format, values...)}
 }
 
-// Check returns an *InvalidSettingError if an aggregator can't work with the settings.
-func (s Settings) Check() error {
+// Validate returns an *InvalidSettingError if an aggregator can't work with the settings.
+func (s Settings) Validate() error {
 	switch {
 	case len(s.Classes) == 0:
 		return invalidSetting("Classes", "is empty")
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -72,7 +72,7 @@
 		assert.GreaterOrEqual(t, rate, 0.2, "%d aggregators: rate of work", instances)
 	}
 	busy := NoLoadReport
-	busy.Rate = 30
+	busy.RequestRate = 30
 	_, without := loadWarmingServer(t, 11, NoLoadReport)
 	_, with := loadWarmingServer(t, 11, busy)
 	assert.Greater(t, with, without, "rate of work if warm servers report a higher rate")
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -58,7 +58,7 @@
 	cluster      *cluster
 	cmd          *exec.Cmd
 	peerProxy    *faultnet.ConnectionProxy // nil: the instance follows and has no listener for other instances
-	gossipProxy  *faultnet.DatagramProxy  // nil: the instance has no gossip
+	gossipProxy  *faultnet.DatagramProxy   // nil: the instance has no gossip
 	searchAddr   string
 	platformAddr string
 	adminAddr    string
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -216,7 +216,7 @@
 		n := open()
 		for v := uint64(1); v < 1000; v++ {
 			text := fmt.Sprintf(documentTemplate, v+1)
-			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), Expect: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
+			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), ExpectedVersion: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
 			require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 		}
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
--- a/raftnode/bootstrap.go
+++ b/raftnode/bootstrap.go
@@ -28,16 +28,16 @@
 	}
 	group := randomHex(groupIDSize)
 	entry, err := sharedconfig.Entry{
-		Found: &sharedconfig.Bootstrap{
-			Group: group,
-			Keep:  keep,
+		Bootstrap: &sharedconfig.Bootstrap{
+			GroupID:     group,
+			MaxVersions: keep,
 			First: sharedconfig.Change{
-				Request: "first-" + group,
-				Text:    text,
-				Digest:  digest,
-				Author:  author,
-				Reason:  "the group begins",
-				At:      at.UnixMilli(),
+				Request:     "first-" + group,
+				Text:        text,
+				Digest:      digest,
+				Author:      author,
+				Reason:      "the group begins",
+				RequestedAt: at.UnixMilli(),
 			},
 		},
 	}.Encode()
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -18,7 +18,7 @@
 }
 
 // appendEntry appends an entry to the log and waits until it is applied.
-func (n *Node) appendEntry(action sharedconfig.Append) {
+func (n *Node) appendEntry(action sharedconfig.AppendEntry) {
 	err := n.applyEntry(action.Entry)
 	if action.Request == "" {
 		return
@@ -48,7 +48,7 @@
 }
 
 // checkChange asks a member, perhaps this one, whether it could serve a change's document.
-func (n *Node) checkChange(action sharedconfig.Check) {
+func (n *Node) checkChange(action sharedconfig.CheckChange) {
 	result := sharedconfig.CheckResult{
 		Request:    action.Change.Request,
 		InstanceID: action.Member.DataDirectoryID,
@@ -65,7 +65,7 @@
 }
 
 // requestCheck returns why a member rejects a change, or an empty string.
-func (n *Node) requestCheck(action sharedconfig.Check) (rejection string, err error) {
+func (n *Node) requestCheck(action sharedconfig.CheckChange) (rejection string, err error) {
 	body, err := json.Marshal(action.Change)
 	if err != nil {
 		return "", err
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -188,11 +188,11 @@
 
 func changeCommand(request string, expected uint64, text string) Command {
 	return Command{Change: &sharedconfig.Change{
-		Request: request,
-		Expect:  expected,
-		Text:    text,
-		Digest:  text,
-		Author:  "test",
+		Request:         request,
+		ExpectedVersion: expected,
+		Text:            text,
+		Digest:          text,
+		Author:          "test",
 	}}
 }
 
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -112,7 +112,7 @@
 		return n.addMember(*command.Add, timeout)
 	case command.Remove != "":
 		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-			return sharedconfig.RemoveRequested{Call: call, Name: command.Remove}
+			return sharedconfig.RemoveMemberRequested{Call: call, Name: command.Remove}
 		})
 	case command.TransferLeadership != nil:
 		return n.transferLeadershipTo(*command.TransferLeadership)
@@ -135,7 +135,7 @@
 	}
 	added := sharedconfig.Member{Name: name, DataDirectoryID: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-		return sharedconfig.AddRequested{Call: call, Member: added}
+		return sharedconfig.AddMemberRequested{Call: call, Member: added}
 	})
 }
 
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -128,7 +128,7 @@
 	t.Cleanup(func() { assert.NoError(t, stored.close()) })
 	group, err := stored.group()
 	require.NoError(t, err)
-	assert.Equal(t, written.State.Group, group)
+	assert.Equal(t, written.State.GroupID, group)
 	term, err := stored.store.GetUint64([]byte(raftCurrentTerm))
 	require.NoError(t, err)
 	assert.Equal(t, written.Status.Term, term)
--- a/raftnode/data_directory.go
+++ b/raftnode/data_directory.go
@@ -149,10 +149,10 @@
 func (d *dataDirectory) checkUsable(snapshots raft.SnapshotStore) error {
 	var found sharedconfig.DataDirectory
 	var err error
-	if found.First, err = d.store.FirstIndex(); err != nil {
+	if found.FirstIndex, err = d.store.FirstIndex(); err != nil {
 		return err
 	}
-	if found.Last, err = d.store.LastIndex(); err != nil {
+	if found.LastIndex, err = d.store.LastIndex(); err != nil {
 		return err
 	}
 	metas, err := snapshots.List()
@@ -160,13 +160,13 @@
 		return err
 	}
 	for _, meta := range metas {
-		found.Snapshots = append(found.Snapshots, sharedconfig.SnapshotFound{
-			Name:  meta.ID,
-			Index: meta.Index,
-			Err:   checkSnapshot(snapshots, meta.ID),
+		found.Snapshots = append(found.Snapshots, sharedconfig.SnapshotInfo{
+			Name:      meta.ID,
+			LastIndex: meta.Index,
+			Err:       checkSnapshot(snapshots, meta.ID),
 		})
 	}
-	return found.CheckUsable()
+	return found.Validate()
 }
 
 func checkSnapshot(snapshots raft.SnapshotStore, id string) error {
--- a/raftnode/event_loop.go
+++ b/raftnode/event_loop.go
@@ -13,7 +13,7 @@
 	}
 	state := n.core.State()
 	n.publishState(state)
-	n.storeGroup(state.Group)
+	n.storeGroup(state.GroupID)
 }
 
 // publishState makes a state visible to other goroutines.
@@ -42,18 +42,18 @@
 // perform carries out an action. What may block runs in a goroutine of its own.
 func (n *Node) perform(action sharedconfig.Action) {
 	switch action := action.(type) {
-	case sharedconfig.Append:
+	case sharedconfig.AppendEntry:
 		go n.appendEntry(action)
-	case sharedconfig.Check:
+	case sharedconfig.CheckChange:
 		n.notifyStep(StepCheck)
 		go n.checkChange(action)
 	case sharedconfig.Reply:
 		n.commands.complete(action.Call, action.Outcome)
 	case sharedconfig.RequestLease:
 		go n.requestLease(action.Seq)
-	case sharedconfig.Verify:
+	case sharedconfig.VerifyLeadership:
 		go n.verifyLeadership(action.Seq)
-	case sharedconfig.AnswerLeaseRequest:
+	case sharedconfig.LeaseAnswer:
 		n.leaseRequests.complete(action.Call, action)
 	case sharedconfig.ChangeMembership:
 		go n.changeMembership(action)
@@ -61,9 +61,9 @@
 		go n.waitForCatchUp(action.Member)
 	case sharedconfig.Activate:
 		n.activateNewer(action.Version)
-	case sharedconfig.NewLease:
+	case sharedconfig.SetLease:
 		n.setLease(action.Lease)
-	case sharedconfig.Log:
+	case sharedconfig.LogMessage:
 		n.logEntry().Info(action.Text)
 	}
 }
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -51,7 +51,7 @@
 	f := &Follower{instance: newInstance(config, directory, id)}
 	f.logEntry = f.describe
 	f.core = sharedconfig.NewFollower(f.settings, config.Voters, version)
-	f.lease.Store(&sharedconfig.Lease{Serve: f.settings.ServeWhenStale})
+	f.lease.Store(&sharedconfig.Lease{ServeWhenStale: f.settings.ServeWhenStale})
 	f.group.Store(new(string))
 	f.active.Store(&version)
 	f.voters.Store(&[]sharedconfig.Member{})
@@ -100,9 +100,9 @@
 	case sharedconfig.Activate:
 		f.active.Store(&action.Version)
 		f.scheduleActivation(action.Version)
-	case sharedconfig.NewLease:
+	case sharedconfig.SetLease:
 		f.lease.Store(&action.Lease)
-	case sharedconfig.Log:
+	case sharedconfig.LogMessage:
 		f.logEntry().Warn(action.Text)
 	}
 }
@@ -112,7 +112,7 @@
 	reply, err := f.requestPoll(action)
 	if err != nil {
 		f.config.Log.WithError(err).WithField("voter", action.Voter.Addr).Debug("a voter did not answer")
-		f.events.push(sharedconfig.CallTimedOut{Seq: action.Seq})
+		f.events.push(sharedconfig.PollFailed{Seq: action.Seq})
 		return
 	}
 	reply.Seq = action.Seq
@@ -120,7 +120,7 @@
 }
 
 // requestPoll returns a voter's reply. A reply that takes longer than the staleness bound would be of no use.
-func (f *Follower) requestPoll(action sharedconfig.PollVoter) (reply sharedconfig.ReplyReceived, err error) {
+func (f *Follower) requestPoll(action sharedconfig.PollVoter) (reply sharedconfig.PollReply, err error) {
 	body, err := json.Marshal(action.Request)
 	if err != nil {
 		return reply, err
@@ -166,7 +166,7 @@
 		return sharedconfig.State{}
 	}
 	return sharedconfig.State{
-		Group:    *f.group.Load(),
+		GroupID:  *f.group.Load(),
 		Versions: []sharedconfig.Version{*active},
 	}
 }
--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -38,7 +38,7 @@
 	return &instance{
 		config:      config,
 		directory:   directory,
-		settings:    sharedconfig.Defaults(id, config.StalenessBound.Microseconds(), config.ServeWhenStale),
+		settings:    sharedconfig.DefaultSettings(id, config.StalenessBound.Microseconds(), config.ServeWhenStale),
 		events:      newEventQueue(),
 		activations: make(chan sharedconfig.Version, 1),
 		stop:        make(chan struct{}),
@@ -89,10 +89,10 @@
 	lease := i.lease.Load()
 	version := i.servedVersion.Load()
 	now := clock.Now()
-	if !lease.Holds(now, version) {
+	if !lease.Covers(now, version) {
 		return 0
 	}
-	return microseconds(lease.Until(version) - now).Milliseconds()
+	return microseconds(lease.ExpiresAt(version) - now).Milliseconds()
 }
 
 func microseconds(n sharedconfig.Micros) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -15,7 +15,7 @@
 		select {
 		case leading := <-changes:
 			term := n.raft.CurrentTerm()
-			n.events.push(sharedconfig.Role{Leading: leading, Term: term})
+			n.events.push(sharedconfig.LeadershipChanged{Leading: leading, Term: term})
 			n.logEntry().WithField("leading", leading).Info("leadership changed")
 			if leading {
 				go n.waitUntilReady(term)
@@ -30,7 +30,7 @@
 func (n *Node) waitUntilReady(term uint64) {
 	const noTimeout = 0
 	if n.raft.Barrier(noTimeout).Error() == nil {
-		n.events.push(sharedconfig.Ready{Term: term})
+		n.events.push(sharedconfig.LeaderReady{Term: term})
 	}
 }
 
@@ -41,7 +41,7 @@
 	if n.raft.CurrentTerm() != term {
 		term = 0 // the answer may be about either term
 	}
-	n.events.push(sharedconfig.Verified{Seq: seq, OK: err == nil, Term: term})
+	n.events.push(sharedconfig.LeadershipVerified{Seq: seq, OK: err == nil, Term: term})
 }
 
 // TransferLeadership gives the leadership, if this instance has it, to any other voter. Before a planned stop it spares
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -25,7 +25,7 @@
 		n.config.Log.WithError(err).WithField("ask", seq).Debug("no lease granted")
 		return
 	}
-	n.events.push(sharedconfig.LeaseGranted{
+	n.events.push(sharedconfig.LeaseAnswerReceived{
 		Seq:     seq,
 		OK:      grant.OK,
 		Version: grant.Version,
@@ -35,7 +35,7 @@
 
 // requestLeaseFromLeader requests a lease from the leader, which may be this instance, or from the other members if no
 // leader is known.
-func (n *Node) requestLeaseFromLeader(timeout time.Duration) (sharedconfig.AnswerLeaseRequest, error) {
+func (n *Node) requestLeaseFromLeader(timeout time.Duration) (sharedconfig.LeaseAnswer, error) {
 	address, id := n.raft.LeaderWithID()
 	var body []byte
 	var err error
@@ -48,28 +48,28 @@
 		body, err = n.endpoint.Call(peerTarget(id, address), rpcRequestLease, nil, nil, timeout)
 	}
 	if err != nil {
-		return sharedconfig.AnswerLeaseRequest{}, err
+		return sharedconfig.LeaseAnswer{}, err
 	}
-	var grant sharedconfig.AnswerLeaseRequest
+	var grant sharedconfig.LeaseAnswer
 	err = json.Unmarshal(body, &grant)
 	return grant, err
 }
 
 // requestLeaseFromMembers requests a lease from one member after the other: an instance that was removed hears from no
 // leader any more, and learns of its removal this way.
-func (n *Node) requestLeaseFromMembers(timeout time.Duration) (sharedconfig.AnswerLeaseRequest, error) {
+func (n *Node) requestLeaseFromMembers(timeout time.Duration) (sharedconfig.LeaseAnswer, error) {
 	for _, member := range n.Members() {
 		target := memberTarget(member)
 		if target.ID == string(n.directory.id) {
 			continue
 		}
 		body, err := n.endpoint.Call(target, rpcRequestLease, nil, nil, timeout/2)
-		var grant sharedconfig.AnswerLeaseRequest
+		var grant sharedconfig.LeaseAnswer
 		if err == nil && json.Unmarshal(body, &grant) == nil && grant.OK {
 			return grant, nil
 		}
 	}
-	return sharedconfig.AnswerLeaseRequest{}, ErrNoLeader
+	return sharedconfig.LeaseAnswer{}, ErrNoLeader
 }
 
 // handleLeaseRequest answers a member that requests a lease.
@@ -96,5 +96,5 @@
 	// The state is read before the lease: a lease for a later version does not cover an earlier one.
 	state := n.state.Load()
 	lease := n.lease.Load()
-	return json.Marshal(sharedconfig.Answer(*state, *lease, clock.Now(), n.Members(), request))
+	return json.Marshal(sharedconfig.AnswerPoll(*state, *lease, clock.Now(), n.Members(), request))
 }
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -35,7 +35,7 @@
 
 	lastCall      atomic.Uint64 // id of the newest call into the event loop
 	commands      *pendingCalls[sharedconfig.Outcome]
-	leaseRequests *pendingCalls[sharedconfig.AnswerLeaseRequest]
+	leaseRequests *pendingCalls[sharedconfig.LeaseAnswer]
 
 	mu             sync.Mutex
 	versionChanged chan struct{} // closed, and replaced, when another version becomes active
@@ -72,7 +72,7 @@
 	n := &Node{
 		instance:       newInstance(config, directory, directoryID),
 		commands:       newPendingCalls[sharedconfig.Outcome](),
-		leaseRequests:  newPendingCalls[sharedconfig.AnswerLeaseRequest](),
+		leaseRequests:  newPendingCalls[sharedconfig.LeaseAnswer](),
 		versionChanged: make(chan struct{}),
 	}
 	n.logEntry = n.describe
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -21,7 +21,7 @@
 
 	name := "n2"
 	for want, message := range map[string]any{
-		`{"Call":1,"OK":true,"Version":2,"Removed":true}`: sharedconfig.AnswerLeaseRequest{
+		`{"Call":1,"OK":true,"Version":2,"Removed":true}`: sharedconfig.LeaseAnswer{
 			Call: 1, OK: true, Version: 2, Removed: true,
 		},
 		`{"remove":"n2"}`:    Command{Remove: name},
@@ -30,7 +30,7 @@
 			Add: &sharedconfig.Member{Name: name, DataDirectoryID: "f", Addr: "a", Voter: true},
 		},
 		`{"change":{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"w","at":2}}`: Command{
-			Change: &sharedconfig.Change{Request: "r", Expect: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", At: 2},
+			Change: &sharedconfig.Change{Request: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", RequestedAt: 2},
 		},
 	} {
 		encoded, err := json.Marshal(message)
--- a/raftnode/snapshot.go
+++ b/raftnode/snapshot.go
@@ -62,5 +62,5 @@
 	if err := json.Unmarshal(text, &state); err != nil {
 		return state, err
 	}
-	return state, state.Check()
+	return state, state.Validate()
 }
--- a/raftnode/state_machine.go
+++ b/raftnode/state_machine.go
@@ -23,7 +23,7 @@
 // instance.
 func (m *stateMachine) Apply(log *raft.Log) any {
 	state, outcome := m.apply(log)
-	m.notify(sharedconfig.Applied{State: state, Outcomes: []sharedconfig.Outcome{outcome}})
+	m.notify(sharedconfig.EntriesApplied{State: state, Outcomes: []sharedconfig.Outcome{outcome}})
 	return outcome
 }
 
@@ -59,6 +59,6 @@
 	m.mu.Lock()
 	m.state = state
 	m.mu.Unlock()
-	m.notify(sharedconfig.Applied{State: state})
+	m.notify(sharedconfig.EntriesApplied{State: state})
 	return nil
 }
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -40,7 +40,7 @@
 	firstIndex, _ := n.directory.store.FirstIndex() // 0 if it cannot be read
 	status := Status{
 		Name:           n.config.Name,
-		Group:          state.Group,
+		Group:          state.GroupID,
 		Leader:         leader,
 		Term:           n.raft.CurrentTerm(),
 		Version:        state.Active().Number,
--- a/sharedconfig/actions.go
+++ b/sharedconfig/actions.go
@@ -4,32 +4,32 @@
 // actions in the order given.
 type Action interface{ action() }
 
-// Append appends an entry to the log. Its result is reported by Applied, or by AppendFailed with the same request.
-type Append struct {
+// AppendEntry appends an entry to the log. Its result is reported by EntriesApplied, or by AppendFailed with the same request.
+type AppendEntry struct {
 	Entry   Entry
 	Request string // empty: the core does not wait for the result
 }
 
-// Check asks a member, which may be this instance, to check a change. It is answered by one CheckResult.
-type Check struct {
+// CheckChange asks a member, which may be this instance, to check a change. It is answered by one CheckResult.
+type CheckChange struct {
 	Member Member
 	Change Change
 }
 
-// Reply answers a call of ChangeRequested, AddRequested or RemoveRequested.
+// Reply answers a call of ChangeRequested, AddMemberRequested or RemoveMemberRequested.
 type Reply struct {
 	Call    uint64
 	Outcome Outcome
 }
 
-// RequestLease requests a lease from the leader. It is answered by one LeaseGranted or not at all.
+// RequestLease requests a lease from the leader. It is answered by one LeaseAnswerReceived or not at all.
 type RequestLease struct{ Seq uint64 }
 
-// Verify asks a majority whether this instance still leads. It is answered by one Verified.
-type Verify struct{ Seq uint64 }
+// VerifyLeadership asks a majority whether this instance still leads. It is answered by one LeadershipVerified.
+type VerifyLeadership struct{ Seq uint64 }
 
-// AnswerLeaseRequest answers a LeaseRequested. It is sent as JSON to the member that asked.
-type AnswerLeaseRequest struct {
+// LeaseAnswer answers a LeaseRequested. It is sent as JSON to the member that asked.
+type LeaseAnswer struct {
 	Call    uint64 `json:"Call"`
 	OK      bool   `json:"OK"`
 	Version uint64 `json:"Version"`
@@ -50,28 +50,28 @@
 // Activate reports a new active version, by which this instance has to serve from now on.
 type Activate struct{ Version Version }
 
-// NewLease replaces this instance's lease.
-type NewLease struct{ Lease Lease }
+// SetLease replaces this instance's lease.
+type SetLease struct{ Lease Lease }
 
-// Log is a message for the operators.
-type Log struct{ Text string }
+// LogMessage is a message for the operators.
+type LogMessage struct{ Text string }
 
-// PollVoter sends a poll to a voter. It is answered by one ReplyReceived, one CallTimedOut or not at all.
+// PollVoter sends a poll to a voter. It is answered by one PollReply, one PollFailed or not at all.
 type PollVoter struct {
 	Seq     uint64
 	Voter   Member // only the address is set if the voter is known from the settings alone
 	Request PollRequest
 }
 
-func (Append) action()             {}
-func (Check) action()              {}
-func (Reply) action()              {}
-func (RequestLease) action()       {}
-func (Verify) action()             {}
-func (AnswerLeaseRequest) action() {}
-func (ChangeMembership) action()   {}
-func (WaitForCatchUp) action()     {}
-func (Activate) action()           {}
-func (NewLease) action()           {}
-func (Log) action()                {}
-func (PollVoter) action()          {}
+func (AppendEntry) action()      {}
+func (CheckChange) action()      {}
+func (Reply) action()            {}
+func (RequestLease) action()     {}
+func (VerifyLeadership) action() {}
+func (LeaseAnswer) action()      {}
+func (ChangeMembership) action() {}
+func (WaitForCatchUp) action()   {}
+func (Activate) action()         {}
+func (SetLease) action()         {}
+func (LogMessage) action()       {}
+func (PollVoter) action()        {}
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -124,7 +124,7 @@
 			calls:        []uint64{next.Call},
 			callDeadline: c.now + c.settings.ChangeTimeout,
 		}
-		c.emit(Append{Entry: Entry{Propose: &next.Change}, Request: next.Change.Request})
+		c.emit(AppendEntry{Entry: Entry{Propose: &next.Change}, Request: next.Change.Request})
 		return
 	}
 }
@@ -162,7 +162,7 @@
 	current.unanswered = map[string]Member{}
 	for _, member := range c.members {
 		current.unanswered[member.DataDirectoryID] = member
-		c.emit(Check{Member: member, Change: current.Change})
+		c.emit(CheckChange{Member: member, Change: current.Change})
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	current.decided = true
 	current.accepted = decision.Accept
-	c.emit(Append{Entry: Entry{Decide: &decision}, Request: current.Request})
+	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, Request: current.Request})
 }
 
 // mayBeActivating reports whether the current change may already be committed although it is not applied here.
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -31,7 +31,7 @@
 
 	queuedChanges []ChangeRequested
 	currentChange *changeInProgress
-	lastSeq       uint64 // sequence number of the latest Verify or ChangeMembership
+	lastSeq       uint64 // sequence number of the latest VerifyLeadership or ChangeMembership
 
 	waitingLeases    []LeaseRequested // for the next verification
 	verifyingLeases  []LeaseRequested // for the verification in flight
@@ -48,7 +48,7 @@
 	return &Core{
 		settings:           settings,
 		state:              state,
-		lease:              Lease{Serve: settings.ServeWhenStale, Removed: settings.Removed},
+		lease:              Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
 		leaseRequests:      map[uint64]Micros{},
 		leaseRequestedAt:   -settings.LeaseInterval,
 		lastRequestFrom:    map[string]Micros{},
@@ -56,7 +56,7 @@
 	}
 }
 
-// State returns the state by the last Applied event.
+// State returns the state by the last EntriesApplied event.
 func (c *Core) State() State { return c.state }
 
 // Lease returns this instance's lease.
@@ -77,11 +77,11 @@
 
 func (c *Core) handleEvent(e Event) {
 	switch e := e.(type) {
-	case Applied:
+	case EntriesApplied:
 		c.handleApplied(e)
-	case Role:
+	case LeadershipChanged:
 		c.handleRole(e)
-	case Ready:
+	case LeaderReady:
 		c.ready = c.ready || c.leading && e.Term == c.term
 	case MemberList:
 		c.members = e.Members
@@ -93,13 +93,13 @@
 		c.handleCheckResult(e)
 	case LeaseRequested:
 		c.handleLeaseRequested(e)
-	case Verified:
+	case LeadershipVerified:
 		c.handleVerified(e)
-	case LeaseGranted:
+	case LeaseAnswerReceived:
 		c.handleLeaseGranted(e)
-	case AddRequested:
+	case AddMemberRequested:
 		c.handleAddRequested(e)
-	case RemoveRequested:
+	case RemoveMemberRequested:
 		c.handleRemoveRequested(e)
 	case MembershipChanged:
 		c.handleMembershipChanged(e)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *Core) handleApplied(e Applied) {
+func (c *Core) handleApplied(e EntriesApplied) {
 	previous := c.state.Active()
 	c.state = e.State
 	if active := c.state.Active(); active.Number != previous.Number {
@@ -121,7 +121,7 @@
 
 // handleRole starts or ends this instance's leadership. A leader of a new term starts over: what it had in progress in
 // an earlier one has an unknown outcome.
-func (c *Core) handleRole(e Role) {
+func (c *Core) handleRole(e LeadershipChanged) {
 	unchanged := e.Leading == c.leading && (!e.Leading || e.Term == c.term)
 	if unchanged {
 		c.term = max(c.term, e.Term)
@@ -150,7 +150,7 @@
 	}
 	c.finishMembershipChange(Unknown, reasonLeadershipLost)
 	for _, request := range slices.Concat(c.waitingLeases, c.verifyingLeases) {
-		c.emit(AnswerLeaseRequest{Call: request.Call})
+		c.emit(LeaseAnswer{Call: request.Call})
 	}
 }
 
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -10,17 +10,17 @@
 // newLeader returns the core of f1, which leads in term 4, with three members of which f3 has no vote.
 func newLeader() *Core {
 	first := Change{Request: "first", Text: "0"}
-	state, _ := State{}.Apply(Entry{Found: &Bootstrap{Group: "g", Keep: 9, First: first}})
-	core := New(Defaults("f1", 1_000_000, false), State{})
+	state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 9, First: first}})
+	core := New(DefaultSettings("f1", 1_000_000, false), State{})
 	core.Step(0, []Event{
 		MemberList{Members: []Member{
 			{Name: "n1", DataDirectoryID: "f1", Addr: "a1", Voter: true},
 			{Name: "n2", DataDirectoryID: "f2", Addr: "a2", Voter: true},
 			{Name: "n3", DataDirectoryID: "f3", Addr: "a3", Voter: false},
 		}},
-		Applied{State: state},
-		Role{Leading: true, Term: 4},
-		Ready{Term: 4},
+		EntriesApplied{State: state},
+		LeadershipChanged{Leading: true, Term: 4},
+		LeaderReady{Term: 4},
 	})
 	return core
 }
@@ -38,52 +38,52 @@
 
 func TestLeasesRequireVerification(t *testing.T) {
 	for name, c := range map[string]struct {
-		verified   Verified
+		verified   LeadershipVerified
 		instanceID string
-		want       AnswerLeaseRequest
+		want       LeaseAnswer
 	}{
 		"verified": {
-			verified:   Verified{OK: true, Term: 4},
+			verified:   LeadershipVerified{OK: true, Term: 4},
 			instanceID: "f2",
-			want:       AnswerLeaseRequest{Call: 1, OK: true, Version: 1},
+			want:       LeaseAnswer{Call: 1, OK: true, Version: 1},
 		},
 		"not the leader": {
-			verified:   Verified{Term: 4},
+			verified:   LeadershipVerified{Term: 4},
 			instanceID: "f2",
-			want:       AnswerLeaseRequest{Call: 1},
+			want:       LeaseAnswer{Call: 1},
 		},
 		"another term": {
-			verified:   Verified{OK: true, Term: 5},
+			verified:   LeadershipVerified{OK: true, Term: 5},
 			instanceID: "f2",
-			want:       AnswerLeaseRequest{Call: 1},
+			want:       LeaseAnswer{Call: 1},
 		},
 		"not a member": {
-			verified:   Verified{OK: true, Term: 4},
+			verified:   LeadershipVerified{OK: true, Term: 4},
 			instanceID: "f9",
-			want:       AnswerLeaseRequest{Call: 1, Version: 1},
+			want:       LeaseAnswer{Call: 1, Version: 1},
 		},
 		"without a vote": {
-			verified:   Verified{OK: true, Term: 4},
+			verified:   LeadershipVerified{OK: true, Term: 4},
 			instanceID: "f3",
-			want:       AnswerLeaseRequest{Call: 1, OK: true, Version: 1},
+			want:       LeaseAnswer{Call: 1, OK: true, Version: 1},
 		},
 	} {
 		core := newLeader()
-		verify := actionsOf[Verify](core.Step(1, []Event{LeaseRequested{Call: 1, InstanceID: c.instanceID}}))
+		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{Call: 1, InstanceID: c.instanceID}}))
 		require.Len(t, verify, 1, name)
 		// A request during a verification waits for the next one.
-		assert.Empty(t, actionsOf[Verify](core.Step(2, []Event{LeaseRequested{Call: 2, InstanceID: "f2"}})), name)
+		assert.Empty(t, actionsOf[VerifyLeadership](core.Step(2, []Event{LeaseRequested{Call: 2, InstanceID: "f2"}})), name)
 		c.verified.Seq = verify[0].Seq
 		actions := core.Step(3, []Event{c.verified})
-		assert.Equal(t, []AnswerLeaseRequest{c.want}, actionsOf[AnswerLeaseRequest](actions), name)
-		assert.Len(t, actionsOf[Verify](actions), 1, name)
+		assert.Equal(t, []LeaseAnswer{c.want}, actionsOf[LeaseAnswer](actions), name)
+		assert.Len(t, actionsOf[VerifyLeadership](actions), 1, name)
 	}
 }
 
 // TestLeaseRequestRetriesUntilGranted checks that a request that is not granted is soon repeated. If leaders fail one
 // after the other, there may be one for a short time only.
 func TestLeaseRequestRetriesUntilGranted(t *testing.T) {
-	settings := Defaults("f1", 5_000_000, false)
+	settings := DefaultSettings("f1", 5_000_000, false)
 	retryInterval := settings.LeaseInterval / 8
 	core := New(settings, State{})
 	requestsAt := func(now Micros) []RequestLease {
@@ -93,7 +93,7 @@
 	assert.Empty(t, requestsAt(retryInterval-1))
 	requests := requestsAt(retryInterval)
 	require.Len(t, requests, 1, "not requested again")
-	core.Step(retryInterval+1, []Event{LeaseGranted{Seq: requests[0].Seq, OK: true, Version: 1}})
+	core.Step(retryInterval+1, []Event{LeaseAnswerReceived{Seq: requests[0].Seq, OK: true, Version: 1}})
 	assert.Empty(t, requestsAt(settings.LeaseInterval), "granted, and requested again at once")
 	assert.Len(t, requestsAt(retryInterval+settings.LeaseInterval), 1)
 }
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -7,17 +7,17 @@
 
 // Entry is an entry of the replicated log. Exactly one field is set.
 type Entry struct {
-	Found   *Bootstrap  `json:"found,omitempty"`
-	Propose *Change     `json:"propose,omitempty"`
-	Decide  *Decision   `json:"decide,omitempty"`
-	Retire  *Retirement `json:"retire,omitempty"`
+	Bootstrap *Bootstrap  `json:"found,omitempty"`
+	Propose   *Change     `json:"propose,omitempty"`
+	Decide    *Decision   `json:"decide,omitempty"`
+	Retire    *Retirement `json:"retire,omitempty"`
 }
 
 // Bootstrap creates a group with its first version.
 type Bootstrap struct {
-	Group string `json:"group"`
-	Keep  int    `json:"keep"` // number of versions retained in the history
-	First Change `json:"first"`
+	GroupID     string `json:"group"`
+	MaxVersions int    `json:"keep"` // number of versions retained in the history
+	First       Change `json:"first"`
 }
 
 // Decision commits or rejects the pending change.
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -3,22 +3,22 @@
 // Event is an input of a Core or Follower: one of the types that implement it in this package.
 type Event interface{ event() }
 
-// Applied reports that entries of the log were applied at this instance. It carries the state after them and the
+// EntriesApplied reports that entries of the log were applied at this instance. It carries the state after them and the
 // outcomes of the changes that they concern.
-type Applied struct {
+type EntriesApplied struct {
 	State    State
 	Outcomes []Outcome
 }
 
-// Role reports whether this instance leads, and in which term. A leader is not ready until Ready reports the term.
-type Role struct {
+// LeadershipChanged reports whether this instance leads, and in which term. A leader is not ready until LeaderReady reports the term.
+type LeadershipChanged struct {
 	Leading bool
 	Term    uint64
 }
 
-// Ready reports that this instance has applied all entries that were committed before the term in which it leads. A
+// LeaderReady reports that this instance has applied all entries that were committed before the term in which it leads. A
 // leader makes no decisions before that.
-type Ready struct{ Term uint64 }
+type LeaderReady struct{ Term uint64 }
 
 // MemberList carries the group's members by the latest configuration in the log, including this instance if it is a
 // member.
@@ -33,7 +33,7 @@
 // AppendFailed reports that an entry was not appended to the log, or that its fate is unknown.
 type AppendFailed struct{ Request string }
 
-// CheckResult is a member's answer to Check.
+// CheckResult is a member's answer to CheckChange.
 type CheckResult struct {
 	Request    string
 	InstanceID string // instance ID of the member
@@ -42,35 +42,35 @@
 	Reason     string // of a rejection or of a missing answer
 }
 
-// LeaseRequested is a member's request for a lease. It is answered by one AnswerLeaseRequest.
+// LeaseRequested is a member's request for a lease. It is answered by one LeaseAnswer.
 type LeaseRequested struct {
 	Call       uint64
 	InstanceID string // instance ID of the member
 }
 
-// Verified is the answer to Verify: whether a majority still took this instance for the leader of the term.
-type Verified struct {
+// LeadershipVerified is the answer to VerifyLeadership: whether a majority still took this instance for the leader of the term.
+type LeadershipVerified struct {
 	Seq  uint64
 	OK   bool
 	Term uint64
 }
 
-// LeaseGranted is the leader's answer to RequestLease. The other fields have no meaning if OK is false.
-type LeaseGranted struct {
+// LeaseAnswerReceived is the leader's answer to RequestLease. The other fields have no meaning if OK is false.
+type LeaseAnswerReceived struct {
 	Seq     uint64
 	OK      bool
 	Version uint64 // version that the leader confirms
 	Removed bool   // this instance was removed from the group
 }
 
-// AddRequested is a caller's request to add a member, or to change the address of one. It is answered by one Reply.
-type AddRequested struct {
+// AddMemberRequested is a caller's request to add a member, or to change the address of one. It is answered by one Reply.
+type AddMemberRequested struct {
 	Call   uint64
 	Member Member
 }
 
-// RemoveRequested is a caller's request to remove a member. It is answered by one Reply.
-type RemoveRequested struct {
+// RemoveMemberRequested is a caller's request to remove a member. It is answered by one Reply.
+type RemoveMemberRequested struct {
 	Call uint64
 	Name string
 }
@@ -88,8 +88,8 @@
 // Tick reports only that time has passed.
 type Tick struct{}
 
-// ReplyReceived is a voter's answer to PollVoter. If OK is false, the voter has no lease itself and only Why is set.
-type ReplyReceived struct {
+// PollReply is a voter's answer to PollVoter. If OK is false, the voter has no lease itself and only Why is set.
+type PollReply struct {
 	Seq            uint64   `json:"-"`
 	OK             bool     `json:"ok"`
 	Reason         string   `json:"why,omitempty"`
@@ -100,23 +100,23 @@
 	Voters         []Member `json:"voters,omitempty"`
 }
 
-// CallTimedOut reports that a voter did not answer a poll, or that its answer was invalid.
-type CallTimedOut struct{ Seq uint64 }
-
-func (Applied) event()           {}
-func (Role) event()              {}
-func (Ready) event()             {}
-func (MemberList) event()        {}
-func (ChangeRequested) event()   {}
-func (AppendFailed) event()      {}
-func (CheckResult) event()       {}
-func (LeaseRequested) event()    {}
-func (Verified) event()          {}
-func (LeaseGranted) event()      {}
-func (AddRequested) event()      {}
-func (RemoveRequested) event()   {}
-func (MembershipChanged) event() {}
-func (CaughtUp) event()          {}
-func (Tick) event()              {}
-func (ReplyReceived) event()     {}
-func (CallTimedOut) event()      {}
+// PollFailed reports that a voter did not answer a poll, or that its answer was invalid.
+type PollFailed struct{ Seq uint64 }
+
+func (EntriesApplied) event()        {}
+func (LeadershipChanged) event()     {}
+func (LeaderReady) event()           {}
+func (MemberList) event()            {}
+func (ChangeRequested) event()       {}
+func (AppendFailed) event()          {}
+func (CheckResult) event()           {}
+func (LeaseRequested) event()        {}
+func (LeadershipVerified) event()    {}
+func (LeaseAnswerReceived) event()   {}
+func (AddMemberRequested) event()    {}
+func (RemoveMemberRequested) event() {}
+func (MembershipChanged) event()     {}
+func (CaughtUp) event()              {}
+func (Tick) event()                  {}
+func (PollReply) event()             {}
+func (PollFailed) event()            {}
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -39,7 +39,7 @@
 	f := &Follower{
 		settings:     settings,
 		active:       last,
-		lease:        Lease{Serve: settings.ServeWhenStale},
+		lease:        Lease{ServeWhenStale: settings.ServeWhenStale},
 		pendingPolls: map[uint64]pendingPoll{},
 		polledAt:     -settings.LeaseInterval,
 		failedAt:     map[string]Micros{},
@@ -64,9 +64,9 @@
 	f.begin(now)
 	for _, e := range events {
 		switch e := e.(type) {
-		case ReplyReceived:
+		case PollReply:
 			f.handleReply(e)
-		case CallTimedOut:
+		case PollFailed:
 			f.handleCallTimedOut(e)
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 func (f *Follower) pollInterval() Micros {
-	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Holds(f.now, f.active.Number)
+	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Covers(f.now, f.active.Number)
 	if isCurrent {
 		return f.settings.LeaseInterval
 	}
@@ -122,7 +122,7 @@
 	return PollRequest{Version: f.active.Number, Digest: f.active.Digest}
 }
 
-func (f *Follower) handleCallTimedOut(e CallTimedOut) {
+func (f *Follower) handleCallTimedOut(e PollFailed) {
 	pending, isPending := f.pendingPolls[e.Seq]
 	if !isPending {
 		return
@@ -131,7 +131,7 @@
 	f.markFailed(pending.voter)
 }
 
-func (f *Follower) handleReply(e ReplyReceived) {
+func (f *Follower) handleReply(e PollReply) {
 	pending, isPending := f.pendingPolls[e.Seq]
 	if !isPending { // a duplicate, or too late
 		return
@@ -179,11 +179,11 @@
 }
 
 // extendLease adds the grant of a reply to a poll that was sent at the given time.
-func (f *Follower) extendLease(sentAt Micros, e ReplyReceived) {
+func (f *Follower) extendLease(sentAt Micros, e PollReply) {
 	until := grantUntil(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
 	if until <= f.now {
 		return
 	}
 	f.lease = f.lease.withGrant(Grant{Version: e.Version, ExpiresAt: until}, f.now)
-	f.emit(NewLease{Lease: f.lease})
+	f.emit(SetLease{Lease: f.lease})
 }
--- a/sharedconfig/follower_test.go
+++ b/sharedconfig/follower_test.go
@@ -19,8 +19,8 @@
 }
 
 // grantingReply returns a voter's reply with a full lease. Its active version has the digest "d".
-func grantingReply(seq uint64, group string, version uint64, voters []Member) ReplyReceived {
-	return ReplyReceived{
+func grantingReply(seq uint64, group string, version uint64, voters []Member) PollReply {
+	return PollReply{
 		Seq:            seq,
 		OK:             true,
 		Group:          group,
@@ -40,7 +40,7 @@
 	}
 	preferred, failedOverTo := map[string]int{}, map[string]int{}
 	for i := range 300 {
-		settings := Defaults(fmt.Sprint("w", i), bound, false)
+		settings := DefaultSettings(fmt.Sprint("w", i), bound, false)
 		f := NewFollower(settings, []string{"a0"}, Version{Number: 7, Digest: "of another group"})
 
 		first := stepForPoll(f, 0)
@@ -52,17 +52,17 @@
 		require.Equal(t, uint64(3), f.Active().Number)
 		preferred[second.Voter.Addr]++
 
-		third := stepForPoll(f, 200_000, CallTimedOut{Seq: second.Seq})
+		third := stepForPoll(f, 200_000, PollFailed{Seq: second.Seq})
 		require.NotEqual(t, second.Voter.Addr, third.Voter.Addr)
 		failedOverTo[third.Voter.Addr]++
 
-		late := ReplyReceived{Seq: second.Seq, OK: true, Group: "g", Version: 3, LeaseRemaining: bound}
+		late := PollReply{Seq: second.Seq, OK: true, Group: "g", Version: 3, LeaseRemaining: bound}
 		require.Empty(t, f.Step(201_000, []Event{late}), "a poll counts once")
 
 		stepForPoll(f, 300_000, grantingReply(third.Seq, "other", 9, nil))
 		require.Equal(t, uint64(3), f.Active().Number, "of another group")
 
-		fourth := stepForPoll(f, 300_000+bound, ReplyReceived{Seq: 99})
+		fourth := stepForPoll(f, 300_000+bound, PollReply{Seq: 99})
 		stepForPoll(f, 300_001+bound, grantingReply(fourth.Seq, "g", 2, voters))
 		require.Equal(t, uint64(3), f.Active().Number, "versions do not go back")
 	}
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -31,13 +31,13 @@
 
 // Lease is what an instance was granted: which versions it may serve and until when. A Lease is immutable.
 type Lease struct {
-	Grants  []Grant // by ascending version; each ends later than those before it
-	Serve   bool    // serve without a valid grant too: availability is preferred to the staleness bound
-	Removed bool    // the instance was removed from the group
+	Grants         []Grant // by ascending version; each ends later than those before it
+	ServeWhenStale bool    // serve without a valid grant too: availability is preferred to the staleness bound
+	Removed        bool    // the instance was removed from the group
 }
 
-// Until returns the end of the latest grant that covers a version, or 0 if there is none.
-func (l Lease) Until(version uint64) Micros {
+// ExpiresAt returns the end of the latest grant that covers a version, or 0 if there is none.
+func (l Lease) ExpiresAt(version uint64) Micros {
 	until := Micros(0)
 	for _, grant := range l.Grants {
 		if grant.Version <= version {
@@ -47,14 +47,14 @@
 	return until
 }
 
-// Holds reports whether a grant covers a version at the time now.
-func (l Lease) Holds(now Micros, version uint64) bool {
-	return version > 0 && !l.Removed && now < l.Until(version)
+// Covers reports whether a grant covers a version at the time now.
+func (l Lease) Covers(now Micros, version uint64) bool {
+	return version > 0 && !l.Removed && now < l.ExpiresAt(version)
 }
 
 // Allows reports whether queries may be accepted under a version at the time now.
 func (l Lease) Allows(now Micros, version uint64) bool {
-	return l.Holds(now, version) || l.Serve && version > 0 && !l.Removed
+	return l.Covers(now, version) || l.ServeWhenStale && version > 0 && !l.Removed
 }
 
 // withGrant returns the lease with a grant added, without the grants that it covers or that have expired.
@@ -81,11 +81,11 @@
 		return "this instance was removed from its group"
 	case version == 0:
 		return "this instance has no agreed document yet"
-	case l.Holds(now, version):
+	case l.Covers(now, version):
 		return ""
-	case l.Until(version) == 0:
+	case l.ExpiresAt(version) == 0:
 		return fmt.Sprintf("nobody has confirmed that version %d is still the active one", version)
 	}
 	return fmt.Sprintf("nobody has confirmed for %d ms beyond the bound that version %d is still the active one",
-		(now-l.Until(version))/1000, version)
+		(now-l.ExpiresAt(version))/1000, version)
 }
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -29,7 +29,7 @@
 	return c.settings.LeaseInterval
 }
 
-func (c *Core) handleLeaseGranted(e LeaseGranted) {
+func (c *Core) handleLeaseGranted(e LeaseAnswerReceived) {
 	requestedAt, isPending := c.leaseRequests[e.Seq]
 	if !isPending || !e.OK {
 		return
@@ -37,7 +37,7 @@
 	delete(c.leaseRequests, e.Seq)
 	if e.Removed {
 		c.lease = Lease{Removed: true}
-		c.emit(NewLease{Lease: c.lease})
+		c.emit(SetLease{Lease: c.lease})
 		c.logf("this instance was removed from its group: it stops serving")
 		return
 	}
@@ -46,14 +46,14 @@
 		return
 	}
 	c.lease = c.lease.withGrant(Grant{Version: e.Version, ExpiresAt: until}, c.now)
-	c.emit(NewLease{Lease: c.lease})
+	c.emit(SetLease{Lease: c.lease})
 }
 
 // handleLeaseRequested queues a lease request for the next verification. One in flight may have begun before the
 // request and would not count for it.
 func (c *Core) handleLeaseRequested(e LeaseRequested) {
 	if !c.leading || !c.ready {
-		c.emit(AnswerLeaseRequest{Call: e.Call})
+		c.emit(LeaseAnswer{Call: e.Call})
 		return
 	}
 	c.lastRequestFrom[e.InstanceID] = c.now
@@ -71,18 +71,18 @@
 	c.verifyingLeases = c.waitingLeases
 	c.waitingLeases = nil
 	c.verifyingVersion = c.state.Active().Number
-	c.emit(Verify{Seq: c.verificationSeq})
+	c.emit(VerifyLeadership{Seq: c.verificationSeq})
 }
 
 // handleVerified answers the lease requests that waited for the verification. It confirms the version that was active
 // when the verification began.
-func (c *Core) handleVerified(e Verified) {
+func (c *Core) handleVerified(e LeadershipVerified) {
 	if e.Seq != c.verificationSeq {
 		return
 	}
 	isLeader := e.OK && e.Term == c.term
 	for _, request := range c.verifyingLeases {
-		answer := AnswerLeaseRequest{Call: request.Call}
+		answer := LeaseAnswer{Call: request.Call}
 		if isLeader && c.verifyingVersion > 0 {
 			_, isMember := c.findMember(func(m Member) bool { return m.DataDirectoryID == request.InstanceID })
 			answer.Version = c.verifyingVersion
--- a/sharedconfig/lease_test.go
+++ b/sharedconfig/lease_test.go
@@ -27,17 +27,17 @@
 				want := slices.ContainsFunc(all, func(g Grant) bool {
 					return version > 0 && g.Version <= version && now < g.ExpiresAt
 				})
-				require.Equal(t, want, lease.Holds(now, version), "version %d at %d of %v by %v", version, now, all, lease.Grants)
+				require.Equal(t, want, lease.Covers(now, version), "version %d at %d of %v by %v", version, now, all, lease.Grants)
 			}
 		}
 	})
 }
 
 func TestLeaseAllowsAndReason(t *testing.T) {
-	serving := Lease{Serve: true}
+	serving := Lease{ServeWhenStale: true}
 	assert.True(t, serving.Allows(1, 3))
 	assert.False(t, serving.Allows(1, 0), "no version is known yet")
-	assert.False(t, Lease{Serve: true, Removed: true}.Allows(1, 3))
+	assert.False(t, Lease{ServeWhenStale: true, Removed: true}.Allows(1, 3))
 
 	granted := Lease{Grants: []Grant{{Version: 1, ExpiresAt: 10}}}
 	assert.False(t, granted.Allows(10, 1))
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -16,7 +16,7 @@
 
 // handleAddRequested adds a member, at first without a vote until it has caught up with the log; or it changes the
 // address of a member, which keeps its vote.
-func (c *Core) handleAddRequested(e AddRequested) {
+func (c *Core) handleAddRequested(e AddMemberRequested) {
 	member := e.Member
 	current, known := c.findMember(func(m Member) bool { return m.Name == member.Name })
 	occupant, occupied := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
@@ -39,7 +39,7 @@
 
 // handleRemoveRequested removes a member. Its instance ID is retired first, so that it cannot become a member again
 // whatever the outcome of the removal itself is.
-func (c *Core) handleRemoveRequested(e RemoveRequested) {
+func (c *Core) handleRemoveRequested(e RemoveMemberRequested) {
 	member, known := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
@@ -53,7 +53,7 @@
 			member.Name, c.reachableVoters(member.DataDirectoryID), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
-		c.emit(Append{Entry: Entry{Retire: &Retirement{InstanceID: member.DataDirectoryID}}})
+		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.DataDirectoryID}}})
 		c.submitMembershipChange()
 	}
 }
--- a/sharedconfig/membership_test.go
+++ b/sharedconfig/membership_test.go
@@ -8,10 +8,10 @@
 )
 
 func addRequest(name, instanceID, addr string) Event {
-	return AddRequested{Call: 1, Member: Member{Name: name, DataDirectoryID: instanceID, Addr: addr}}
+	return AddMemberRequested{Call: 1, Member: Member{Name: name, DataDirectoryID: instanceID, Addr: addr}}
 }
 
-func removeRequest(name string) Event { return RemoveRequested{Call: 1, Name: name} }
+func removeRequest(name string) Event { return RemoveMemberRequested{Call: 1, Name: name} }
 
 func TestMembershipRequests(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -55,7 +55,7 @@
 		core := newLeader()
 		state := core.State()
 		state.Retired = []string{"f7"}
-		actions := core.Step(5_000_000, []Event{Applied{State: state}, c.request})
+		actions := core.Step(5_000_000, []Event{EntriesApplied{State: state}, c.request})
 		changes, replies := actionsOf[ChangeMembership](actions), actionsOf[Reply](actions)
 		if c.want == "" {
 			assert.Len(t, changes, 1, name)
@@ -76,7 +76,7 @@
 	core := newLeader()
 	state := core.State()
 	state.Retired = []string{"f2"}
-	changes := actionsOf[ChangeMembership](core.Step(5_000_000, []Event{Applied{State: state}}))
+	changes := actionsOf[ChangeMembership](core.Step(5_000_000, []Event{EntriesApplied{State: state}}))
 	require.Len(t, changes, 1)
 	assert.True(t, changes[0].Remove)
 
--- a/sharedconfig/model_faults_test.go
+++ b/sharedconfig/model_faults_test.go
@@ -56,7 +56,7 @@
 	n.events = append(n.events, ChangeRequested{Call: call, Change: change})
 	if m.rng.IntN(3) == 0 {
 		m.nextID++
-		competing := m.newChange(change.Expect)
+		competing := m.newChange(change.ExpectedVersion)
 		m.calls[m.nextID] = competing
 		n.events = append(n.events, ChangeRequested{Call: m.nextID, Change: competing})
 	}
@@ -65,9 +65,9 @@
 // newChange returns a change for the latest ID.
 func (m *model) newChange(expectedVersion uint64) Change {
 	return Change{
-		Request: fmt.Sprint("r", m.nextID),
-		Text:    fmt.Sprint(m.nextID),
-		Digest:  fmt.Sprint(m.nextID),
-		Expect:  expectedVersion,
+		Request:         fmt.Sprint("r", m.nextID),
+		Text:            fmt.Sprint(m.nextID),
+		Digest:          fmt.Sprint(m.nextID),
+		ExpectedVersion: expectedVersion,
 	}
 }
--- a/sharedconfig/model_followers_test.go
+++ b/sharedconfig/model_followers_test.go
@@ -18,7 +18,7 @@
 
 func newModelFollower(instanceID string, voters []string, clockOffset Micros) *modelFollower {
 	return &modelFollower{
-		Follower:    NewFollower(Defaults(instanceID, modelStalenessBound, false), voters, Version{}),
+		Follower:    NewFollower(DefaultSettings(instanceID, modelStalenessBound, false), voters, Version{}),
 		clockOffset: clockOffset,
 	}
 }
@@ -49,13 +49,13 @@
 		switch a := action.(type) {
 		case Activate:
 			f.version = a.Version.Number
-		case NewLease:
+		case SetLease:
 			f.lease = a.Lease
 		case PollVoter:
 			m.sendPoll(f, a)
 		}
 	}
-	if f.lease.Holds(m.now+f.clockOffset, f.version) {
+	if f.lease.Covers(m.now+f.clockOffset, f.version) {
 		f.servedSteps++
 	}
 }
@@ -71,7 +71,7 @@
 		if n.partitioned && m.rng.IntN(2) == 0 {
 			return
 		}
-		reply := Answer(n.State(), n.Lease(), m.now+n.clockOffset, m.members, a.Request)
+		reply := AnswerPoll(n.State(), n.Lease(), m.now+n.clockOffset, m.members, a.Request)
 		reply.Seq = a.Seq
 		m.send(i, 0, func(*modelNode) {
 			if f.Follower == sender {
--- a/sharedconfig/model_invariants_test.go
+++ b/sharedconfig/model_invariants_test.go
@@ -26,7 +26,7 @@
 		m := newModel(t, seed, 3+2*int(seed%2))
 		m.run(modelSteps)
 		final := m.stateAfter(len(m.log))
-		require.NoError(t, final.Check())
+		require.NoError(t, final.Validate())
 		require.Greater(t, m.servedSteps, 200, "seed %d: no instance ever served", seed)
 		longestStaleness = max(longestStaleness, m.longestStaleness)
 		requireDistinctRequests(t, seed, final.Versions)
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -69,7 +69,7 @@
 		replies:          map[uint64]Outcome{},
 		leaseRequestSeqs: map[uint64]uint64{},
 	}
-	m.commit(Entry{Found: &Bootstrap{Group: "g", Keep: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
+	m.commit(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
 	for i := range nodeCount {
 		name := fmt.Sprint("n", i)
 		instanceID := fmt.Sprint("f", i)
@@ -81,7 +81,7 @@
 
 func newModelNode(name, instanceID string, clockOffset Micros) *modelNode {
 	return &modelNode{
-		Core:        New(Defaults(instanceID, modelStalenessBound, false), State{}),
+		Core:        New(DefaultSettings(instanceID, modelStalenessBound, false), State{}),
 		name:        name,
 		instanceID:  instanceID,
 		clockOffset: clockOffset,
@@ -123,7 +123,7 @@
 			m.term++
 			m.leader = i
 			delay := Micros(m.rng.IntN(100_000))
-			m.send(i, delay, func(n *modelNode) { n.events = append(n.events, Role{Leading: true, Term: m.term}) })
+			m.send(i, delay, func(n *modelNode) { n.events = append(n.events, LeadershipChanged{Leading: true, Term: m.term}) })
 			return
 		}
 	}
@@ -182,14 +182,14 @@
 	for n.applied < len(m.log) && !n.partitioned && n.laggingUntil <= m.now && m.rng.IntN(3) > 0 {
 		state, outcome := n.State().Apply(m.log[n.applied])
 		n.applied++
-		n.events = append(n.events, Applied{State: state, Outcomes: []Outcome{outcome}}, MemberList{Members: m.members})
+		n.events = append(n.events, EntriesApplied{State: state, Outcomes: []Outcome{outcome}}, MemberList{Members: m.members})
 		m.runNode(i, n)
 	}
 	if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.ready {
-		n.events = append(n.events, Ready{Term: m.term})
+		n.events = append(n.events, LeaderReady{Term: m.term})
 	}
 	if n.leading && m.leader != i && m.rng.IntN(20) == 0 { // learns that it no longer leads
-		n.events = append(n.events, Role{Leading: false, Term: m.term})
+		n.events = append(n.events, LeadershipChanged{Leading: false, Term: m.term})
 	}
 	n.events = append(n.events, Tick{})
 	m.runNode(i, n)
@@ -207,16 +207,16 @@
 func (m *model) execute(i int, action Action) {
 	n := m.nodes[i]
 	switch a := action.(type) {
-	case Append:
+	case AppendEntry:
 		m.appendEntry(i, a)
-	case Check:
+	case CheckChange:
 		m.sendCheck(i, a)
 	case RequestLease:
 		m.sendLeaseRequest(i, a)
-	case AnswerLeaseRequest:
+	case LeaseAnswer:
 		m.sendLeaseAnswer(i, a)
-	case Verify:
-		verified := Verified{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
+	case VerifyLeadership:
+		verified := LeadershipVerified{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
 		m.send(i, 0, func(n *modelNode) { n.events = append(n.events, verified) })
 	case Activate:
 		n.version = a.Version.Number
@@ -229,7 +229,7 @@
 }
 
 // appendEntry commits an entry if the node leads. A leader may fail after that, so that it does not learn of it.
-func (m *model) appendEntry(i int, a Append) {
+func (m *model) appendEntry(i int, a AppendEntry) {
 	n := m.nodes[i]
 	leads := m.leader == i && m.reachesMajority(i) && n.term == m.term
 	fails := m.rng.IntN(10) == 0
@@ -240,14 +240,14 @@
 		return
 	}
 	m.send(i, 0, func(n *modelNode) {
-		n.events = append(n.events, AppendFailed{Request: a.Request}, Role{Leading: false, Term: m.term})
+		n.events = append(n.events, AppendFailed{Request: a.Request}, LeadershipChanged{Leading: false, Term: m.term})
 	})
 	if leads {
 		m.elect()
 	}
 }
 
-func (m *model) sendCheck(i int, a Check) {
+func (m *model) sendCheck(i int, a CheckChange) {
 	for j, n := range m.nodes {
 		if n.instanceID != a.Member.DataDirectoryID {
 			continue
@@ -285,9 +285,9 @@
 	})
 }
 
-func (m *model) sendLeaseAnswer(i int, a AnswerLeaseRequest) {
+func (m *model) sendLeaseAnswer(i int, a LeaseAnswer) {
 	to := int(a.Call % 100)
-	granted := LeaseGranted{Seq: m.leaseRequestSeqs[a.Call], OK: a.OK, Version: a.Version, Removed: a.Removed}
+	granted := LeaseAnswerReceived{Seq: m.leaseRequestSeqs[a.Call], OK: a.OK, Version: a.Version, Removed: a.Removed}
 	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, granted) })
 }
 
@@ -314,13 +314,13 @@
 		}
 	}
 	for _, n := range m.nodes {
-		if n.pausedUntil <= m.now && n.Lease().Holds(m.now+n.clockOffset, n.version) {
+		if n.pausedUntil <= m.now && n.Lease().Covers(m.now+n.clockOffset, n.version) {
 			m.servedSteps++
 			checkVersion(n.name, n.version)
 		}
 	}
 	for _, f := range m.followers {
-		if f.pausedUntil <= m.now && f.lease.Holds(m.now+f.clockOffset, f.version) {
+		if f.pausedUntil <= m.now && f.lease.Covers(m.now+f.clockOffset, f.version) {
 			checkVersion(f.settings.InstanceID, f.version)
 		}
 	}
--- a/sharedconfig/poll.go
+++ b/sharedconfig/poll.go
@@ -8,18 +8,18 @@
 	Digest  string `json:"digest"` // of that version
 }
 
-// Answer returns a voter's reply to a poll: the active version and the rest of the voter's lease, if that covers the
+// AnswerPoll returns a voter's reply to a poll: the active version and the rest of the voter's lease, if that covers the
 // version. The caller must read the state before the lease: a grant for a newer version does not cover an older one.
-func Answer(state State, lease Lease, now Micros, members []Member, request PollRequest) ReplyReceived {
+func AnswerPoll(state State, lease Lease, now Micros, members []Member, request PollRequest) PollReply {
 	active := state.Active()
-	if !lease.Holds(now, active.Number) {
-		return ReplyReceived{Reason: cmp.Or(lease.Reason(now, active.Number), "no lease")}
+	if !lease.Covers(now, active.Number) {
+		return PollReply{Reason: cmp.Or(lease.Reason(now, active.Number), "no lease")}
 	}
-	reply := ReplyReceived{
+	reply := PollReply{
 		OK:             true,
-		Group:          state.Group,
+		Group:          state.GroupID,
 		Version:        active.Number,
-		LeaseRemaining: lease.Until(active.Number) - now,
+		LeaseRemaining: lease.ExpiresAt(active.Number) - now,
 	}
 	for _, member := range members {
 		if member.Voter {
--- a/sharedconfig/records.go
+++ b/sharedconfig/records.go
@@ -2,26 +2,26 @@
 
 // Version is one committed version of the document.
 type Version struct {
-	Number   uint64 `json:"number"` // from 1
-	Digest   string `json:"digest"`
-	Author   string `json:"author"`
-	Reason   string `json:"reason"`
-	At       int64  `json:"at"`                 // Unix time of the change request in ms, by the clock of its recipient
-	Request  string `json:"request"`            // ID of the change that made the version
-	Restores uint64 `json:"restores,omitempty"` // number of the version that a rollback restored; 0: no rollback
-	Text     string `json:"text,omitempty"`
+	Number          uint64 `json:"number"` // from 1
+	Digest          string `json:"digest"`
+	Author          string `json:"author"`
+	Reason          string `json:"reason"`
+	RequestedAt     int64  `json:"at"`                 // Unix time of the change request in ms, by the clock of its recipient
+	Request         string `json:"request"`            // ID of the change that made the version
+	RestoredVersion uint64 `json:"restores,omitempty"` // number of the version that a rollback restored; 0: no rollback
+	Text            string `json:"text,omitempty"`
 }
 
 // Change is a requested change of the document.
 type Change struct {
-	Request  string `json:"request"` // request ID; a change with a known ID is a duplicate of the earlier one
-	Expect   uint64 `json:"expect"`  // number of the version that the change is based on
-	Text     string `json:"text"`
-	Digest   string `json:"digest"`
-	Author   string `json:"author"`
-	Reason   string `json:"reason"`
-	At       int64  `json:"at"`                 // Unix time of the request in ms
-	Restores uint64 `json:"restores,omitempty"` // number of the version that a rollback restores; 0: no rollback
+	Request         string `json:"request"` // request ID; a change with a known ID is a duplicate of the earlier one
+	ExpectedVersion uint64 `json:"expect"`  // number of the version that the change is based on
+	Text            string `json:"text"`
+	Digest          string `json:"digest"`
+	Author          string `json:"author"`
+	Reason          string `json:"reason"`
+	RequestedAt     int64  `json:"at"`                 // Unix time of the request in ms
+	RestoredVersion uint64 `json:"restores,omitempty"` // number of the version that a rollback restores; 0: no rollback
 }
 
 // Status is the status of a change.
@@ -42,7 +42,7 @@
 	Request  string `json:"request"`
 	Status   Status `json:"status"`
 	Version  uint64 `json:"version,omitempty"`  // Done: number of the active version
-	Instance string `json:"instance,omitempty"` // Refused: name of the instance that rejected the change
+	Instance string `json:"instance,omitempty"` // Rejected: name of the instance that rejected the change
 	Reason   string `json:"why,omitempty"`      // reason, for people
 }
 
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -13,7 +13,7 @@
 	ChangeTimeout  Micros // how long a caller waits for the decision on a change
 }
 
-// Bounds and defaults of Settings that Defaults derives.
+// Bounds and defaults of Settings that DefaultSettings derives.
 const (
 	minLeaseInterval Micros = 20_000
 	maxLeaseInterval Micros = 500_000
@@ -24,8 +24,8 @@
 	defaultChangeTimeout  Micros = 5_000_000
 )
 
-// Defaults returns the settings of an instance for a staleness bound.
-func Defaults(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
+// DefaultSettings returns the settings of an instance for a staleness bound.
+func DefaultSettings(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
 	return Settings{
 		InstanceID:     instanceID,
 		StalenessBound: stalenessBound,
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -17,7 +17,7 @@
 // State is the result of the log's entries up to a point. Methods return new states and never modify what a state
 // refers to, so a copy stays valid.
 type State struct {
-	Group       string    `json:"group"`    // ID of the group; empty before the bootstrap
+	GroupID     string    `json:"group"`    // ID of the group; empty before the bootstrap
 	MaxVersions int       `json:"keep"`     // number of versions retained
 	Versions    []Version `json:"versions"` // by ascending number; the last one is active
 	Pending     *Change   `json:"pending,omitempty"`
@@ -66,10 +66,10 @@
 // wording of outcomes, which are stored: replicas that run different releases would diverge if it changed.
 func (s State) Apply(e Entry) (State, Outcome) {
 	switch {
-	case e.Found != nil && len(s.Versions) == 0:
-		s.Group = e.Found.Group
-		s.MaxVersions = max(minRetainedVersions, e.Found.Keep)
-		return s.activate(e.Found.First)
+	case e.Bootstrap != nil && len(s.Versions) == 0:
+		s.GroupID = e.Bootstrap.GroupID
+		s.MaxVersions = max(minRetainedVersions, e.Bootstrap.MaxVersions)
+		return s.activate(e.Bootstrap.First)
 	case e.Propose != nil && len(s.Versions) > 0:
 		return s.propose(*e.Propose)
 	case e.Decide != nil:
@@ -91,9 +91,9 @@
 		outcome.Status = Busy
 		outcome.Reason = "change " + s.Pending.Request + " is under way"
 		return s, outcome
-	case change.Expect != active.Number:
+	case change.ExpectedVersion != active.Number:
 		outcome.Status = Conflict
-		outcome.Reason = fmt.Sprintf("version %d is active and not %d", active.Number, change.Expect)
+		outcome.Reason = fmt.Sprintf("version %d is active and not %d", active.Number, change.ExpectedVersion)
 		return s.recordOutcome(outcome), outcome
 	case change.Digest == active.Digest && change.Text == active.Text:
 		outcome.Status = Done
@@ -126,14 +126,14 @@
 
 func (s State) activate(change Change) (State, Outcome) {
 	version := Version{
-		Number:   s.Active().Number + 1,
-		Digest:   change.Digest,
-		Author:   change.Author,
-		Reason:   change.Reason,
-		At:       change.At,
-		Request:  change.Request,
-		Restores: change.Restores,
-		Text:     change.Text,
+		Number:          s.Active().Number + 1,
+		Digest:          change.Digest,
+		Author:          change.Author,
+		Reason:          change.Reason,
+		RequestedAt:     change.RequestedAt,
+		Request:         change.Request,
+		RestoredVersion: change.RestoredVersion,
+		Text:            change.Text,
 	}
 	s.Versions = appendBounded(s.Versions, version, s.MaxVersions)
 	outcome := Outcome{Request: change.Request, Status: Done, Version: version.Number}
@@ -158,20 +158,20 @@
 // Recover returns the state of a new group that continues from this one without its other members, whose IDs are in
 // retired. A pending change is dropped, since the members that had to check it are gone.
 func (s State) Recover(group string, retired []string) State {
-	s.Group = group
+	s.GroupID = group
 	s.Pending = nil
 	s.Retired = append(slices.Clip(s.Retired), retired...)
 	return s
 }
 
-// Check reports whether a state that was read from storage is consistent.
-func (s State) Check() error {
+// Validate reports whether a state that was read from storage is consistent.
+func (s State) Validate() error {
 	for i, v := range s.Versions {
 		if i > 0 && v.Number != s.Versions[i-1].Number+1 || v.Number == 0 {
 			return fmt.Errorf("version %d stands where another belongs", v.Number)
 		}
 	}
-	if len(s.Versions) > 0 && (s.Group == "" || s.MaxVersions < minRetainedVersions) {
+	if len(s.Versions) > 0 && (s.GroupID == "" || s.MaxVersions < minRetainedVersions) {
 		return errors.New("versions without a group")
 	}
 	return nil
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		keep := rapid.IntRange(2, 5).Draw(t, "keep")
 		first := Change{Request: "first", Text: "0", Digest: "0"}
-		state, _ := State{}.Apply(Entry{Found: &Bootstrap{Group: "g", Keep: keep, First: first}})
+		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: keep, First: first}})
 		reported := map[string]Outcome{}
 		made := map[string]bool{"first": true}
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
@@ -23,9 +23,9 @@
 			before, versions := state, slices.Clone(state.Versions)
 			next, outcome := state.Apply(entry)
 			require.Equal(t, versions, before.Versions, "a copy was changed")
-			require.NoError(t, next.Check())
+			require.NoError(t, next.Validate())
 			require.LessOrEqual(t, len(next.Versions), keep)
-			require.Equal(t, "g", next.Group)
+			require.Equal(t, "g", next.GroupID)
 			requireValidActivation(t, state, next, entry, made)
 			if outcome.Status == Done || outcome.Status == Rejected || outcome.Status == Conflict {
 				if earlier, known := reported[outcome.Request]; known {
@@ -45,11 +45,11 @@
 	case 0, 1:
 		text := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "text"))
 		expect := state.Active().Number - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
-		return Entry{Propose: &Change{Request: request, Text: text, Digest: text, Expect: expect}}
+		return Entry{Propose: &Change{Request: request, Text: text, Digest: text, ExpectedVersion: expect}}
 	case 2:
 		return Entry{Decide: &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Reason: "no"}}
 	default:
-		return Entry{Found: &Bootstrap{Group: "other"}}
+		return Entry{Bootstrap: &Bootstrap{GroupID: "other"}}
 	}
 }
 
--- a/sharedconfig/step.go
+++ b/sharedconfig/step.go
@@ -17,5 +17,5 @@
 func (s *stepState) emit(action Action) { s.actions = append(s.actions, action) }
 
 func (s *stepState) logf(format string, args ...any) {
-	s.emit(Log{Text: fmt.Sprintf(format, args...)})
+	s.emit(LogMessage{Text: fmt.Sprintf(format, args...)})
 }
