--- a/internal/faultnet/datagrams.go
+++ b/internal/faultnet/datagrams.go
@@ -7,65 +7,71 @@
 	"time"
 )
 
-// DatagramProxy stands before an instance's datagrams, by the same rules as a Front before its connections. What one instance
-// sends another's post leaves from its own, so that each sees the others at the addresses that it knows.
+// maxDatagramBytes is the size of the buffer for a datagram.
+const maxDatagramBytes = 2048
+
+// DatagramProxy stands before an instance's UDP socket, by the same rules as a ConnectionProxy before its listener. What one
+// instance sends to another's proxy is forwarded from its own proxy, so that each sees the others at the addresses that it
+// knows.
 type DatagramProxy struct {
-	net    *Network
-	name   string
-	conn   *net.UDPConn
-	behind netip.AddrPort // guarded by the network's lock
+	network *Network
+	name    string
+	conn    *net.UDPConn
+	target  netip.AddrPort // guarded by the network's lock
 }
 
-// ProxyDatagrams begins to stand before an instance: what comes goes to it once Behind was told.
+// ProxyDatagrams starts a proxy before an instance. Datagrams are forwarded to it after SetTarget.
 func (n *Network) ProxyDatagrams(name string) (*DatagramProxy, error) {
-	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	p := &DatagramProxy{net: n, name: name, conn: c}
-	go p.pass()
+	p := &DatagramProxy{network: n, name: name, conn: conn}
+	go p.forward()
 	return p, nil
 }
 
-// Addr is the address by which the others know the instance.
+// Addr returns the address by which the others know the instance.
 func (p *DatagramProxy) Addr() netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// SetTarget tells where the instance is, now.
+// SetTarget sets the address of the instance.
 func (p *DatagramProxy) SetTarget(addr string) error {
-	at, err := netip.ParseAddrPort(addr)
+	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return err
 	}
-	p.net.mu.Lock()
-	defer p.net.mu.Unlock()
-	delete(p.net.posts, p.behind)
-	p.behind = at
-	p.net.posts[at] = p
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	delete(p.network.datagramProxies, p.target)
+	p.target = target
+	p.network.datagramProxies[target] = p
 	return nil
 }
 
-// Close ends it.
+// Close ends the proxy.
 func (p *DatagramProxy) Close() error { return p.conn.Close() }
 
-// pass ends when the post is closed.
-func (p *DatagramProxy) pass() {
-	b := make([]byte, 2048)
+// forward forwards datagrams until the proxy is closed.
+func (p *DatagramProxy) forward() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		k, from, err := p.conn.ReadFromUDPAddrPort(b)
+		size, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		p.net.mu.Lock()
-		sender, to := p.net.posts[from], p.behind
-		p.net.mu.Unlock()
-		if sender == nil || !to.IsValid() {
+		p.network.mu.Lock()
+		sender, target := p.network.datagramProxies[from], p.target
+		p.network.mu.Unlock()
+		if sender == nil || !target.IsValid() {
 			continue
 		}
-		p.net.Datagrams.Add(1)
-		times, delay := p.net.decide(sender.name, p.name)
-		text := slices.Clone(b[:k])
-		for range times { // copies come one after the other
-			time.AfterFunc(delay, func() { sender.conn.WriteToUDPAddrPort(text, to) })
+		p.network.Datagrams.Add(1)
+		copies, delay := p.network.decide(sender.name, p.name)
+		datagram := slices.Clone(buffer[:size])
+		for range copies { // one after the other
+			time.AfterFunc(delay, func() {
+				_, _ = sender.conn.WriteToUDPAddrPort(datagram, target) // a datagram may be lost
+			})
 			delay *= 2
 		}
 	}
--- /dev/null
+++ b/internal/testserver/discovery.go
@@ -0,0 +1,236 @@
+package testserver
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"alderproxy/httpwire"
+)
+
+// Discovery is a discovery service. It answers a call with what was published last, at once or when the timeout of a watch
+// is over.
+type Discovery struct {
+	Addr  string
+	Calls chan string // the targets of calls; what the test does not read is dropped
+
+	mu           sync.Mutex
+	listener     net.Listener
+	version      int
+	answer       string
+	changed      chan struct{} // closed, and replaced, when something is published
+	rejectStatus int           // of the next call's response; 0: the list
+	unresponsive bool
+	rawAnswer    string                 // sent in place of a response, and nothing after it
+	connections  map[net.Conn]chan bool // closed where a connection stalls
+}
+
+// NewDiscovery starts discovery with a full list of entries.
+func NewDiscovery(t *testing.T, entries ...string) *Discovery {
+	t.Helper()
+	d := &Discovery{
+		Addr:        "127.0.0.1:0",
+		Calls:       make(chan string, recordCapacity),
+		changed:     make(chan struct{}),
+		connections: map[net.Conn]chan bool{},
+	}
+	require.NoError(t, d.Start())
+	t.Cleanup(d.Stop)
+	d.Publish(true, entries...)
+	return d
+}
+
+// EndpointEntry returns one entry of an endpoint list.
+func EndpointEntry(name string, s *Store, state string) string {
+	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":0,"state":%q,"weight":1,"started_ms":0}`,
+		name, s.Addr, state)
+}
+
+// Start listens on the address, again after a Stop.
+func (d *Discovery) Start() error {
+	listener, err := net.Listen("tcp", d.Addr) //nolint:noctx // it may be called when the test's context is done
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.listener = listener
+	d.Addr = listener.Addr().String()
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go d.serve(c)
+		}
+	}()
+	return nil
+}
+
+// Stop ends the service: connections are closed and new ones refused.
+func (d *Discovery) Stop() {
+	d.mu.Lock()
+	d.listener.Close()
+	d.mu.Unlock()
+	d.ResetConnections()
+}
+
+// ResetConnections closes all open connections.
+func (d *Discovery) ResetConnections() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for c := range d.connections {
+		c.Close()
+	}
+}
+
+// StallConnections has all open connections stay open and answer nothing any more. New ones are served.
+func (d *Discovery) StallConnections() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for c, stalled := range d.connections {
+		d.connections[c] = nil
+		if stalled != nil {
+			close(stalled)
+		}
+	}
+}
+
+// SetUnresponsive has the open calls and those that come from now on never answered. False ends it for later calls.
+func (d *Discovery) SetUnresponsive(on bool) {
+	d.mu.Lock()
+	d.unresponsive = on
+	d.mu.Unlock()
+	if on {
+		d.StallConnections()
+	}
+}
+
+// SetRawAnswer has each connection send a text where a response is due, and then nothing more. An empty text ends it.
+func (d *Discovery) SetRawAnswer(text string) {
+	d.mu.Lock()
+	d.rawAnswer = text
+	d.mu.Unlock()
+	d.StallConnections()
+}
+
+// Publish publishes a full list, or a change of it.
+func (d *Discovery) Publish(full bool, entries ...string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
+	d.answer = fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, d.version, full, strings.Join(entries, ","))
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// Version returns the version that was published last.
+func (d *Discovery) Version() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version
+}
+
+// RejectNext has the next call answered with a status and no list; 0: with the list.
+func (d *Discovery) RejectNext(status int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.rejectStatus = status
+}
+
+// takeRejection returns the status that RejectNext set for this call.
+func (d *Discovery) takeRejection() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	status := d.rejectStatus
+	d.rejectStatus = 0
+	return status
+}
+
+func (d *Discovery) serve(c net.Conn) {
+	stalled := make(chan bool)
+	d.mu.Lock()
+	d.connections[c] = stalled
+	d.mu.Unlock()
+	defer func() {
+		c.Close()
+		d.mu.Lock()
+		delete(d.connections, c)
+		d.mu.Unlock()
+	}()
+	r := bufio.NewReader(c)
+	for d.serveCall(c, r, stalled) == nil {
+		continue
+	}
+}
+
+// serveCall answers one call. An error ends the connection.
+func (d *Discovery) serveCall(c net.Conn, r *bufio.Reader, stalled <-chan bool) error {
+	request, err := httpwire.ReadRequest(r)
+	if err != nil {
+		return err
+	}
+	select {
+	case d.Calls <- request.Target:
+	default:
+	}
+	if status := d.takeRejection(); status != 0 {
+		_, _ = c.Write(httpwire.AppendResponse(nil, status, nil, nil, false)) // an error shows in the next read
+		return nil
+	}
+	answer, more := d.awaitAnswer(request.Target, stalled)
+	_, _ = c.Write(answer)
+	if !more { // the connection stays open until the other side closes it
+		_, _ = io.Copy(io.Discard, r)
+		return io.EOF
+	}
+	return nil
+}
+
+// awaitAnswer waits until an answer is due and returns it. more says whether others may follow on the connection.
+func (d *Discovery) awaitAnswer(target string, stalled <-chan bool) (answer []byte, more bool) {
+	timeout := time.After(watchTimeout(target))
+	for {
+		d.mu.Lock()
+		list, changed := d.answer, d.changed
+		upToDate := strings.Contains(target, "from="+strconv.Itoa(d.version)+"&")
+		unchanged := fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, d.version)
+		unresponsive, raw := d.unresponsive, d.rawAnswer
+		d.mu.Unlock()
+		switch {
+		case unresponsive:
+			return nil, false
+		case raw != "":
+			return []byte(raw), false
+		case !upToDate:
+			return httpwire.AppendResponse(nil, http.StatusOK, nil, []byte(list), false), true
+		}
+		select {
+		case <-changed:
+		case <-stalled:
+			return nil, false
+		case <-timeout:
+			return httpwire.AppendResponse(nil, http.StatusOK, nil, []byte(unchanged), false), true
+		}
+	}
+}
+
+// watchTimeout returns the timeout that a watch names; 0: the call is none.
+func watchTimeout(target string) time.Duration {
+	_, text, _ := strings.Cut(target, "hold_ms=")
+	ms, err := strconv.Atoi(text)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(ms) * time.Millisecond
+}
--- /dev/null
+++ b/internal/testserver/framestore.go
@@ -0,0 +1,105 @@
+package testserver
+
+import (
+	"bufio"
+	"encoding/binary"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// The kinds of frames that a store gets and sends.
+const (
+	callFrame      = '1'
+	loadCheckFrame = '4'
+	resultFrame    = '5'
+)
+
+const frameLengthBytes = 4
+
+// NewFrameStore starts a store that speaks the platform's frames. The value of a part is "v" and its shard.
+func NewFrameStore(t *testing.T) *Store {
+	t.Helper()
+	return startStore(t, func(s *Store, c net.Conn) {
+		connection := &frameConnection{store: s, conn: c, reader: bufio.NewReader(c)}
+		for connection.serveFrame() == nil {
+			continue
+		}
+	})
+}
+
+// frameConnection is a connection to a store that speaks frames.
+type frameConnection struct {
+	store  *Store
+	conn   net.Conn
+	reader *bufio.Reader
+	mu     sync.Mutex // held while a frame is written
+}
+
+// serveFrame reads one frame and answers it. An error ends the connection.
+func (f *frameConnection) serveFrame() error {
+	kind, text, err := readFrame(f.reader)
+	if err != nil {
+		return err
+	}
+	f.store.Requests <- string(kind) + text
+	switch kind {
+	case loadCheckFrame:
+		f.send(loadCheckFrame, "qps=12.5,queue=3")
+	case callFrame:
+		return f.answerCall(text)
+	}
+	return nil
+}
+
+func (f *frameConnection) answerCall(text string) error {
+	words := strings.Fields(text)
+	part, shard := words[0], words[1]
+	fault, hold := f.store.behavior(shard)
+	switch fault {
+	case ServerError, Partial, TimedOut:
+		f.send(resultFrame, part+" E 0 -\n")
+	case Rejecting:
+		f.send(resultFrame, part+" B 0 -\n")
+	case Malformed:
+		f.send(resultFrame, "nonsense")
+	case Stalled:
+		_, _ = io.Copy(io.Discard, f.reader) // until the other side closes
+		return io.EOF
+	case Reset:
+		return io.EOF
+	case Unresponsive, Down:
+	case None:
+		go func() {
+			if hold != nil {
+				<-hold
+			}
+			f.send(resultFrame, part+" S 1840277719 qps=12.5,queue=0\nv"+shard)
+		}()
+	}
+	return nil
+}
+
+// send writes a frame. An error shows in what the other side reads.
+func (f *frameConnection) send(kind byte, text string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(text)+1))
+	frame = append(frame, kind)
+	frame = append(frame, text...)
+	_, _ = f.conn.Write(frame)
+}
+
+func readFrame(r io.Reader) (kind byte, text string, err error) {
+	var head [frameLengthBytes + 1]byte
+	if _, err := io.ReadFull(r, head[:]); err != nil {
+		return 0, "", err
+	}
+	rest := make([]byte, binary.BigEndian.Uint32(head[:frameLengthBytes])-1)
+	if _, err := io.ReadFull(r, rest); err != nil {
+		return 0, "", err
+	}
+	return head[frameLengthBytes], string(rest), nil
+}
