--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -129,7 +129,7 @@
 	p := a.part
 	if result.Status == policy.OK && b.isOpen(p.query) && !p.answered {
 		p.answered = true
-		p.body = result.Value
+		p.body = result.Body
 	}
 	b.emit(policy.AttemptResult{
 		Part:    p.id,
--- a/broker/helpers_test.go
+++ b/broker/helpers_test.go
@@ -122,5 +122,5 @@
 
 // finishOK finishes an attempt with an answer.
 func finishOK(a *Attempt) {
-	a.Finish(AttemptResult{Status: policy.OK, Report: policy.NoLoadReport, Value: []byte("v")})
+	a.Finish(AttemptResult{Status: policy.OK, Report: policy.NoLoadReport, Body: []byte("v")})
 }
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -22,8 +22,8 @@
 	Status policy.Status
 	// Report is the load report that came with the answer, or policy.NoLoadReport.
 	Report policy.LoadReport
-	// Value is the body of the answer to an attempt.
-	Value []byte
+	// Body is the body of the answer to an attempt.
+	Body []byte
 }
 
 // Unanswered returns the result of an attempt or health check that no store has answered.
--- a/opensearch/codec.go
+++ b/opensearch/codec.go
@@ -48,10 +48,10 @@
 	case resp.Status == http.StatusOK:
 		if _, err := parseResult(resp.Body); err == nil {
 			outcome.Status = policy.OK
-			outcome.Value = resp.Body
+			outcome.Body = resp.Body
 		}
 	case resp.Status < http.StatusOK:
 		return storepool.Message{}, fmt.Errorf("%w: status %d", storepool.ErrMalformed, resp.Status)
 	}
-	return storepool.Message{Kind: storepool.Answer, Last: resp.Close, Outcome: outcome}, nil
+	return storepool.Message{Kind: storepool.Answer, Closing: resp.Close, Result: outcome}, nil
 }
--- a/storepool/codec.go
+++ b/storepool/codec.go
@@ -25,13 +25,13 @@
 	Read(r *bufio.Reader) (Message, error)
 }
 
-// Kind is the kind of a store's message.
-type Kind uint8
+// MessageKind is the kind of a store's message.
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	// Other is a message that needs no action.
-	Other Kind = iota
+	// OtherMessage is a message that needs no action.
+	OtherMessage MessageKind = iota
 	// Answer is the result of an attempt.
 	Answer
 	// LoadReport answers the oldest pending health check of the connection.
@@ -40,13 +40,13 @@
 
 // Message is a message of a store.
 type Message struct {
-	Kind Kind
+	Kind MessageKind
 	// ID is that of the part answered; empty stands for the only one in flight.
 	ID string
-	// Last means that the connection accepts no more calls.
-	Last bool
-	// Outcome is the result of the attempt or health check.
-	Outcome broker.AttemptResult
+	// Closing means that the connection accepts no more calls.
+	Closing bool
+	// Result is the result of the attempt or health check.
+	Result broker.AttemptResult
 }
 
 // PartID returns the id of an attempt's part on the wire.
--- a/storepool/reader.go
+++ b/storepool/reader.go
@@ -67,14 +67,14 @@
 		receiver, err = c.answeredAttemptLocked(m.ID)
 	case LoadReport:
 		receiver, err = c.nextHealthCheckLocked()
-	case Other:
+	case OtherMessage:
 	}
 	c.awaitingSince = time.Time{}
 	if len(c.inFlight)+len(c.healthChecks) > 0 {
 		c.awaitingSince = time.Now()
 	}
 	unexpectedBytes := moreBuffered && len(c.inFlight)+len(c.canceledIDs)+len(c.healthChecks) == 0
-	if m.Last || unexpectedBytes {
+	if m.Closing || unexpectedBytes {
 		c.retired = true
 	}
 	retired := c.retired
@@ -83,7 +83,7 @@
 		return err
 	}
 	if receiver != nil {
-		receiver.Finish(m.Outcome)
+		receiver.Finish(m.Result)
 	}
 	if retired {
 		c.closeIfIdle(0)
