--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -80,7 +80,7 @@
 		t:           tb,
 		disabled:    disabled,
 		network:     simnet.New(seed, link),
-		codec:       NewCodec("town", []byte("a key of the group")),
+		codec:       NewCodec("test-group", []byte(testKey)),
 		indexByAddr: map[netip.AddrPort]int{},
 	}
 	for i := range size {
--- a/membership/dissemination.go
+++ b/membership/dissemination.go
@@ -147,24 +147,26 @@
 // piggyback fills the free space of a message with queued updates, those sent least first. A suspect is notified of the
 // suspicion before all else, so that it can refute it.
 func (g *Group) piggyback(message *Message, recipient *memberRecord) {
+	filler := newMessageFiller(message)
 	if recipient != nil && recipient.State == Suspect {
 		accusation := g.updateFor(recipient)
 		accusation.Accuser = g.self.ID
-		message.addUpdate(accusation)
+		filler.addUpdate(accusation)
 	}
-	if len(g.updateQueue) == 0 || message.freeBytes() < minUpdateBytes {
+	if len(g.updateQueue) == 0 || filler.free < minUpdateBytes {
 		return
 	}
 	limit := g.retransmitLimit()
 	for _, queued := range g.updateQueue.leastSentFirst() {
-		if message.freeBytes() < minUpdateBytes {
+		if filler.free < minUpdateBytes {
 			return
 		}
-		if g.isObsolete(queued) {
+		subject := g.members[queued.id]
+		if queued.isObsolete(subject, g.now) {
 			delete(g.updateQueue, queued.updateKey)
 			continue
 		}
-		if !g.addQueued(message, queued) {
+		if !g.addQueued(&filler, queued, subject) {
 			continue
 		}
 		queued.transmissions++
@@ -174,31 +176,29 @@
 	}
 }
 
-// isObsolete reports whether the subject of a queued update no longer exists.
-func (g *Group) isObsolete(queued *queuedUpdate) bool {
-	member := g.members[queued.id]
+// isObsolete reports whether what is queued about a member, which is nil if it was removed, no longer exists.
+func (q *queuedUpdate) isObsolete(member *memberRecord, now Micros) bool {
 	switch {
 	case member == nil:
 		return true
-	case queued.accuser != 0:
+	case q.accuser != 0:
 		return member.State != Suspect
-	case queued.factName != "":
-		fact := member.facts[queued.factName]
-		return fact == nil || fact.expiresAt <= g.now
+	case q.factName != "":
+		fact := member.facts[q.factName]
+		return fact == nil || fact.expiresAt <= now
 	}
 	return false
 }
 
-// addQueued adds a queued update to a message and reports whether it fitted.
-func (g *Group) addQueued(message *Message, queued *queuedUpdate) bool {
-	member := g.members[queued.id]
+// addQueued adds what is queued about a member to a message and reports whether it fitted.
+func (g *Group) addQueued(filler *messageFiller, queued *queuedUpdate, member *memberRecord) bool {
 	if queued.factName != "" {
-		return message.addFact(member.facts[queued.factName].withRemainingTTL(g.now))
+		return filler.addFact(member.facts[queued.factName].withRemainingTTL(g.now))
 	}
 	update := g.updateFor(member)
 	update.Accuser = queued.accuser
 	if queued.accuser != 0 {
 		update.State = Suspect
 	}
-	return message.addUpdate(update)
+	return filler.addUpdate(update)
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -59,29 +59,43 @@
 	return free
 }
 
+// isEmpty reports whether the message carries neither updates nor facts.
+func (m *Message) isEmpty() bool { return len(m.Updates) == 0 && len(m.Facts) == 0 }
+
+// messageFiller adds updates and facts to a message as long as they fit.
+type messageFiller struct {
+	message *Message
+	free    int // bytes
+}
+
+func newMessageFiller(message *Message) messageFiller {
+	return messageFiller{message: message, free: message.freeBytes()}
+}
+
 // addUpdate adds an update if it fits and none of the same member and accuser is there. It reports whether it did.
-func (m *Message) addUpdate(update Update) bool {
-	if update.encodedSize() > m.freeBytes() {
+func (f *messageFiller) addUpdate(update Update) bool {
+	size := update.encodedSize()
+	if size > f.free {
 		return false
 	}
-	duplicate := slices.ContainsFunc(m.Updates, func(other Update) bool {
+	duplicate := slices.ContainsFunc(f.message.Updates, func(other Update) bool {
 		return other.ID == update.ID && other.Accuser == update.Accuser
 	})
 	if duplicate {
 		return false
 	}
-	m.Updates = append(m.Updates, update)
+	f.message.Updates = append(f.message.Updates, update)
+	f.free -= size
 	return true
 }
 
 // addFact adds a fact if it fits, and reports whether it did.
-func (m *Message) addFact(fact Fact) bool {
-	if fact.encodedSize() > m.freeBytes() {
+func (f *messageFiller) addFact(fact Fact) bool {
+	size := fact.encodedSize()
+	if size > f.free {
 		return false
 	}
-	m.Facts = append(m.Facts, fact)
+	f.message.Facts = append(f.message.Facts, fact)
+	f.free -= size
 	return true
 }
-
-// isEmpty reports whether the message carries neither updates nor facts.
-func (m *Message) isEmpty() bool { return len(m.Updates) == 0 && len(m.Facts) == 0 }
