--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -40,7 +40,7 @@
 func checkReplicas(s State, name string, out map[string]bool) error {
 	for shard := range s.Layout.Shards {
 		healthy := 0
-		held := false
+		holdsShard := false
 		for _, machine := range s.Layout.Machines {
 			for _, store := range machine.Stores {
 				for i := range s.Layout.ReplicationFactor {
@@ -50,38 +50,38 @@
 					if !out[machine.Name] {
 						healthy++
 					}
-					held = held || machine.Name == name
+					holdsShard = holdsShard || machine.Name == name
 				}
 			}
 		}
-		if held && healthy < max(1, s.Rules.MinHealthyReplicas) {
+		if holdsShard && healthy < max(1, s.Rules.MinHealthyReplicas) {
 			return fmt.Errorf("shard %d has %d healthy replicas", shard, healthy)
 		}
 	}
 	return nil
 }
 
-// tally counts what is out of a total.
-type tally struct {
+// outCount counts what is out of a total.
+type outCount struct {
 	out   int
 	total int
 }
 
-func (c *tally) add(count int, out bool) {
+func (c *outCount) add(count int, out bool) {
 	c.total += count
 	if out {
 		c.out += count
 	}
 }
 
-func (c *tally) exceeds(fraction float64) bool {
+func (c *outCount) exceeds(fraction float64) bool {
 	return fraction > 0 && c.out > 1 && float64(c.out) > fraction*float64(c.total)+1e-6
 }
 
 // checkFractions checks the rules on stores, zones, members, voters and pairs, and the freeze.
 func checkFractions(s State, name string, out map[string]bool) error {
 	own := s.Layout.Machine(name)
-	var stores, zone, members, voters, pair tally
+	var stores, zone, members, voters, pair outCount
 	for _, machine := range s.Layout.Machines {
 		isOut := out[machine.Name]
 		stores.add(len(machine.Stores), isOut)
--- a/membership/anti_entropy.go
+++ b/membership/anti_entropy.go
@@ -60,7 +60,7 @@
 	if m.State.Present() {
 		present = 1
 	}
-	encoded := make([]byte, 0, 13)
+	encoded := make([]byte, 0, 3*uint32Size+1)
 	for _, value := range []uint32{uint32(m.ID), m.Generation, incarnation} {
 		encoded = binary.LittleEndian.AppendUint32(encoded, value)
 	}
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -26,9 +26,9 @@
 	ipv4Size          = 4
 	portSize          = 2
 
-	flagHeardFromProber    = 1 << 0
-	flagHeardFromRequester = 1 << 1
-	allFlags               = flagHeardFromProber | flagHeardFromRequester
+	flagReceivedFromProber    = 1 << 0
+	flagReceivedFromRequester = 1 << 1
+	allFlags                  = flagReceivedFromProber | flagReceivedFromRequester
 
 	maxKind = KindNameConflict
 )
@@ -102,11 +102,11 @@
 
 func (c *Codec) appendHeader(buffer []byte, message Message) []byte {
 	flags := byte(0)
-	if message.HeardFromProber {
-		flags |= flagHeardFromProber
+	if message.ReceivedFromProber {
+		flags |= flagReceivedFromProber
 	}
-	if message.HeardFromRequester {
-		flags |= flagHeardFromRequester
+	if message.ReceivedFromRequester {
+		flags |= flagReceivedFromRequester
 	}
 	buffer = append(
 		buffer,
@@ -196,8 +196,8 @@
 func (d *decoder) message() Message {
 	message := Message{Kind: Kind(d.byte())}
 	flags := d.byte()
-	message.HeardFromProber = flags&flagHeardFromProber != 0
-	message.HeardFromRequester = flags&flagHeardFromRequester != 0
+	message.ReceivedFromProber = flags&flagReceivedFromProber != 0
+	message.ReceivedFromRequester = flags&flagReceivedFromRequester != 0
 	bucketDigests := int(d.byte())
 	updates := int(d.byte())
 	facts := int(d.byte())
--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -14,18 +14,18 @@
 // completeMessage returns a message in which every field is set.
 func completeMessage() Message {
 	message := Message{
-		Kind:               KindAck,
-		Sender:             7,
-		Generation:         1,
-		Incarnation:        2,
-		MessageNumber:      3,
-		ProbeNumber:        4,
-		Target:             5,
-		Requester:          6,
-		Digest:             7,
-		HeardFromProber:    true,
-		HeardFromRequester: true,
-		Facts:              []Fact{{Owner: 7, Name: "list", Value: "v", Version: 9, TTL: 5000}},
+		Kind:                  KindAck,
+		Sender:                7,
+		Generation:            1,
+		Incarnation:           2,
+		MessageNumber:         3,
+		ProbeNumber:           4,
+		Target:                5,
+		Requester:             6,
+		Digest:                7,
+		ReceivedFromProber:    true,
+		ReceivedFromRequester: true,
+		Facts:                 []Fact{{Owner: 7, Name: "list", Value: "v", Version: 9, TTL: 5000}},
 	}
 	for i := range 4 {
 		message.Updates = append(message.Updates, Update{
@@ -55,7 +55,7 @@
 }
 
 // A datagram of another group, version or key, or one that was changed on the way, is rejected.
-func TestDecodeRejectsBadDatagrams(t *testing.T) {
+func TestDecodeRejectsInvalidDatagrams(t *testing.T) {
 	codec := NewCodec("g", []byte(testKey))
 	valid := codec.AppendEncode(nil, completeMessage())
 	otherVersion := slices.Clone(valid)
--- a/membership/dissemination.go
+++ b/membership/dissemination.go
@@ -44,8 +44,8 @@
 // updateQueue holds what is to be disseminated.
 type updateQueue map[updateKey]*queuedUpdate
 
-// leastSentFirst returns the queue in the order of sending.
-func (q updateQueue) leastSentFirst() []*queuedUpdate {
+// inSendOrder returns the queue in the order of sending.
+func (q updateQueue) inSendOrder() []*queuedUpdate {
 	sorted := make([]*queuedUpdate, 0, len(q))
 	for _, queued := range q {
 		sorted = append(sorted, queued)
@@ -157,7 +157,7 @@
 		return
 	}
 	limit := g.retransmitLimit()
-	for _, queued := range g.updateQueue.leastSentFirst() {
+	for _, queued := range g.updateQueue.inSendOrder() {
 		if filler.free < minUpdateBytes {
 			return
 		}
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -24,20 +24,20 @@
 	return f.Name != "" && len(f.Name) <= MaxFactNameLength && len(f.Value) <= MaxFactValueLength
 }
 
-// heldFact is a fact with its time of expiry on this member's clock.
-type heldFact struct {
+// storedFact is a fact with its time of expiry on this member's clock.
+type storedFact struct {
 	Fact
 	expiresAt Micros
 }
 
-func (f *heldFact) hash() uint32 {
+func (f *storedFact) hash() uint32 {
 	h := fnv.New32a()
 	h.Write(binary.BigEndian.AppendUint32([]byte(f.Name), f.Version)) // never fails
 	return h.Sum32()
 }
 
 // withRemainingTTL returns the fact as it is sent now.
-func (f *heldFact) withRemainingTTL(now Micros) Fact {
+func (f *storedFact) withRemainingTTL(now Micros) Fact {
 	fact := f.Fact
 	fact.TTL = f.expiresAt - now
 	return fact
@@ -58,7 +58,7 @@
 	if previous != nil {
 		fact.Version = previous.Version + 1
 	}
-	g.holdFact(g.self, fact)
+	g.storeFact(g.self, fact)
 }
 
 // applyFact merges a fact of another member. A fact is ignored if it is invalid, not newer than the one held, one too
@@ -78,12 +78,12 @@
 	if previous == nil && len(owner.facts) >= MaxFacts {
 		return
 	}
-	g.holdFact(owner, fact)
+	g.storeFact(owner, fact)
 }
 
-// holdFact stores a fact of a member and queues it for dissemination.
-func (g *Group) holdFact(owner *memberRecord, fact Fact) {
-	setEntry(&owner.facts, fact.Name, &heldFact{Fact: fact, expiresAt: g.now + fact.TTL})
+// storeFact stores a fact of a member and queues it for dissemination.
+func (g *Group) storeFact(owner *memberRecord, fact Fact) {
+	setEntry(&owner.facts, fact.Name, &storedFact{Fact: fact, expiresAt: g.now + fact.TTL})
 	g.queueUpdate(updateKey{id: owner.ID, factName: fact.Name})
 	g.markViewDirty()
 }
--- a/membership/group.go
+++ b/membership/group.go
@@ -68,7 +68,7 @@
 	startedAt    Micros
 	nextExpiryAt Micros
 	leaving      bool
-	nameRefused  bool // another process owns this member's name
+	lostName     bool // another process owns this member's name
 	duplicates   int
 }
 
@@ -120,7 +120,7 @@
 func (g *Group) Step(now Micros, events ...Event) []Action {
 	g.actions = nil
 	g.now = max(now, g.now)
-	if g.nameRefused {
+	if g.lostName {
 		return nil
 	}
 	elapsed := g.now - g.lastStepAt
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -69,10 +69,10 @@
 		return
 	}
 	indirectAck := Message{
-		Kind:            KindIndirectAck,
-		ProbeNumber:     indirect.requesterProbe,
-		Target:          indirect.target,
-		HeardFromProber: ack.HeardFromRequester,
+		Kind:               KindIndirectAck,
+		ProbeNumber:        indirect.requesterProbe,
+		Target:             indirect.target,
+		ReceivedFromProber: ack.ReceivedFromRequester,
 	}
 	g.send(requester.Addr, indirectAck, requester)
 }
@@ -100,7 +100,7 @@
 		return
 	}
 	p.indirectlyAcked = true
-	p.heardUs = p.heardUs || message.HeardFromProber
+	p.receiptConfirmed = p.receiptConfirmed || message.ReceivedFromProber
 	if target := g.members[p.target]; target != nil {
 		setEntry(&target.lastSeenBy, message.Sender, g.now)
 		g.restartSuspicion(target)
--- a/membership/member.go
+++ b/membership/member.go
@@ -86,8 +86,8 @@
 	Member
 	// lastMessageAt is when this generation of the member last sent a message to this one; 0 is never.
 	lastMessageAt Micros
-	// heardFromUsAt is when the member last acknowledged that it received a message of this one.
-	heardFromUsAt Micros
+	// confirmedReceiptAt is when the member last acknowledged that it received a message of this one.
+	confirmedReceiptAt Micros
 	// lastSeenBy holds, for each member that received an ack of it, when that became known here.
 	lastSeenBy map[ID]Micros
 	// accusers are the members that suspect it.
@@ -101,7 +101,7 @@
 	// nameClaim is a pending claim of another process on the member's name; nil is none.
 	nameClaim *nameClaim
 	// facts are the member's facts by name.
-	facts map[string]*heldFact
+	facts map[string]*storedFact
 	// received detects duplicates of the member's messages.
 	received replayWindow
 	// resurrections counts, up to maxResurrections, how often the member was declared dead and proved to be alive.
--- a/membership/members.go
+++ b/membership/members.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// markGone declares a member dead or left and disseminates that.
-func (g *Group) markGone(member *memberRecord, state MemberState, reason string) {
+// markDeparted declares a member dead or left and disseminates that.
+func (g *Group) markDeparted(member *memberRecord, state MemberState, reason string) {
 	g.setState(member, state, reason)
 	g.setReachability(member, Unreachable)
 	g.queueMember(member)
@@ -95,8 +95,8 @@
 		g.expireFacts(member)
 	}
 	for _, member := range slices.Clone(g.membersByID) {
-		gone := !member.State.Present() && member != g.self
-		if gone && g.now-member.StateSince >= g.TombstoneTTL {
+		departed := !member.State.Present() && member != g.self
+		if departed && g.now-member.StateSince >= g.TombstoneTTL {
 			g.removeMember(member)
 		}
 	}
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -143,7 +143,7 @@
 		return
 	}
 	if update.State == Dead {
-		if g.heardJustNow(member) {
+		if g.hasFreshContact(member) {
 			// This member knows better. The reported one is notified, so that it refutes the report.
 			g.send(member.Addr, Message{Kind: KindGossip, Updates: []Update{update}}, member)
 			return
@@ -160,11 +160,11 @@
 	if update.State == Left {
 		reason = reasonLeft
 	}
-	g.markGone(member, update.State, reason)
+	g.markDeparted(member, update.State, reason)
 }
 
-// heardJustNow reports whether a message of an alive member arrived within the last probe interval.
-func (g *Group) heardJustNow(member *memberRecord) bool {
+// hasFreshContact reports whether a message of an alive member arrived within the last probe interval.
+func (g *Group) hasFreshContact(member *memberRecord) bool {
 	return member.State == Alive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
 }
 
--- a/membership/message.go
+++ b/membership/message.go
@@ -36,10 +36,10 @@
 	Requester ID
 	// Digest is the hash of the sender's view.
 	Digest uint32
-	// HeardFromProber means that the sender of an ack received a message of the member that it answers.
-	HeardFromProber bool
-	// HeardFromRequester means that it also recently received one of the ping's Requester.
-	HeardFromRequester bool
+	// ReceivedFromProber means that the sender of an ack received a message of the member that it answers.
+	ReceivedFromProber bool
+	// ReceivedFromRequester means that it also recently received one of the ping's Requester.
+	ReceivedFromRequester bool
 	// BucketDigests are the hashes of the sender's state by bucket, in a synchronization request.
 	BucketDigests []uint32
 	// Updates and Facts are as many as fit.
--- a/membership/name_claim.go
+++ b/membership/name_claim.go
@@ -105,6 +105,6 @@
 // giveUpName ends this member's part in the group, since the member at an address owns its name.
 func (g *Group) giveUpName(owner netip.AddrPort) {
 	g.logf("the name %s is taken by the member at %v: this one is refused", g.Name, owner)
-	g.nameRefused = true
+	g.lostName = true
 	g.emit(NameTaken{owner})
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -28,8 +28,8 @@
 	acked bool
 	// indirectlyAcked means that a helper received an ack of the target.
 	indirectlyAcked bool
-	// heardUs means that the target recently received a message of this member.
-	heardUs bool
+	// receiptConfirmed means that the target recently received a message of this member.
+	receiptConfirmed bool
 	// nackedBy are the helpers that received no ack either.
 	nackedBy []ID
 }
@@ -131,10 +131,10 @@
 	switch {
 	case p.acked:
 		g.improveLocalHealth()
-		if target.heardFromUsAt > 0 && p.heardUs {
+		if target.confirmedReceiptAt > 0 && p.receiptConfirmed {
 			g.setReachability(target, Reachable)
 		}
-	case p.indirectlyAcked && p.heardUs:
+	case p.indirectlyAcked && p.receiptConfirmed:
 		g.setReachability(target, ReachableOneWay)
 	case p.indirectlyAcked:
 		g.setReachability(target, ReachableIndirectly)
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -122,14 +122,14 @@
 		// The sender does not know that it was declared dead or left: it will refute that.
 		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(sender)}}, sender)
 	}
-	moved := from != sender.Addr && message.Incarnation >= sender.Incarnation
-	if moved && sender.State.Present() && message.Kind != KindAck {
+	addressChanged := from != sender.Addr && message.Incarnation >= sender.Incarnation
+	if addressChanged && sender.State.Present() && message.Kind != KindAck {
 		sender.Addr = from
 		g.markViewDirty()
 	}
 }
 
-// handlePing sends an ack. For a ping on behalf of a requester, the ack tells whether that one's own messages arrive.
+// handlePing sends an ack. For a ping on behalf of a requester, the ack reports whether that one's own messages arrive.
 func (g *Group) handlePing(sender *memberRecord, event MessageReceived) {
 	message := event.Message
 	if message.Target != g.self.ID && message.Target != 0 {
@@ -137,24 +137,24 @@
 	}
 	requester := g.members[message.Requester]
 	ack := Message{
-		Kind:               KindAck,
-		ProbeNumber:        message.ProbeNumber,
-		Target:             message.Sender,
-		HeardFromProber:    true,
-		HeardFromRequester: requester != nil && g.heardRecently(requester),
+		Kind:                  KindAck,
+		ProbeNumber:           message.ProbeNumber,
+		Target:                message.Sender,
+		ReceivedFromProber:    true,
+		ReceivedFromRequester: requester != nil && g.hasRecentContact(requester),
 	}
 	g.send(event.From, ack, sender)
 }
 
-func (g *Group) heardRecently(member *memberRecord) bool {
+func (g *Group) hasRecentContact(member *memberRecord) bool {
 	return member.lastMessageAt > 0 && g.now-member.lastMessageAt < recentContactIntervals*g.ProbeInterval
 }
 
 // handleAck handles the ack of a ping of this member's own probe or of an indirect probe for another member.
 func (g *Group) handleAck(sender *memberRecord, message Message) {
 	setEntry(&sender.lastSeenBy, g.self.ID, g.now)
-	if message.HeardFromProber {
-		sender.heardFromUsAt = g.now
+	if message.ReceivedFromProber {
+		sender.confirmedReceiptAt = g.now
 	}
 	if indirect, ok := g.indirectProbes[message.ProbeNumber]; ok && indirect.target == sender.ID {
 		g.forwardAck(indirect, message)
@@ -162,6 +162,6 @@
 	}
 	if p := g.pendingProbe(message.ProbeNumber, sender.ID); p != nil {
 		p.acked = true
-		p.heardUs = true // it received the ping
+		p.receiptConfirmed = true // it received the ping
 	}
 }
--- a/membership/send.go
+++ b/membership/send.go
@@ -19,8 +19,9 @@
 	}
 	if g.sendTokens < 1 {
 		if message.Kind == KindAck || message.Kind == KindPing || message.Kind == KindSyncResponse {
-			kept := min(len(g.deferredSends), maxDeferredSends)
-			g.deferredSends = append(g.deferredSends[:kept], SendMessage{to, message})
+			// A full queue loses its last message.
+			waiting := min(len(g.deferredSends), maxDeferredSends)
+			g.deferredSends = append(g.deferredSends[:waiting], SendMessage{to, message})
 		}
 		return
 	}
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -69,14 +69,14 @@
 		return
 	}
 	for _, member := range g.membersByID {
-		if member.State == Suspect && g.suspicionTimeLeft(member) <= 0 {
-			g.markGone(member, Dead, member.StateReason+reasonTimedOutSuffix)
+		if member.State == Suspect && g.remainingSuspicion(member) <= 0 {
+			g.markDeparted(member, Dead, member.StateReason+reasonTimedOutSuffix)
 		}
 	}
 }
 
-// suspicionTimeLeft returns the time that a suspect still has to refute the suspicion.
-func (g *Group) suspicionTimeLeft(member *memberRecord) Micros {
+// remainingSuspicion returns the time that a suspect still has to refute the suspicion.
+func (g *Group) remainingSuspicion(member *memberRecord) Micros {
 	return g.suspicionTimeout(member) - (g.now - member.suspicionStartedAt)
 }
 
--- a/membership/view.go
+++ b/membership/view.go
@@ -125,7 +125,7 @@
 	return slices.ContainsFunc(g.membersByID, func(member *memberRecord) bool {
 		return member.State == Suspect &&
 			len(member.accusers) > 1 &&
-			g.suspicionTimeLeft(member) < imminentIntervals*g.ProbeInterval
+			g.remainingSuspicion(member) < imminentIntervals*g.ProbeInterval
 	})
 }
 
