--- a/Makefile
+++ b/Makefile
@@ -40,7 +40,7 @@
 	go test -tags measure -count=1 -v -timeout 60m -run '^TestMeasure' ./processtest ./sharedconfig ./raftnode ./membership ./maintenance | grep -v '=== \|--- PASS'
 
 fuzz:
-	go test ./membership -run '^$$' -fuzz FuzzRead -fuzztime 20s
+	go test ./membership -run '^$$' -fuzz FuzzDecode -fuzztime 20s
 	go test ./peer -run '^$$' -fuzz FuzzReadFrame -fuzztime 20s
 	go test ./inifile -run '^$$' -fuzz FuzzRead -fuzztime 20s
 	go test ./document -run '^$$' -fuzz FuzzParse -fuzztime 20s
--- a/internal/simnet/simfleet/aggregator.go
+++ b/internal/simnet/simfleet/aggregator.go
@@ -72,7 +72,7 @@
 		a.parts[p.id] = p
 		events = append(events, policy.Part{ID: p.id, QueryNumber: q.id, Shard: p.shard, Weight: 1 / float64(len(q.parts))})
 	}
-	if !a.fleet.plan.Plain {
+	if !a.fleet.plan.RandomReplicas {
 		a.step(events...)
 		return
 	}
--- a/internal/simnet/simfleet/arrivals.go
+++ b/internal/simnet/simfleet/arrivals.go
@@ -20,7 +20,7 @@
 
 // startQuery offers a random query to a random aggregator. It is lost if the aggregator is down.
 func (f *Fleet) startQuery() {
-	aggregator := f.Nodes[drawIndex(f.aggregatorWeights, f.queryRand)]
+	aggregator := f.Aggregators[drawIndex(f.aggregatorWeights, f.queryRand)]
 	class := f.drawClass()
 	settings := f.plan.Settings.Classes[class]
 	now := f.Network.Now()
@@ -28,9 +28,9 @@
 	f.addRandomParts(q)
 	f.result.Queries++
 	f.result.Parts += len(q.parts)
-	f.result.Asked += settings.PriorityWeight
+	f.result.Offered += settings.PriorityWeight
 	f.offeredByClass[class] += settings.PriorityWeight
-	f.result.second(q.startedAt).Asked += settings.PriorityWeight
+	f.result.second(q.startedAt).Offered += settings.PriorityWeight
 	if f.Network.IsAlive(aggregator.node) {
 		aggregator.accept(q)
 	}
@@ -59,7 +59,7 @@
 		}
 		used[shard] = true
 		sigma := math.Sqrt(math.Log1p(class.WorkVariation * class.WorkVariation))
-		work := float64(class.Work) * math.Exp(sigma*f.queryRand.NormFloat64()-sigma*sigma/2)
+		work := float64(class.MeanWork) * math.Exp(sigma*f.queryRand.NormFloat64()-sigma*sigma/2)
 		q.parts = append(q.parts, &part{query: q, shard: shard, work: work})
 	}
 }
--- a/internal/simnet/simfleet/attempt.go
+++ b/internal/simnet/simfleet/attempt.go
@@ -42,12 +42,12 @@
 // send sends a part to a store and calls back with the response.
 func (a *Aggregator) send(p *part, store *Store, respond func(policy.Status, policy.LoadReport)) {
 	f := a.fleet
-	f.result.Sends++
+	f.result.Attempts++
 	current := &attempt{store: store.Endpoint.ID, startedAt: f.Network.Now()}
 	p.attempts = append(p.attempts, current)
 	request := job{
 		work:        p.work,
-		nominalWork: float64(f.plan.Mix[p.query.class].Work),
+		nominalWork: float64(f.plan.Mix[p.query.class].MeanWork),
 		respond: func(status policy.Status, report policy.LoadReport) bool {
 			f.Network.SendOrdered(store.node, a.node, func() { respond(status, report) })
 			return !current.finished
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -20,11 +20,11 @@
 
 // Fleet is a running scenario.
 type Fleet struct {
-	Network *simnet.Network
-	Stores  []*Store
-	Nodes   []*Aggregator
+	Network     *simnet.Network
+	Stores      []*Store
+	Aggregators []*Aggregator
 
-	plan Plan
+	plan Scenario
 	// queryRand draws the queries. It is separate so that the queries do not depend on the aggregators' decisions.
 	queryRand         *rand.Rand
 	shardWeights      []float64 // cumulative
@@ -35,7 +35,7 @@
 }
 
 // New returns the fleet of a scenario at its start.
-func New(plan Plan) *Fleet {
+func New(plan Scenario) *Fleet {
 	plan.Settings.InstanceCount = plan.Aggregators
 	f := &Fleet{
 		Network:        simnet.New(plan.Seed, plan.Link),
@@ -46,7 +46,7 @@
 	}
 	sum := 0.0
 	for shard := range plan.Settings.Shards {
-		sum += math.Pow(float64(1+shard), -plan.Skew)
+		sum += math.Pow(float64(1+shard), -plan.ShardSkew)
 		f.shardWeights = append(f.shardWeights, sum)
 	}
 	for i := range plan.Settings.RingSize * plan.Replicas {
@@ -54,10 +54,10 @@
 	}
 	sum = 0
 	for i := range plan.Aggregators {
-		sum += math.Exp(plan.Uneven * f.queryRand.NormFloat64())
+		sum += math.Exp(plan.AggregatorSkew * f.queryRand.NormFloat64())
 		f.aggregatorWeights = append(f.aggregatorWeights, sum)
 		aggregator := &Aggregator{fleet: f, node: simnet.NodeID(i)}
-		f.Nodes = append(f.Nodes, aggregator)
+		f.Aggregators = append(f.Aggregators, aggregator)
 		aggregator.start()
 	}
 	f.Network.Schedule(noNode, 0, f.scheduleArrivals)
@@ -100,10 +100,10 @@
 	f.AddStore(replaced.Endpoint.RingPosition, f.Network.Now())
 }
 
-// List sends the current endpoint list to every aggregator, each after a random delay up to a maximum.
-func (f *Fleet) List(maxDelay Micros) {
+// AnnounceEndpoints sends the current endpoint list to every aggregator, each after a random delay up to a maximum.
+func (f *Fleet) AnnounceEndpoints(maxDelay Micros) {
 	endpoints := f.endpoints()
-	for _, aggregator := range f.Nodes {
+	for _, aggregator := range f.Aggregators {
 		delay := f.Network.Rand().Int64N(maxDelay + 1)
 		f.Network.Schedule(aggregator.node, delay, func() {
 			aggregator.step(policy.EndpointList{Endpoints: endpoints})
@@ -119,14 +119,14 @@
 	return endpoints
 }
 
-// At schedules a function at a time since the start.
-func (f *Fleet) At(at Micros, do func()) {
+// ScheduleAt schedules a function at a time since the start.
+func (f *Fleet) ScheduleAt(at Micros, do func()) {
 	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), do)
 }
 
 // Restart kills an aggregator and restarts it after a downtime, with the endpoint list and without other state.
 func (f *Fleet) Restart(index int, downtime Micros) {
-	aggregator := f.Nodes[index]
+	aggregator := f.Aggregators[index]
 	f.Network.Kill(aggregator.node)
 	f.Network.Schedule(noNode, downtime, func() {
 		f.Network.Restart(aggregator.node)
--- a/internal/simnet/simfleet/large.go
+++ b/internal/simnet/simfleet/large.go
@@ -18,25 +18,25 @@
 
 // Large returns the scenario of a large fleet: each aggregator receives a few queries per second with many parts, and
 // stores in pairs are used at a load from 0 to 1. The proportions are those of a production site.
-func Large(seed uint64, aggregators, ringSize int, load float64) Plan {
+func Large(seed uint64, aggregators, ringSize int, load float64) Scenario {
 	settings := largeSettings(ringSize)
 	mix := largeMix(settings.Shards)
 	queryWork := 0.0 // mean work of a query
 	for _, class := range mix {
-		queryWork += class.Share * class.meanParts() * float64(class.Work)
+		queryWork += class.Share * class.meanParts() * float64(class.MeanWork)
 	}
 	maxRate := float64(ringSize*largeReplicas) * largeCores * largeMeanSpeed * microsPerSecond / queryWork
-	return Plan{
-		Seed:        seed,
-		Settings:    settings,
-		Aggregators: aggregators,
-		Replicas:    largeReplicas,
-		Mix:         mix,
-		Skew:        0.2,
-		Uneven:      0.5,
-		Link:        simnet.Link{MinDelay: 200, MaxDelay: 1200},
-		Rate:        func(Micros) float64 { return load * maxRate },
-		NewMachine:  newLargeMachine,
+	return Scenario{
+		Seed:           seed,
+		Settings:       settings,
+		Aggregators:    aggregators,
+		Replicas:       largeReplicas,
+		Mix:            mix,
+		ShardSkew:      0.2,
+		AggregatorSkew: 0.5,
+		Link:           simnet.Link{MinDelay: 200, MaxDelay: 1200},
+		Rate:           func(Micros) float64 { return load * maxRate },
+		NewMachine:     newLargeMachine,
 	}
 }
 
@@ -99,9 +99,9 @@
 // largeMix returns the queries of the classes of largeSettings.
 func largeMix(shards int) []QueryClass {
 	return []QueryClass{
-		{Share: 0.12, WorkVariation: 0.5, MinParts: shards / 2, MaxParts: shards / 2, Work: 48_000},
-		{Share: 0.62, WorkVariation: 0.5, MinParts: max(3, shards/10), MaxParts: max(5, shards/10), Work: 36_000},
-		{Share: 0.26, WorkVariation: 0.5, MinParts: 1, MaxParts: 1, Work: 36_000},
+		{Share: 0.12, WorkVariation: 0.5, MinParts: shards / 2, MaxParts: shards / 2, MeanWork: 48_000},
+		{Share: 0.62, WorkVariation: 0.5, MinParts: max(3, shards/10), MaxParts: max(5, shards/10), MeanWork: 36_000},
+		{Share: 0.26, WorkVariation: 0.5, MinParts: 1, MaxParts: 1, MeanWork: 36_000},
 	}
 }
 
--- a/internal/simnet/simfleet/result.go
+++ b/internal/simnet/simfleet/result.go
@@ -11,18 +11,18 @@
 
 // Result sums up a run. Asked, Served, Rejected, Failed and Late are sums of the queries' priority weights.
 type Result struct {
-	Asked, Served, Rejected, Failed float64
+	Offered, Served, Rejected, Failed float64
 	// Late is what was answered after the latency objective.
 	Late float64
 	// Queries and Parts were offered; Sends are the attempts, and Cancellations those that were canceled.
-	Queries, Parts, Sends, Cancellations int
+	Queries, Parts, Attempts, Cancellations int
 	// HealthChecks, Connections and QueueFull are the sums of the stores' statistics.
 	HealthChecks, Connections, QueueFull int
 	Work, Wasted                         float64
-	// Fell is the number of stores that were overloaded during their slow start.
-	Fell int
-	// Peak and Excess are the maxima of StoreStats.PeakOverload and StoreStats.Excess.
-	Peak, Excess float64
+	// OverloadedStores is the number of stores that were overloaded during their slow start.
+	OverloadedStores int
+	// PeakOverload and Excess are the maxima of StoreStats.PeakOverload and StoreStats.Excess.
+	PeakOverload, Excess float64
 	// Seconds are the seconds of the run, by the arrival of the queries.
 	Seconds []Second
 	// ByClass is the fraction of the offered weight that was served, by class.
@@ -32,14 +32,14 @@
 
 // Second is one second of a run, in sums of priority weights.
 type Second struct {
-	Asked    float64
+	Offered  float64
 	Served   float64
 	Rejected float64
 	Failed   float64
 }
 
-// Share returns the fraction of the offered weight that was served.
-func (r Result) Share() float64 { return r.Served / math.Max(r.Asked, minOffered) }
+// ServedFraction returns the fraction of the offered weight that was served.
+func (r Result) ServedFraction() float64 { return r.Served / math.Max(r.Offered, minOffered) }
 
 // second returns the second of a result in which a time lies.
 func (r *Result) second(at Micros) *Second {
@@ -57,10 +57,10 @@
 	r.QueueFull += stats.QueueFull
 	r.Work += stats.Work
 	r.Wasted += stats.Wasted
-	r.Peak = max(r.Peak, stats.PeakOverload)
+	r.PeakOverload = max(r.PeakOverload, stats.PeakOverload)
 	r.Excess = max(r.Excess, stats.Excess)
 	if stats.Overloaded {
-		r.Fell++
+		r.OverloadedStores++
 	}
 }
 
--- a/internal/simnet/simfleet/scenario.go
+++ b/internal/simnet/simfleet/scenario.go
@@ -12,8 +12,8 @@
 
 const microsPerSecond = 1e6
 
-// Plan is the scenario of a run.
-type Plan struct {
+// Scenario is the scenario of a run.
+type Scenario struct {
 	Seed uint64
 	// Settings are those of all aggregators. InstanceIndex and InstanceCount are set by the fleet.
 	Settings    policy.Settings
@@ -28,12 +28,12 @@
 	Rate func(now Micros) float64
 	// Mix describes the queries of each class of Settings.
 	Mix []QueryClass
-	// Skew is the skew of the shards' popularity: the weight of shard i is (1+i)^-Skew.
-	Skew float64
-	// Uneven is the standard deviation of the logarithm of the aggregators' shares of the queries.
-	Uneven float64
-	// Plain has aggregators send each part to a random replica and do nothing else, as a baseline.
-	Plain bool
+	// ShardSkew is the skew of the shards' popularity: the weight of shard i is (1+i)^-Skew.
+	ShardSkew float64
+	// AggregatorSkew is the standard deviation of the logarithm of the aggregators' shares of the queries.
+	AggregatorSkew float64
+	// RandomReplicas has aggregators send each part to a random replica and do nothing else, as a baseline.
+	RandomReplicas bool
 }
 
 // QueryClass describes the queries of a class.
@@ -45,20 +45,20 @@
 	// MinParts and MaxParts bound the number of parts, which is uniformly distributed.
 	MinParts int
 	MaxParts int
-	// Work is the mean work of a part in microseconds of a core of speed 1.
-	Work Micros
+	// MeanWork is the mean work of a part in microseconds of a core of speed 1.
+	MeanWork Micros
 }
 
 // meanParts returns the mean number of parts of a query.
 func (c QueryClass) meanParts() float64 { return float64(c.MinParts+c.MaxParts) / 2 }
 
 // meanPartWork returns the mean work of a part of any class.
-func (p Plan) meanPartWork() float64 {
+func (p Scenario) meanPartWork() float64 {
 	work := 0.0
 	parts := 0.0
 	for _, class := range p.Mix {
 		classParts := class.Share * class.meanParts()
-		work += classParts * float64(class.Work)
+		work += classParts * float64(class.MeanWork)
 		parts += classParts
 	}
 	return work / parts
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -213,8 +213,8 @@
 	s.pausedUntil = max(s.pausedUntil, s.network.Now()+duration)
 }
 
-// Slow slows the store down by a factor for a duration.
-func (s *Store) Slow(factor float64, duration Micros) {
+// SlowDown slows the store down by a factor for a duration.
+func (s *Store) SlowDown(factor float64, duration Micros) {
 	s.Speed /= factor
 	s.network.Schedule(s.node, duration, func() { s.Speed *= factor })
 }
--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// FuzzRead decodes arbitrary input: nothing panics, and a decoded message encodes to one that decodes to the same.
-func FuzzRead(f *testing.F) {
+// FuzzDecode decodes arbitrary input: nothing panics, and a decoded message encodes to one that decodes to the same.
+func FuzzDecode(f *testing.F) {
 	codec := NewCodec("g", nil)
 	f.Add(codec.AppendEncode(nil, completeMessage()))
 	f.Add(codec.AppendEncode(nil, Message{Kind: KindSyncRequest, Sender: 1, BucketDigests: make([]uint32, bucketCount)}))
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -17,14 +17,14 @@
 var restarts = map[string]func(*simfleet.Fleet){
 	"none": func(*simfleet.Fleet) {},
 	"a tenth at a time": func(f *simfleet.Fleet) {
-		for i := range f.Nodes {
-			f.At(3*second+simfleet.Micros(i*10/len(f.Nodes))*second, func() { f.Restart(i, second/2) })
+		for i := range f.Aggregators {
+			f.ScheduleAt(3*second+simfleet.Micros(i*10/len(f.Aggregators))*second, func() { f.Restart(i, second/2) })
 		}
 	},
 	"all at once": func(f *simfleet.Fleet) {
 		for _, at := range []simfleet.Micros{4 * second, 8 * second} {
-			f.At(at, func() {
-				for i := range f.Nodes {
+			f.ScheduleAt(at, func() {
+				for i := range f.Aggregators {
 					f.Restart(i, second/5)
 				}
 			})
@@ -49,7 +49,7 @@
 					restart(f)
 					r := f.Run(11 * second)
 					t.Logf("seed %d: share answered %.3f, peak load %.2f of what a server can do, %.1f parts beyond chance",
-						seed, r.Share(), r.Peak, r.Excess)
+						seed, r.ServedFraction(), r.PeakOverload, r.Excess)
 					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d", seed)
 				}
 			})
@@ -60,12 +60,12 @@
 // replacingFleet returns a fleet that replaces all servers at each third ring position after two seconds.
 func replacingFleet(seed uint64, aggregators, positions int) *simfleet.Fleet {
 	p := simfleet.Large(seed, aggregators, positions, 0.55)
-	p.Skew = 0.5
-	p.Uneven = 1
+	p.ShardSkew = 0.5
+	p.AggregatorSkew = 1
 	rate := p.Rate
 	p.Rate = func(now simfleet.Micros) float64 { return rate(now) / workFactor }
 	for i := range p.Mix {
-		p.Mix[i].Work *= workFactor
+		p.Mix[i].MeanWork *= workFactor
 	}
 	for i := range p.Settings.Classes {
 		class := &p.Settings.Classes[i]
@@ -75,9 +75,9 @@
 	f := simfleet.New(p)
 	for i := range f.Stores {
 		if i%positions%3 == 0 {
-			f.At(2*second, func() { f.Replace(i) })
+			f.ScheduleAt(2*second, func() { f.Replace(i) })
 		}
 	}
-	f.At(2*second, func() { f.List(3 * second) })
+	f.ScheduleAt(2*second, func() { f.AnnounceEndpoints(3 * second) })
 	return f
 }
