--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -94,7 +94,7 @@
 }
 
 // An answer without a length ends with an orderly end of the connection; a reset on the way is none.
-func TestAnswerWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
+func TestResponseWithoutLengthThatIsResetIsIncomplete(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -64,7 +64,7 @@
 }
 
 // Clients that keep their connections for good must not crowd out new ones.
-func TestIdleConnectionYieldsToANewOne(t *testing.T) {
+func TestIdleConnectionIsEvictedForANewOne(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{MaxConnections: 4})
 	for range 12 {
 		assert.Equal(t, 200, status(testserver.Dial(t, addr), "/"))
@@ -73,7 +73,7 @@
 
 // Clients that ask once and stay use up what clients may hold: beyond a bound the one idle longest ends, though nobody
 // new comes.
-func TestTooManyIdleConnectionsYieldAtOnce(t *testing.T) {
+func TestIdleConnectionsBeyondTheBoundAreClosed(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{MaxIdleConnections: 2})
 	var clients []*testserver.Client
 	for range 3 {
@@ -105,7 +105,7 @@
 }
 
 // A connection with an open request never yields: the new client is told.
-func TestOpenRequestNeverYields(t *testing.T) {
+func TestConnectionWithAnOpenRequestIsNotEvicted(t *testing.T) {
 	addr, release, gone := serving(t, &httpwire.Server{MaxConnections: 2})
 	var held []*testserver.Client
 	for range 2 {
@@ -123,7 +123,7 @@
 }
 
 // Who says nothing, or never ends what it sends, is owed an end within seconds.
-func TestClientThatNeverAsksIsEnded(t *testing.T) {
+func TestConnectionWithoutARequestIsClosed(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
 		c := testserver.Dial(t, addr)
@@ -135,7 +135,7 @@
 }
 
 // Bytes sent ahead must not hide that a client has left.
-func TestClientThatSentAheadIsSeenToLeave(t *testing.T) {
+func TestDisconnectBehindPipelinedBytesIsDetected(t *testing.T) {
 	addr, release, gone := serving(t, &httpwire.Server{})
 	defer close(release)
 	c := testserver.Dial(t, addr)
@@ -152,7 +152,7 @@
 }
 
 // A client still sending when it is turned away reads its error: a close on unread bytes would be a reset.
-func TestClientStillSendingReadsItsError(t *testing.T) {
+func TestClientStillSendingReadsItsErrorResponse(t *testing.T) {
 	addr, _, _ := serving(t, &httpwire.Server{})
 	c := testserver.Dial(t, addr)
 	piece := strings.Repeat("x", 1<<20)
@@ -173,7 +173,7 @@
 }
 
 // Connections come between the server's last look for one and the close of its listener: they are served.
-func TestConnectionThatComesBeforeTheListenerClosesIsServed(t *testing.T) {
+func TestConnectionRightBeforeTheListenerClosesIsServed(t *testing.T) {
 	g := newGate(t, nil)
 	var late []*testserver.Client
 	looks := 0
@@ -203,7 +203,7 @@
 
 // However much a client sends ahead, its leaving is seen; requests sent ahead are answered up to a bound, beyond it the
 // connection ends with the answer.
-func TestClientThatSentMuchAheadIsSeenToLeave(t *testing.T) {
+func TestDisconnectBehindMuchPipelinedDataIsDetected(t *testing.T) {
 	for _, ahead := range []int{0, 3 << 10, 6 << 10, 15 << 10, 40 << 10, 1 << 20, 8 << 20} {
 		// Soon, too: an attempt that begins 0.1 s after the close is a fault. The server pauses 2 ms for each look that finds
 		// more than it keeps, so looks are counted, which no busy processor changes; each sets a deadline.
@@ -252,7 +252,7 @@
 
 // The answer may be there before the wait for it begins. The deadline that ends a wait must then not strike the next
 // request on the connection.
-func TestWakeStrikesNoLaterRequest(t *testing.T) {
+func TestCancelWaitDoesNotAffectTheNextRequest(t *testing.T) {
 	waking, rested, struck := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	waits, awake, strike := 0, sync.OnceFunc(func() { close(waking) }), sync.OnceFunc(func() { close(struck) })
 	g := newGate(t, &hooks{deadline: func(at time.Time, set func()) {
@@ -295,7 +295,7 @@
 
 // A connection yields, or the server closes, in the moment in which a whole request has come that was not read yet. It
 // was taken: it is answered, as the connection's last.
-func TestRequestThatCameBeforeTheEndIsAnswered(t *testing.T) {
+func TestRequestThatArrivedBeforeTheCloseIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool // request of the connection
 		end   func(t *testing.T, s *httpwire.Server, addr string)
@@ -351,7 +351,7 @@
 }
 
 // A connection yields whose request is read half, while its goroutine is held up and the rest comes: it is answered.
-func TestRequestThatIsReadHalfAsItsConnectionYieldsIsAnswered(t *testing.T) {
+func TestHalfReadRequestOfAnEvictedConnectionIsAnswered(t *testing.T) {
 	hold, reached, yielded := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	var reads int
 	var yields atomic.Bool
@@ -386,7 +386,7 @@
 }
 
 // The system has accepted a connection, with its request, that the server has not when it closes.
-func TestConnectionThatWaitsToBeAcceptedIsServed(t *testing.T) {
+func TestConnectionInTheAcceptQueueIsServed(t *testing.T) {
 	hold := make(chan struct{})
 	g := newGate(t, nil)
 	g.accept = func() { <-hold }
@@ -421,7 +421,7 @@
 
 // An answer is written that its client never reads, as the server closes: the others are served, and it ends with the time
 // that a write may take.
-func TestAnswerThatNobodyReadsHoldsUpNobody(t *testing.T) {
+func TestUnreadResponseDelaysNoOtherClient(t *testing.T) {
 	g := newGate(t, nil)
 	writes := make(chan struct{})
 	s := &httpwire.Server{Log: testserver.DiscardLog(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
@@ -444,7 +444,7 @@
 
 // A request that comes in the very moment of the end is not answered and not passed on, and its client can tell: the
 // connection ends in order, where a close over what was not read would reset it.
-func TestRequestThatCrossesTheEndIsNotServed(t *testing.T) {
+func TestRequestThatCrossesTheCloseIsNotServed(t *testing.T) {
 	for name, s := range map[string]*httpwire.Server{
 		"idle for long": {IdleTimeout: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdleConnections: 1},
 	} {
--- a/processtest/client_gone_test.go
+++ b/processtest/client_gone_test.go
@@ -15,7 +15,7 @@
 
 // The process is stopped while clients connect, send a request and disconnect, more of them each time, and is resumed: none
 // of their requests reaches a store.
-func TestStoppedProcessBeginsNothingForClientsThatLeft(t *testing.T) {
+func TestStoppedProcessSendsNothingForDisconnectedClients(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))))
 	go discardLog(lines)
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -67,7 +67,7 @@
 
 // A process is stopped for 20 s while the version that it serves is replaced. After it resumes, not even the first query
 // in its accept queue is served by the old version.
-func TestStoppedInstanceServesNothingReplacedAfterItWakes(t *testing.T) {
+func TestResumedInstanceServesNoReplacedVersion(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, time.Second, "")
 	r.transferLeadershipToN1()
--- a/processtest/data_directory_test.go
+++ b/processtest/data_directory_test.go
@@ -43,7 +43,7 @@
 	require.Positive(t, at)
 	corrupt := []byte(strings.ReplaceAll(string(intact), "worth = 1", "worth = 7"))
 	require.NoError(t, os.WriteFile(db, corrupt, 0o600))
-	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]*agreed.db: [^\n]*spoilt\n$`, run())
+	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]*agreed.db: [^\n]*corrupt\n$`, run())
 	require.NoError(t, os.WriteFile(db, intact[:9000], 0o600))
 	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]*agreed.db: [^\n]+\n$`, run())
 	require.NoError(t, os.RemoveAll(n3.path("folder")))
--- a/processtest/descriptors_test.go
+++ b/processtest/descriptors_test.go
@@ -22,7 +22,7 @@
 // Clients use all descriptors that they may, some without sending anything, some waiting for unresponsive stores;
 // connections to stores use the rest, and discovery does not answer meanwhile. A drain that discovery reports when it is
 // back is received nevertheless: descriptors are reserved for it.
-func TestClientsAtTheBoundLeaveRoomForDiscovery(t *testing.T) {
+func TestClientsAtTheBoundLeaveDescriptorsForDiscovery(t *testing.T) {
 	const sockets = 64
 	s := testserver.NewFrameStore(t)
 	recordCalls(s)
--- a/processtest/draining_store_test.go
+++ b/processtest/draining_store_test.go
@@ -125,7 +125,7 @@
 // reported that it drains. Processes of a large fleet serve queries while discovery fails in each of its ways, one of them
 // killed and started again with an old list, another stopped through the drain with queries in its accept queue, and a
 // store begins to drain right when discovery is back.
-func TestNoProcessCallsALeavingStoreHoweverDiscoveryFailed(t *testing.T) {
+func TestNoProcessCallsADrainingStoreDespiteDiscoveryFaults(t *testing.T) {
 	const processes, grace = 4, 550 * time.Millisecond
 	leaving, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
 	calls := recordCalls(leaving)
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -67,7 +67,7 @@
 
 // Nine processes at a fifth of the usual times. What is slow, lost or cut one way is no death; what is killed is one,
 // and known to all; each is logged by one.
-func TestFleetTellsTheSlowFromTheDead(t *testing.T) {
+func TestMembershipDistinguishesSlowFromDead(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 4*time.Second, "", true, 6)
 	all := r.instanceNames()
@@ -130,7 +130,7 @@
 
 // Long stops, and a split in two with a leader in the smaller part: who stood still accuses nobody, both sides go on,
 // and after it they are one.
-func TestFleetThroughStopsAndSplits(t *testing.T) {
+func TestMembershipThroughSuspensionsAndPartitions(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 4*time.Second, "", true, 5)
 	all := r.instanceNames()
--- a/processtest/reload_test.go
+++ b/processtest/reload_test.go
@@ -15,7 +15,7 @@
 
 // Go ends a process on a SIGHUP that nobody takes. It must move the watch and keep every open request; a file that
 // can't be used must change nothing.
-func TestSIGHUPMovesTheWatchAndKeepsOpenRequests(t *testing.T) {
+func TestSIGHUPChangesDiscoveryAndKeepsOpenRequests(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	entry := testserver.EndpointEntry("s-1", s, "in_service")
 	old, moved := testserver.NewDiscovery(t, entry), testserver.NewDiscovery(t, entry)
@@ -48,7 +48,7 @@
 
 // The settings of another customer come with SIGHUP: from then on none of the old ones is in force, and what was taken by
 // them is answered by them. Settings that cannot be served change nothing.
-func TestSettingsAtSIGHUPTakeThePlaceOfAllOldOnes(t *testing.T) {
+func TestSIGHUPReplacesAllSettings(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	d := testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))
 	c, path, cl, lines := startProcess(t, platformConfig(d))
--- a/processtest/shutdown_test.go
+++ b/processtest/shutdown_test.go
@@ -21,7 +21,7 @@
 	"alderproxy/internal/testserver"
 )
 
-func TestPlannedStopEndsWithStatusZero(t *testing.T) {
+func TestShutdownExitsWithStatusZero(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	c, _, cl, lines := startProcess(t, platformConfig(testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))))
 	sendLookup(cl, "q")
@@ -94,7 +94,7 @@
 
 // A graceful shutdown may begin at any moment: every accepted request gets its complete answer, also for a client that
 // reads it after the process has ended, and the process exits with status 0 in time.
-func TestPlannedStopAtAnyMoment(t *testing.T) {
+func TestShutdownAtAnyMoment(t *testing.T) {
 	for name, terminate := range shutdownMoments {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -139,7 +139,7 @@
 // while stores serve or fail. A forwarded request is answered, no kept connection is reset, and the process exits with
 // status 0. A request on a connection that ended with EOF before an answer was not read: its client retries. At most one in
 // two hundred new connections is reset: the system may hold one in its accept queue when the listener closes.
-func TestPlannedStopUnderRandomClients(t *testing.T) {
+func TestShutdownUnderRandomClients(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
--- a/processtest/startup_test.go
+++ b/processtest/startup_test.go
@@ -47,7 +47,7 @@
 
 // All processes start at once on one core while discovery is unresponsive. Nine in ten are ready within 10 s, with the
 // endpoint list that their configuration has.
-func TestNineInTenAreReadyInTimeOnOneCoreWithoutDiscovery(t *testing.T) {
+func TestNineInTenProcessesAreReadyInTimeOnOneCoreWithoutDiscovery(t *testing.T) {
 	const processes = 10
 	s := testserver.NewFrameStore(t)
 	d := testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))
--- a/raftstore/store.go
+++ b/raftstore/store.go
@@ -40,7 +40,7 @@
 // Errors of a file that cannot be opened or read.
 var (
 	// ErrCorrupt is wrapped by errors about records that differ from what was written.
-	ErrCorrupt = errors.New("spoilt")
+	ErrCorrupt = errors.New("corrupt")
 	// ErrLocked is wrapped by the error of Open if another process has the file open.
 	ErrLocked = errors.New("another process has it open")
 )
--- a/raftstore/store_test.go
+++ b/raftstore/store_test.go
@@ -110,9 +110,9 @@
 	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for _, change := range []struct{ old, new, want string }{
-		{"number 3", "number 4", "entry 3 of the log: spoilt"},
-		{"number 1", "Number 1", "entry 1 of the log: spoilt"},
-		{"somebody", "sOmebody", "record name: spoilt"},
+		{"number 3", "number 4", "entry 3 of the log: corrupt"},
+		{"number 1", "Number 1", "entry 1 of the log: corrupt"},
+		{"somebody", "sOmebody", "record name: corrupt"},
 	} {
 		corrupt := strings.ReplaceAll(string(intact), change.old, change.new)
 		require.NoError(t, os.WriteFile(path, []byte(corrupt), 0o600))
--- a/sharedconfig/datadir.go
+++ b/sharedconfig/datadir.go
@@ -24,7 +24,7 @@
 		if snapshot.Err == nil {
 			return d.checkStart(snapshot, corrupt)
 		}
-		corrupt = fmt.Errorf("snapshot %s is spoilt: %w", snapshot.Name, snapshot.Err)
+		corrupt = fmt.Errorf("snapshot %s is corrupt: %w", snapshot.Name, snapshot.Err)
 	}
 	if corrupt != nil && d.FirstIndex != 1 {
 		return corrupt
--- a/sharedconfig/datadir_test.go
+++ b/sharedconfig/datadir_test.go
@@ -41,18 +41,18 @@
 		},
 		"corrupt, gap behind the older one": {
 			directory: DataDirectory{FirstIndex: 12, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15, intact9}},
-			want:      "snapshot b is spoilt: bad; the one before it ends at entry 9 and the log begins at 12",
+			want:      "snapshot b is corrupt: bad; the one before it ends at entry 9 and the log begins at 12",
 		},
 		"corrupt, no log": {
 			directory: DataDirectory{Snapshots: []SnapshotInfo{corrupt15, intact9}},
-			want:      "snapshot b is spoilt: bad",
+			want:      "snapshot b is corrupt: bad",
 		},
 		"corrupt, complete log": {
 			directory: DataDirectory{FirstIndex: 1, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15}},
 		},
 		"corrupt, rest of a log": {
 			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15}},
-			want:      "snapshot b is spoilt: bad",
+			want:      "snapshot b is corrupt: bad",
 		},
 	} {
 		err := c.directory.Validate()
