--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -16,8 +16,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// Three voters and those that follow, while leaders die and versions change: nobody serves a replaced version beyond
-// the bound, and those that follow go on with the voters that are left.
+// Three voters and five followers, while leaders are killed and versions change: no instance serves a replaced version beyond
+// the staleness bound, and followers go on with the remaining voters.
 func TestFollowersThroughLeaderKills(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 3*time.Second, "", true, 5)
@@ -47,7 +47,7 @@
 		r.instances[leader].start("")
 		r.waitUntilServing(version, all...)
 	}
-	// A change given to one that follows is refused with the way to go; what it serves by can be read there.
+	// A follower rejects a change and names the voters; the version that it serves can be read there.
 	f1 := r.instances["f1"].client()
 	o, err := f1.Put(configPut("elsewhere", version, 99))
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 	v, err := f1.Show(0, true)
 	require.NoError(t, err)
 	assert.Equal(t, version, v.Number)
-	// All tell the fleet what they serve by: one version, one list of stores.
+	// All members publish what they serve: one version, one list of stores.
 	require.Eventually(t, func() bool {
 		values := map[string]int{}
 		for _, m := range r.instances["f2"].members().Members {
@@ -68,5 +68,5 @@
 	}, 20*time.Second, 50*time.Millisecond)
 	sum := load.stop()
 	assert.Empty(t, sum.violations)
-	t.Logf("%d queries to those that follow, %d refused, through three leader kills", sum.sent, sum.rejected)
+	t.Logf("%d queries to followers, %d rejected, through three leader kills", sum.sent, sum.rejected)
 }
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -31,7 +31,7 @@
 	return all[k]
 }
 
-// presentMembers are the names that an instance holds to be there.
+// presentMembers returns the names of the members that an instance considers present.
 func (i *instance) presentMembers() (all []string) {
 	for _, m := range i.members().Members {
 		if m.State == "alive" || m.State == "suspect" {
@@ -41,19 +41,27 @@
 	return all
 }
 
-// waitForView waits until each of some holds exactly these to be there, and returns how long that took.
+// waitForView waits until each of the given instances considers exactly these present, and returns how long that took.
 func (r *cluster) waitForView(these []string, within time.Duration) time.Duration {
 	began := time.Now()
 	slices.Sort(these)
 	for _, name := range these {
 		i := r.instances[name]
-		require.Eventually(r.t, func() bool { return slices.Equal(i.presentMembers(), these) }, within, 20*time.Millisecond, "%s holds %v to be there, not %v: %s",
+		require.Eventually(r.t, func() bool { return slices.Equal(i.presentMembers(), these) }, within, 20*time.Millisecond, "%s considers %v present, not %v: %s",
 			name, i.presentMembers(), these, i.logged())
 	}
 	return time.Since(began)
 }
 
-// loggedDeaths tells which deaths any instance has logged.
+// waitUntilReachable waits until an instance reaches others directly.
+func (r *cluster) waitUntilReachable(observer string, others ...string) {
+	for _, name := range others {
+		require.Eventually(r.t, func() bool { return r.instances[observer].member(name).Reachability == "reachable" },
+			20*time.Second, 50*time.Millisecond, "%s does not reach %s", observer, name)
+	}
+}
+
+// loggedDeaths returns the log lines about dead members of all instances.
 func (r *cluster) loggedDeaths() (all []string) {
 	for _, i := range r.instances {
 		for line := range strings.Lines(i.logged()) {
@@ -65,14 +73,14 @@
 	return all
 }
 
-// Nine processes at a fifth of the usual times. What is slow, lost or cut one way is no death; what is killed is one,
-// and known to all; each is logged by one.
+// Nine processes with a fifth of the usual periods. A member that is slow, or whose datagrams are lost or cut off in one
+// direction, is not declared dead; one that is killed is, by all, and each death is logged by one member.
 func TestMembershipDistinguishesSlowFromDead(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 4*time.Second, "", true, 6)
 	all := r.instanceNames()
 	r.waitForView(all, 20*time.Second)
-	for _, name := range all { // all take a ninth of what the stores bear, though no file says how many they are
+	for _, name := range all { // each takes a ninth of the stores' capacity, though no file has their number
 		i := r.instances[name]
 		require.Eventually(t, func() bool { return strings.Contains(i.logged(), "fleet=9") }, 10*time.Second, 20*time.Millisecond, i.logged())
 	}
@@ -82,7 +90,8 @@
 		assert.Equal(t, digest, r.instances[name].members().Digest)
 	}
 
-	// A third of all datagrams lost, some twice, some late; and stops of one fifth of the 5 s that are granted.
+	// 30 % of all datagrams are lost, some duplicated, some delayed; and a process is stopped for a fifth of the 5 s that are
+	// allowed.
 	r.faults.SetDefault(faultnet.Rule{LossPercent: 30, DuplicatePercent: 10, MaxDelay: 100 * time.Millisecond})
 	r.instances["f4"].signal(syscall.SIGSTOP)
 	time.Sleep(time.Second) // the stop
@@ -92,30 +101,34 @@
 	r.waitForView(all, 10*time.Second)
 	assert.Empty(t, r.loggedDeaths())
 
-	// f3 no longer hears f2, which hears it: both stay, and f3 can say why.
+	// f3 receives nothing from f2, which receives f3's messages: both stay members, and f3 can say why. What the loss has
+	// left of a member's reachability lasts until the next probe of it.
+	for _, name := range all {
+		r.waitUntilReachable(name, without(all, name)...)
+	}
 	r.faults.Set("f2", "f3", faultnet.Rule{Cut: true})
 	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reachability == "one-way" }, 20*time.Second, 50*time.Millisecond)
 	r.waitForView(all, 10*time.Second)
-	assert.Equal(t, "reachable", r.instances["f1"].member("f2").Reachability)
+	r.waitUntilReachable("f1", "f2")
 	r.faults.Clear()
-	require.Eventually(t, func() bool { return r.instances["f3"].member("f2").Reachability == "reachable" }, 20*time.Second, 50*time.Millisecond)
+	r.waitUntilReachable("f3", "f2")
 	assert.Empty(t, r.loggedDeaths())
 
-	// Killed: known to all, logged once.
+	// A killed member is dead to all, and logged once.
 	r.instances["f5"].signal(syscall.SIGKILL)
 	<-r.instances["f5"].ended
 	took := r.waitForView(without(all, "f5"), 20*time.Second)
 	t.Logf("a killed process is out of all views after %v, at a fifth of the usual times", took)
 	require.Eventually(t, func() bool { return len(r.loggedDeaths()) > 0 }, 5*time.Second, 20*time.Millisecond)
 	assert.Len(t, r.loggedDeaths(), 1, "each death is logged by one member")
-	for _, kind := range []string{"folder", "ini"} { // it starts anew, with nothing kept
+	for _, kind := range []string{"folder", "ini"} { // it starts again, with an empty data directory
 		require.NoError(t, os.RemoveAll(r.instances["f5"].path(kind)))
 	}
 	r.instances["f5"].writeConfig()
 	r.instances["f5"].start("")
 	r.waitForView(all, 20*time.Second)
 
-	// A planned stop is told as one, at once and before the process has ended.
+	// A graceful shutdown is announced at once, before the process has ended.
 	r.instances["f3"].signal(syscall.SIGTERM)
 	require.Eventually(t, func() bool { return r.instances["n1"].member("f3").State == "left" }, 2*time.Second, 10*time.Millisecond)
 	r.waitForView(without(all, "f3"), 5*time.Second)
@@ -125,11 +138,11 @@
 
 	sum := load.stop()
 	assert.Empty(t, sum.violations)
-	t.Logf("%d queries meanwhile, %d refused: the loss met the voters' frames too", sum.sent, sum.rejected)
+	t.Logf("%d queries meanwhile, %d rejected: the loss met the voters' frames too", sum.sent, sum.rejected)
 }
 
-// Long stops, and a split in two with a leader in the smaller part: who stood still accuses nobody, both sides go on,
-// and after it they are one.
+// Long suspensions, and a partition with the leader on the smaller side: a suspended member accuses nobody, both sides go on,
+// and are one again afterwards.
 func TestMembershipThroughSuspensionsAndPartitions(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 4*time.Second, "", true, 5)
@@ -147,7 +160,7 @@
 		r.waitForView(all, 20*time.Second)
 		assert.Contains(t, f2.logged(), "this member stood still")
 		for _, line := range r.loggedDeaths() {
-			assert.Contains(t, line, "[f2]", "who stood still accuses nobody")
+			assert.Contains(t, line, "[f2]", "a suspended member accuses nobody")
 		}
 	}
 
@@ -156,7 +169,7 @@
 		r.faults.Isolate(name, there...)
 	}
 	client := r.instances["n2"].client()
-	require.Eventually(t, func() bool { // the larger side has another leader
+	require.Eventually(t, func() bool { // the larger side elects another leader
 		s, err := client.Status()
 		return err == nil && s.Leader != "" && s.Leader != "n1"
 	}, 20*time.Second, 50*time.Millisecond)
@@ -165,7 +178,7 @@
 	require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
 	load.versionReplaced(1)
 	r.waitForView(there, 30*time.Second)
-	// Whoever is on the smaller side stops by the bound: it cannot know that its version was not replaced.
+	// The smaller side stops serving within the staleness bound: its version may have been replaced.
 	for _, name := range here {
 		require.Eventually(t, func() bool { s, _, err := r.instances[name].search(); return err == nil && s == 503 }, 2*r.stalenessBound, 50*time.Millisecond, name)
 	}
@@ -174,5 +187,5 @@
 	r.waitUntilServing(2, all...)
 	sum := load.stop()
 	assert.Empty(t, sum.violations)
-	t.Logf("%d queries, %d refused", sum.sent, sum.rejected)
+	t.Logf("%d queries, %d rejected", sum.sent, sum.rejected)
 }
