--- a/gossip/log.go
+++ b/gossip/log.go
@@ -21,7 +21,7 @@
 		n.logTrustChange(current)
 	}
 	changes := n.changesToReport(previous, current)
-	for _, change := range []string{changeJoined, membership.Dead.String(), membership.Left.String()} {
+	for _, change := range []string{changeJoined, membership.StateDead.String(), membership.StateLeft.String()} {
 		names := changes[change]
 		if len(names) == 0 {
 			continue
@@ -31,14 +31,14 @@
 			"what":    change,
 			"members": names[:min(len(names), maxLoggedNames)],
 			"count":   len(names),
-			"alive":   current.AliveCount(),
+			"alive":   current.PresentCount(),
 			"view":    current.Version,
 		}).Info("fleet changed")
 	}
 }
 
 func (n *Node) logTrustChange(view membership.View) {
-	log := n.config.Log.WithFields(logrus.Fields{"view": view.Version, "alive": view.AliveCount()})
+	log := n.config.Log.WithFields(logrus.Fields{"view": view.Version, "alive": view.PresentCount()})
 	if view.Trusted {
 		log.Info("the view of the fleet is trusted again")
 	} else {
--- a/gossip/node_test.go
+++ b/gossip/node_test.go
@@ -130,7 +130,7 @@
 	assert.Less(t, elapsed, testSuspicionTimeout)
 	member, found := a.View().Find("b")
 	assert.True(t, found)
-	assert.Equal(t, membership.Dead, member.State)
+	assert.Equal(t, membership.StateDead, member.State)
 }
 
 // Datagrams that are not of this group have no effect, are counted by cause and are logged once.
@@ -206,20 +206,20 @@
 	b.closeAtEnd(t)
 	valueAtB := func() string {
 		member, _ := b.View().Find("a")
-		value, ok := membership.DocumentVersion.Value(member)
+		value, ok := membership.DocumentVersionFact.Value(member)
 		return fmt.Sprint(value, ok)
 	}
 	ttl := testFactTTL.Microseconds()
-	a.PublishFact(membership.DocumentVersion.Publish(41, ttl))
+	a.PublishFact(membership.DocumentVersionFact.Publish(41, ttl))
 	eventually(t, "published", func() bool { return valueAtB() == "41 true" })
-	a.PublishFact(membership.DocumentVersion.Publish(42, ttl))
+	a.PublishFact(membership.DocumentVersionFact.Publish(42, ttl))
 	eventually(t, "replaced", func() bool { return valueAtB() == "42 true" })
-	a.PublishFact(membership.DocumentVersion.Withdraw(ttl))
+	a.PublishFact(membership.DocumentVersionFact.Withdraw(ttl))
 	eventually(t, "withdrawn", func() bool { return valueAtB() == "0 false" })
 	a.Leave()
 	eventually(t, "left", func() bool {
 		member, _ := b.View().Find("a")
-		return member.State == membership.Left
+		return member.State == membership.StateLeft
 	})
 }
 
--- a/gossip/run.go
+++ b/gossip/run.go
@@ -75,8 +75,8 @@
 	case membership.ViewChanged:
 		n.changeView(action.View)
 	case membership.NameTaken:
-		n.nameTakenBy.Store(&action.By)
-		n.config.Log.WithField("by", action.By.String()).Error("another instance has this one's name: it is no member until it starts again under another")
+		n.nameTakenBy.Store(&action.OwnerAddr)
+		n.config.Log.WithField("by", action.OwnerAddr.String()).Error("another instance has this one's name: it is no member until it starts again under another")
 	case membership.Log:
 		n.config.Log.Info(action.Text)
 	}
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -65,7 +65,7 @@
 		ViewVersion: view.Version,
 		Digest:      fmt.Sprintf("%08x", view.Digest),
 		Trusted:     view.Trusted,
-		AliveCount:  view.AliveCount(),
+		AliveCount:  view.PresentCount(),
 		Datagrams:   *n.counts.Load(),
 	}
 	if owner := n.nameTakenBy.Load(); owner != nil {
--- a/membership.go
+++ b/membership.go
@@ -82,7 +82,9 @@
 	log.WithField("listen", conn.LocalAddr().String()).WithField("address", c.Member.Addr.String()).Info("reachable for members")
 	if search := p.config.OpenSearch; search != nil {
 		self := membership.IDFromName(c.Member.Name)
-		search.Quota = func() (number, fleet int) { return node.View().Share(self, search.InstanceIndex, search.InstanceCount) }
+		search.Quota = func() (number, fleet int) {
+			return node.View().CapacityShare(self, search.InstanceIndex, search.InstanceCount)
+		}
 	}
 	return nil
 }
@@ -157,8 +159,8 @@
 		if now := p.servedState(); now != published || time.Since(publishedAt) > factLifetime/3 {
 			published = now
 			publishedAt = time.Now()
-			p.publishFact(membership.DocumentVersion, now.version)
-			p.publishFact(membership.EndpointListDigest, now.stores)
+			p.publishFact(membership.DocumentVersionFact, now.version)
+			p.publishFact(membership.EndpointListDigestFact, now.stores)
 		}
 		select {
 		case <-ticker.C:
--- a/membership/anti_entropy.go
+++ b/membership/anti_entropy.go
@@ -142,8 +142,8 @@
 // addToSyncResponse adds the state of a member and its facts. A suspicion is left out: it ends where it began.
 func (g *Group) addToSyncResponse(response *syncResponse, member *memberRecord) {
 	update := g.updateFor(member)
-	if member.State == Suspect {
-		update.State = Alive
+	if member.State == StateSuspect {
+		update.State = StateAlive
 	}
 	if update.encodedSize() > response.current.freeBytes() {
 		response.flush(nil)
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -192,7 +192,7 @@
 	c := n.cluster
 	for _, member := range next.Members {
 		before := slices.IndexFunc(n.view.Members, func(other Member) bool { return other.ID == member.ID })
-		if member.State != Dead || before < 0 || !n.view.Members[before].State.Present() {
+		if member.State != StateDead || before < 0 || !n.view.Members[before].State.Present() {
 			continue
 		}
 		removed := c.indexByAddr[member.Addr]
@@ -283,7 +283,7 @@
 	startedAt := c.network.Now()
 	for !c.inAgreement(size) {
 		if c.network.Now()-startedAt >= timeout {
-			assert.Fail(c.t, "no agreement", "in %d s; the first member sees %d of %d", timeout/second, c.nodes[0].view.AliveCount(), size)
+			assert.Fail(c.t, "no agreement", "in %d s; the first member sees %d of %d", timeout/second, c.nodes[0].view.PresentCount(), size)
 			return timeout
 		}
 		c.run(pollInterval)
@@ -296,7 +296,7 @@
 	sum := 0.0
 	for _, node := range c.nodes {
 		if node.isAlive() && node.view.Converged {
-			_, count := node.view.Share(node.self.ID, 0, 1)
+			_, count := node.view.CapacityShare(node.self.ID, 0, 1)
 			sum += 1 / float64(count)
 		}
 	}
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -194,7 +194,7 @@
 
 // message reads a message after its wire version.
 func (d *decoder) message() Message {
-	message := Message{Kind: Kind(d.byte())}
+	message := Message{Kind: MessageKind(d.byte())}
 	flags := d.byte()
 	message.ReceivedFromProber = flags&flagReceivedFromProber != 0
 	message.ReceivedFromRequester = flags&flagReceivedFromRequester != 0
@@ -238,7 +238,7 @@
 	update.Addr = netip.AddrPortFrom(netip.AddrFrom4(ip), port)
 	update.Name = d.string(MaxNameLength)
 	update.Zone = d.string(MaxZoneLength)
-	if update.State > Left {
+	if update.State > StateLeft {
 		d.malformed = true
 	}
 	return update
--- a/membership/detection_test.go
+++ b/membership/detection_test.go
@@ -136,7 +136,7 @@
 			c.network.Pause(simnet.NodeID(i), 30*second)
 		}
 		c.run(30 * second)
-		present := c.nodes[size-1].view.AliveCount()
+		present := c.nodes[size-1].view.PresentCount()
 		elapsed := c.waitForAgreement(size, 30*second)
 		t.Logf("%d of 40 pause for 30 s: %d are present at its end, all again %.1f s after", paused, present, float64(elapsed)/second)
 		for _, removal := range c.removals {
@@ -150,7 +150,7 @@
 
 func TestLyingMemberIsDistrusted(t *testing.T) {
 	t.Parallel()
-	for _, claim := range []MemberState{Suspect, Dead, Left} {
+	for _, claim := range []MemberState{StateSuspect, StateDead, StateLeft} {
 		t.Run(claim.String(), func(t *testing.T) {
 			t.Parallel()
 			testLyingMember(t, claim)
@@ -183,9 +183,9 @@
 	c.run(120 * second)
 	assert.Empty(t, c.removals)
 	for _, node := range c.nodes {
-		assert.Equal(t, size, node.view.AliveCount())
+		assert.Equal(t, size, node.view.PresentCount())
 	}
-	if claim == Left { // a refutation of that is not a refuted accusation
+	if claim == StateLeft { // a refutation of that is not a refuted accusation
 		return
 	}
 	distrusted := 0
--- a/membership/dissemination.go
+++ b/membership/dissemination.go
@@ -101,7 +101,7 @@
 // reconnect contacts a dead member, which may be back, or seeds that are no known member's address. A member that knows
 // nobody contacts several seeds, and more often.
 func (g *Group) reconnect() {
-	dead := g.sampleMembers(1, func(member *memberRecord) bool { return member.State == Dead })
+	dead := g.sampleMembers(1, func(member *memberRecord) bool { return member.State == StateDead })
 	seeds := g.unknownSeeds()
 	fanout := 1
 	if g.presentCount <= 1 {
@@ -138,7 +138,7 @@
 // announceLeave sends a leave message to several members, since some messages may be lost.
 func (g *Group) announceLeave() {
 	g.leaving = true
-	g.self.State = Left
+	g.self.State = StateLeft
 	for _, member := range g.sampleMembers(g.retransmitLimit(), isPresent) {
 		g.send(member.Addr, Message{Kind: KindLeave}, member)
 	}
@@ -148,7 +148,7 @@
 // suspicion before all else, so that it can refute it.
 func (g *Group) piggyback(message *Message, recipient *memberRecord) {
 	filler := newMessageFiller(message)
-	if recipient != nil && recipient.State == Suspect {
+	if recipient != nil && recipient.State == StateSuspect {
 		accusation := g.updateFor(recipient)
 		accusation.Accuser = g.self.ID
 		filler.addUpdate(accusation)
@@ -182,7 +182,7 @@
 	case member == nil:
 		return true
 	case q.accuser != 0:
-		return member.State != Suspect
+		return member.State != StateSuspect
 	case q.factName != "":
 		fact := member.facts[q.factName]
 		return fact == nil || fact.expiresAt <= now
@@ -198,7 +198,7 @@
 	update := g.updateFor(member)
 	update.Accuser = queued.accuser
 	if queued.accuser != 0 {
-		update.State = Suspect
+		update.State = StateSuspect
 	}
 	return filler.addUpdate(update)
 }
--- a/membership/event.go
+++ b/membership/event.go
@@ -46,7 +46,7 @@
 type Log struct{ Text string }
 
 // NameTaken reports that the live member at By owns this member's name. This member has stopped taking part.
-type NameTaken struct{ By netip.AddrPort }
+type NameTaken struct{ OwnerAddr netip.AddrPort }
 
 func (SendMessage) action() {}
 func (ViewChanged) action() {}
--- a/membership/fact_key.go
+++ b/membership/fact_key.go
@@ -31,10 +31,10 @@
 
 // The facts that instances publish.
 var (
-	// DocumentVersion is the version of the shared configuration that an instance serves by.
-	DocumentVersion = NumericFactKey("document")
-	// EndpointListDigest is the digest of the endpoint lists that an instance serves by.
-	EndpointListDigest = NumericFactKey("stores")
+	// DocumentVersionFact is the version of the shared configuration that an instance serves by.
+	DocumentVersionFact = NumericFactKey("document")
+	// EndpointListDigestFact is the digest of the endpoint lists that an instance serves by.
+	EndpointListDigestFact = NumericFactKey("stores")
 )
 
 // Publish returns the event that attaches a value for the duration of a TTL.
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -45,7 +45,7 @@
 	const size, joining, firstVersion = 20, 19, 40
 	c := newConvergedCluster(t, 17, size)
 	for i := range joining {
-		c.nodes[i].step(DocumentVersion.Publish(uint64(firstVersion+i), 600*second))
+		c.nodes[i].step(DocumentVersionFact.Publish(uint64(firstVersion+i), 600*second))
 	}
 	c.run(30 * second)
 	c.kill(joining)
@@ -54,7 +54,7 @@
 	c.run(20 * second)
 	for i := range joining {
 		member, _ := c.memberSeenBy(joining, i)
-		version, ok := DocumentVersion.Value(member)
+		version, ok := DocumentVersionFact.Value(member)
 		assert.True(t, ok, "%s", nameOf(i))
 		assert.Equal(t, uint64(firstVersion+i), version)
 	}
--- a/membership/group.go
+++ b/membership/group.go
@@ -163,7 +163,7 @@
 		probe.deadline += pause
 	}
 	for _, member := range g.membersByID {
-		if member.State == Suspect {
+		if member.State == StateSuspect {
 			member.suspicionStartedAt += pause
 		}
 		if member.nameClaim != nil {
--- a/membership/lifecycle_test.go
+++ b/membership/lifecycle_test.go
@@ -19,7 +19,7 @@
 			continue
 		}
 		if member, found := c.memberSeenBy(node.index, leaver); found {
-			assert.Equal(t, Left, member.State)
+			assert.Equal(t, StateLeft, member.State)
 		}
 	}
 	assert.Empty(t, c.removals)
@@ -113,7 +113,7 @@
 	for observer := range returning {
 		member, _ := c.memberSeenBy(observer, returning)
 		assert.Equal(t, config.Addr, member.Addr)
-		assert.Equal(t, Alive, member.State)
+		assert.Equal(t, StateAlive, member.State)
 	}
 
 	c.kill(returning)
--- a/membership/member.go
+++ b/membership/member.go
@@ -7,10 +7,10 @@
 
 // The states of a member. Of two states of the same incarnation the one with the higher number wins.
 const (
-	Alive MemberState = iota
-	Suspect
-	Dead
-	Left
+	StateAlive MemberState = iota
+	StateSuspect
+	StateDead
+	StateLeft
 )
 
 // String returns the state's name, as operators see it.
@@ -18,7 +18,7 @@
 
 // Present reports whether the member counts as a participant of the group: it is alive, or suspected and may still
 // refute the suspicion.
-func (s MemberState) Present() bool { return s <= Suspect }
+func (s MemberState) Present() bool { return s <= StateSuspect }
 
 // Reachability describes in which directions messages between this member and another one arrive.
 type Reachability uint8
--- a/membership/members.go
+++ b/membership/members.go
@@ -40,7 +40,7 @@
 
 // setState changes the state of a member. A suspicion alone does not make the view dirty, but its outcome does.
 func (g *Group) setState(member *memberRecord, state MemberState, reason string) {
-	if state != Suspect {
+	if state != StateSuspect {
 		clear(member.accusers)
 		clear(member.departureReporters)
 	}
@@ -63,7 +63,7 @@
 	if state.Present() {
 		g.presentCount += delta
 	}
-	if state == Suspect {
+	if state == StateSuspect {
 		g.suspectCount += delta
 	}
 }
@@ -130,5 +130,5 @@
 
 // isResponsive is the eligibility of members that are alive and were reached by their last probe.
 func isResponsive(member *memberRecord) bool {
-	return member.State == Alive && member.Reachability != Unreachable
+	return member.State == StateAlive && member.Reachability != Unreachable
 }
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -54,11 +54,11 @@
 		return
 	}
 	switch update.State {
-	case Alive:
+	case StateAlive:
 		g.applyAlive(member, update, from)
-	case Suspect:
+	case StateSuspect:
 		g.applySuspicion(member, update, from)
-	case Dead, Left:
+	case StateDead, StateLeft:
 		g.applyDeparture(member, update, from)
 	}
 }
@@ -100,10 +100,10 @@
 		}
 		return
 	}
-	if member.State == Suspect {
+	if member.State == StateSuspect {
 		g.creditRefutation(member)
 	}
-	if member.State == Dead {
+	if member.State == StateDead {
 		// The same process is still there: it was not dead, but slower than its suspicion timeout.
 		member.resurrections = min(member.resurrections+1, maxResurrections)
 	}
@@ -113,7 +113,7 @@
 	member.Zone = update.Zone
 	member.portUnreachable = false
 	setEntry(&member.lastSeenBy, from, g.now)
-	g.setState(member, Alive, reasonRefuted)
+	g.setState(member, StateAlive, reasonRefuted)
 	g.queueMember(member)
 }
 
@@ -142,7 +142,7 @@
 	if !member.State.Present() && !update.isNewerThan(member) {
 		return
 	}
-	if update.State == Dead {
+	if update.State == StateDead {
 		if g.hasFreshContact(member) {
 			// This member knows better. The reported one is notified, so that it refutes the report.
 			g.send(member.Addr, Message{Kind: KindGossip, Updates: []Update{update}}, member)
@@ -157,7 +157,7 @@
 	}
 	member.Incarnation = max(member.Incarnation, update.Incarnation)
 	reason := reasonDeathConfirmed
-	if update.State == Left {
+	if update.State == StateLeft {
 		reason = reasonLeft
 	}
 	g.markDeparted(member, update.State, reason)
@@ -165,7 +165,7 @@
 
 // hasFreshContact reports whether a message of an alive member arrived within the last probe interval.
 func (g *Group) hasFreshContact(member *memberRecord) bool {
-	return member.State == Alive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
+	return member.State == StateAlive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
 }
 
 // departureConfirmed records a report that a member is dead or left, and reports whether enough members confirm it. A
@@ -179,7 +179,7 @@
 	if len(member.departureReporters) >= min(departureConfirmations, g.presentCount-2) {
 		return true
 	}
-	if update.State == Dead {
+	if update.State == StateDead {
 		member.Incarnation = max(member.Incarnation, update.Incarnation)
 		g.suspect(member, member.Incarnation, from, reasonReportedDead)
 	}
@@ -192,7 +192,7 @@
 		g.exceedGeneration(update.Generation)
 		return
 	}
-	if update.Generation < g.self.Generation || update.State == Alive || g.leaving {
+	if update.Generation < g.self.Generation || update.State == StateAlive || g.leaving {
 		return
 	}
 	if update.Incarnation >= g.self.Incarnation {
--- a/membership/message.go
+++ b/membership/message.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Kind is the purpose of a message.
-type Kind uint8
+// MessageKind is the purpose of a message.
+type MessageKind uint8
 
 // The kinds of message. The numbers are those on the wire.
 const (
-	KindPing         Kind = iota + 1 // requests an ack
-	KindAck                          // answers a ping
-	KindPingReq                      // requests an indirect probe of Target
-	KindIndirectAck                  // reports that Target sent an ack to the helper
-	KindNack                         // reports that Target sent no ack to the helper, or is unknown to it
-	KindGossip                       // carries updates and facts only
-	KindSyncRequest                  // requests the state that the sender holds differently
-	KindSyncResponse                 // carries a part of the requested state
-	KindLeave                        // announces the sender's planned departure
-	KindNameConflict                 // reports that two processes have the name of Target
+	KindPing         MessageKind = iota + 1 // requests an ack
+	KindAck                                 // answers a ping
+	KindPingReq                             // requests an indirect probe of Target
+	KindIndirectAck                         // reports that Target sent an ack to the helper
+	KindNack                                // reports that Target sent no ack to the helper, or is unknown to it
+	KindGossip                              // carries updates and facts only
+	KindSyncRequest                         // requests the state that the sender holds differently
+	KindSyncResponse                        // carries a part of the requested state
+	KindLeave                               // announces the sender's planned departure
+	KindNameConflict                        // reports that two processes have the name of Target
 )
 
 // Message is the content of one datagram.
 type Message struct {
-	Kind Kind
+	Kind MessageKind
 	// Sender, Generation and Incarnation identify the sender.
 	Sender      ID
 	Generation  uint32
--- a/membership/name_claim.go
+++ b/membership/name_claim.go
@@ -71,7 +71,7 @@
 	member.resurrections = 0
 	clear(member.facts)
 	g.digestCached = false
-	g.setState(member, Alive, reasonRestarted)
+	g.setState(member, StateAlive, reasonRestarted)
 	g.queueMember(member)
 }
 
--- a/membership/partition_test.go
+++ b/membership/partition_test.go
@@ -74,9 +74,9 @@
 	c.partition(nodeRange(isolated, size), nodeRange(0, isolated))
 	c.run(60 * second)
 	assert.False(t, c.nodes[isolated].view.Trusted)
-	assert.Equal(t, size, c.nodes[isolated].view.AliveCount())
+	assert.Equal(t, size, c.nodes[isolated].view.PresentCount())
 	assert.True(t, c.nodes[0].view.Trusted)
-	assert.Equal(t, size-1, c.nodes[0].view.AliveCount())
+	assert.Equal(t, size-1, c.nodes[0].view.PresentCount())
 	c.heal(nodeRange(isolated, size), nodeRange(0, isolated))
 	c.waitForAgreement(size, 60*second)
 }
@@ -100,9 +100,9 @@
 		t.Logf(
 			"deaf %v: the larger part sees %d present, trusted %v; the zone %d, trusted %v; %d views in the second minute",
 			zoneIsDeaf,
-			outside.view.AliveCount(),
+			outside.view.PresentCount(),
 			outside.view.Trusted,
-			inZone.view.AliveCount(),
+			inZone.view.PresentCount(),
 			inZone.view.Trusted,
 			outside.viewCount-views,
 		)
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -86,7 +86,7 @@
 			ID:          sender.ID,
 			Generation:  sender.Generation,
 			Incarnation: message.Incarnation,
-			State:       Left,
+			State:       StateLeft,
 			Accuser:     sender.ID,
 		}
 		g.applyUpdate(departure, sender.ID)
@@ -102,20 +102,20 @@
 	sender.portUnreachable = false
 	leaving := message.Kind == KindLeave
 	// A message of a later incarnation refutes what was reported before, even if the refutation itself was lost.
-	refutable := sender.State == Suspect || sender.State == Dead
+	refutable := sender.State == StateSuspect || sender.State == StateDead
 	if refutable && message.Incarnation > sender.Incarnation && !leaving {
 		refutation := Update{
 			ID:          sender.ID,
 			Generation:  message.Generation,
 			Incarnation: message.Incarnation,
-			State:       Alive,
+			State:       StateAlive,
 			Addr:        from,
 			Name:        sender.Name,
 			Zone:        sender.Zone,
 		}
 		g.applyUpdate(refutation, sender.ID)
 	}
-	if sender.State == Suspect && message.Incarnation >= sender.Incarnation {
+	if sender.State == StateSuspect && message.Incarnation >= sender.Incarnation {
 		g.restartSuspicion(sender)
 	}
 	if !sender.State.Present() && message.Incarnation <= sender.Incarnation && !leaving {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -32,9 +32,9 @@
 		}
 		record.accusationsMade++
 	}
-	if member.State == Alive {
+	if member.State == StateAlive {
 		member.suspicionStartedAt = g.now
-		g.setState(member, Suspect, reason)
+		g.setState(member, StateSuspect, reason)
 	}
 	setEntry(&member.accusers, accuser, true)
 	if len(member.accusers) <= maxAccusers {
@@ -45,7 +45,7 @@
 // restartSuspicion restarts the suspicion timeout of a suspect after a message of it or an indirect ack. Only a
 // refutation by the suspect itself ends the suspicion, here and at the others, so it is notified of the accusation.
 func (g *Group) restartSuspicion(member *memberRecord) {
-	if member.State != Suspect {
+	if member.State != StateSuspect {
 		return
 	}
 	if g.enabled(suspicionRestart) {
@@ -55,7 +55,7 @@
 		ID:          member.ID,
 		Generation:  member.Generation,
 		Incarnation: member.Incarnation,
-		State:       Suspect,
+		State:       StateSuspect,
 		Accuser:     g.self.ID,
 		Addr:        member.Addr,
 	}
@@ -69,8 +69,8 @@
 		return
 	}
 	for _, member := range g.membersByID {
-		if member.State == Suspect && g.remainingSuspicion(member) <= 0 {
-			g.markDeparted(member, Dead, member.StateReason+reasonTimedOutSuffix)
+		if member.State == StateSuspect && g.remainingSuspicion(member) <= 0 {
+			g.markDeparted(member, StateDead, member.StateReason+reasonTimedOutSuffix)
 		}
 	}
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -31,8 +31,8 @@
 	Members []Member
 }
 
-// AliveCount returns the number of members that are present, suspects included.
-func (v View) AliveCount() int {
+// PresentCount returns the number of members that are present, suspects included.
+func (v View) PresentCount() int {
 	count := 0
 	for _, member := range v.Members {
 		if member.State.Present() {
@@ -86,7 +86,7 @@
 	sameFact := func(x, y Fact) bool { return x.Name == y.Name && x.Version == y.Version }
 	return m.ID == other.ID &&
 		m.Generation == other.Generation &&
-		max(m.State, Suspect) == max(other.State, Suspect) &&
+		max(m.State, StateSuspect) == max(other.State, StateSuspect) &&
 		m.Reachability.presumed() == other.Reachability.presumed() &&
 		m.Addr == other.Addr &&
 		m.Distrusted == other.Distrusted &&
@@ -123,7 +123,7 @@
 // deathsImminent reports whether a suspicion that several accusers share is about to end.
 func (g *Group) deathsImminent() bool {
 	return slices.ContainsFunc(g.membersByID, func(member *memberRecord) bool {
-		return member.State == Suspect &&
+		return member.State == StateSuspect &&
 			len(member.accusers) > 1 &&
 			g.remainingSuspicion(member) < imminentIntervals*g.ProbeInterval
 	})
--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -64,7 +64,7 @@
 				values[f.Name+" "+f.Value]++
 			}
 		}
-		return len(values) == 2 && values[fmt.Sprint(membership.DocumentVersion.Name, " ", version)] == len(all)
+		return len(values) == 2 && values[fmt.Sprint(membership.DocumentVersionFact.Name, " ", version)] == len(all)
 	}, 20*time.Second, 50*time.Millisecond)
 	sum := load.stop()
 	assert.Empty(t, sum.violations)
