--- a/membership/anti_entropy.go
+++ b/membership/anti_entropy.go
@@ -18,9 +18,9 @@
 	// convergenceIntervals is for how many probe intervals the digest must have been stable, and equal to another
 	// member's, for the view to count as converged. It exceeds the time in which gossip about a new member reaches all.
 	convergenceIntervals = 10
-	// isolationIntervals is the number of probe intervals after which a member that never knew another one counts its
+	// soleMemberIntervals is the number of probe intervals after which a member that never knew another one counts its
 	// view as converged.
-	isolationIntervals = 60
+	soleMemberIntervals = 60
 )
 
 // digest returns a hash of the members that are present and their generations. It is equal at members with the same
@@ -124,7 +124,7 @@
 		return
 	}
 	digests := g.bucketDigests()
-	response := syncResponse{to: to, current: Message{Kind: KindSyncResponse}}
+	response := syncResponseBuilder{to: to, current: Message{Kind: KindSyncResponse}}
 	for _, member := range g.membersByID {
 		bucket := bucketOf(member.ID)
 		expired := !member.State.Present() && g.now-member.StateSince > g.TombstoneTTL
@@ -140,7 +140,7 @@
 }
 
 // addToSyncResponse adds the state of a member and its facts. A suspicion is left out: it ends where it began.
-func (g *Group) addToSyncResponse(response *syncResponse, member *memberRecord) {
+func (g *Group) addToSyncResponse(response *syncResponseBuilder, member *memberRecord) {
 	update := g.updateFor(member)
 	if member.State == StateSuspect {
 		update.State = StateAlive
@@ -162,15 +162,15 @@
 	}
 }
 
-// syncResponse divides the answer to a synchronization request into messages.
-type syncResponse struct {
+// syncResponseBuilder divides the answer to a synchronization request into messages.
+type syncResponseBuilder struct {
 	to       netip.AddrPort
 	current  Message // being filled
 	messages []SendMessage
 }
 
 // flush ends the current message and begins the next one with some updates.
-func (r *syncResponse) flush(updates []Update) {
+func (r *syncResponseBuilder) flush(updates []Update) {
 	r.messages = append(r.messages, SendMessage{r.to, r.current})
 	r.current = Message{Kind: KindSyncResponse, Updates: updates}
 }
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -37,26 +37,26 @@
 	removals []removal
 	// tamper changes the messages that a member sends; nil is none.
 	tamper func(from int, message *Message)
-	// disabled are the safeguards that all members do without.
-	disabled safeguard
+	// disabledSafeguards are the safeguards that all members do without.
+	disabledSafeguards safeguard
 }
 
 // simNode is one member of a cluster.
 type simNode struct {
 	*Group
-	cluster        *cluster
-	index          int
-	processRun     int // number of the current process
-	lastGeneration uint32
-	nameTaken      bool
-	view           View
-	viewCount      int
-	inbox          []Event
-	maxPerSecond   int // maximum of datagrams sent in one second
-	currentSecond  simnet.Micros
-	sentThisSecond int
-	clockSkew      Micros
-	clockDrift     float64 // relative error of the clock's rate
+	cluster          *cluster
+	index            int
+	processRun       int // number of the current process
+	lastGeneration   uint32
+	nameTaken        bool
+	view             View
+	viewCount        int
+	inbox            []Event
+	maxSentPerSecond int // maximum of datagrams sent in one second
+	currentSecond    simnet.Micros
+	sentThisSecond   int
+	clockSkew        Micros
+	clockDrift       float64 // relative error of the clock's rate
 }
 
 // removal is a present member that a view declared dead.
@@ -74,14 +74,14 @@
 }
 
 // newClusterWithout starts a cluster whose members do without some safeguards.
-func newClusterWithout(tb testing.TB, seed uint64, size int, link simnet.Link, disabled safeguard) *cluster {
+func newClusterWithout(tb testing.TB, seed uint64, size int, link simnet.Link, disabledSafeguards safeguard) *cluster {
 	tb.Helper()
 	c := &cluster{
-		t:           tb,
-		disabled:    disabled,
-		network:     simnet.New(seed, link),
-		codec:       NewCodec("test-group", []byte(testKey)),
-		indexByAddr: map[netip.AddrPort]int{},
+		t:                  tb,
+		disabledSafeguards: disabledSafeguards,
+		network:            simnet.New(seed, link),
+		codec:              NewCodec("test-group", []byte(testKey)),
+		indexByAddr:        map[netip.AddrPort]int{},
 	}
 	for i := range size {
 		node := &simNode{
@@ -153,7 +153,7 @@
 	config.Generation = n.lastGeneration
 	group, err := New(config, n.clock())
 	require.NoError(n.cluster.t, err)
-	group.disabled = n.cluster.disabled
+	group.disabledSafeguards = n.cluster.disabledSafeguards
 	n.Group = group
 	n.view = View{}
 	n.inbox = nil
@@ -232,7 +232,7 @@
 		n.sentThisSecond = 0
 	}
 	n.sentThisSecond++
-	n.maxPerSecond = max(n.maxPerSecond, n.sentThisSecond)
+	n.maxSentPerSecond = max(n.maxSentPerSecond, n.sentThisSecond)
 }
 
 // run runs the cluster for a duration of simulated time.
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -30,7 +30,7 @@
 	flagReceivedFromRequester = 1 << 1
 	allFlags                  = flagReceivedFromProber | flagReceivedFromRequester
 
-	maxKind = KindNameConflict
+	maxMessageKind = KindNameConflict
 )
 
 // The errors of Decode.
@@ -210,7 +210,7 @@
 	message.Target = ID(d.uint32())
 	message.Requester = ID(d.uint32())
 	message.Digest = d.uint32()
-	if flags > allFlags || message.Kind < KindPing || message.Kind > maxKind || message.Sender == 0 {
+	if flags > allFlags || message.Kind < KindPing || message.Kind > maxMessageKind || message.Sender == 0 {
 		d.malformed = true
 	}
 	for i := 0; i < bucketDigests && !d.malformed; i++ {
--- a/membership/detection_test.go
+++ b/membership/detection_test.go
@@ -20,7 +20,7 @@
 		digest := c.nodes[0].view.Digest
 		for _, node := range c.nodes {
 			assert.Equal(t, digest, node.view.Digest)
-			assert.LessOrEqual(t, node.maxPerSecond, 2*node.MaxSendRate, "datagrams in a second")
+			assert.LessOrEqual(t, node.maxSentPerSecond, 2*node.MaxSendRate, "datagrams in a second")
 		}
 		assert.Empty(t, c.removals)
 	}
--- a/membership/dissemination.go
+++ b/membership/dissemination.go
@@ -153,12 +153,12 @@
 		accusation.Accuser = g.self.ID
 		filler.addUpdate(accusation)
 	}
-	if len(g.updateQueue) == 0 || filler.free < minUpdateBytes {
+	if len(g.updateQueue) == 0 || filler.freeBytes < minUpdateBytes {
 		return
 	}
 	limit := g.retransmitLimit()
 	for _, queued := range g.updateQueue.inSendOrder() {
-		if filler.free < minUpdateBytes {
+		if filler.freeBytes < minUpdateBytes {
 			return
 		}
 		subject := g.members[queued.id]
--- a/membership/group.go
+++ b/membership/group.go
@@ -20,11 +20,11 @@
 type Group struct {
 	Config
 
-	now        Micros
-	lastStepAt Micros
-	rng        *rand.Rand
-	actions    []Action // to be returned by the current Step
-	disabled   safeguard
+	now                Micros
+	lastStepAt         Micros
+	rng                *rand.Rand
+	actions            []Action // to be returned by the current Step
+	disabledSafeguards safeguard
 
 	self    *memberRecord
 	members map[ID]*memberRecord
@@ -68,7 +68,7 @@
 	startedAt    Micros
 	nextExpiryAt Micros
 	leaving      bool
-	lostName     bool // another process owns this member's name
+	nameTaken    bool // another process owns this member's name
 	duplicates   int
 }
 
@@ -120,7 +120,7 @@
 func (g *Group) Step(now Micros, events ...Event) []Action {
 	g.actions = nil
 	g.now = max(now, g.now)
-	if g.lostName {
+	if g.nameTaken {
 		return nil
 	}
 	elapsed := g.now - g.lastStepAt
@@ -134,7 +134,7 @@
 	}
 	g.runProbes()
 	g.expireSuspicions()
-	g.expireState()
+	g.removeExpired()
 	g.runGossip()
 	g.sendDeferred()
 	g.publishView()
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// indirectProbeHelpers is the number of members that are asked to ping a target that sent no ack.
-	indirectProbeHelpers = 3
+	// indirectProbeHelperCount is the number of members that are asked to ping a target that sent no ack.
+	indirectProbeHelperCount = 3
 	// maxIndirectProbes bounds the probes that this member runs for others at a time.
 	maxIndirectProbes = 64
 )
@@ -15,16 +15,16 @@
 // indirectProbe is a ping that this member sent as a helper of another one.
 type indirectProbe struct {
 	requester ID
-	// requesterProbe is the number of the requester's probe.
-	requesterProbe uint32
-	target         ID
-	deadline       Micros
+	// requesterProbeNumber is the number of the requester's probe.
+	requesterProbeNumber uint32
+	target               ID
+	deadline             Micros
 }
 
 // sendPingReqs asks helpers to ping the target of a probe.
 func (g *Group) sendPingReqs(p *probe, target *memberRecord) {
 	eligible := func(member *memberRecord) bool { return member.ID != p.target && isResponsive(member) }
-	for _, helper := range g.sampleMembers(indirectProbeHelpers, eligible) {
+	for _, helper := range g.sampleMembers(indirectProbeHelperCount, eligible) {
 		p.helpers = append(p.helpers, helper.ID)
 		pingReq := Message{
 			Kind:        KindPingReq,
@@ -47,10 +47,10 @@
 	}
 	g.lastProbeNumber++
 	g.indirectProbes[g.lastProbeNumber] = indirectProbe{
-		requester:      message.Sender,
-		requesterProbe: message.ProbeNumber,
-		target:         message.Target,
-		deadline:       g.now + g.ProbeInterval/2,
+		requester:            message.Sender,
+		requesterProbeNumber: message.ProbeNumber,
+		target:               message.Target,
+		deadline:             g.now + g.ProbeInterval/2,
 	}
 	ping := Message{
 		Kind:        KindPing,
@@ -70,7 +70,7 @@
 	}
 	indirectAck := Message{
 		Kind:               KindIndirectAck,
-		ProbeNumber:        indirect.requesterProbe,
+		ProbeNumber:        indirect.requesterProbeNumber,
 		Target:             indirect.target,
 		ReceivedFromProber: ack.ReceivedFromRequester,
 	}
@@ -87,7 +87,7 @@
 		}
 		delete(g.indirectProbes, number)
 		if requester := g.members[indirect.requester]; requester != nil {
-			nack := Message{Kind: KindNack, ProbeNumber: indirect.requesterProbe, Target: indirect.target}
+			nack := Message{Kind: KindNack, ProbeNumber: indirect.requesterProbeNumber, Target: indirect.target}
 			g.send(requester.Addr, nack, requester)
 		}
 	}
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -146,11 +146,11 @@
 // soak is the configuration of a soak test: clusters in which each member pauses once a minute for up to 5 s and one
 // dies at the end.
 type soak struct {
-	runs     int
-	size     int
-	minutes  int
-	loss     float64
-	disabled safeguard
+	runs               int
+	size               int
+	minutes            int
+	loss               float64
+	disabledSafeguards safeguard
 }
 
 // run runs the clusters in parallel.
@@ -158,7 +158,7 @@
 	t.Helper()
 	var mu sync.Mutex
 	var sum soakResult
-	t.Run(fmt.Sprint(s.loss, s.disabled), func(t *testing.T) {
+	t.Run(fmt.Sprint(s.loss, s.disabledSafeguards), func(t *testing.T) {
 		for seed := range uint64(s.runs) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
@@ -175,7 +175,7 @@
 
 func (s soak) runOnce(t *testing.T, seed uint64) soakResult {
 	t.Helper()
-	c := newClusterWithout(t, seed, s.size, simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: s.loss}, s.disabled)
+	c := newClusterWithout(t, seed, s.size, simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: s.loss}, s.disabledSafeguards)
 	c.run(120 * second)
 	c.removals = nil
 	datagramsBefore := c.datagrams
@@ -230,8 +230,8 @@
 // The same with each safeguard disabled in turn: its effect, and its cost in time until a death is known.
 func TestMeasureSafeguardsDisabled(t *testing.T) {
 	for _, testCase := range []struct {
-		name     string
-		disabled safeguard
+		name               string
+		disabledSafeguards safeguard
 	}{
 		{"all in force", 0},
 		{"without repeated pings", probeRetry},
@@ -242,7 +242,7 @@
 		{"without comparison of accusers", accuserComparison},
 	} {
 		for _, loss := range []float64{0.1, 0.3} {
-			result := soak{runs: 4, size: 40, minutes: 10, loss: loss, disabled: testCase.disabled}.run(t)
+			result := soak{runs: 4, size: 40, minutes: 10, loss: loss, disabledSafeguards: testCase.disabledSafeguards}.run(t)
 			median, maximum := medianAndMax(result.detectionSeconds)
 			t.Logf("%-34s loss %2.0f %%: %3d false positives in %.0f member-hours; a death known to all after %.1f s (most %.1f), %d of %d not within 2 min; %.1f datagrams a member and second",
 				testCase.name, 100*loss, result.falsePositives, result.memberHours, median, maximum, result.undetected, result.runs, result.datagramRate)
--- a/membership/member.go
+++ b/membership/member.go
@@ -37,21 +37,21 @@
 	return [...]string{"unknown", "reachable", "one-way", "through others", "unreachable"}[min(r, Unreachable)]
 }
 
-// presumed maps unknown to reachable: the first successful probe of a member is not a change of the view.
-func (r Reachability) presumed() Reachability { return max(r, Reachable) }
+// unknownAsReachable maps unknown to reachable: the first successful probe of a member is not a change of the view.
+func (r Reachability) unknownAsReachable() Reachability { return max(r, Reachable) }
 
 // Reasons for a member's state, as operators see them.
 const (
-	reasonDiscovered      = "told of"
-	reasonRefuted         = "speaks for itself"
-	reasonRestarted       = "started anew"
-	reasonNoAck           = "no answer to this member"
-	reasonNoAckToOthers   = "others had no answer"
-	reasonReportedDead    = "another holds it to be dead"
-	reasonPortUnreachable = "nothing listens at its address"
-	reasonDeathConfirmed  = "the others agreed"
-	reasonLeft            = "left as planned"
-	reasonTimedOutSuffix  = "; it did not answer in time"
+	reasonDiscovered       = "told of"
+	reasonRefuted          = "speaks for itself"
+	reasonRestarted        = "started anew"
+	reasonNoAck            = "no answer to this member"
+	reasonSuspectedByOther = "others had no answer"
+	reasonReportedDead     = "another holds it to be dead"
+	reasonPortUnreachable  = "nothing listens at its address"
+	reasonDeathConfirmed   = "the others agreed"
+	reasonLeft             = "left as planned"
+	reasonTimedOutSuffix   = "; it did not answer in time"
 )
 
 // Member is one member of a View.
@@ -102,10 +102,10 @@
 	nameClaim *nameClaim
 	// facts are the member's facts by name.
 	facts map[string]*storedFact
-	// received detects duplicates of the member's messages.
-	received replayWindow
-	// resurrections counts, up to maxResurrections, how often the member was declared dead and proved to be alive.
-	resurrections int
+	// replayWindow detects duplicates of the member's messages.
+	replayWindow replayWindow
+	// refutedDeaths counts, up to maxResurrections, how often the member was declared dead and proved to be alive.
+	refutedDeaths int
 	// accusationsMade and accusationsRefuted count the suspicions that the member raised, and those of them that the
 	// suspect refuted.
 	accusationsMade    int
--- a/membership/members.go
+++ b/membership/members.go
@@ -76,19 +76,19 @@
 }
 
 func (g *Group) setReachability(member *memberRecord, reachability Reachability) {
-	if member.Reachability.presumed() != reachability.presumed() {
+	if member.Reachability.unknownAsReachable() != reachability.unknownAsReachable() {
 		g.markViewDirty()
 	}
 	member.Reachability = reachability
 }
 
-// expireState removes expired facts and tombstones, once per probe interval.
-func (g *Group) expireState() {
+// removeExpired removes expired facts and tombstones, once per probe interval.
+func (g *Group) removeExpired() {
 	if g.now < g.nextExpiryAt {
 		return
 	}
 	g.nextExpiryAt = g.now + g.ProbeInterval
-	if len(g.members) == 1 && g.now-g.startedAt >= isolationIntervals*g.ProbeInterval {
+	if len(g.members) == 1 && g.now-g.startedAt >= soleMemberIntervals*g.ProbeInterval {
 		g.markConverged()
 	}
 	for _, member := range g.membersByID {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -95,17 +95,17 @@
 		return
 	}
 	if update.Generation > member.Generation {
-		if g.nameVacant(member, update.Addr, update.Generation) {
+		if g.acceptNameClaim(member, update.Addr, update.Generation) {
 			g.replaceProcess(member, update.Generation, update.Incarnation, update.Addr)
 		}
 		return
 	}
 	if member.State == StateSuspect {
-		g.creditRefutation(member)
+		g.countRefutation(member)
 	}
 	if member.State == StateDead {
 		// The same process is still there: it was not dead, but slower than its suspicion timeout.
-		member.resurrections = min(member.resurrections+1, maxResurrections)
+		member.refutedDeaths = min(member.refutedDeaths+1, maxRefutedDeaths)
 	}
 	member.Incarnation = update.Incarnation
 	member.Addr = update.Addr
@@ -134,7 +134,7 @@
 	if accuser == 0 {
 		accuser = from
 	}
-	g.suspect(member, update.Incarnation, accuser, reasonNoAckToOthers)
+	g.suspect(member, update.Incarnation, accuser, reasonSuspectedByOther)
 }
 
 // applyDeparture merges a report that a member is dead or has left.
@@ -143,7 +143,7 @@
 		return
 	}
 	if update.State == StateDead {
-		if g.hasFreshContact(member) {
+		if g.contactContradictsDeath(member) {
 			// This member knows better. The reported one is notified, so that it refutes the report.
 			g.send(member.Addr, Message{Kind: KindGossip, Updates: []Update{update}}, member)
 			return
@@ -152,7 +152,7 @@
 			return
 		}
 	}
-	if from != member.ID && !g.departureConfirmed(member, update, from) {
+	if from != member.ID && !g.confirmDeparture(member, update, from) {
 		return
 	}
 	member.Incarnation = max(member.Incarnation, update.Incarnation)
@@ -163,14 +163,14 @@
 	g.markDeparted(member, update.State, reason)
 }
 
-// hasFreshContact reports whether a message of an alive member arrived within the last probe interval.
-func (g *Group) hasFreshContact(member *memberRecord) bool {
+// contactContradictsDeath reports whether a message of an alive member arrived within the last probe interval.
+func (g *Group) contactContradictsDeath(member *memberRecord) bool {
 	return member.State == StateAlive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
 }
 
-// departureConfirmed records a report that a member is dead or left, and reports whether enough members confirm it. A
+// confirmDeparture records a report that a member is dead or left, and reports whether enough members confirm it. A
 // single report of a death may be wrong or a lie, so it only counts as a suspicion, which the member can refute.
-func (g *Group) departureConfirmed(member *memberRecord, update Update, from ID) bool {
+func (g *Group) confirmDeparture(member *memberRecord, update Update, from ID) bool {
 	reporter := g.members[from]
 	if reporter == nil || g.distrusts(reporter) {
 		return false
@@ -189,7 +189,7 @@
 // applyUpdateAboutSelf refutes updates about this member that are wrong.
 func (g *Group) applyUpdateAboutSelf(update Update) {
 	if update.Generation > g.self.Generation && update.Generation < math.MaxUint32 {
-		g.exceedGeneration(update.Generation)
+		g.raiseGeneration(update.Generation)
 		return
 	}
 	if update.Generation < g.self.Generation || update.State == StateAlive || g.leaving {
@@ -203,9 +203,9 @@
 	}
 }
 
-// exceedGeneration continues this member with a generation after one that others know of its name. Either the clock was
+// raiseGeneration continues this member with a generation after one that others know of its name. Either the clock was
 // set back between two starts, or another process owns the name; the others find out which as they check the claim.
-func (g *Group) exceedGeneration(known uint32) {
+func (g *Group) raiseGeneration(known uint32) {
 	g.logf("the name %s is known with a later generation: this member continues with a higher one", g.Name)
 	g.Generation = known + 1
 	g.self.Generation = known + 1
--- a/membership/message.go
+++ b/membership/message.go
@@ -64,18 +64,18 @@
 
 // messageFiller adds updates and facts to a message as long as they fit.
 type messageFiller struct {
-	message *Message
-	free    int // bytes
+	message   *Message
+	freeBytes int // bytes
 }
 
 func newMessageFiller(message *Message) messageFiller {
-	return messageFiller{message: message, free: message.freeBytes()}
+	return messageFiller{message: message, freeBytes: message.freeBytes()}
 }
 
 // addUpdate adds an update if it fits and none of the same member and accuser is there. It reports whether it did.
 func (f *messageFiller) addUpdate(update Update) bool {
 	size := update.encodedSize()
-	if size > f.free {
+	if size > f.freeBytes {
 		return false
 	}
 	duplicate := slices.ContainsFunc(f.message.Updates, func(other Update) bool {
@@ -85,17 +85,17 @@
 		return false
 	}
 	f.message.Updates = append(f.message.Updates, update)
-	f.free -= size
+	f.freeBytes -= size
 	return true
 }
 
 // addFact adds a fact if it fits, and reports whether it did.
 func (f *messageFiller) addFact(fact Fact) bool {
 	size := fact.encodedSize()
-	if size > f.free {
+	if size > f.freeBytes {
 		return false
 	}
 	f.message.Facts = append(f.message.Facts, fact)
-	f.free -= size
+	f.freeBytes -= size
 	return true
 }
--- a/membership/name_claim.go
+++ b/membership/name_claim.go
@@ -21,7 +21,7 @@
 		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(member)}}, nil)
 		return false
 	}
-	if !g.nameVacant(member, from, message.Generation) {
+	if !g.acceptNameClaim(member, from, message.Generation) {
 		return false
 	}
 	g.replaceProcess(member, message.Generation, message.Incarnation, from)
@@ -29,9 +29,9 @@
 	return true
 }
 
-// nameVacant reports whether another process may take over the name of a member. If the owner may still be alive, the
+// acceptNameClaim reports whether another process may take over the name of a member. If the owner may still be alive, the
 // claim is recorded and the owner is pinged; an owner that answers keeps its name.
-func (g *Group) nameVacant(member *memberRecord, from netip.AddrPort, generation uint32) bool {
+func (g *Group) acceptNameClaim(member *memberRecord, from netip.AddrPort, generation uint32) bool {
 	sameAddress := from == member.Addr // an address has one process at a time
 	if !member.State.Present() || member.portUnreachable || sameAddress {
 		return true
@@ -64,19 +64,19 @@
 	member.Generation = generation
 	member.Incarnation = incarnation
 	member.Addr = addr
-	member.received = replayWindow{}
+	member.replayWindow = replayWindow{}
 	member.lastMessageAt = 0
 	member.portUnreachable = false
 	member.nameClaim = nil
-	member.resurrections = 0
+	member.refutedDeaths = 0
 	clear(member.facts)
 	g.digestCached = false
 	g.setState(member, StateAlive, reasonRestarted)
 	g.queueMember(member)
 }
 
-// handleNameClash handles a message of another process with this member's name. The earlier generation keeps the name.
-func (g *Group) handleNameClash(from netip.AddrPort, message Message) {
+// handleDuplicateName handles a message of another process with this member's name. The earlier generation keeps the name.
+func (g *Group) handleDuplicateName(from netip.AddrPort, message Message) {
 	if message.Generation > g.self.Generation {
 		g.logf("another member at %v has this one's name", from)
 		g.send(from, Message{Kind: KindNameConflict, Target: g.self.ID}, nil)
@@ -105,6 +105,6 @@
 // giveUpName ends this member's part in the group, since the member at an address owns its name.
 func (g *Group) giveUpName(owner netip.AddrPort) {
 	g.logf("the name %s is taken by the member at %v: this one is refused", g.Name, owner)
-	g.lostName = true
+	g.nameTaken = true
 	g.emit(NameTaken{owner})
 }
--- a/membership/partition_test.go
+++ b/membership/partition_test.go
@@ -85,10 +85,10 @@
 func TestOneWayZonePartition(t *testing.T) {
 	t.Parallel()
 	const size, zoneSize = 30, 10
-	for _, zoneIsDeaf := range []bool{false, true} {
+	for _, zoneReceivesNothing := range []bool{false, true} {
 		c := newConvergedCluster(t, 14, size)
 		from, to := nodeRange(0, zoneSize), nodeRange(zoneSize, size)
-		if zoneIsDeaf {
+		if zoneReceivesNothing {
 			from, to = to, from
 		}
 		inZone := c.nodes[5]
@@ -99,7 +99,7 @@
 		c.run(60 * second)
 		t.Logf(
 			"deaf %v: the larger part sees %d present, trusted %v; the zone %d, trusted %v; %d views in the second minute",
-			zoneIsDeaf,
+			zoneReceivesNothing,
 			outside.view.PresentCount(),
 			outside.view.Trusted,
 			inZone.view.PresentCount(),
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -3,9 +3,9 @@
 import "slices"
 
 const (
-	// probeAttempts is the number of intervals into which a probe's time is divided: the ping is sent at the start of
+	// probeTimeSlots is the number of intervals into which a probe's time is divided: the ping is sent at the start of
 	// the first one and repeated at the start of the others.
-	probeAttempts = 4
+	probeTimeSlots = 4
 	// maxLocalHealth is the worst local health score, which extends time limits by a factor of five.
 	maxLocalHealth = 8
 	// minAnsweredProbes is how many of the last probeOutcomeCount probes somebody must have answered for the view to be
@@ -84,7 +84,7 @@
 		number:        g.lastProbeNumber,
 		target:        target.ID,
 		startedAt:     g.now,
-		nextAttemptAt: g.now + g.scaleByLocalHealth(g.ProbeInterval/probeAttempts),
+		nextAttemptAt: g.now + g.scaleByLocalHealth(g.ProbeInterval/probeTimeSlots),
 		deadline:      g.now + g.scaleByLocalHealth(g.ProbeInterval),
 	}
 	g.pendingProbes = append(g.pendingProbes, p)
@@ -98,7 +98,7 @@
 // retryProbe repeats the ping of a probe and, the first time, asks helpers to ping the target.
 func (g *Group) retryProbe(p *probe) {
 	target := g.members[p.target]
-	p.nextAttemptAt += (p.deadline - p.startedAt) / probeAttempts
+	p.nextAttemptAt += (p.deadline - p.startedAt) / probeTimeSlots
 	if target == nil || p.nextAttemptAt >= p.deadline {
 		return
 	}
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -11,7 +11,7 @@
 	switch {
 	case message.Sender == g.self.ID:
 		if message.Generation != g.self.Generation && event.From != g.Addr {
-			g.handleNameClash(event.From, message)
+			g.handleDuplicateName(event.From, message)
 		}
 		return
 	case message.Kind == KindNameConflict:
@@ -46,7 +46,7 @@
 	if sender.Generation != message.Generation && !g.acceptSuccessor(sender, event.From, message) {
 		return false
 	}
-	if !sender.received.accept(message.MessageNumber) {
+	if !sender.replayWindow.accept(message.MessageNumber) {
 		g.duplicates++
 		return false
 	}
--- a/membership/safeguard.go
+++ b/membership/safeguard.go
@@ -14,4 +14,4 @@
 )
 
 // enabled reports whether a safeguard is in force.
-func (g *Group) enabled(measure safeguard) bool { return g.disabled&measure == 0 }
+func (g *Group) enabled(measure safeguard) bool { return g.disabledSafeguards&measure == 0 }
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -3,21 +3,21 @@
 import "net/netip"
 
 const (
-	// maxAccusers is the number of independent accusers at which the suspicion timeout is shortest.
-	maxAccusers = 3
-	// maxResurrections bounds how often the suspicion timeout of a member doubles.
-	maxResurrections = 2
+	// maxCountedAccusers is the number of independent accusers at which the suspicion timeout is shortest.
+	maxCountedAccusers = 3
+	// maxRefutedDeaths bounds how often the suspicion timeout of a member doubles.
+	maxRefutedDeaths = 2
 	// unreachablePortDivisor shortens the suspicion timeout of a member at whose address no process listens.
 	unreachablePortDivisor = 4
-	// minTimeoutIntervals is the shortest suspicion timeout, in probe intervals.
-	minTimeoutIntervals = 2
+	// minSuspicionTimeoutIntervals is the shortest suspicion timeout, in probe intervals.
+	minSuspicionTimeoutIntervals = 2
 
 	// minRefutations is how many refuted accusations are needed at least for an accuser to be distrusted.
 	minRefutations = 5
 	// refutationOutlierFactor is how many times the average of the others' refuted accusations a distrusted accuser has.
 	refutationOutlierFactor = 3
-	// maxAccusations is the number of accusations beyond which an accuser's counts are halved, so that old ones fade.
-	maxAccusations = 40
+	// accusationDecayThreshold is the number of accusations beyond which an accuser's counts are halved, so that old ones fade.
+	accusationDecayThreshold = 40
 )
 
 // suspect adds an accuser's suspicion of an incarnation of a member. Independent accusers shorten the time that the
@@ -37,7 +37,7 @@
 		g.setState(member, StateSuspect, reason)
 	}
 	setEntry(&member.accusers, accuser, true)
-	if len(member.accusers) <= maxAccusers {
+	if len(member.accusers) <= maxCountedAccusers {
 		g.queueUpdate(updateKey{id: member.ID, accuser: accuser})
 	}
 }
@@ -84,13 +84,13 @@
 // configured timeout to the configured one as accusers are added, and is a quarter of that if no process listens at the
 // suspect's address. It doubles with each resurrection, so that a member whose messages are slow does not flap.
 func (g *Group) suspicionTimeout(member *memberRecord) Micros {
-	accusers := min(len(member.accusers), maxAccusers)
-	timeout := g.SuspicionTimeout * Micros(2*maxAccusers-accusers+1) / Micros(maxAccusers+1)
+	accusers := min(len(member.accusers), maxCountedAccusers)
+	timeout := g.SuspicionTimeout * Micros(2*maxCountedAccusers-accusers+1) / Micros(maxCountedAccusers+1)
 	if member.portUnreachable && accusers >= 1 {
 		timeout = g.SuspicionTimeout / unreachablePortDivisor
 	}
-	timeout = max(timeout, minTimeoutIntervals*g.ProbeInterval)
-	return g.scaleByLocalHealth(timeout) << member.resurrections
+	timeout = max(timeout, minSuspicionTimeoutIntervals*g.ProbeInterval)
+	return g.scaleByLocalHealth(timeout) << member.refutedDeaths
 }
 
 // handlePortUnreachable suspects the member at an address where no process listens.
@@ -134,14 +134,14 @@
 	return accuser.accusationsRefuted*others > refutationOutlierFactor*refutedOfOthers
 }
 
-// creditRefutation counts a refutation against each accuser of the suspect.
-func (g *Group) creditRefutation(suspect *memberRecord) {
+// countRefutation counts a refutation against each accuser of the suspect.
+func (g *Group) countRefutation(suspect *memberRecord) {
 	for _, accuser := range g.membersByID {
 		if !suspect.accusers[accuser.ID] {
 			continue
 		}
 		accuser.accusationsRefuted++
-		if accuser.accusationsMade > maxAccusations {
+		if accuser.accusationsMade > accusationDecayThreshold {
 			accuser.accusationsMade /= 2
 			accuser.accusationsRefuted /= 2
 		}
--- a/membership/view.go
+++ b/membership/view.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// recentSightIntervals is for how many probe intervals an ack counts in Member.SeenByCount.
-	recentSightIntervals = 10
+	// recentlySeenIntervals is for how many probe intervals an ack counts in Member.SeenByCount.
+	recentlySeenIntervals = 10
 	// maxViewDelayTimeouts is the longest delay of a view, in suspicion timeouts.
 	maxViewDelayTimeouts = 2
-	// imminentIntervals is how many probe intervals before its end a suspicion delays the view.
-	imminentIntervals = 2
+	// imminentDeathIntervals is how many probe intervals before its end a suspicion delays the view.
+	imminentDeathIntervals = 2
 )
 
 // View is one member's view of the group.
@@ -87,7 +87,7 @@
 	return m.ID == other.ID &&
 		m.Generation == other.Generation &&
 		max(m.State, StateSuspect) == max(other.State, StateSuspect) &&
-		m.Reachability.presumed() == other.Reachability.presumed() &&
+		m.Reachability.unknownAsReachable() == other.Reachability.unknownAsReachable() &&
 		m.Addr == other.Addr &&
 		m.Distrusted == other.Distrusted &&
 		slices.EqualFunc(m.Facts, other.Facts, sameFact)
@@ -125,7 +125,7 @@
 	return slices.ContainsFunc(g.membersByID, func(member *memberRecord) bool {
 		return member.State == StateSuspect &&
 			len(member.accusers) > 1 &&
-			g.remainingSuspicion(member) < imminentIntervals*g.ProbeInterval
+			g.remainingSuspicion(member) < imminentDeathIntervals*g.ProbeInterval
 	})
 }
 
@@ -150,7 +150,7 @@
 		snapshot.SeenByCount = 1
 	}
 	for _, seenAt := range member.lastSeenBy {
-		if g.now-seenAt < recentSightIntervals*g.ProbeInterval {
+		if g.now-seenAt < recentlySeenIntervals*g.ProbeInterval {
 			snapshot.SeenByCount++
 		}
 	}
