--- a/membership/anti_entropy.go
+++ b/membership/anti_entropy.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// bucketCount is the number of parts into which the members are divided for synchronization, so that only the parts
-	// that differ are sent.
+	// bucketCount is the number of buckets into which the members are divided by ID for synchronization, so that only
+	// buckets that differ are sent.
 	bucketCount = 16
-	// digestMismatchIntervals is for how many probe intervals digests must differ before synchronization is requested.
-	// Gossip resolves shorter differences.
+	// digestMismatchIntervals is the number of probe intervals for which digests must differ before synchronization is
+	// requested. Gossip resolves shorter differences.
 	digestMismatchIntervals = 5
-	// convergenceIntervals is for how many probe intervals the digest must have been stable, and equal to another
-	// member's, for the view to count as converged. It exceeds the time in which gossip about a new member reaches all.
+	// convergenceIntervals is the number of probe intervals for which the digest must not have changed when a message
+	// with an equal digest arrives, for the view to count as converged. It exceeds the time in which gossip about a new
+	// member reaches all members.
 	convergenceIntervals = 10
-	// soleMemberIntervals is the number of probe intervals after which a member that never knew another one counts its
-	// view as converged.
+	// soleMemberIntervals is the number of probe intervals after which the view of a member that knows no other member
+	// counts as converged.
 	soleMemberIntervals = 60
 )
 
-// digest returns a hash of the members that are present and their generations. It is equal at members with the same
-// view.
+// digest returns a hash of the IDs and generations of the members that are present. It is equal at members that see the
+// same members as present.
 func (g *Group) digest() uint32 {
 	if g.digestCached {
 		return g.cachedDigest
@@ -43,7 +44,7 @@
 	return digest
 }
 
-// bucketDigests returns a hash of the full state of the members of each bucket.
+// bucketDigests returns, for each bucket, a hash of the full state of its members.
 func (g *Group) bucketDigests() []uint32 {
 	digests := make([]uint32, bucketCount)
 	for _, member := range g.membersByID {
@@ -54,7 +55,8 @@
 
 func bucketOf(id ID) uint32 { return uint32(id) % bucketCount }
 
-// presenceHash returns a hash of the member's generation, an incarnation and whether the member is present.
+// presenceHash returns a hash of the member's ID and generation, of an incarnation and of whether the member is
+// present.
 func (m *memberRecord) presenceHash(incarnation uint32) uint32 {
 	present := byte(0)
 	if m.State.Present() {
@@ -70,7 +72,8 @@
 	return h.Sum32()
 }
 
-// fullHash returns a hash that also covers the member's incarnation and its facts, in any order of these.
+// fullHash returns a hash that also covers the member's incarnation and facts. It does not depend on the order of the
+// facts.
 func (m *memberRecord) fullHash() uint32 {
 	hash := m.presenceHash(m.Incarnation)
 	for _, fact := range m.facts {
@@ -79,7 +82,7 @@
 	return hash
 }
 
-// markConverged records that the view is complete as far as can be known. It stays so.
+// markConverged marks the view as converged. The mark is never removed.
 func (g *Group) markConverged() {
 	if !g.converged {
 		g.converged = true
@@ -87,8 +90,8 @@
 	}
 }
 
-// compareDigest compares the digest in a message with this member's and requests synchronization if they have differed
-// for too long.
+// compareDigest compares the digest in a message with this member's. It marks the view as converged if they are equal
+// and this member's is stable, and requests synchronization if they have differed for too long.
 func (g *Group) compareDigest(sender *memberRecord, message Message) {
 	if message.Digest == g.digest() {
 		g.digestDiffersSince = 0
@@ -107,7 +110,8 @@
 	}
 }
 
-// requestSync requests the state that another member holds differently. The recipient is nil if it is not a member.
+// requestSync requests the state of another member as far as it differs from this member's. The recipient is nil if it
+// is not a known member.
 func (g *Group) requestSync(to netip.AddrPort, recipient *memberRecord) {
 	request := Message{
 		Kind:          KindSyncRequest,
@@ -117,8 +121,8 @@
 	g.send(to, request, recipient)
 }
 
-// answerSyncRequest queues the members of all buckets that differ, as synchronization responses that are sent as the
-// send budget allows. A request is ignored while others are still being answered.
+// answerSyncRequest queues synchronization responses with the members of all buckets that differ. They are sent as the
+// send budget permits. A request is ignored while messages are still deferred, such as responses to earlier requests.
 func (g *Group) answerSyncRequest(to netip.AddrPort, requester *memberRecord, request Message) {
 	if len(request.BucketDigests) != bucketCount || len(g.deferredSends) > 0 {
 		return
@@ -139,7 +143,8 @@
 	g.deferredSends = append(g.deferredSends, response.messages...)
 }
 
-// addToSyncResponse adds the state of a member and its facts. A suspicion is left out: it ends where it began.
+// addToSyncResponse adds the state of a member and its facts. A suspect is sent as alive: the members that suspect it
+// decide the suspicion and disseminate the outcome.
 func (g *Group) addToSyncResponse(response *syncResponseBuilder, member *memberRecord) {
 	update := g.updateFor(member)
 	if member.State == StateSuspect {
@@ -155,21 +160,21 @@
 			continue
 		}
 		if fact.encodedSize() > response.current.freeBytes() {
-			// The update is repeated, because facts of an unknown member are dropped and messages may be reordered.
+			// The update is repeated because messages may be reordered and facts of an unknown member are dropped.
 			response.flush([]Update{update})
 		}
 		response.current.Facts = append(response.current.Facts, fact)
 	}
 }
 
-// syncResponseBuilder divides the answer to a synchronization request into messages.
+// syncResponseBuilder divides the response to a synchronization request into messages that fit into datagrams.
 type syncResponseBuilder struct {
 	to       netip.AddrPort
-	current  Message // being filled
-	messages []SendMessage
+	current  Message       // the message that is being filled
+	messages []SendMessage // the complete messages
 }
 
-// flush ends the current message and begins the next one with some updates.
+// flush completes the current message and starts the next one with some updates.
 func (r *syncResponseBuilder) flush(updates []Update) {
 	r.messages = append(r.messages, SendMessage{r.to, r.current})
 	r.current = Message{Kind: KindSyncResponse, Updates: updates}
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -11,16 +11,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxDatagramSize is the maximum size of a datagram in bytes. The platform permits no longer ones.
+// MaxDatagramSize is the maximum size of a datagram in bytes, which is a limit of the platform.
 const MaxDatagramSize = 256
 
-// The wire format, in big-endian byte order: wire version, kind, flags, counts of bucket digests, updates and facts (a
-// byte each); group, sender, generation, incarnation, message number, probe number, target, requester, digest (4 bytes
-// each); bucket digests; updates; facts; the authenticator of all that.
+// The wire format, in big-endian byte order: wire version, kind, flags, and the counts of bucket digests, updates and
+// facts (1 byte each); group, sender, generation, incarnation, message number, probe number, target, requester and
+// digest (4 bytes each); bucket digests; updates; facts; the authenticator of all preceding bytes.
 const (
 	wireVersion       = 1
 	uint32Size        = 4
-	groupOffset       = 6 // of the group's number in the datagram
+	groupOffset       = 6 // offset of the group's hash in the datagram
 	headerSize        = groupOffset + 9*uint32Size
 	authenticatorSize = 8
 	ipv4Size          = 4
@@ -33,7 +33,7 @@
 	maxMessageKind = KindNameConflict
 )
 
-// The errors of Decode.
+// The errors that Decode returns.
 var (
 	// ErrMalformed means that a datagram does not have the wire format.
 	ErrMalformed = errors.New("malformed datagram")
@@ -45,14 +45,14 @@
 	ErrUnknownVersion = errors.New("datagram of an unknown wire version")
 )
 
-// Codec encodes and decodes the messages of one group. With a key, an HMAC authenticates them; without, a checksum
-// detects accidental changes only.
+// Codec encodes and decodes the messages of one group. With a key, an HMAC authenticates the messages; without one, a
+// checksum only detects accidental changes.
 type Codec struct {
 	group uint32
 	key   []byte
 }
 
-// NewCodec returns the codec of a group's name and its key, which may be empty.
+// NewCodec returns a codec for the group with the given name and key. The key may be empty.
 func NewCodec(group string, key []byte) *Codec {
 	h := fnv.New32a()
 	h.Write([]byte(group)) // never fails
@@ -69,7 +69,7 @@
 	return mac.Sum(nil)[:authenticatorSize]
 }
 
-// encodedSize returns the size of the update on the wire in bytes.
+// encodedSize returns the size of the encoded update in bytes.
 func (u Update) encodedSize() int {
 	const numbers = 4 * uint32Size // ID, generation, incarnation, accuser
 	const state = 1
@@ -77,16 +77,17 @@
 	return numbers + state + addr + stringSize(u.Name) + stringSize(u.Zone)
 }
 
-// encodedSize returns the size of the fact on the wire in bytes.
+// encodedSize returns the size of the encoded fact in bytes.
 func (f Fact) encodedSize() int {
 	const numbers = 3 * uint32Size // owner, version, TTL
 	return numbers + stringSize(f.Name) + stringSize(f.Value)
 }
 
-// stringSize returns the size of a string on the wire, where a byte with its length precedes it.
+// stringSize returns the size of an encoded string in bytes. Its length precedes it as one byte.
 func stringSize(s string) int { return 1 + len(s) }
 
-// AppendEncode appends the encoded message to a buffer. The message must fit into a datagram.
+// AppendEncode appends the encoded message to a buffer and returns the extended buffer. The message must fit into a
+// datagram.
 func (c *Codec) AppendEncode(buffer []byte, message Message) []byte {
 	start := len(buffer)
 	buffer = c.appendHeader(buffer, message)
@@ -162,8 +163,8 @@
 	return append(buffer, s...)
 }
 
-// Decode decodes and authenticates a datagram. It returns one of the package's errors if the datagram is not a message
-// of the group; such a datagram must be dropped.
+// Decode authenticates and decodes a datagram. If the datagram is not a valid message of the group, Decode returns
+// ErrMalformed, ErrOtherGroup, ErrUnauthenticated or ErrUnknownVersion, and the datagram must be dropped.
 func (c *Codec) Decode(datagram []byte) (Message, error) {
 	switch {
 	case len(datagram) < headerSize+authenticatorSize || len(datagram) > MaxDatagramSize:
@@ -186,13 +187,13 @@
 	return message, nil
 }
 
-// decoder reads the fields of a datagram. Missing bytes read as zero and set malformed.
+// decoder reads the fields of a datagram. Reading past the end returns zeros and sets malformed.
 type decoder struct {
 	rest      []byte
 	malformed bool
 }
 
-// message reads a message after its wire version.
+// message reads a message from the byte after the wire version.
 func (d *decoder) message() Message {
 	message := Message{Kind: MessageKind(d.byte())}
 	flags := d.byte()
@@ -201,7 +202,7 @@
 	bucketDigests := int(d.byte())
 	updates := int(d.byte())
 	facts := int(d.byte())
-	d.uint32() // the group, which was checked
+	d.uint32() // the group, which Decode has checked
 	message.Sender = ID(d.uint32())
 	message.Generation = d.uint32()
 	message.Incarnation = d.uint32()
@@ -254,6 +255,7 @@
 	}
 }
 
+// take returns the next bytes of the datagram.
 func (d *decoder) take(size int) []byte {
 	if size > len(d.rest) {
 		d.malformed = true
@@ -269,6 +271,7 @@
 
 func (d *decoder) uint32() uint32 { return binary.BigEndian.Uint32(d.take(uint32Size)) }
 
+// string reads a string. A length above the maximum sets malformed.
 func (d *decoder) string(maxLength int) string {
 	length := int(d.byte())
 	if length > maxLength {
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -8,16 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Each invalid field must be rejected with an error that names it, because the protocol cannot work with such a value.
 func TestConfigValidate(t *testing.T) {
 	valid := testConfig(1)
 	require.NoError(t, valid.Validate())
 	for field, invalidate := range map[string]func(*Config){
-		"name":    func(c *Config) { c.Name = "" },
-		"zone":    func(c *Config) { c.Zone = "a zone with a name beyond all bounds" },
-		"address": func(c *Config) { c.Addr = netip.AddrPort{} },
-		"period":  func(c *Config) { c.ProbeInterval = 0 },
-		"hold":    func(c *Config) { c.SuspicionTimeout = c.ProbeInterval - 1 },
-		"budget":  func(c *Config) { c.MaxSendRate = 0 },
+		"name":            func(c *Config) { c.Name = "" },
+		"zone":            func(c *Config) { c.Zone = "a zone with a name beyond all bounds" },
+		"address":         func(c *Config) { c.Addr = netip.AddrPort{} },
+		"period":          func(c *Config) { c.ProbeInterval = 0 },
+		"hold":            func(c *Config) { c.SuspicionTimeout = c.ProbeInterval - 1 },
+		"datagrams_per_s": func(c *Config) { c.MaxSendRate = 0 },
 	} {
 		invalid := valid
 		invalidate(&invalid)
--- a/membership/dissemination.go
+++ b/membership/dissemination.go
@@ -8,43 +8,45 @@
 )
 
 const (
-	// retransmitMultiplier times the binary logarithm of the group's size is the retransmit limit.
+	// retransmitMultiplier is the factor by which the binary logarithm of the group's size is multiplied to obtain the
+	// retransmit limit.
 	retransmitMultiplier = 3
-	// gossipFanout is the number of members that receive each round of gossip.
+	// gossipFanout is the number of members to which gossip is sent in each round.
 	gossipFanout = 2
 	// gossipsPerProbeInterval is the number of gossip rounds in a probe interval.
 	gossipsPerProbeInterval = 4
-	// gossipReserveDivisor gives the share of the send budget that gossip leaves to acks: one part in so many.
+	// gossipReserveDivisor is the divisor of MaxSendRate that yields the part of the send budget reserved for acks.
 	gossipReserveDivisor = 4
-	// minUpdateBytes is the free space of a message below which no update is looked for.
+	// minUpdateBytes is the number of free bytes in a message below which the queue is not searched for further
+	// updates.
 	minUpdateBytes = 20
-	// reconnectIntervals is the mean number of probe intervals between two attempts to reach a dead member or a seed.
+	// reconnectIntervals is the mean number of probe intervals between two attempts to contact a dead member or a seed.
 	reconnectIntervals = 5
-	// The time between two reconnects varies at random from minReconnectPercent of the mean, by reconnectJitterPercent.
+	// The time between two reconnects is random, from minReconnectPercent of the mean to reconnectJitterPercent more.
 	minReconnectPercent    = 80
 	reconnectJitterPercent = 40
-	// isolatedReconnectFanout is the number of seeds that a member which knows nobody contacts at a time.
+	// isolatedReconnectFanout is the number of seeds that are contacted at a time while no other member is present.
 	isolatedReconnectFanout = 3
 )
 
-// updateKey is the subject of a queued update: a member, one accuser's suspicion of it, or one of its facts.
+// updateKey identifies the subject of a queued update: a member, one accuser's suspicion of it, or one of its facts.
 type updateKey struct {
 	id       ID
-	accuser  ID     // 0: not a suspicion
-	factName string // empty: not a fact
+	accuser  ID     // 0 if the subject is not a suspicion
+	factName string // empty if the subject is not a fact
 }
 
-// queuedUpdate is an update or fact that is below its retransmit limit. What is sent is the subject's state at the time
-// of sending.
+// queuedUpdate is an update or fact whose retransmit limit is not reached yet. It has no content: the message contains
+// the subject's state at the time of sending.
 type queuedUpdate struct {
 	updateKey
 	transmissions int
 }
 
-// updateQueue holds what is to be disseminated.
+// updateQueue holds the updates and facts to disseminate.
 type updateQueue map[updateKey]*queuedUpdate
 
-// inSendOrder returns the queue in the order of sending.
+// inSendOrder returns the queued updates in the order of sending, those with the fewest transmissions first.
 func (q updateQueue) inSendOrder() []*queuedUpdate {
 	sorted := make([]*queuedUpdate, 0, len(q))
 	for _, queued := range q {
@@ -64,10 +66,10 @@
 // queueMember queues the state of a member for dissemination.
 func (g *Group) queueMember(member *memberRecord) { g.queueUpdate(updateKey{id: member.ID}) }
 
-// queueUpdate queues a subject for dissemination and resets its transmissions.
+// queueUpdate queues a subject for dissemination. If it is queued already, its transmissions are reset.
 func (g *Group) queueUpdate(key updateKey) { g.updateQueue[key] = &queuedUpdate{updateKey: key} }
 
-// retransmitLimit returns how often an update is sent before it is dropped from the queue.
+// retransmitLimit returns the number of transmissions after which an update is removed from the queue.
 func (g *Group) retransmitLimit() int {
 	return retransmitMultiplier * int(math.Ceil(math.Log2(float64(g.presentCount+1))))
 }
@@ -77,7 +79,7 @@
 	if g.leaving {
 		return
 	}
-	// Gossip leaves a part of the send budget to acks.
+	// A part of the send budget is reserved for acks.
 	reserve := float64(g.MaxSendRate) / gossipReserveDivisor
 	if g.now >= g.nextGossipAt && len(g.updateQueue) > 0 && g.sendTokens > reserve {
 		g.nextGossipAt = g.now + g.ProbeInterval/gossipsPerProbeInterval
@@ -98,8 +100,8 @@
 	}
 }
 
-// reconnect contacts a dead member, which may be back, or seeds that are no known member's address. A member that knows
-// nobody contacts several seeds, and more often.
+// reconnect contacts a dead member, which may have returned, or seeds that are not the address of a known member. While
+// no other member is present, it contacts several seeds at a time and runs once per probe interval.
 func (g *Group) reconnect() {
 	dead := g.sampleMembers(1, func(member *memberRecord) bool { return member.State == StateDead })
 	seeds := g.unknownSeeds()
@@ -135,7 +137,7 @@
 	return seeds
 }
 
-// announceLeave sends a leave message to several members, since some messages may be lost.
+// announceLeave sends a leave message to several members, because some of the messages may be lost.
 func (g *Group) announceLeave() {
 	g.leaving = true
 	g.self.State = StateLeft
@@ -144,8 +146,8 @@
 	}
 }
 
-// piggyback fills the free space of a message with queued updates, those sent least first. A suspect is notified of the
-// suspicion before all else, so that it can refute it.
+// piggyback fills the free space of a message with queued updates, those with the fewest transmissions first. If the
+// recipient is a suspect, the suspicion comes before all other updates, so that the recipient can refute it.
 func (g *Group) piggyback(message *Message, recipient *memberRecord) {
 	filler := newMessageFiller(message)
 	if recipient != nil && recipient.State == StateSuspect {
@@ -176,7 +178,7 @@
 	}
 }
 
-// isObsolete reports whether what is queued about a member, which is nil if it was removed, no longer exists.
+// isObsolete reports whether the subject of a queued update no longer exists. The member is nil if it was removed.
 func (q *queuedUpdate) isObsolete(member *memberRecord, now Micros) bool {
 	switch {
 	case member == nil:
@@ -190,7 +192,7 @@
 	return false
 }
 
-// addQueued adds what is queued about a member to a message and reports whether it fitted.
+// addQueued adds a queued update about a member to a message and reports whether it was added.
 func (g *Group) addQueued(filler *messageFiller, queued *queuedUpdate, member *memberRecord) bool {
 	if queued.factName != "" {
 		return filler.addFact(member.facts[queued.factName].withRemainingTTL(g.now))
--- a/membership/event.go
+++ b/membership/event.go
@@ -5,24 +5,24 @@
 // Event is an input of Group.Step: MessageReceived, PortUnreachable, PublishFact or Leave.
 type Event interface{ event() }
 
-// MessageReceived is a message that arrived and was authenticated by the codec.
+// MessageReceived is a message that arrived. The codec has authenticated it.
 type MessageReceived struct {
 	From    netip.AddrPort
 	Message Message
 }
 
-// PortUnreachable is an ICMP error for a datagram that was sent to Addr: no process listens there.
+// PortUnreachable is an ICMP port unreachable error for a datagram that was sent to Addr: no process listens there.
 type PortUnreachable struct{ Addr netip.AddrPort }
 
-// PublishFact attaches a fact to this member or replaces its value. An empty value withdraws the fact.
+// PublishFact publishes a fact of this member or replaces its value. An empty value withdraws the fact.
 type PublishFact struct {
 	Name  string
 	Value string
-	// TTL is how long the fact is valid unless it is published again.
+	// TTL is the time after which the fact expires unless it is published again.
 	TTL Micros
 }
 
-// Leave announces a planned departure of this member.
+// Leave announces to the group that this member leaves it.
 type Leave struct{}
 
 func (MessageReceived) event() {}
@@ -33,7 +33,7 @@
 // Action is an output of Group.Step for the caller to carry out: SendMessage, ViewChanged, Log or NameTaken.
 type Action interface{ action() }
 
-// SendMessage sends a message to an address.
+// SendMessage requests that a message be sent to an address.
 type SendMessage struct {
 	To      netip.AddrPort
 	Message Message
@@ -42,10 +42,11 @@
 // ViewChanged delivers a new view.
 type ViewChanged struct{ View View }
 
-// Log is a log message for operators.
+// Log is a message for the log.
 type Log struct{ Text string }
 
-// NameTaken reports that the live member at By owns this member's name. This member has stopped taking part.
+// NameTaken reports that the member at OwnerAddr owns this member's name. This member has stopped: further calls of
+// Group.Step have no effect.
 type NameTaken struct{ OwnerAddr netip.AddrPort }
 
 func (SendMessage) action() {}
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -8,23 +8,24 @@
 // microsPerMilli is the number of microseconds in a millisecond.
 const microsPerMilli = 1000
 
-// Fact is a small named value that a member publishes about itself. Of two facts of the same owner and name the one with
-// the higher version is the newer.
+// Fact is a small named value that a member publishes about itself. Of two facts with the same owner and name, the one
+// with the higher version is newer.
 type Fact struct {
 	Owner   ID
 	Name    string
-	Value   string // empty: the fact was withdrawn
+	Value   string // empty if the fact was withdrawn
 	Version uint32
-	// TTL is the remaining time until the fact expires. It is a duration since the members' clocks differ.
+	// TTL is the remaining time until the fact expires. It is a duration and not a point in time because the members'
+	// clocks differ.
 	TTL Micros
 }
 
-// isValid reports whether the name and value are within the limits.
+// isValid reports whether the name is not empty and the lengths of name and value are within the limits.
 func (f Fact) isValid() bool {
 	return f.Name != "" && len(f.Name) <= MaxFactNameLength && len(f.Value) <= MaxFactValueLength
 }
 
-// storedFact is a fact with its time of expiry on this member's clock.
+// storedFact is a fact with its expiry time on this member's clock.
 type storedFact struct {
 	Fact
 	expiresAt Micros
@@ -36,23 +37,24 @@
 	return h.Sum32()
 }
 
-// withRemainingTTL returns the fact as it is sent now.
+// withRemainingTTL returns the fact with the TTL that remains now.
 func (f *storedFact) withRemainingTTL(now Micros) Fact {
 	fact := f.Fact
 	fact.TTL = f.expiresAt - now
 	return fact
 }
 
-// publishFact attaches a fact to this member. A fact beyond the limits is logged and dropped.
+// publishFact stores a fact of this member and queues it for dissemination. A fact that exceeds the limits is logged
+// and dropped.
 func (g *Group) publishFact(event PublishFact) {
 	fact := Fact{Owner: g.self.ID, Name: event.Name, Value: event.Value, Version: 1, TTL: event.TTL}
 	previous := g.self.facts[event.Name]
 	if !fact.isValid() || event.TTL < 0 {
-		g.logf("fact %q of %d bytes with a TTL of %d ms is invalid", event.Name, len(event.Value), event.TTL/microsPerMilli)
+		g.logf("cannot publish fact %q: the name, the value of %d bytes or the TTL of %d ms is invalid", event.Name, len(event.Value), event.TTL/microsPerMilli)
 		return
 	}
 	if previous == nil && len(g.self.facts) >= MaxFacts {
-		g.logf("fact %q exceeds the limit of %d facts", event.Name, MaxFacts)
+		g.logf("cannot publish fact %q: this member already has the maximum of %d facts", event.Name, MaxFacts)
 		return
 	}
 	if previous != nil {
@@ -61,8 +63,8 @@
 	g.storeFact(g.self, fact)
 }
 
-// applyFact merges a fact of another member. A fact is ignored if it is invalid, not newer than the one held, one too
-// many or of a member that is not present.
+// applyFact merges a fact of another member. A fact is ignored if it is invalid, if it is not newer than the stored
+// one, if it exceeds the number of facts per member, or if its owner is not present.
 func (g *Group) applyFact(fact Fact) {
 	owner := g.members[fact.Owner]
 	if owner == nil || owner == g.self || !owner.State.Present() {
--- a/membership/fact_key.go
+++ b/membership/fact_key.go
@@ -5,17 +5,18 @@
 	"strconv"
 )
 
-// numericFactBase is the base in which numeric facts are written.
+// numericFactBase is the numeral base in which numeric facts are encoded.
 const numericFactBase = 36
 
-// FactKey is the name of a fact on the wire together with the encoding of its values.
+// FactKey is the name of a fact on the wire, together with the encoding of its values.
 type FactKey[T any] struct {
 	Name   string
 	format func(T) string
 	parse  func(string) (T, error)
 }
 
-// NewFactKey returns the key of a fact. Format must not return an empty string, which withdraws the fact.
+// NewFactKey returns the key of a fact. The format function must not return an empty string, because an empty value
+// withdraws the fact.
 func NewFactKey[T any](name string, format func(T) string, parse func(string) (T, error)) FactKey[T] {
 	return FactKey[T]{Name: name, format: format, parse: parse}
 }
@@ -29,24 +30,24 @@
 	)
 }
 
-// The facts that instances publish.
+// The keys of the facts that instances publish.
 var (
-	// DocumentVersionFact is the version of the shared configuration that an instance serves by.
+	// DocumentVersionFact is the key of the version of the shared configuration that is active at an instance.
 	DocumentVersionFact = NumericFactKey("document")
-	// EndpointListDigestFact is the digest of the endpoint lists that an instance serves by.
+	// EndpointListDigestFact is the key of the digest of the endpoint lists that are active at an instance.
 	EndpointListDigestFact = NumericFactKey("stores")
 )
 
-// Publish returns the event that attaches a value for the duration of a TTL.
+// Publish returns the event that publishes a value, which expires after the TTL.
 func (k FactKey[T]) Publish(value T, ttl Micros) PublishFact {
 	return PublishFact{Name: k.Name, Value: k.format(value), TTL: ttl}
 }
 
-// Withdraw returns the event that withdraws the value. The withdrawal is remembered for the duration of a TTL.
+// Withdraw returns the event that withdraws the value. The withdrawal is remembered until the TTL expires.
 func (k FactKey[T]) Withdraw(ttl Micros) PublishFact { return PublishFact{Name: k.Name, TTL: ttl} }
 
-// Value returns a member's value. It returns false if the member has none, or one that cannot be parsed, as a later
-// version of the program may publish.
+// Value returns a member's value. It returns false if the member has no value or one that cannot be parsed; a later
+// version of the program may publish such values.
 func (k FactKey[T]) Value(member Member) (value T, ok bool) {
 	i := slices.IndexFunc(member.Facts, func(fact Fact) bool { return fact.Name == k.Name })
 	if i < 0 {
--- a/membership/group.go
+++ b/membership/group.go
@@ -9,70 +9,71 @@
 
 const (
 	microsPerSecond = 1_000_000
-	// probeOutcomeCount is the number of recent probes by which a view is judged as trusted or not.
+	// probeOutcomeCount is the number of recent probes whose outcomes decide whether the view is trusted.
 	probeOutcomeCount = 8
-	// pauseGraceIntervals is for how many probe intervals after a pause of its own a member declares nobody dead. The
-	// messages that arrived meanwhile are read in this time, in any order.
+	// pauseGraceIntervals is the number of probe intervals after a pause of its own process in which a member declares
+	// no other member dead. In this time it reads the messages that arrived during the pause, in any order.
 	pauseGraceIntervals = 2
 )
 
-// Group is one member's state in the group membership protocol. It is not safe for concurrent use.
+// Group is the state of one member in the group membership protocol. It is not safe for concurrent use.
 type Group struct {
 	Config
 
 	now                Micros
 	lastStepAt         Micros
 	rng                *rand.Rand
-	actions            []Action // to be returned by the current Step
+	actions            []Action // to be returned by the current call of Step
 	disabledSafeguards safeguard
 
 	self    *memberRecord
 	members map[ID]*memberRecord
-	// membersByID holds the same records sorted by ID, for iterations whose order must not depend on a map's.
+	// membersByID holds the same records sorted by ID, for iterations that must have a deterministic order.
 	membersByID  []*memberRecord
-	presentCount int // members in state alive or suspect, this one included
+	presentCount int // members in the states alive and suspect, this one included
 	suspectCount int
 
 	// Failure detector.
-	probeOrder      []ID // targets of the current round, reshuffled at the end of each round
-	nextProbeIndex  int  // into probeOrder
+	probeOrder      []ID // targets of the current round, shuffled before each round
+	nextProbeIndex  int  // index into probeOrder
 	nextProbeAt     Micros
 	lastProbeNumber uint32
 	pendingProbes   []*probe
-	indirectProbes  map[uint32]indirectProbe // on behalf of other members, by the number of this member's ping
-	localHealth     int                      // Lifeguard's local health score; 0 is healthy
-	probeOutcomes   [probeOutcomeCount]bool  // ring of whether anybody answered the recent probes
+	indirectProbes  map[uint32]indirectProbe // on behalf of other members, by the probe number of this member's ping
+	localHealth     int                      // Lifeguard's local health score, from 0 (healthy) to maxLocalHealth
+	probeOutcomes   [probeOutcomeCount]bool  // ring buffer: whether the target or a helper answered the recent probes
 	probesFinished  int
-	noDeathsBefore  Micros // nobody is declared dead before
+	noDeathsBefore  Micros // no member is declared dead before this time
 
 	// Dissemination.
 	updateQueue       updateQueue
 	nextGossipAt      Micros
 	nextReconnectAt   Micros
-	sendTokens        float64       // token bucket of datagrams, refilled at MaxSendRate
-	deferredSends     []SendMessage // waiting for tokens
+	sendTokens        float64       // datagrams in the token bucket, which is refilled at MaxSendRate
+	deferredSends     []SendMessage // messages that wait for tokens
 	lastMessageNumber uint32
 
 	// Anti-entropy.
-	nextSyncAt         Micros // 0: no synchronization is due
-	digestDiffersSince Micros // first of an unbroken run of messages whose digest differs from this member's; 0: none
+	nextSyncAt         Micros // 0 if no synchronization is scheduled
+	digestDiffersSince Micros // start of an unbroken run of messages with differing digests; 0 if there is none
 	cachedDigest       uint32
 	digestCached       bool
 	digestChangedAt    Micros
 
 	// View.
 	view           View
-	viewDirtySince Micros // first change that the view does not show yet; 0: it shows all
+	viewDirtySince Micros // time of the first change that the published view does not contain yet; 0 if there is none
 	converged      bool
 
 	startedAt    Micros
 	nextExpiryAt Micros
 	leaving      bool
-	nameTaken    bool // another process owns this member's name
+	nameTaken    bool // another process owns this member's name, and this member has stopped
 	duplicates   int
 }
 
-// New returns the state of a member that knows only itself. It returns an error if the configuration is invalid.
+// New returns the state of a member that knows no other member yet. It returns an error if the configuration is
+// invalid.
 func New(config Config, now Micros) (*Group, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -103,7 +104,7 @@
 	for i := range g.probeOutcomes {
 		g.probeOutcomes[i] = true
 	}
-	// Members that start together do not all probe at the same time.
+	// The random delay prevents members that start together from probing at the same time.
 	g.nextProbeAt = now + g.rng.Int64N(config.ProbeInterval)
 	hasOtherSeeds := slices.ContainsFunc(config.Seeds, func(seed netip.AddrPort) bool { return seed != config.Addr })
 	g.converged = !hasOtherSeeds
@@ -111,12 +112,13 @@
 	return g, nil
 }
 
-// Duplicates returns how many messages were dropped as duplicates, as older than the replay window or as sent by an
-// earlier generation of their sender.
+// Duplicates returns the number of messages that were dropped because they were duplicates, were older than the replay
+// window or were sent by an earlier generation of their sender.
 func (g *Group) Duplicates() int { return g.duplicates }
 
-// Step handles the events since the last call and returns the actions to carry out. It is called at least once per
-// TickInterval, without events if there were none. A call that comes late is treated as a pause of this process.
+// Step handles the events since the last call and returns the actions to carry out. It must be called at least once per
+// TickInterval, without events if there were none. If more than half a probe interval has elapsed since the last call,
+// this process is assumed to have been paused.
 func (g *Group) Step(now Micros, events ...Event) []Action {
 	g.actions = nil
 	g.now = max(now, g.now)
@@ -154,8 +156,9 @@
 	}
 }
 
-// handlePause compensates for a pause of this process. All its time limits move by the pause, because what it missed
-// is not a failure of others. It raises its incarnation, which refutes suspicions of it, and requests synchronization.
+// handlePause compensates for a pause of this process. It extends all pending time limits by the pause, because
+// messages that were missed during the pause are no evidence against other members. It increments the incarnation,
+// which refutes suspicions of this member, and requests synchronization.
 func (g *Group) handlePause(pause Micros) {
 	for _, probe := range g.pendingProbes {
 		probe.startedAt += pause
@@ -180,7 +183,7 @@
 	g.nextSyncAt = g.now
 	g.noDeathsBefore = g.now + pauseGraceIntervals*g.ProbeInterval
 	g.digestDiffersSince = 0
-	g.logf("this member stood still for %d ms", pause/microsPerMilli)
+	g.logf("this process was paused for %d ms", pause/microsPerMilli)
 }
 
 func (g *Group) emit(action Action) { g.actions = append(g.actions, action) }
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// indirectProbeHelperCount is the number of members that are asked to ping a target that sent no ack.
+	// indirectProbeHelperCount is the maximum number of helpers that are asked to ping a target that sent no ack.
 	indirectProbeHelperCount = 3
-	// maxIndirectProbes bounds the probes that this member runs for others at a time.
+	// maxIndirectProbes is the maximum number of pending probes that this member runs on behalf of other members.
 	maxIndirectProbes = 64
 )
 
-// indirectProbe is a ping that this member sent as a helper of another one.
+// indirectProbe is a ping that this member sent as a helper on behalf of another one.
 type indirectProbe struct {
 	requester ID
-	// requesterProbeNumber is the number of the requester's probe.
+	// requesterProbeNumber identifies the requester's probe.
 	requesterProbeNumber uint32
 	target               ID
 	deadline             Micros
 }
 
-// sendPingReqs asks helpers to ping the target of a probe.
+// sendPingReqs asks random responsive members to ping the target of a probe as helpers.
 func (g *Group) sendPingReqs(p *probe, target *memberRecord) {
 	eligible := func(member *memberRecord) bool { return member.ID != p.target && isResponsive(member) }
 	for _, helper := range g.sampleMembers(indirectProbeHelperCount, eligible) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// handlePingReq pings the target on the requester's behalf. It sends a nack at once if it cannot.
+// handlePingReq pings the target on behalf of the requester. It sends a nack at once if it cannot.
 func (g *Group) handlePingReq(requester *memberRecord, event MessageReceived) {
 	message := event.Message
 	target := g.members[message.Target]
@@ -61,7 +61,7 @@
 	g.send(target.Addr, ping, target)
 }
 
-// forwardAck forwards an ack to the requester of the indirect probe that it answers.
+// forwardAck sends an indirect ack to the requester of the indirect probe that an ack answers.
 func (g *Group) forwardAck(indirect indirectProbe, ack Message) {
 	delete(g.indirectProbes, ack.ProbeNumber)
 	requester := g.members[indirect.requester]
@@ -77,8 +77,8 @@
 	g.send(requester.Addr, indirectAck, requester)
 }
 
-// expireIndirectProbes sends nacks for indirect probes that got no ack in time. A nack shows the requester that it is
-// not isolated itself.
+// expireIndirectProbes sends nacks for indirect probes that received no ack before their deadline. A nack shows the
+// requester that it is not isolated itself.
 func (g *Group) expireIndirectProbes() {
 	for _, number := range slices.Sorted(maps.Keys(g.indirectProbes)) {
 		indirect := g.indirectProbes[number]
@@ -93,7 +93,7 @@
 	}
 }
 
-// handleIndirectAck records that a helper reached the target of a probe.
+// handleIndirectAck records that a helper received an ack from the target of a probe.
 func (g *Group) handleIndirectAck(message Message) {
 	p := g.pendingProbe(message.ProbeNumber, message.Target)
 	if p == nil || !slices.Contains(p.helpers, message.Sender) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// handleNack records that a helper did not reach the target of a probe.
+// handleNack records that a helper received no ack from the target of a probe.
 func (g *Group) handleNack(message Message) {
 	p := g.pendingProbe(message.ProbeNumber, message.Target)
 	if p == nil || !slices.Contains(p.helpers, message.Sender) {
--- a/membership/member.go
+++ b/membership/member.go
@@ -2,10 +2,10 @@
 
 import "net/netip"
 
-// MemberState is the state of a member in the view of the group.
+// MemberState is the state of a member.
 type MemberState uint8
 
-// The states of a member. Of two states of the same incarnation the one with the higher number wins.
+// The states of a member. Of two states with the same incarnation, the one with the higher value takes precedence.
 const (
 	StateAlive MemberState = iota
 	StateSuspect
@@ -13,106 +13,108 @@
 	StateLeft
 )
 
-// String returns the state's name, as operators see it.
+// String returns the name of the state that is shown to operators.
 func (s MemberState) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s&3] }
 
-// Present reports whether the member counts as a participant of the group: it is alive, or suspected and may still
-// refute the suspicion.
+// Present reports whether a member in this state counts as present in the group: it is alive, or it is suspected and
+// may still refute the suspicion.
 func (s MemberState) Present() bool { return s <= StateSuspect }
 
-// Reachability describes in which directions messages between this member and another one arrive.
+// Reachability tells in which directions messages between this member and another one arrive.
 type Reachability uint8
 
 // The values of Reachability.
 const (
-	ReachabilityUnknown Reachability = iota // no probe has ended yet
+	ReachabilityUnknown Reachability = iota // no probe has finished yet
 	Reachable                               // messages arrive in both directions
-	ReachableOneWay                         // it receives this member's messages; its own arrive through helpers only
-	ReachableIndirectly                     // messages arrive in neither direction, but helpers reach it
-	Unreachable
+	ReachableOneWay                         // this member's messages arrive; the other's acks come through helpers only
+	ReachableIndirectly                     // messages arrive in neither direction, but helpers reach the other
+	Unreachable                             // neither this member nor a helper reaches the other
 )
 
-// String returns the name, as operators see it.
+// String returns the name of the reachability that is shown to operators.
 func (r Reachability) String() string {
 	return [...]string{"unknown", "reachable", "one-way", "through others", "unreachable"}[min(r, Unreachable)]
 }
 
-// unknownAsReachable maps unknown to reachable: the first successful probe of a member is not a change of the view.
+// unknownAsReachable returns Reachable in place of ReachabilityUnknown, so that the first successful probe of a member
+// does not count as a change of the view.
 func (r Reachability) unknownAsReachable() Reachability { return max(r, Reachable) }
 
-// Reasons for a member's state, as operators see them.
+// The reasons for a member's state that are shown to operators.
 const (
-	reasonDiscovered       = "told of"
-	reasonRefuted          = "speaks for itself"
-	reasonRestarted        = "started anew"
-	reasonNoAck            = "no answer to this member"
-	reasonSuspectedByOther = "others had no answer"
-	reasonReportedDead     = "another holds it to be dead"
-	reasonPortUnreachable  = "nothing listens at its address"
-	reasonDeathConfirmed   = "the others agreed"
-	reasonLeft             = "left as planned"
-	reasonTimedOutSuffix   = "; it did not answer in time"
+	reasonDiscovered       = "discovered"
+	reasonRefuted          = "refuted by a later incarnation"
+	reasonRestarted        = "restarted"
+	reasonNoAck            = "no ack to this instance's probe"
+	reasonSuspectedByOther = "suspected by another member"
+	reasonReportedDead     = "reported dead by another member"
+	reasonPortUnreachable  = "no process listens at its address"
+	reasonDeathConfirmed   = "death confirmed by other members"
+	reasonLeft             = "left gracefully"
+	reasonTimedOutSuffix   = "; suspicion not refuted in time"
 )
 
-// Member is one member of a View.
+// Member is one member of a View. The observer is the member whose view it is.
 type Member struct {
 	ID   ID
 	Name string
 	Zone string
 	Addr netip.AddrPort
-	// Generation identifies the start of the member's process.
+	// Generation identifies one start of the member's process; a later start has a higher one.
 	Generation uint32
-	// Incarnation is the number that the member raises to refute a suspicion.
+	// Incarnation is the number that the member increments to refute a suspicion.
 	Incarnation  uint32
 	State        MemberState
 	Reachability Reachability
 	// StateSince is the time of the last change of State.
 	StateSince Micros
-	// StateReason explains the last change of State to operators.
+	// StateReason explains the last change of State to operators. It is empty if there was none.
 	StateReason string
-	// SeenByCount is the number of members, this one included, that received an ack of it recently.
+	// SeenByCount is the number of members, the observer included, that recently received an ack from it.
 	SeenByCount int
-	// Distrusted means that the member's accusations are ignored because too many of them were refuted.
+	// Distrusted reports whether the member's accusations are ignored because too many of them were refuted.
 	Distrusted bool
 	// Facts are sorted by name.
 	Facts []Fact
-	// LastContact is when this member itself last received a message from it; 0 is never.
+	// LastContact is the time at which the observer last received a message directly from it; 0 if never.
 	LastContact Micros
 }
 
-// memberRecord is all that this member keeps of one member of the group. Its maps are made on the first entry, since
-// few of hundreds of members are accused or published about.
+// memberRecord is the state that is kept for one member of the group. Its maps are allocated when their first entry is
+// added, since most members of a large group have no accusers and no facts.
 type memberRecord struct {
 	Member
-	// lastMessageAt is when this generation of the member last sent a message to this one; 0 is never.
+	// lastMessageAt is the time at which the last message of the member's current generation arrived; 0 if none has.
 	lastMessageAt Micros
-	// confirmedReceiptAt is when the member last acknowledged that it received a message of this one.
+	// confirmedReceiptAt is the time of the last ack by which the member confirmed that it receives this member's
+	// messages.
 	confirmedReceiptAt Micros
-	// lastSeenBy holds, for each member that received an ack of it, when that became known here.
+	// lastSeenBy holds, for each member that received an ack from this one, the time at which that became known here.
 	lastSeenBy map[ID]Micros
-	// accusers are the members that suspect it.
+	// accusers is the set of members that suspect it.
 	accusers map[ID]bool
-	// departureReporters are the members that reported it dead or left.
+	// departureReporters is the set of members that reported it dead or left.
 	departureReporters map[ID]bool
-	// suspicionStartedAt is when the current suspicion began or was last restarted.
+	// suspicionStartedAt is the time at which the current suspicion began or was last restarted.
 	suspicionStartedAt Micros
-	// portUnreachable means that a datagram to its address was rejected: no process listens there.
+	// portUnreachable reports whether the host rejected a datagram to its address because no process listens there.
 	portUnreachable bool
-	// nameClaim is a pending claim of another process on the member's name; nil is none.
+	// nameClaim is the pending claim of another process to the member's name; nil if there is none.
 	nameClaim *nameClaim
-	// facts are the member's facts by name.
+	// facts holds the member's facts by name.
 	facts map[string]*storedFact
 	// replayWindow detects duplicates of the member's messages.
 	replayWindow replayWindow
-	// refutedDeaths counts, up to maxResurrections, how often the member was declared dead and proved to be alive.
+	// refutedDeaths is the number of times, up to maxRefutedDeaths, that the member was declared dead and refuted that.
 	refutedDeaths int
-	// accusationsMade and accusationsRefuted count the suspicions that the member raised, and those of them that the
-	// suspect refuted.
+	// accusationsMade and accusationsRefuted count the accusations that the member made, and those of them that the
+	// suspect refuted. Both are halved now and then; see accusationDecayThreshold.
 	accusationsMade    int
 	accusationsRefuted int
 }
 
-// setEntry adds an entry to a map and makes the map if it is nil.
+// setEntry sets an entry of a map and allocates the map if it is nil.
 func setEntry[K comparable, V any](entries *map[K]V, key K, value V) {
 	if *entries == nil {
 		*entries = map[K]V{}
--- a/membership/members.go
+++ b/membership/members.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// addMember adds a record of a member at a random position in the rest of the current probe round, so that a new
-// member is probed as soon as the others.
+// addMember adds the record of a member and returns it. The member is inserted at a random position in the rest of the
+// current probe round, so that a new member is probed as soon as the others.
 func (g *Group) addMember(m Member) *memberRecord {
 	record := &memberRecord{Member: m}
 	record.StateSince = g.now
@@ -38,7 +38,7 @@
 	g.markViewDirty()
 }
 
-// setState changes the state of a member. A suspicion alone does not make the view dirty, but its outcome does.
+// setState changes the state of a member. A change between alive and suspect does not mark the view dirty.
 func (g *Group) setState(member *memberRecord, state MemberState, reason string) {
 	if state != StateSuspect {
 		clear(member.accusers)
@@ -57,7 +57,7 @@
 	member.StateReason = reason
 }
 
-// countState adjusts the counters of members by state.
+// countState adds delta to the counters of members in a state, and invalidates the cached digest.
 func (g *Group) countState(state MemberState, delta int) {
 	g.digestCached = false
 	if state.Present() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// markDeparted declares a member dead or left and disseminates that.
+// markDeparted sets the state of a member to dead or left and queues it for dissemination.
 func (g *Group) markDeparted(member *memberRecord, state MemberState, reason string) {
 	g.setState(member, state, reason)
 	g.setReachability(member, Unreachable)
@@ -82,7 +82,8 @@
 	member.Reachability = reachability
 }
 
-// removeExpired removes expired facts and tombstones, once per probe interval.
+// removeExpired removes expired facts and tombstones, once per probe interval. It also marks the view of a member that
+// has been alone since its start as converged.
 func (g *Group) removeExpired() {
 	if g.now < g.nextExpiryAt {
 		return
@@ -102,8 +103,8 @@
 	}
 }
 
-// sampleMembers returns up to count random members, other than this one, that are eligible. A few random draws suffice
-// where most members are eligible; only if they do not, all members are examined.
+// sampleMembers returns up to count random eligible members other than this one. It first draws members at random,
+// which suffices if most of them are eligible, and examines all members only if it does not.
 func (g *Group) sampleMembers(count int, eligible func(*memberRecord) bool) []*memberRecord {
 	var sample []*memberRecord
 	for attempt := 0; len(sample) < count && attempt < 4*count; attempt++ {
@@ -125,10 +126,11 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// isPresent is the eligibility of members that are alive or suspected.
+// isPresent reports whether a member is alive or suspected. It is an eligibility function for sampleMembers.
 func isPresent(member *memberRecord) bool { return member.State.Present() }
 
-// isResponsive is the eligibility of members that are alive and were reached by their last probe.
+// isResponsive reports whether a member is alive and its last finished probe, if any, did not fail. It is an
+// eligibility function for sampleMembers.
 func isResponsive(member *memberRecord) bool {
 	return member.State == StateAlive && member.Reachability != Unreachable
 }
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -5,19 +5,20 @@
 	"net/netip"
 )
 
-// departureConfirmations is how many members must report that another one is dead or left for it to be believed.
+// departureConfirmations is the number of members that must report another one as dead or left before the report is
+// accepted.
 const departureConfirmations = 2
 
-// Update is the state of one member as it is disseminated.
+// Update is a disseminated report of the state of one member.
 type Update struct {
 	ID          ID
 	Generation  uint32
 	Incarnation uint32
 	State       MemberState
-	// Accuser is the member that suspects ID, in updates of state suspect.
+	// Accuser is the member that suspects ID, in updates with the state suspect; 0 stands for the sender.
 	Accuser ID
 	Addr    netip.AddrPort
-	// Name and Zone are set for members that are present only.
+	// Name and Zone are only set if the member is present.
 	Name string
 	Zone string
 }
@@ -38,7 +39,7 @@
 	return update
 }
 
-// applyUpdate merges an update into this member's state. An update that is older than the state has no effect.
+// applyUpdate merges an update into this member's state. An update that is older than the recorded state has no effect.
 func (g *Group) applyUpdate(update Update, from ID) {
 	if update.ID == g.self.ID {
 		g.applyUpdateAboutSelf(update)
@@ -63,7 +64,7 @@
 	}
 }
 
-// discover adds the member that an update is about. It returns nil if the update does not introduce a new member.
+// discover adds the member that an update is about. It returns nil if the update is not suitable to introduce a member.
 func (g *Group) discover(update Update) *memberRecord {
 	if !update.State.Present() || update.Name == "" || IDFromName(update.Name) != update.ID {
 		return nil
@@ -89,7 +90,7 @@
 	return u.Generation > member.Generation || u.Incarnation > member.Incarnation
 }
 
-// applyAlive merges a refutation, or the start of a new process of the member's name.
+// applyAlive merges a refutation, or the start of a new process under the member's name.
 func (g *Group) applyAlive(member *memberRecord, update Update, from ID) {
 	if !update.isNewerThan(member) {
 		return
@@ -104,7 +105,7 @@
 		g.countRefutation(member)
 	}
 	if member.State == StateDead {
-		// The same process is still there: it was not dead, but slower than its suspicion timeout.
+		// The same process is still running: it was slower than its suspicion timeout, but not dead.
 		member.refutedDeaths = min(member.refutedDeaths+1, maxRefutedDeaths)
 	}
 	member.Incarnation = update.Incarnation
@@ -117,8 +118,8 @@
 	g.queueMember(member)
 }
 
-// applySuspicion merges an accusation. One of a later incarnation restarts the suspicion, since the member has refuted
-// all accusations of the earlier ones.
+// applySuspicion merges an accusation. An accusation of a later incarnation restarts the suspicion timeout, because the
+// member has refuted all accusations of earlier incarnations.
 func (g *Group) applySuspicion(member *memberRecord, update Update, from ID) {
 	if update.Generation > member.Generation {
 		return // an alive update introduces the new process first
@@ -144,7 +145,7 @@
 	}
 	if update.State == StateDead {
 		if g.contactContradictsDeath(member) {
-			// This member knows better. The reported one is notified, so that it refutes the report.
+			// Notify the reported member, so that it refutes the report.
 			g.send(member.Addr, Message{Kind: KindGossip, Updates: []Update{update}}, member)
 			return
 		}
@@ -163,13 +164,15 @@
 	g.markDeparted(member, update.State, reason)
 }
 
-// contactContradictsDeath reports whether a message of an alive member arrived within the last probe interval.
+// contactContradictsDeath reports whether a member is alive in this member's view and sent a message within the last
+// probe interval, so that a report of its death is wrong.
 func (g *Group) contactContradictsDeath(member *memberRecord) bool {
 	return member.State == StateAlive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
 }
 
-// confirmDeparture records a report that a member is dead or left, and reports whether enough members confirm it. A
-// single report of a death may be wrong or a lie, so it only counts as a suspicion, which the member can refute.
+// confirmDeparture records a report that a member is dead or left, and reports whether enough members have reported
+// that. A single report of a death may be wrong or forged, so it only counts as a suspicion, which the member can
+// refute.
 func (g *Group) confirmDeparture(member *memberRecord, update Update, from ID) bool {
 	reporter := g.members[from]
 	if reporter == nil || g.distrusts(reporter) {
@@ -186,7 +189,8 @@
 	return false
 }
 
-// applyUpdateAboutSelf refutes updates about this member that are wrong.
+// applyUpdateAboutSelf refutes an update that does not report this member as alive. If the update has a later
+// generation than this member, the member adopts a generation above it.
 func (g *Group) applyUpdateAboutSelf(update Update) {
 	if update.Generation > g.self.Generation && update.Generation < math.MaxUint32 {
 		g.raiseGeneration(update.Generation)
@@ -203,8 +207,8 @@
 	}
 }
 
-// raiseGeneration continues this member with a generation after one that others know of its name. Either the clock was
-// set back between two starts, or another process owns the name; the others find out which as they check the claim.
+// raiseGeneration gives this member a generation above the one that others know for its name. Either the clock was set
+// back between two starts, or another process owns the name. The others determine which by checking the name claim.
 func (g *Group) raiseGeneration(known uint32) {
 	g.logf("the name %s is known with a later generation: this member continues with a higher one", g.Name)
 	g.Generation = known + 1
--- a/membership/message.go
+++ b/membership/message.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// MessageKind is the purpose of a message.
+// MessageKind identifies the purpose of a message.
 type MessageKind uint8
 
-// The kinds of message. The numbers are those on the wire.
+// The kinds of messages. Their values are part of the wire format.
 const (
 	KindPing         MessageKind = iota + 1 // requests an ack
 	KindAck                                 // answers a ping
 	KindPingReq                             // requests an indirect probe of Target
-	KindIndirectAck                         // reports that Target sent an ack to the helper
-	KindNack                                // reports that Target sent no ack to the helper, or is unknown to it
+	KindIndirectAck                         // reports that the helper received an ack from Target
+	KindNack                                // reports that the helper received no ack from Target or cannot probe it
 	KindGossip                              // carries updates and facts only
-	KindSyncRequest                         // requests the state that the sender holds differently
+	KindSyncRequest                         // requests the state that differs from the sender's
 	KindSyncResponse                        // carries a part of the requested state
-	KindLeave                               // announces the sender's planned departure
-	KindNameConflict                        // reports that two processes have the name of Target
+	KindLeave                               // announces that the sender leaves the group
+	KindNameConflict                        // reports that two processes use the name of Target
 )
 
 // Message is the content of one datagram.
@@ -26,28 +26,29 @@
 	Sender      ID
 	Generation  uint32
 	Incarnation uint32
-	// MessageNumber counts the messages of the sender's generation; it reveals duplicates.
+	// MessageNumber is the sequence number of the message within the sender's generation, for the detection of
+	// duplicates.
 	MessageNumber uint32
-	// ProbeNumber is the number of the probe that a ping, ack, ping-req, indirect ack or nack belongs to.
+	// ProbeNumber identifies the probe that a ping, ack, ping-req, indirect ack or nack belongs to.
 	ProbeNumber uint32
-	// Target is the member that a probe or a name conflict is about, or the recipient of an ack.
+	// Target is the member that is probed or whose name is in conflict; in an ack, it is the recipient.
 	Target ID
-	// Requester is the member on whose behalf a helper sends a ping; 0 is none.
+	// Requester is the member on whose behalf a helper sends a ping; 0 if there is none.
 	Requester ID
-	// Digest is the hash of the sender's view.
+	// Digest is the digest of the sender's view; see View.Digest.
 	Digest uint32
-	// ReceivedFromProber means that the sender of an ack received a message of the member that it answers.
+	// ReceivedFromProber reports, in an ack or an indirect ack, that the target receives messages from the prober.
 	ReceivedFromProber bool
-	// ReceivedFromRequester means that it also recently received one of the ping's Requester.
+	// ReceivedFromRequester reports, in an ack, that its sender recently received a message from the ping's Requester.
 	ReceivedFromRequester bool
-	// BucketDigests are the hashes of the sender's state by bucket, in a synchronization request.
+	// BucketDigests holds the digest of the sender's state for each bucket, in a synchronization request.
 	BucketDigests []uint32
-	// Updates and Facts are as many as fit.
+	// Updates and Facts are piggybacked on the message as far as they fit into the datagram.
 	Updates []Update
 	Facts   []Fact
 }
 
-// freeBytes returns the space that is left in the datagram.
+// freeBytes returns the number of bytes that are free in the datagram.
 func (m *Message) freeBytes() int {
 	free := MaxDatagramSize - headerSize - authenticatorSize - uint32Size*len(m.BucketDigests)
 	for _, update := range m.Updates {
@@ -62,17 +63,18 @@
 // isEmpty reports whether the message carries neither updates nor facts.
 func (m *Message) isEmpty() bool { return len(m.Updates) == 0 && len(m.Facts) == 0 }
 
-// messageFiller adds updates and facts to a message as long as they fit.
+// messageFiller adds updates and facts to a message as long as they fit. It keeps a running count of the free bytes.
 type messageFiller struct {
 	message   *Message
-	freeBytes int // bytes
+	freeBytes int
 }
 
 func newMessageFiller(message *Message) messageFiller {
 	return messageFiller{message: message, freeBytes: message.freeBytes()}
 }
 
-// addUpdate adds an update if it fits and none of the same member and accuser is there. It reports whether it did.
+// addUpdate adds an update if it fits and the message has none with the same member and accuser. It reports whether the
+// update was added.
 func (f *messageFiller) addUpdate(update Update) bool {
 	size := update.encodedSize()
 	if size > f.freeBytes {
@@ -89,7 +91,7 @@
 	return true
 }
 
-// addFact adds a fact if it fits, and reports whether it did.
+// addFact adds a fact if it fits and reports whether it was added.
 func (f *messageFiller) addFact(fact Fact) bool {
 	size := fact.encodedSize()
 	if size > f.freeBytes {
--- a/membership/name_claim.go
+++ b/membership/name_claim.go
@@ -2,21 +2,22 @@
 
 import "net/netip"
 
-// nameClaimIntervals is for how many probe intervals the owner of a name has to answer a claim on it.
+// nameClaimIntervals is the number of probe intervals within which the owner of a name must answer a claim to the name.
 const nameClaimIntervals = 2
 
-// nameClaim is the claim of another process on the name of a member.
+// nameClaim is the claim of another process to the name of a member.
 type nameClaim struct {
 	generation uint32
 	deadline   Micros
 }
 
-// acceptSuccessor reports whether a process of another generation is now the owner of a member's name. That is so once
-// the previous process left, died or does not answer; until then the message is ignored.
+// acceptSuccessor handles a message of another generation than the member's, and reports whether its sender now owns
+// the member's name. It does if it has a higher generation and the previous process has left, is dead or does not
+// answer. Until then, its messages are ignored.
 func (g *Group) acceptSuccessor(member *memberRecord, from netip.AddrPort, message Message) bool {
 	if message.Generation < member.Generation {
-		// Either a late message of the previous process, or a new process whose clock was set back. The latter learns
-		// the known generation by this and continues with a higher one.
+		// This is either a late message of the previous process or a message of a new process whose clock was set back.
+		// The update tells a new process the known generation, after which it continues with a higher one.
 		g.duplicates++
 		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(member)}}, nil)
 		return false
@@ -29,10 +30,10 @@
 	return true
 }
 
-// acceptNameClaim reports whether another process may take over the name of a member. If the owner may still be alive, the
-// claim is recorded and the owner is pinged; an owner that answers keeps its name.
+// acceptNameClaim reports whether another process may take over the name of a member. If the owner may still be alive,
+// the claim is recorded and the owner is pinged; an owner that answers keeps its name.
 func (g *Group) acceptNameClaim(member *memberRecord, from netip.AddrPort, generation uint32) bool {
-	sameAddress := from == member.Addr // an address has one process at a time
+	sameAddress := from == member.Addr // only one process can be bound to an address
 	if !member.State.Present() || member.portUnreachable || sameAddress {
 		return true
 	}
@@ -51,7 +52,7 @@
 	if member.lastMessageAt < claim.deadline-nameClaimIntervals*g.ProbeInterval {
 		return true
 	}
-	g.logf("two members have the name %s: %v stays, %v is refused", member.Name, member.Addr, from)
+	g.logf("two processes use the name %s: the one at %v keeps it, the one at %v is rejected", member.Name, member.Addr, from)
 	conflict := Message{Kind: KindNameConflict, Target: member.ID, Updates: []Update{g.updateFor(member)}}
 	g.send(from, conflict, nil)
 	g.send(member.Addr, conflict, member)
@@ -59,7 +60,8 @@
 	return false
 }
 
-// replaceProcess makes another process the owner of a member's name.
+// replaceProcess makes another process the owner of a member's name and resets the state that belongs to the previous
+// one.
 func (g *Group) replaceProcess(member *memberRecord, generation, incarnation uint32, addr netip.AddrPort) {
 	member.Generation = generation
 	member.Incarnation = incarnation
@@ -75,10 +77,11 @@
 	g.queueMember(member)
 }
 
-// handleDuplicateName handles a message of another process with this member's name. The earlier generation keeps the name.
+// handleDuplicateName handles a message of another process that uses this member's name. The process with the earlier
+// generation keeps the name.
 func (g *Group) handleDuplicateName(from netip.AddrPort, message Message) {
 	if message.Generation > g.self.Generation {
-		g.logf("another member at %v has this one's name", from)
+		g.logf("rejecting the process at %v: it uses the name of this member", from)
 		g.send(from, Message{Kind: KindNameConflict, Target: g.self.ID}, nil)
 		return
 	}
@@ -87,24 +90,24 @@
 	}
 }
 
-// handleNameConflict handles the report of a third member that two processes have this member's name, and which of them
-// keeps it.
+// handleNameConflict handles the report of another member that two processes use this member's name. The report
+// contains the process that keeps the name.
 func (g *Group) handleNameConflict(from netip.AddrPort, message Message) {
 	for _, update := range message.Updates {
 		if message.Target != g.self.ID || update.ID != g.self.ID {
 			continue
 		}
 		if update.Generation == g.self.Generation {
-			g.logf("the member at %v says that another has this one's name; this one stays", from)
+			g.logf("the member at %v reports a name conflict: this member keeps its name", from)
 		} else {
 			g.giveUpName(update.Addr)
 		}
 	}
 }
 
-// giveUpName ends this member's part in the group, since the member at an address owns its name.
+// giveUpName stops this member because the member at another address owns its name.
 func (g *Group) giveUpName(owner netip.AddrPort) {
-	g.logf("the name %s is taken by the member at %v: this one is refused", g.Name, owner)
+	g.logf("cannot use the name %s: it belongs to the member at %v", g.Name, owner)
 	g.nameTaken = true
 	g.emit(NameTaken{owner})
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -3,38 +3,39 @@
 import "slices"
 
 const (
-	// probeTimeSlots is the number of intervals into which a probe's time is divided: the ping is sent at the start of
-	// the first one and repeated at the start of the others.
+	// probeTimeSlots is the number of equal slots into which a probe's time is divided. A ping is sent at the start of
+	// each slot but the last, in which only acks are awaited.
 	probeTimeSlots = 4
-	// maxLocalHealth is the worst local health score, which extends time limits by a factor of five.
+	// maxLocalHealth is the worst local health score. It extends time limits by a factor of five.
 	maxLocalHealth = 8
-	// minAnsweredProbes is how many of the last probeOutcomeCount probes somebody must have answered for the view to be
-	// trusted.
+	// minAnsweredProbes is the minimum number of the last probeOutcomeCount probes that the target or a helper must
+	// have answered for the view to be trusted.
 	minAnsweredProbes = 4
-	// maxProbesFinished bounds the counter of finished probes.
+	// maxProbesFinished is the value at which the counter of finished probes stops.
 	maxProbesFinished = 1 << 30
 )
 
-// probe is one round of the failure detector: pings to one target, and then ping-reqs to helpers.
+// probe is the state of a probe of one target: pings to the target and, if no ack arrives, ping-reqs to helpers.
 type probe struct {
 	number        uint32
 	target        ID
 	startedAt     Micros
 	nextAttemptAt Micros
 	deadline      Micros
-	// helpers are the members that were asked to ping the target.
+	// helpers holds the members that were asked to ping the target.
 	helpers []ID
-	// acked means that an ack of the target arrived.
+	// acked reports whether an ack from the target arrived.
 	acked bool
-	// indirectlyAcked means that a helper received an ack of the target.
+	// indirectlyAcked reports whether a helper received an ack from the target.
 	indirectlyAcked bool
-	// receiptConfirmed means that the target recently received a message of this member.
+	// receiptConfirmed reports whether an ack or indirect ack confirmed that the target receives this member's
+	// messages.
 	receiptConfirmed bool
-	// nackedBy are the helpers that received no ack either.
+	// nackedBy holds the helpers that received no ack from the target either.
 	nackedBy []ID
 }
 
-// runProbes repeats and finishes pending probes, and starts the next one when it is due.
+// runProbes retries or finishes pending probes, and starts the next one when it is due.
 func (g *Group) runProbes() {
 	g.pendingProbes = slices.DeleteFunc(g.pendingProbes, func(p *probe) bool {
 		if !p.acked && g.now >= p.nextAttemptAt {
@@ -56,8 +57,8 @@
 	}
 }
 
-// nextProbeTarget returns the next member of the round, or nil if there is none. Each round visits all members in a
-// new random order, which bounds the time between two probes of a member to two rounds.
+// nextProbeTarget returns the next present member of the round, or nil if there is none. Each round visits all members
+// in a new random order, so that at most two rounds pass between two probes of a member.
 func (g *Group) nextProbeTarget() *memberRecord {
 	for range 2*len(g.probeOrder) + 1 {
 		if g.nextProbeIndex >= len(g.probeOrder) {
@@ -95,7 +96,7 @@
 	g.send(target.Addr, Message{Kind: KindPing, ProbeNumber: p.number, Target: target.ID}, target)
 }
 
-// retryProbe repeats the ping of a probe and, the first time, asks helpers to ping the target.
+// retryProbe repeats the ping of a probe and, on the first retry, asks helpers to ping the target.
 func (g *Group) retryProbe(p *probe) {
 	target := g.members[p.target]
 	p.nextAttemptAt += (p.deadline - p.startedAt) / probeTimeSlots
@@ -110,7 +111,7 @@
 	}
 }
 
-// pendingProbe returns the pending probe of a number and target, or nil if there is none.
+// pendingProbe returns the pending probe with the given number and target, or nil if there is none.
 func (g *Group) pendingProbe(number uint32, target ID) *probe {
 	for _, p := range g.pendingProbes {
 		if p.number == number && p.target == target {
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// finishProbe updates the target's reachability by the outcome of a probe and suspects it if nobody reached it. The
-// outcome also tells how well connected this member is itself.
+// finishProbe sets the target's reachability from the outcome of a probe, and suspects the target if neither this
+// member nor a helper reached it. The outcome also serves to detect whether this member itself is isolated or slow.
 func (g *Group) finishProbe(p *probe) {
 	g.recordProbeOutcome(p.acked || p.indirectlyAcked || len(p.nackedBy) > 0)
 	target := g.members[p.target]
@@ -143,14 +144,14 @@
 	}
 }
 
-// suspectAfterProbe raises this member's suspicion of a target that nobody reached, and the suspicions of the helpers
-// that sent a nack.
+// suspectAfterProbe suspects a target that was not reached, with this member and the helpers that sent a nack as
+// accusers.
 func (g *Group) suspectAfterProbe(p *probe, target *memberRecord) {
 	if len(p.nackedBy) == 0 {
-		// No helper answered either, so that the fault may be this member's own.
+		// No helper answered either, so the failure may be on the side of this member.
 		g.degradeLocalHealth()
 	}
-	// This does not make the view dirty: only the outcome of the suspicion does.
+	// setReachability would mark the view dirty. Only the outcome of the suspicion does that.
 	target.Reachability = Unreachable
 	g.suspect(target, target.Incarnation, g.self.ID, reasonNoAck)
 	for _, helper := range p.nackedBy {
@@ -158,7 +159,8 @@
 	}
 }
 
-// recordProbeOutcome records whether the target of a probe or any helper answered.
+// recordProbeOutcome records whether the target of a probe or a helper answered, and marks the view dirty if this
+// changes whether it is trusted.
 func (g *Group) recordProbeOutcome(answered bool) {
 	g.probeOutcomes[g.probesFinished%probeOutcomeCount] = answered
 	if g.probesFinished < maxProbesFinished {
@@ -169,8 +171,8 @@
 	}
 }
 
-// trusted reports whether somebody answered enough of the recent probes to rule out that this member is isolated. A
-// member that never knew another one is trusted.
+// trusted reports whether enough of the recent probes were answered to rule out that this member is isolated. The view
+// of a member that knows no other member is trusted.
 func (g *Group) trusted() bool {
 	if g.presentCount <= 1 && len(g.members) == 1 {
 		return true
@@ -184,8 +186,8 @@
 	return answered >= minAnsweredProbes
 }
 
-// scaleByLocalHealth extends a time limit by Lifeguard's local health multiplier: a member that is slow itself gives
-// the others more time.
+// scaleByLocalHealth extends a time limit by Lifeguard's local health multiplier, so that a member that may itself be
+// slow allows other members more time.
 func (g *Group) scaleByLocalHealth(limit Micros) Micros {
 	if !g.enabled(localHealthScaling) {
 		return limit
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -2,10 +2,11 @@
 
 import "net/netip"
 
-// recentContactIntervals is for how many probe intervals a message counts as recent in an ack.
+// recentContactIntervals is the number of probe intervals for which Message.ReceivedFromRequester is set after a
+// message of the requester.
 const recentContactIntervals = 2
 
-// handleMessage handles a message. Whatever its kind, it proves that its sender is alive.
+// handleMessage handles a received message. A message of any kind proves that its sender is alive.
 func (g *Group) handleMessage(event MessageReceived) {
 	message := event.Message
 	switch {
@@ -35,8 +36,8 @@
 	g.dispatch(sender, event)
 }
 
-// acceptSender reports whether a message is to be processed: it is neither a duplicate nor of another process than the
-// one that owns its sender's name. It records the contact with a sender that is a member.
+// acceptSender reports whether a message is to be processed: it is not a duplicate, and it was sent by the process that
+// owns the sender's name. If the sender is a known member, the contact is recorded.
 func (g *Group) acceptSender(event MessageReceived) bool {
 	message := event.Message
 	sender := g.members[message.Sender]
@@ -54,8 +55,8 @@
 	return true
 }
 
-// answerUnknownSender answers a ping of a process that is not a member. The synchronization request has it introduce
-// itself.
+// answerUnknownSender answers a ping of a process that is not a known member. It also requests synchronization, upon
+// which the process introduces itself.
 func (g *Group) answerUnknownSender(event MessageReceived) {
 	if event.Message.Kind != KindPing {
 		return
@@ -65,7 +66,7 @@
 	g.requestSync(event.From, nil)
 }
 
-// dispatch handles what is specific to the message's kind.
+// dispatch handles the part of a message that is specific to its kind.
 func (g *Group) dispatch(sender *memberRecord, event MessageReceived) {
 	message := event.Message
 	switch message.Kind {
@@ -91,11 +92,11 @@
 		}
 		g.applyUpdate(departure, sender.ID)
 	case KindGossip, KindSyncResponse, KindNameConflict:
-		// Their content is in the updates and facts, or was handled before.
+		// handleMessage has handled them: they contain only updates and facts, or are name conflicts.
 	}
 }
 
-// recordContact records that a message of a member arrived.
+// recordContact records that a message of a member arrived, and updates the member's state and address accordingly.
 func (g *Group) recordContact(sender *memberRecord, from netip.AddrPort, message Message) {
 	sender.lastMessageAt = g.now
 	sender.LastContact = g.now
@@ -119,7 +120,7 @@
 		g.restartSuspicion(sender)
 	}
 	if !sender.State.Present() && message.Incarnation <= sender.Incarnation && !leaving {
-		// The sender does not know that it was declared dead or left: it will refute that.
+		// The sender may not know that it was declared dead or left. The update lets it refute that.
 		g.send(from, Message{Kind: KindGossip, Updates: []Update{g.updateFor(sender)}}, sender)
 	}
 	addressChanged := from != sender.Addr && message.Incarnation >= sender.Incarnation
@@ -129,11 +130,12 @@
 	}
 }
 
-// handlePing sends an ack. For a ping on behalf of a requester, the ack reports whether that one's own messages arrive.
+// handlePing sends an ack. If a helper sent the ping on behalf of a requester, the ack also reports whether messages of
+// the requester arrive.
 func (g *Group) handlePing(sender *memberRecord, event MessageReceived) {
 	message := event.Message
 	if message.Target != g.self.ID && message.Target != 0 {
-		return // meant for another process that had this address
+		return // meant for a previous process at this address
 	}
 	requester := g.members[message.Requester]
 	ack := Message{
@@ -150,7 +152,7 @@
 	return member.lastMessageAt > 0 && g.now-member.lastMessageAt < recentContactIntervals*g.ProbeInterval
 }
 
-// handleAck handles the ack of a ping of this member's own probe or of an indirect probe for another member.
+// handleAck handles an ack to a ping of this member's own probe or of an indirect probe on behalf of another member.
 func (g *Group) handleAck(sender *memberRecord, message Message) {
 	setEntry(&sender.lastSeenBy, g.self.ID, g.now)
 	if message.ReceivedFromProber {
@@ -162,6 +164,6 @@
 	}
 	if p := g.pendingProbe(message.ProbeNumber, sender.ID); p != nil {
 		p.acked = true
-		p.receiptConfirmed = true // it received the ping
+		p.receiptConfirmed = true // an ack proves that the target received the ping
 	}
 }
--- a/membership/safeguard.go
+++ b/membership/safeguard.go
@@ -1,17 +1,17 @@
 package membership
 
-// safeguard is a bit set of the measures against false positives. All of them are in force in operation; measurements
+// safeguard is a bit set of measures against false positives. All of them are enabled in production; measurements
 // disable one at a time to determine its effect and cost.
 type safeguard uint8
 
 const (
-	probeRetry         safeguard = 1 << iota // an unanswered ping is repeated
-	indirectProbing                          // helpers ping the target when the direct ping gets no ack
+	probeRetry         safeguard = 1 << iota // a ping that was not acknowledged is repeated
+	indirectProbing                          // helpers ping the target if the direct ping gets no ack
 	pauseDetection                           // a pause of this process extends its time limits
 	localHealthScaling                       // Lifeguard's local health multiplier extends this member's time limits
-	suspicionRestart                         // a message of a suspect, or a later accusation, restarts the suspicion
-	accuserComparison                        // an accuser is distrusted only if the others' accusations fare better
+	suspicionRestart                         // a message of a suspect, or a later accusation, restarts the timeout
+	accuserComparison                        // an accuser is distrusted only if others are refuted far less often
 )
 
-// enabled reports whether a safeguard is in force.
+// enabled reports whether a safeguard is enabled.
 func (g *Group) enabled(measure safeguard) bool { return g.disabledSafeguards&measure == 0 }
--- a/membership/send.go
+++ b/membership/send.go
@@ -2,24 +2,25 @@
 
 import "net/netip"
 
-// maxDeferredSends bounds the queue of messages that wait for the send budget.
+// maxDeferredSends limits the queue of messages that wait for the send budget.
 const maxDeferredSends = 256
 
-// refillSendTokens adds the send budget of an elapsed time to the token bucket, which holds one second's budget.
+// refillSendTokens adds the tokens for the elapsed time to the token bucket, whose capacity is the budget of one
+// second.
 func (g *Group) refillSendTokens(elapsed Micros) {
 	capacity := float64(g.MaxSendRate)
 	g.sendTokens = min(capacity, g.sendTokens+capacity*float64(elapsed)/microsPerSecond)
 }
 
-// send sends a message with piggybacked updates if the send budget allows. Otherwise pings, acks and synchronization
-// responses are deferred, and all else is dropped. The recipient is nil if it is not a known member.
+// send sends a message with piggybacked updates if the send budget permits. Otherwise pings, acks and synchronization
+// responses are deferred, and other messages are dropped. The recipient is nil if it is not a known member.
 func (g *Group) send(to netip.AddrPort, message Message, recipient *memberRecord) {
 	if to == g.Addr || !to.IsValid() {
 		return
 	}
 	if g.sendTokens < 1 {
 		if message.Kind == KindAck || message.Kind == KindPing || message.Kind == KindSyncResponse {
-			// A full queue loses its last message.
+			// If the queue is full, the new message replaces the last one.
 			waiting := min(len(g.deferredSends), maxDeferredSends)
 			g.deferredSends = append(g.deferredSends[:waiting], SendMessage{to, message})
 		}
@@ -33,7 +34,7 @@
 	g.emit(SendMessage{to, message})
 }
 
-// sendDeferred sends deferred messages, oldest first, as the send budget allows.
+// sendDeferred sends deferred messages, oldest first, as far as the send budget permits.
 func (g *Group) sendDeferred() {
 	sent := 0
 	for sent < len(g.deferredSends) && g.sendTokens >= 1 {
@@ -46,7 +47,7 @@
 	g.deferredSends = g.deferredSends[sent:]
 }
 
-// fillHeader sets the sender's part of a message.
+// fillHeader sets the fields of a message that describe its sender, and its message number.
 func (g *Group) fillHeader(message *Message) {
 	g.lastMessageNumber++
 	message.Sender = g.self.ID
--- a/membership/share.go
+++ b/membership/share.go
@@ -1,18 +1,19 @@
 package membership
 
-// MaxMembers is the number of members up to which the shares of View.CapacityShare add up to one. A larger group is not refused;
-// it is the size that a new member assumes until its view has converged.
+// MaxMembers is the group size that a new member assumes until its view has converged; see View.CapacityShare. It does
+// not limit the size of a group, but in a larger group the shares of new members may add up to more than one.
 const MaxMembers = 1024
 
-// CapacityShare returns this member's index among the members that share a capacity, and their number. The shares of all members
-// never add up to more than one, so that the shared capacity is not exceeded:
-//   - Every known member that has not left counts, dead or alive, until its tombstone expires: it may be alive on the
-//     other side of a partition.
-//   - Until its view has converged, a member takes the share of one of MaxMembers, since it may know a part of the group
-//     only. These shares may come on top of the whole.
-//   - A larger group than configured makes the share smaller; a smaller one does not make it larger.
+// CapacityShare returns the index of a member among the members that share a capacity in equal parts, and the number of
+// these members. The shares of all members with a converged view never add up to more than the whole:
+//   - Every known member that has not left counts, whether alive or dead, until its tombstone expires: it may be alive
+//     on the other side of a partition.
+//   - A member whose view has not converged may know only a part of the group. It takes the share of one of MaxMembers,
+//     or of the configured count if that is larger. Its share may come on top of the whole.
+//   - If the group is larger than the configured count, the share becomes smaller. If the group is smaller, the share
+//     does not become larger.
 //
-// The configured index and count are returned where the configured count is large enough.
+// The configured index and count are returned if the configured count is at least the number of members that count.
 func (v View) CapacityShare(self ID, configuredIndex, configuredCount int) (index, count int) {
 	if !v.Converged {
 		return configuredIndex, max(configuredCount, MaxMembers)
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -3,25 +3,28 @@
 import "net/netip"
 
 const (
-	// maxCountedAccusers is the number of independent accusers at which the suspicion timeout is shortest.
+	// maxCountedAccusers is the number of independent accusers up to which each one shortens the suspicion timeout and
+	// is disseminated.
 	maxCountedAccusers = 3
-	// maxRefutedDeaths bounds how often the suspicion timeout of a member doubles.
+	// maxRefutedDeaths is the maximum number of refuted deaths for which the suspicion timeout of a member doubles.
 	maxRefutedDeaths = 2
-	// unreachablePortDivisor shortens the suspicion timeout of a member at whose address no process listens.
+	// unreachablePortDivisor is the divisor of the suspicion timeout for a member at whose address no process listens.
 	unreachablePortDivisor = 4
-	// minSuspicionTimeoutIntervals is the shortest suspicion timeout, in probe intervals.
+	// minSuspicionTimeoutIntervals is the minimum suspicion timeout in probe intervals.
 	minSuspicionTimeoutIntervals = 2
 
-	// minRefutations is how many refuted accusations are needed at least for an accuser to be distrusted.
+	// minRefutations is the minimum number of refuted accusations for an accuser to be distrusted.
 	minRefutations = 5
-	// refutationOutlierFactor is how many times the average of the others' refuted accusations a distrusted accuser has.
+	// refutationOutlierFactor is the multiple of the other members' average of refuted accusations that an accuser must
+	// exceed to be distrusted.
 	refutationOutlierFactor = 3
-	// accusationDecayThreshold is the number of accusations beyond which an accuser's counts are halved, so that old ones fade.
+	// accusationDecayThreshold is the number of accusations beyond which an accuser's counts are halved, so that old
+	// accusations lose weight.
 	accusationDecayThreshold = 40
 )
 
-// suspect adds an accuser's suspicion of an incarnation of a member. Independent accusers shorten the time that the
-// suspect has to refute it. The reason is recorded if the member was not suspected yet.
+// suspect adds an accuser's suspicion of an incarnation of a member. Each independent accuser shortens the time that
+// the suspect has to refute the suspicion. The reason is recorded only if the member was not a suspect yet.
 func (g *Group) suspect(member *memberRecord, incarnation uint32, accuser ID, reason string) {
 	if member == g.self || !member.State.Present() || incarnation < member.Incarnation || member.accusers[accuser] {
 		return
@@ -42,8 +45,9 @@
 	}
 }
 
-// restartSuspicion restarts the suspicion timeout of a suspect after a message of it or an indirect ack. Only a
-// refutation by the suspect itself ends the suspicion, here and at the others, so it is notified of the accusation.
+// restartSuspicion restarts the suspicion timeout of a suspect after a message or an indirect ack of the suspect
+// arrived. It also notifies the suspect of the accusation, because only a refutation by the suspect ends the suspicion
+// at this member and the others.
 func (g *Group) restartSuspicion(member *memberRecord) {
 	if member.State != StateSuspect {
 		return
@@ -62,8 +66,7 @@
 	g.send(member.Addr, Message{Kind: KindGossip, Updates: []Update{accusation}}, member)
 }
 
-// expireSuspicions declares the suspects dead whose timeout has passed. A member that may be isolated declares nobody
-// dead.
+// expireSuspicions declares suspects dead whose suspicion timeout has elapsed, unless this member may be isolated.
 func (g *Group) expireSuspicions() {
 	if g.suspectCount == 0 || g.now < g.noDeathsBefore || !g.trusted() {
 		return
@@ -75,14 +78,15 @@
 	}
 }
 
-// remainingSuspicion returns the time that a suspect still has to refute the suspicion.
+// remainingSuspicion returns the time that remains for a suspect to refute the suspicion.
 func (g *Group) remainingSuspicion(member *memberRecord) Micros {
 	return g.suspicionTimeout(member) - (g.now - member.suspicionStartedAt)
 }
 
-// suspicionTimeout returns the time that a suspect has to refute the suspicion. It falls from nearly twice the
-// configured timeout to the configured one as accusers are added, and is a quarter of that if no process listens at the
-// suspect's address. It doubles with each resurrection, so that a member whose messages are slow does not flap.
+// suspicionTimeout returns the time that a suspect has to refute the suspicion. With each accuser it decreases, from
+// 1.5 times the configured timeout with one accuser to the configured timeout with maxCountedAccusers. If no process
+// listens at the suspect's address, it is a quarter of the configured timeout. It doubles with each refuted death, so
+// that a member whose messages are delayed does not flap.
 func (g *Group) suspicionTimeout(member *memberRecord) Micros {
 	accusers := min(len(member.accusers), maxCountedAccusers)
 	timeout := g.SuspicionTimeout * Micros(2*maxCountedAccusers-accusers+1) / Micros(maxCountedAccusers+1)
@@ -93,7 +97,8 @@
 	return g.scaleByLocalHealth(timeout) << member.refutedDeaths
 }
 
-// handlePortUnreachable suspects the member at an address where no process listens.
+// handlePortUnreachable suspects the members at an address where no process listens, unless they sent a message within
+// the last quarter of a probe interval.
 func (g *Group) handlePortUnreachable(addr netip.AddrPort) {
 	for _, member := range g.membersByID {
 		if member == g.self || member.Addr != addr || !member.State.Present() {
@@ -106,9 +111,9 @@
 	}
 }
 
-// distrusts reports whether an accuser's suspicions are ignored: more than half of them were refuted, and far more than
-// those of the others on average. The comparison keeps a lossy network, where all accusers are wrong alike, from
-// discrediting all of them.
+// distrusts reports whether an accuser's accusations are ignored: more than half of them were refuted, and many more
+// than those of the other members on average. Without this comparison, all members would distrust each other on a lossy
+// network, where the accusations of all of them are refuted equally often.
 func (g *Group) distrusts(accuser *memberRecord) bool {
 	distrusted := accuser.accusationsRefuted >= minRefutations && 2*accuser.accusationsRefuted > accuser.accusationsMade
 	if distrusted && g.enabled(accuserComparison) {
@@ -122,7 +127,8 @@
 	return distrusted
 }
 
-// isRefutationOutlier reports whether an accuser's refuted accusations are several times the others' average.
+// isRefutationOutlier reports whether an accuser has several times as many refuted accusations as the other members
+// have on average.
 func (g *Group) isRefutationOutlier(accuser *memberRecord) bool {
 	refutedOfOthers := 0
 	for _, member := range g.membersByID {
@@ -134,7 +140,7 @@
 	return accuser.accusationsRefuted*others > refutationOutlierFactor*refutedOfOthers
 }
 
-// countRefutation counts a refutation against each accuser of the suspect.
+// countRefutation counts a refuted accusation for each accuser of the suspect.
 func (g *Group) countRefutation(suspect *memberRecord) {
 	for _, accuser := range g.membersByID {
 		if !suspect.accusers[accuser.ID] {
--- a/membership/view.go
+++ b/membership/view.go
@@ -9,23 +9,26 @@
 )
 
 const (
-	// recentlySeenIntervals is for how many probe intervals an ack counts in Member.SeenByCount.
+	// recentlySeenIntervals is the number of probe intervals for which an ack counts in Member.SeenByCount.
 	recentlySeenIntervals = 10
-	// maxViewDelayTimeouts is the longest delay of a view, in suspicion timeouts.
+	// maxViewDelayTimeouts is the maximum delay of a changed view, in suspicion timeouts.
 	maxViewDelayTimeouts = 2
-	// imminentDeathIntervals is how many probe intervals before its end a suspicion delays the view.
+	// imminentDeathIntervals is the number of probe intervals before the end of a suspicion timeout in which the
+	// suspicion delays the view.
 	imminentDeathIntervals = 2
 )
 
 // View is one member's view of the group.
 type View struct {
-	// Version counts the changes of this member's view.
+	// Version is the number of changes of this member's view so far.
 	Version uint64
-	// Digest is equal at two members whose views contain the same present members.
+	// Digest is a hash of the present members. It is equal at members that see the same members as present.
 	Digest uint32
-	// Trusted is false while this member may be isolated; it declares nobody dead then.
+	// Trusted is false while this member may be isolated. Until it is true again, this member declares no other one
+	// dead.
 	Trusted bool
-	// Converged is true once another member has had the same view, or if there is no other member.
+	// Converged is true once the view was stable and equal to another member's, or this member has known no other
+	// member for long enough. It never becomes false again.
 	Converged bool
 	// Members are sorted by name. They include those that left or died until their tombstones expire.
 	Members []Member
@@ -42,7 +45,7 @@
 	return count
 }
 
-// Find returns the member of a name, and false if there is none.
+// Find returns the member with the given name. It returns false if there is none.
 func (v View) Find(name string) (Member, bool) {
 	i, found := slices.BinarySearchFunc(v.Members, name, func(member Member, name string) int {
 		return cmp.Compare(member.Name, name)
@@ -53,8 +56,9 @@
 	return v.Members[i], true
 }
 
-// Reporter returns the present member that logs the changes of another one, so that not every member of a large group
-// logs each change. Members with the same view agree on it. A member without others is its own reporter.
+// Reporter returns the present member that logs state changes of the subject, so that in a large group each change is
+// logged once. Members with the same view agree on the reporter. If no other member is present, the subject is its own
+// reporter.
 func (v View) Reporter(subject ID) ID {
 	reporter := subject
 	highest := uint64(0)
@@ -73,8 +77,8 @@
 	return reporter
 }
 
-// equivalent reports whether two views differ only in what no consumer acts on, such as times of contact and
-// suspicions.
+// equivalent reports whether two views are equal apart from details that no consumer acts on, such as times of contact
+// and suspicions.
 func (v View) equivalent(other View) bool {
 	return v.Digest == other.Digest &&
 		v.Trusted == other.Trusted &&
@@ -93,15 +97,15 @@
 		slices.EqualFunc(m.Facts, other.Facts, sameFact)
 }
 
-// markViewDirty records that the published view is outdated.
+// markViewDirty records that the state has changed since the view was last published.
 func (g *Group) markViewDirty() {
 	if g.viewDirtySince == 0 {
 		g.viewDirtySince = g.now
 	}
 }
 
-// publishView publishes the view if it has changed. It waits, for a limited time, while suspicions are about to end, so
-// that the failure of a zone makes one change and not one for each member.
+// publishView publishes the view if it has changed. While suspicions are about to time out, it waits for a limited
+// time, so that the failure of a zone results in one change of the view and not in one per member.
 func (g *Group) publishView() {
 	if g.viewDirtySince == 0 {
 		return
@@ -120,7 +124,7 @@
 	g.emit(ViewChanged{view})
 }
 
-// deathsImminent reports whether a suspicion that several accusers share is about to end.
+// deathsImminent reports whether a suspicion with several accusers is about to time out.
 func (g *Group) deathsImminent() bool {
 	return slices.ContainsFunc(g.membersByID, func(member *memberRecord) bool {
 		return member.State == StateSuspect &&
@@ -129,7 +133,7 @@
 	})
 }
 
-// Snapshot returns the current view, including the changes that ViewChanged does not announce.
+// Snapshot returns the current view, including details whose changes are not published with ViewChanged.
 func (g *Group) Snapshot() View {
 	view := View{
 		Version:   g.view.Version,
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -158,7 +158,7 @@
 		time.Sleep(time.Until(until)) // the stop
 		f2.signal(syscall.SIGCONT)
 		r.waitForView(all, 20*time.Second)
-		assert.Contains(t, f2.logged(), "this member stood still")
+		assert.Contains(t, f2.logged(), "this process was paused")
 		for _, line := range r.loggedDeaths() {
 			assert.Contains(t, line, "[f2]", "a suspended member accuses nobody")
 		}
