--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -15,13 +15,13 @@
 const (
 	second = microsPerSecond
 	hour   = 3600 * second
-	// pollInterval is how often a condition of a running cluster is checked.
+	// pollInterval is the simulated time between two checks of a condition.
 	pollInterval = second / 10
-	// maxShareSum is one whole share, plus the error of adding floating-point numbers.
+	// maxShareSum is the maximum sum of all capacity shares: one, plus a tolerance for rounding errors.
 	maxShareSum = 1.0001
 )
 
-// lan is a link of a local network that loses nothing.
+// lan is a link of a local network without loss.
 var lan = simnet.Link{MinDelay: 300, MaxDelay: 5000}
 
 // cluster is a group of members on a simulated network. Each message is encoded and decoded.
@@ -33,47 +33,47 @@
 	indexByAddr map[netip.AddrPort]int
 	datagrams   int
 	bytes       int
-	// removals are the members that any view declared dead.
+	// removals records each removal of a member from a view.
 	removals []removal
-	// tamper changes the messages that a member sends; nil is none.
+	// tamper modifies the messages that a member sends; nil if no member is faulty.
 	tamper func(from int, message *Message)
-	// disabledSafeguards are the safeguards that all members do without.
+	// disabledSafeguards are the safeguards that are disabled at all members.
 	disabledSafeguards safeguard
 }
 
-// simNode is one member of a cluster.
+// simNode is a member of a cluster with its simulated process.
 type simNode struct {
 	*Group
 	cluster          *cluster
 	index            int
-	processRun       int // number of the current process
+	processRun       int // number of processes started so far
 	lastGeneration   uint32
 	nameTaken        bool
 	view             View
 	viewCount        int
 	inbox            []Event
-	maxSentPerSecond int // maximum of datagrams sent in one second
+	maxSentPerSecond int // maximum number of datagrams sent in one second
 	currentSecond    simnet.Micros
 	sentThisSecond   int
 	clockSkew        Micros
 	clockDrift       float64 // relative error of the clock's rate
 }
 
-// removal is a present member that a view declared dead.
+// removal is a change of a view by which a present member became dead.
 type removal struct {
-	at       Micros
-	observer int
-	removed  int
-	wasDead  bool
+	at       Micros // since the start of the simulation
+	observer int    // index of the member whose view changed
+	removed  int    // index of the member that became dead
+	wasDead  bool   // the removed member's process was dead
 }
 
-// newCluster starts a number of members that know the address of the first one, and one that nobody has.
+// newCluster starts a cluster. The seeds of each member are the address of the first member and one that no member has.
 func newCluster(tb testing.TB, seed uint64, size int, link simnet.Link) *cluster {
 	tb.Helper()
 	return newClusterWithout(tb, seed, size, link, 0)
 }
 
-// newClusterWithout starts a cluster whose members do without some safeguards.
+// newClusterWithout starts a cluster in which some safeguards are disabled at all members.
 func newClusterWithout(tb testing.TB, seed uint64, size int, link simnet.Link, disabledSafeguards safeguard) *cluster {
 	tb.Helper()
 	c := &cluster{
@@ -98,7 +98,7 @@
 	return c
 }
 
-// newConvergedCluster starts a cluster on a lossless network and waits until all members are in agreement.
+// newConvergedCluster starts a cluster on a network without loss and waits until all views agree.
 func newConvergedCluster(tb testing.TB, seed uint64, size int) *cluster {
 	tb.Helper()
 	c := newCluster(tb, seed, size, lan)
@@ -127,7 +127,7 @@
 	}
 }
 
-// nodeRange returns the network nodes with the indices from first up to, but without, end.
+// nodeRange returns the network nodes with the indices from first to end-1.
 func nodeRange(first, end int) []simnet.NodeID {
 	var nodes []simnet.NodeID
 	for i := first; i < end; i++ {
@@ -169,7 +169,7 @@
 	n.cluster.network.Schedule(n.networkID(), 0, tick)
 }
 
-// step hands the received messages and some events to the protocol and carries out its actions.
+// step passes the received messages and some events to the protocol and carries out its actions.
 func (n *simNode) step(events ...Event) {
 	events = append(n.inbox, events...)
 	n.inbox = nil
@@ -187,7 +187,7 @@
 	}
 }
 
-// recordRemovals records the members that are present in the current view and dead in the next one.
+// recordRemovals records a removal for each member that is present in the current view and dead in the next one.
 func (n *simNode) recordRemovals(next View) {
 	c := n.cluster
 	for _, member := range next.Members {
@@ -257,7 +257,7 @@
 	c.network.Heal(b, a)
 }
 
-// inAgreement reports whether the views of the first size members that are alive contain exactly these.
+// inAgreement reports whether those of the first size members that are alive see exactly each other as present.
 func (c *cluster) inAgreement(size int) bool {
 	for _, node := range c.nodes[:size] {
 		if !node.isAlive() {
@@ -277,13 +277,13 @@
 	return true
 }
 
-// waitForAgreement runs the cluster until the first size members are in agreement, and returns how long that took.
+// waitForAgreement runs the cluster until the first size members are in agreement, and returns the elapsed time.
 func (c *cluster) waitForAgreement(size int, timeout Micros) Micros {
 	c.t.Helper()
 	startedAt := c.network.Now()
 	for !c.inAgreement(size) {
 		if c.network.Now()-startedAt >= timeout {
-			assert.Fail(c.t, "no agreement", "in %d s; the first member sees %d of %d", timeout/second, c.nodes[0].view.PresentCount(), size)
+			assert.Fail(c.t, "views do not agree", "after %d s the first member sees %d of %d members as present", timeout/second, c.nodes[0].view.PresentCount(), size)
 			return timeout
 		}
 		c.run(pollInterval)
@@ -291,7 +291,8 @@
 	return c.network.Now() - startedAt
 }
 
-// shareSum returns the sum of the shares of all members that are alive and have converged. It must never exceed one.
+// shareSum returns the sum of the capacity shares of all members that are alive and whose views have converged. It must
+// never exceed one.
 func (c *cluster) shareSum() float64 {
 	sum := 0.0
 	for _, node := range c.nodes {
@@ -303,13 +304,13 @@
 	return sum
 }
 
-// requireSharesWithinWhole fails the test at once if the shares add up to more than one.
+// requireSharesWithinWhole fails the test at once if the capacity shares add up to more than one.
 func (c *cluster) requireSharesWithinWhole() {
 	c.t.Helper()
 	require.LessOrEqual(c.t, c.shareSum(), maxShareSum)
 }
 
-// falseRemovals returns how often a view declared a member dead that was alive.
+// falseRemovals returns the number of removals of members that were alive.
 func (c *cluster) falseRemovals() int {
 	count := 0
 	for _, removal := range c.removals {
--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -42,6 +42,7 @@
 	return message
 }
 
+// Every field must survive encoding and decoding, and freeBytes must agree with the encoded size.
 func TestCodecRoundTrip(t *testing.T) {
 	for _, key := range []string{"", testKey} {
 		codec := NewCodec("g", []byte(key))
@@ -54,7 +55,7 @@
 	}
 }
 
-// A datagram of another group, version or key, or one that was changed on the way, is rejected.
+// A datagram must be rejected if it belongs to another group, wire version or key, is damaged, or exceeds a limit.
 func TestDecodeRejectsInvalidDatagrams(t *testing.T) {
 	codec := NewCodec("g", []byte(testKey))
 	valid := codec.AppendEncode(nil, completeMessage())
@@ -72,7 +73,7 @@
 	}{
 		"empty":         {nil, ErrMalformed},
 		"truncated":     {valid[:len(valid)-30], ErrUnauthenticated},
-		"short":         {valid[:20], ErrMalformed},
+		"short header":  {valid[:20], ErrMalformed},
 		"too long":      {append(slices.Clone(valid), make([]byte, 100)...), ErrMalformed},
 		"other group":   {NewCodec("h", []byte(testKey)).AppendEncode(nil, completeMessage()), ErrOtherGroup},
 		"other key":     {NewCodec("g", []byte("another key of it")).AppendEncode(nil, completeMessage()), ErrUnauthenticated},
@@ -80,8 +81,8 @@
 		"other version": {otherVersion, ErrUnknownVersion},
 		"unknown kind":  {codec.AppendEncode(nil, Message{Kind: 200, Sender: 1}), ErrMalformed},
 		"no sender":     {codec.AppendEncode(nil, Message{Kind: KindPing}), ErrMalformed},
-		"long name":     {withUpdate(Update{Name: "a name that is longer than names may be"}), ErrMalformed},
-		"long fact":     {withFact(Fact{Name: "a name that is too long"}), ErrMalformed},
+		"name too long": {withUpdate(Update{Name: "a name that is longer than names may be"}), ErrMalformed},
+		"fact too long": {withFact(Fact{Name: "a name that is too long"}), ErrMalformed},
 		"unknown state": {withUpdate(Update{State: 9}), ErrMalformed},
 	} {
 		_, err := codec.Decode(invalid.datagram)
@@ -95,14 +96,15 @@
 	}
 }
 
-// FuzzDecode decodes arbitrary input: nothing panics, and a decoded message encodes to one that decodes to the same.
+// FuzzDecode checks that Decode does not panic on arbitrary input, and that a decoded message is the same after it was
+// encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	codec := NewCodec("g", nil)
 	f.Add(codec.AppendEncode(nil, completeMessage()))
 	f.Add(codec.AppendEncode(nil, Message{Kind: KindSyncRequest, Sender: 1, BucketDigests: make([]uint32, bucketCount)}))
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		if len(datagram) > authenticatorSize {
-			// Without a valid checksum, decoding would stop there.
+			// Set a valid checksum: without one, Decode would reject nearly all inputs before it reads their fields.
 			body := datagram[:len(datagram)-authenticatorSize]
 			datagram = slices.Concat(body, codec.authenticator(body))
 		}
--- a/membership/detection_test.go
+++ b/membership/detection_test.go
@@ -9,23 +9,26 @@
 	"alderproxy/internal/simnet"
 )
 
+// Members that know only the address of the first one must discover all others, without false positives and within
+// their send budgets.
 func TestAllMembersDiscoverEachOther(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{3, 10, 70} {
 		c := newCluster(t, 1, size, lan)
 		elapsed := c.waitForAgreement(size, 60*second)
-		t.Logf("%d members that know one address agree after %.1f s", size, float64(elapsed)/second)
+		t.Logf("%d members that know one seed agree after %.1f s", size, float64(elapsed)/second)
 		c.run(30 * second)
 		assert.True(t, c.inAgreement(size))
 		digest := c.nodes[0].view.Digest
 		for _, node := range c.nodes {
 			assert.Equal(t, digest, node.view.Digest)
-			assert.LessOrEqual(t, node.maxSentPerSecond, 2*node.MaxSendRate, "datagrams in a second")
+			assert.LessOrEqual(t, node.maxSentPerSecond, 2*node.MaxSendRate, "datagrams sent in one second")
 		}
 		assert.Empty(t, c.removals)
 	}
 }
 
+// The death of one process must reach all views, and no living member may be removed.
 func TestDeathReachesAllMembers(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{5, 30, 70} {
@@ -37,19 +40,21 @@
 	}
 }
 
+// Packet loss, delays and pauses shorter than the suspicion timeout make probes fail. They must not lead to the removal
+// of living members.
 func TestNoFalsePositivesUnderFaults(t *testing.T) {
 	t.Parallel()
 	const size = 40
 	cases := []struct {
 		name   string
 		link   simnet.Link
-		inject func(*cluster) // nil: the link's faults only
+		inject func(*cluster) // nil if the link is the only source of faults
 	}{
-		{"loss of a tenth", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.1}, nil},
-		{"loss of three tenths", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.3}, nil},
-		{"delayed, reordered and duplicated", simnet.Link{MinDelay: 300, MaxDelay: 2 * second, LossRate: 0.05, DuplicationRate: 0.3}, nil},
+		{"10% loss", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.1}, nil},
+		{"30% loss", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.3}, nil},
+		{"delay, reordering and duplication", simnet.Link{MinDelay: 300, MaxDelay: 2 * second, LossRate: 0.05, DuplicationRate: 0.3}, nil},
 		{"pauses of 1 s and 5 s", simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: 0.1}, injectRandomPauses},
-		{"all pause at once", lan, func(c *cluster) {
+		{"simultaneous pause of all members", lan, func(c *cluster) {
 			c.network.Schedule(-1, 30*second, func() {
 				for _, node := range c.nodes {
 					c.network.Pause(node.networkID(), 5*second)
@@ -69,21 +74,21 @@
 			assert.Empty(t, c.removals)
 		})
 	}
-	t.Run("one member whose datagrams arrive 10 s late", func(t *testing.T) {
+	t.Run("one member with datagrams delayed by 10 s", func(t *testing.T) {
 		t.Parallel()
 		c := newConvergedCluster(t, 3, size)
 		for _, other := range c.nodes[1:] {
 			c.network.SetLink(0, other.networkID(), simnet.Link{MinDelay: 10 * second, MaxDelay: 10 * second})
 		}
 		c.run(120 * second)
-		// Each of the others removes it twice at most, since a member that returns is given more time.
+		// Each of the others removes it at most twice, because the suspicion timeout doubles with each refuted death.
 		assert.LessOrEqual(t, len(c.removals), 2*(size-1))
 		isLate := func(r removal) bool { return r.at > 90*second }
 		assert.False(t, slices.ContainsFunc(c.removals, isLate), "%v", c.removals)
 	})
 }
 
-// injectRandomPauses pauses each member four times, for 1 s and 5 s in turn.
+// injectRandomPauses pauses each member four times, alternately for 1 s and 5 s.
 func injectRandomPauses(c *cluster) {
 	for _, node := range c.nodes {
 		for i := range 4 {
@@ -94,6 +99,8 @@
 	}
 }
 
+// The simultaneous death of many members must change a view a few times and not once per death. The capacity shares
+// must not add up to more than one while the members die and return.
 func TestSimultaneousDeathsMakeFewViews(t *testing.T) {
 	t.Parallel()
 	const size, survivors = 60, 18 // seven in ten die
@@ -106,8 +113,8 @@
 	assert.LessOrEqual(t, c.shareSum(), maxShareSum)
 	elapsed := c.waitForAgreement(survivors, 90*second)
 	views := c.nodes[0].viewCount - viewsBefore
-	t.Logf("42 of 60 killed: known to all after %.1f s, in %d views", float64(elapsed)/second, views)
-	assert.LessOrEqual(t, views, 10, "a few changes and not one for each")
+	t.Logf("42 of 60 members killed: known to all after %.1f s, in %d views", float64(elapsed)/second, views)
+	assert.LessOrEqual(t, views, 10, "the deaths must change the view a few times and not once per death")
 	removedByFirst := 0
 	for _, removal := range c.removals {
 		if removal.observer == 0 {
@@ -126,7 +133,8 @@
 	assert.Zero(t, c.falseRemovals())
 }
 
-// A pause beyond the suspicion timeout counts as a death. The paused member suspects nobody and returns soon after.
+// A pause that exceeds the suspicion timeout counts as a death. After it, the paused members must not accuse others,
+// whose messages they missed, and must soon be present in all views again.
 func TestLongPauses(t *testing.T) {
 	t.Parallel()
 	const size = 40
@@ -138,16 +146,18 @@
 		c.run(30 * second)
 		present := c.nodes[size-1].view.PresentCount()
 		elapsed := c.waitForAgreement(size, 30*second)
-		t.Logf("%d of 40 pause for 30 s: %d are present at its end, all again %.1f s after", paused, present, float64(elapsed)/second)
+		t.Logf("%d of 40 members pause for 30 s: %d are present at the end of the pause, all %.1f s later", paused, present, float64(elapsed)/second)
 		for _, removal := range c.removals {
-			assert.Less(t, removal.removed, paused, "%d was removed by %d", removal.removed, removal.observer)
+			assert.Less(t, removal.removed, paused, "member %d was removed by member %d", removal.removed, removal.observer)
 		}
 		if paused == size {
-			assert.Empty(t, c.removals, "nobody missed a message while all paused")
+			assert.Empty(t, c.removals, "no member may be removed, because none misses a message while all pause")
 		}
 	}
 }
 
+// A faulty member that reports living members as suspect, dead or left must not remove them, and its accusations must
+// be distrusted.
 func TestLyingMemberIsDistrusted(t *testing.T) {
 	t.Parallel()
 	for _, claim := range []MemberState{StateSuspect, StateDead, StateLeft} {
@@ -158,7 +168,7 @@
 	}
 }
 
-// testLyingMember has one member spread a false state of others.
+// testLyingMember runs a cluster in which one member reports a false state of the others.
 func testLyingMember(t *testing.T, claim MemberState) {
 	t.Helper()
 	const size, liar = 20, 7
@@ -185,7 +195,7 @@
 	for _, node := range c.nodes {
 		assert.Equal(t, size, node.view.PresentCount())
 	}
-	if claim == StateLeft { // a refutation of that is not a refuted accusation
+	if claim == StateLeft { // a report of a departure is not counted as an accusation
 		return
 	}
 	distrusted := 0
@@ -200,6 +210,7 @@
 	assert.Positive(t, distrusted)
 }
 
+// Runs with the same seed must be identical, so that a failure can be reproduced from its seed.
 func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	digestOfRun := func(seed uint64) uint64 {
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -9,6 +9,8 @@
 	"alderproxy/internal/simnet"
 )
 
+// A fact must reach all members despite loss, be replaced by its next version, and expire after its TTL. A member must
+// not store more facts than MaxFacts.
 func TestFactsReachAllMembersAndExpire(t *testing.T) {
 	t.Parallel()
 	const size, publisher = 50, 4
@@ -39,7 +41,8 @@
 	assert.LessOrEqual(t, len(c.nodes[publisher].self.facts), MaxFacts)
 }
 
-// A member that joins receives the facts that were published before.
+// Facts that were published before a member joined are no longer disseminated. The member must receive them by
+// synchronization.
 func TestJoiningMemberReceivesFacts(t *testing.T) {
 	t.Parallel()
 	const size, joining, firstVersion = 20, 19, 40
--- a/membership/lifecycle_test.go
+++ b/membership/lifecycle_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A graceful departure must be recorded as left and not as a death, and the member must be able to join again.
 func TestLeaveIsNotADeath(t *testing.T) {
 	t.Parallel()
 	const size, leaver = 20, 5
@@ -28,6 +29,7 @@
 	c.waitForAgreement(size, 30*second)
 }
 
+// A process that restarts under its name before its death is detected must not be removed from any view.
 func TestRestartsUnderSameName(t *testing.T) {
 	t.Parallel()
 	const size, restarting = 15, 14
@@ -39,10 +41,11 @@
 		c.run(second/2 + Micros(round))
 	}
 	c.waitForAgreement(size, 30*second)
-	assert.Empty(t, c.removals, "it never stopped for long")
+	assert.Empty(t, c.removals, "no view may remove the member, because it was never down for long")
 }
 
-// A member that restarts each second for three minutes causes no removal of others and a bounded send rate.
+// A member that restarts each second for three minutes must not cause the removal of others, and the send rate of the
+// group must stay limited.
 func TestFlappingMember(t *testing.T) {
 	t.Parallel()
 	const size, flapping = 20, 19
@@ -57,7 +60,7 @@
 	}
 	elapsed := float64(c.network.Now()-startedAt) / second
 	rate := float64(c.datagrams-datagramsBefore) / size / elapsed
-	t.Logf("%.1f datagrams a member and second while one flaps", rate)
+	t.Logf("%.1f datagrams per member and second while one member flaps", rate)
 	assert.Less(t, rate, 30.0)
 	c.waitForAgreement(size, 30*second)
 	for _, removal := range c.removals {
@@ -65,6 +68,8 @@
 	}
 }
 
+// Of two processes with the same name, the earlier one must keep the name and its address in all views, and the later
+// one must stop.
 func TestDuplicateNameIsRefused(t *testing.T) {
 	t.Parallel()
 	const size, owner = 10, 3
@@ -76,7 +81,7 @@
 	config.Name = nameOf(owner)
 	duplicate.start(config)
 	c.run(20 * second)
-	assert.True(t, duplicate.nameTaken, "the later one is refused")
+	assert.True(t, duplicate.nameTaken, "the later process must give up the name")
 	assert.False(t, c.nodes[owner].nameTaken)
 	assert.Empty(t, c.removals)
 	for observer := range size {
@@ -86,8 +91,8 @@
 	}
 }
 
-// A member is found by all after it restarts with a clock that was set back, at another address, or after its tombstone
-// has expired.
+// A member must be present in all views after it restarted with a clock that was set back, at another address, or after
+// its tombstone expired.
 func TestMemberReturns(t *testing.T) {
 	t.Parallel()
 	const size, returning = 15, 14
@@ -100,7 +105,7 @@
 	c.waitForAgreement(size, 30*second)
 	assert.Zero(t, c.falseRemovals())
 
-	// It restarts at another address while the others must assume that the previous process is still there.
+	// Restart at another address before the others have detected the death of the previous process.
 	c.kill(returning)
 	c.run(second)
 	config := testConfig(returning, address(0), address(1))
@@ -118,7 +123,7 @@
 
 	c.kill(returning)
 	c.run(40 * second)
-	c.run(24 * hour / 20) // longer than the tombstone's TTL
+	c.run(24 * hour / 20) // longer than TombstoneTTL
 	_, known := c.memberSeenBy(0, returning)
 	assert.False(t, known)
 	c.revive(returning)
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -18,10 +18,11 @@
 	"alderproxy/internal/simnet"
 )
 
-// detectionTimeout is how long a measurement waits for a death to be known to all.
+// detectionTimeout is the maximum time that a measurement waits until all members know a death.
 const detectionTimeout = 120 * second
 
-// countAwareOf returns how many of the living members view a member as dead or left, and how many are alive.
+// countAwareOf returns the number of living members that see a member as dead or left, and the number of living
+// members.
 func (c *cluster) countAwareOf(index int) (aware, alive int) {
 	for _, node := range c.nodes {
 		if !node.isAlive() {
@@ -35,7 +36,7 @@
 	return aware, alive
 }
 
-// secondsSince returns the simulated time since a start in seconds.
+// secondsSince returns the simulated time since start in seconds.
 func (c *cluster) secondsSince(start Micros) float64 { return float64(c.network.Now()-start) / second }
 
 func medianAndMax(values []float64) (median, maximum float64) {
@@ -43,14 +44,14 @@
 	return values[len(values)/2], values[len(values)-1]
 }
 
-// detection is how many seconds after a death the first member, half of them and all know it.
+// detection contains the seconds from a death until the first, half and all of the living members know it.
 type detection struct {
 	first float64
 	half  float64
 	all   float64
 }
 
-// measureDetection kills a member and waits until all others know it.
+// measureDetection kills a member and measures the time until the others know it.
 func (c *cluster) measureDetection(victim int) detection {
 	c.kill(victim)
 	killedAt := c.network.Now()
@@ -72,7 +73,7 @@
 	}
 }
 
-// measureFact publishes a fact and returns the seconds until all members hold it.
+// measureFact publishes a fact and returns the seconds until all members have stored it.
 func (c *cluster) measureFact(publisher int) float64 {
 	c.nodes[publisher].step(PublishFact{Name: "list", Value: "v", TTL: 600 * second})
 	publishedAt := c.network.Now()
@@ -91,8 +92,8 @@
 	}
 }
 
-// The time from a death until one, half of and all members know it, the traffic of a member, and the time until a fact
-// is known to all.
+// Measures the time from a death until one, half and all of the members know it, the traffic per member, and the time
+// until a fact has reached all members.
 func TestMeasureDetectionAndCost(t *testing.T) {
 	const trafficSeconds = 10
 	for _, testCase := range []struct{ size, deaths int }{{10, 9}, {100, 9}, {300, 5}, {1000, 1}} {
@@ -119,19 +120,19 @@
 		halfMedian, _ := medianAndMax(half)
 		allMedian, allMax := medianAndMax(all)
 		factMedian, factMax := medianAndMax(facts)
-		t.Logf("%4d members, %d deaths: known to one after %.1f s, half %.1f, all %.1f (most %.1f); a fact is everywhere after %.1f (most %.1f); %.1f datagrams and %.0f bytes a member and second",
+		t.Logf("%4d members, %d deaths: known to one after %.1f s, half %.1f s, all %.1f s (max %.1f s); a fact reaches all after %.1f s (max %.1f s); %.1f datagrams and %.0f bytes per member and second",
 			testCase.size, testCase.deaths, firstMedian, halfMedian, allMedian, allMax, factMedian, factMax, datagramRate, byteRate)
 	}
 }
 
-// soakResult sums up the runs of a soak test.
+// soakResult is the combined result of the runs of a soak test.
 type soakResult struct {
 	runs             int
 	memberHours      float64
-	falsePositives   int // members that were removed from any view while they lived, each counted once a run
+	falsePositives   int // living members that were removed from any view, each counted once per run
 	detectionSeconds []float64
 	datagramRate     float64 // per member and second
-	undetected       int     // deaths that not all members knew within the timeout
+	undetected       int     // deaths that not all members knew within detectionTimeout
 }
 
 func (r *soakResult) add(other soakResult) {
@@ -153,7 +154,7 @@
 	disabledSafeguards safeguard
 }
 
-// run runs the clusters in parallel.
+// run runs the clusters in parallel and combines their results.
 func (s soak) run(t *testing.T) soakResult {
 	t.Helper()
 	var mu sync.Mutex
@@ -214,7 +215,7 @@
 	return result
 }
 
-// Living members that are removed from a view, per member-hour.
+// Measures the number of living members that are removed from a view, per member-hour.
 func TestMeasureFalsePositives(t *testing.T) {
 	for _, testCase := range []struct {
 		loss float64
@@ -222,35 +223,36 @@
 	}{{0, 4}, {0.1, 6}, {0.3, 2}} {
 		result := soak{runs: testCase.runs, size: 50, minutes: 60, loss: testCase.loss}.run(t)
 		median, maximum := medianAndMax(result.detectionSeconds)
-		t.Logf("loss %.0f %%, pauses up to 5 s: %d false positives in %.0f member-hours; a death known to all after %.1f s (most %.1f); %.1f datagrams a member and second",
+		t.Logf("loss %.0f %%, pauses up to 5 s: %d false positives in %.0f member-hours; a death known to all after %.1f s (max %.1f s); %.1f datagrams per member and second",
 			100*testCase.loss, result.falsePositives, result.memberHours, median, maximum, result.datagramRate)
 	}
 }
 
-// The same with each safeguard disabled in turn: its effect, and its cost in time until a death is known.
+// Measures false positives and the detection time with each safeguard disabled in turn, to determine its effect and
+// cost.
 func TestMeasureSafeguardsDisabled(t *testing.T) {
 	for _, testCase := range []struct {
 		name               string
 		disabledSafeguards safeguard
 	}{
-		{"all in force", 0},
-		{"without repeated pings", probeRetry},
-		{"without helpers", indirectProbing},
-		{"without detection of own pauses", pauseDetection},
-		{"without local health", localHealthScaling},
-		{"without restart of suspicions", suspicionRestart},
-		{"without comparison of accusers", accuserComparison},
+		{"all enabled", 0},
+		{"without probe retry", probeRetry},
+		{"without indirect probing", indirectProbing},
+		{"without pause detection", pauseDetection},
+		{"without local health scaling", localHealthScaling},
+		{"without suspicion restart", suspicionRestart},
+		{"without accuser comparison", accuserComparison},
 	} {
 		for _, loss := range []float64{0.1, 0.3} {
 			result := soak{runs: 4, size: 40, minutes: 10, loss: loss, disabledSafeguards: testCase.disabledSafeguards}.run(t)
 			median, maximum := medianAndMax(result.detectionSeconds)
-			t.Logf("%-34s loss %2.0f %%: %3d false positives in %.0f member-hours; a death known to all after %.1f s (most %.1f), %d of %d not within 2 min; %.1f datagrams a member and second",
+			t.Logf("%-34s loss %2.0f %%: %3d false positives in %.0f member-hours; a death known to all after %.1f s (max %.1f s), %d of %d not within 2 min; %.1f datagrams per member and second",
 				testCase.name, 100*loss, result.falsePositives, result.memberHours, median, maximum, result.undetected, result.runs, result.datagramRate)
 		}
 	}
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
@@ -258,7 +260,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// The processor time and memory of a member, with those of the simulated network.
+// Measures the CPU time and memory per member, including those of the simulated network.
 func TestMeasureStepAndMemory(t *testing.T) {
 	const measuredSeconds = 10
 	for _, size := range []int{10, 100, 300} {
@@ -273,12 +275,12 @@
 		cpuBefore := cpuTime(t)
 		c.run(measuredSeconds * second)
 		cpu := cpuTime(t) - cpuBefore
-		t.Logf("%4d members: %.2f ms of processor a member and second, %.0f KB a member",
+		t.Logf("%4d members: %.2f ms of CPU time per member and second, %.0f KB per member",
 			size, cpu.Seconds()*1000/float64(size)/measuredSeconds, float64(after.HeapAlloc-before.HeapAlloc)/float64(size)/1024)
 	}
 }
 
-// injectRandomFault schedules a pause, a cut in one direction or a restart.
+// injectRandomFault schedules a pause, a one-way cut or a restart.
 func (c *cluster) injectRandomFault(rng *rand.Rand) {
 	size := len(c.nodes)
 	at := Micros(rng.IntN(60)) * second
@@ -304,7 +306,8 @@
 	})
 }
 
-// After random faults every death is known, no connected member stays removed, and all views are equal.
+// Checks that all views agree after random faults, with every death known and no connected member removed, and measures
+// the time until they do.
 func TestMeasureRandomFaults(t *testing.T) {
 	const runs = 200
 	var settled []float64
@@ -331,5 +334,5 @@
 		}
 	}
 	median, maximum := medianAndMax(settled)
-	t.Logf("%d runs of random faults: views equal %.1f s after the last one (median), %.1f s at most", runs, median, maximum)
+	t.Logf("%d runs with random faults: all views agree %.1f s after the last fault (median), %.1f s (max)", runs, median, maximum)
 }
--- a/membership/partition_test.go
+++ b/membership/partition_test.go
@@ -8,17 +8,19 @@
 	"alderproxy/internal/simnet"
 )
 
+// After a partition heals, all views must agree again. The capacity shares of all parts must not add up to more than
+// one at any time.
 func TestPartitionsHeal(t *testing.T) {
 	t.Parallel()
 	const size = 24
 	for _, bounds := range [][]int{{0, 12, 24}, {0, 8, 16, 24}} {
 		c := newCluster(t, 5, size, lan)
-		for range 300 { // from the first moment on
+		for range 300 { // from the start of the members
 			c.run(pollInterval)
 			c.requireSharesWithinWhole()
 		}
 		c.waitForAgreement(size, 60*second)
-		assert.InDelta(t, 1, c.shareSum(), 0.01, "no share is unused")
+		assert.InDelta(t, 1, c.shareSum(), 0.01, "the whole capacity must be shared out")
 		var parts [][]simnet.NodeID
 		for i := range bounds[:len(bounds)-1] {
 			parts = append(parts, nodeRange(bounds[i], bounds[i+1]))
@@ -30,11 +32,11 @@
 		}
 		forEachPair(parts, c.heal)
 		elapsed := c.waitForAgreement(size, 90*second)
-		t.Logf("partitioned into %d: one group again %.1f s after it healed", len(parts), float64(elapsed)/second)
+		t.Logf("%d parts: all views agree %.1f s after the partition healed", len(parts), float64(elapsed)/second)
 	}
 }
 
-// forEachPair calls a function with each pair of different parts once.
+// forEachPair calls a function once for each pair of different parts.
 func forEachPair(parts [][]simnet.NodeID, do func(a, b []simnet.NodeID)) {
 	for i, a := range parts {
 		for _, b := range parts[i+1:] {
@@ -43,6 +45,8 @@
 	}
 }
 
+// The failure of a link in one or both directions must not remove a member that others still reach. The members at its
+// ends must detect in which direction it failed.
 func TestPartialLinkFailuresRemoveNobody(t *testing.T) {
 	t.Parallel()
 	const size = 12
@@ -54,7 +58,7 @@
 		}
 		return member.Reachability
 	}
-	c.network.Cut(nodeRange(3, 4), nodeRange(4, 5)) // 4 receives nothing of 3
+	c.network.Cut(nodeRange(3, 4), nodeRange(4, 5)) // member 4 receives nothing from member 3
 	c.partition(nodeRange(5, 6), nodeRange(6, 7))
 	c.run(60 * second)
 	views := c.nodes[0].viewCount
@@ -64,9 +68,11 @@
 	assert.Equal(t, ReachableIndirectly, reachability(5, 6))
 	assert.Equal(t, ReachableIndirectly, reachability(6, 5))
 	assert.Equal(t, Reachable, reachability(7, 3))
-	assert.LessOrEqual(t, c.nodes[0].viewCount-views, 2, "the views of the others are stable")
+	assert.LessOrEqual(t, c.nodes[0].viewCount-views, 2, "the views of other members must be stable")
 }
 
+// A member that is cut off from all others must not declare them dead, because it cannot distinguish their failure from
+// its own isolation.
 func TestIsolatedMemberRemovesNobody(t *testing.T) {
 	t.Parallel()
 	const size, isolated = 20, 19
@@ -81,7 +87,8 @@
 	c.waitForAgreement(size, 60*second)
 }
 
-// One zone's messages to the others are lost, and then the others' messages to it.
+// If all messages between a zone and the other members are lost in one direction, the views must not flap, and they
+// must agree again after the partition heals.
 func TestOneWayZonePartition(t *testing.T) {
 	t.Parallel()
 	const size, zoneSize = 30, 10
@@ -98,7 +105,7 @@
 		views := outside.viewCount
 		c.run(60 * second)
 		t.Logf(
-			"deaf %v: the larger part sees %d present, trusted %v; the zone %d, trusted %v; %d views in the second minute",
+			"zone receives nothing: %v; outside the zone %d members are present, trusted %v; inside %d, trusted %v; %d views outside in the second minute",
 			zoneReceivesNothing,
 			outside.view.PresentCount(),
 			outside.view.Trusted,
@@ -106,7 +113,7 @@
 			inZone.view.Trusted,
 			outside.viewCount-views,
 		)
-		assert.LessOrEqual(t, outside.viewCount-views, 10, "the view does not flap")
+		assert.LessOrEqual(t, outside.viewCount-views, 10, "the view must not flap")
 		c.network.Heal(from, to)
 		c.waitForAgreement(size, 60*second)
 	}
--- a/membership/replay_window_test.go
+++ b/membership/replay_window_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Datagrams may be duplicated and reordered: each number must be accepted once, and none below the window.
 func TestReplayWindow(t *testing.T) {
 	var window replayWindow
 	for _, step := range []struct {
