--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -9,6 +9,8 @@
 	"alderproxy/internal/simnet"
 )
 
+// A fact must reach all members despite loss, be replaced by its next version, and expire after its TTL. A member must
+// not store more facts than MaxFacts.
 func TestFactsReachAllMembersAndExpire(t *testing.T) {
 	t.Parallel()
 	const size, publisher = 50, 4
@@ -39,13 +41,14 @@
 	assert.LessOrEqual(t, len(c.nodes[publisher].self.facts), MaxFacts)
 }
 
-// A member that joins receives the facts that were published before.
+// Facts that were published before a member joined are no longer disseminated. The member must receive them by
+// synchronization.
 func TestJoiningMemberReceivesFacts(t *testing.T) {
 	t.Parallel()
 	const size, joining, firstVersion = 20, 19, 40
 	c := newConvergedCluster(t, 17, size)
 	for i := range joining {
-		c.nodes[i].step(DocumentVersion.Publish(uint64(firstVersion+i), 600*second))
+		c.nodes[i].step(DocumentVersionFact.Publish(uint64(firstVersion+i), 600*second))
 	}
 	c.run(30 * second)
 	c.kill(joining)
@@ -54,7 +57,7 @@
 	c.run(20 * second)
 	for i := range joining {
 		member, _ := c.memberSeenBy(joining, i)
-		version, ok := DocumentVersion.Value(member)
+		version, ok := DocumentVersionFact.Value(member)
 		assert.True(t, ok, "%s", nameOf(i))
 		assert.Equal(t, uint64(firstVersion+i), version)
 	}
--- a/membership/indirect_probe.go
+++ b/membership/indirect_probe.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// indirectProbeHelpers is the number of members that are asked to ping a target that sent no ack.
-	indirectProbeHelpers = 3
-	// maxIndirectProbes bounds the probes that this member runs for others at a time.
+	// indirectProbeHelperCount is the maximum number of helpers that are asked to ping a target that sent no ack.
+	indirectProbeHelperCount = 3
+	// maxIndirectProbes is the maximum number of pending probes that this member runs on behalf of other members.
 	maxIndirectProbes = 64
 )
 
-// indirectProbe is a ping that this member sent as a helper of another one.
+// indirectProbe is a ping that this member sent as a helper on behalf of another one.
 type indirectProbe struct {
 	requester ID
-	// requesterProbe is the number of the requester's probe.
-	requesterProbe uint32
-	target         ID
-	deadline       Micros
+	// requesterProbeNumber identifies the requester's probe.
+	requesterProbeNumber uint32
+	target               ID
+	deadline             Micros
 }
 
-// sendPingReqs asks helpers to ping the target of a probe.
+// sendPingReqs asks random responsive members to ping the target of a probe as helpers.
 func (g *Group) sendPingReqs(p *probe, target *memberRecord) {
 	eligible := func(member *memberRecord) bool { return member.ID != p.target && isResponsive(member) }
-	for _, helper := range g.sampleMembers(indirectProbeHelpers, eligible) {
+	for _, helper := range g.sampleMembers(indirectProbeHelperCount, eligible) {
 		p.helpers = append(p.helpers, helper.ID)
 		pingReq := Message{
 			Kind:        KindPingReq,
@@ -36,7 +36,7 @@
 	}
 }
 
-// handlePingReq pings the target on the requester's behalf. It sends a nack at once if it cannot.
+// handlePingReq pings the target on behalf of the requester. It sends a nack at once if it cannot.
 func (g *Group) handlePingReq(requester *memberRecord, event MessageReceived) {
 	message := event.Message
 	target := g.members[message.Target]
@@ -47,10 +47,10 @@
 	}
 	g.lastProbeNumber++
 	g.indirectProbes[g.lastProbeNumber] = indirectProbe{
-		requester:      message.Sender,
-		requesterProbe: message.ProbeNumber,
-		target:         message.Target,
-		deadline:       g.now + g.ProbeInterval/2,
+		requester:            message.Sender,
+		requesterProbeNumber: message.ProbeNumber,
+		target:               message.Target,
+		deadline:             g.now + g.ProbeInterval/2,
 	}
 	ping := Message{
 		Kind:        KindPing,
@@ -61,7 +61,7 @@
 	g.send(target.Addr, ping, target)
 }
 
-// forwardAck forwards an ack to the requester of the indirect probe that it answers.
+// forwardAck sends an indirect ack to the requester of the indirect probe that an ack answers.
 func (g *Group) forwardAck(indirect indirectProbe, ack Message) {
 	delete(g.indirectProbes, ack.ProbeNumber)
 	requester := g.members[indirect.requester]
@@ -70,15 +70,15 @@
 	}
 	indirectAck := Message{
 		Kind:               KindIndirectAck,
-		ProbeNumber:        indirect.requesterProbe,
+		ProbeNumber:        indirect.requesterProbeNumber,
 		Target:             indirect.target,
 		ReceivedFromProber: ack.ReceivedFromRequester,
 	}
 	g.send(requester.Addr, indirectAck, requester)
 }
 
-// expireIndirectProbes sends nacks for indirect probes that got no ack in time. A nack shows the requester that it is
-// not isolated itself.
+// expireIndirectProbes sends nacks for indirect probes that received no ack before their deadline. A nack shows the
+// requester that it is not isolated itself.
 func (g *Group) expireIndirectProbes() {
 	for _, number := range slices.Sorted(maps.Keys(g.indirectProbes)) {
 		indirect := g.indirectProbes[number]
@@ -87,13 +87,13 @@
 		}
 		delete(g.indirectProbes, number)
 		if requester := g.members[indirect.requester]; requester != nil {
-			nack := Message{Kind: KindNack, ProbeNumber: indirect.requesterProbe, Target: indirect.target}
+			nack := Message{Kind: KindNack, ProbeNumber: indirect.requesterProbeNumber, Target: indirect.target}
 			g.send(requester.Addr, nack, requester)
 		}
 	}
 }
 
-// handleIndirectAck records that a helper reached the target of a probe.
+// handleIndirectAck records that a helper received an ack from the target of a probe.
 func (g *Group) handleIndirectAck(message Message) {
 	p := g.pendingProbe(message.ProbeNumber, message.Target)
 	if p == nil || !slices.Contains(p.helpers, message.Sender) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// handleNack records that a helper did not reach the target of a probe.
+// handleNack records that a helper received no ack from the target of a probe.
 func (g *Group) handleNack(message Message) {
 	p := g.pendingProbe(message.ProbeNumber, message.Target)
 	if p == nil || !slices.Contains(p.helpers, message.Sender) {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -5,19 +5,20 @@
 	"net/netip"
 )
 
-// departureConfirmations is how many members must report that another one is dead or left for it to be believed.
+// departureConfirmations is the number of members that must report another one as dead or left before the report is
+// accepted.
 const departureConfirmations = 2
 
-// Update is the state of one member as it is disseminated.
+// Update is a disseminated report of the state of one member.
 type Update struct {
 	ID          ID
 	Generation  uint32
 	Incarnation uint32
 	State       MemberState
-	// Accuser is the member that suspects ID, in updates of state suspect.
+	// Accuser is the member that suspects ID, in updates with the state suspect; 0 stands for the sender.
 	Accuser ID
 	Addr    netip.AddrPort
-	// Name and Zone are set for members that are present only.
+	// Name and Zone are only set if the member is present.
 	Name string
 	Zone string
 }
@@ -38,7 +39,7 @@
 	return update
 }
 
-// applyUpdate merges an update into this member's state. An update that is older than the state has no effect.
+// applyUpdate merges an update into this member's state. An update that is older than the recorded state has no effect.
 func (g *Group) applyUpdate(update Update, from ID) {
 	if update.ID == g.self.ID {
 		g.applyUpdateAboutSelf(update)
@@ -54,16 +55,16 @@
 		return
 	}
 	switch update.State {
-	case Alive:
+	case StateAlive:
 		g.applyAlive(member, update, from)
-	case Suspect:
+	case StateSuspect:
 		g.applySuspicion(member, update, from)
-	case Dead, Left:
+	case StateDead, StateLeft:
 		g.applyDeparture(member, update, from)
 	}
 }
 
-// discover adds the member that an update is about. It returns nil if the update does not introduce a new member.
+// discover adds the member that an update is about. It returns nil if the update is not suitable to introduce a member.
 func (g *Group) discover(update Update) *memberRecord {
 	if !update.State.Present() || update.Name == "" || IDFromName(update.Name) != update.ID {
 		return nil
@@ -89,23 +90,23 @@
 	return u.Generation > member.Generation || u.Incarnation > member.Incarnation
 }
 
-// applyAlive merges a refutation, or the start of a new process of the member's name.
+// applyAlive merges a refutation, or the start of a new process under the member's name.
 func (g *Group) applyAlive(member *memberRecord, update Update, from ID) {
 	if !update.isNewerThan(member) {
 		return
 	}
 	if update.Generation > member.Generation {
-		if g.nameVacant(member, update.Addr, update.Generation) {
+		if g.acceptNameClaim(member, update.Addr, update.Generation) {
 			g.replaceProcess(member, update.Generation, update.Incarnation, update.Addr)
 		}
 		return
 	}
-	if member.State == Suspect {
-		g.creditRefutation(member)
+	if member.State == StateSuspect {
+		g.countRefutation(member)
 	}
-	if member.State == Dead {
-		// The same process is still there: it was not dead, but slower than its suspicion timeout.
-		member.resurrections = min(member.resurrections+1, maxResurrections)
+	if member.State == StateDead {
+		// The same process is still running: it was slower than its suspicion timeout, but not dead.
+		member.refutedDeaths = min(member.refutedDeaths+1, maxRefutedDeaths)
 	}
 	member.Incarnation = update.Incarnation
 	member.Addr = update.Addr
@@ -113,12 +114,12 @@
 	member.Zone = update.Zone
 	member.portUnreachable = false
 	setEntry(&member.lastSeenBy, from, g.now)
-	g.setState(member, Alive, reasonRefuted)
+	g.setState(member, StateAlive, reasonRefuted)
 	g.queueMember(member)
 }
 
-// applySuspicion merges an accusation. One of a later incarnation restarts the suspicion, since the member has refuted
-// all accusations of the earlier ones.
+// applySuspicion merges an accusation. An accusation of a later incarnation restarts the suspicion timeout, because the
+// member has refuted all accusations of earlier incarnations.
 func (g *Group) applySuspicion(member *memberRecord, update Update, from ID) {
 	if update.Generation > member.Generation {
 		return // an alive update introduces the new process first
@@ -134,7 +135,7 @@
 	if accuser == 0 {
 		accuser = from
 	}
-	g.suspect(member, update.Incarnation, accuser, reasonNoAckToOthers)
+	g.suspect(member, update.Incarnation, accuser, reasonSuspectedByOther)
 }
 
 // applyDeparture merges a report that a member is dead or has left.
@@ -142,9 +143,9 @@
 	if !member.State.Present() && !update.isNewerThan(member) {
 		return
 	}
-	if update.State == Dead {
-		if g.hasFreshContact(member) {
-			// This member knows better. The reported one is notified, so that it refutes the report.
+	if update.State == StateDead {
+		if g.contactContradictsDeath(member) {
+			// Notify the reported member, so that it refutes the report.
 			g.send(member.Addr, Message{Kind: KindGossip, Updates: []Update{update}}, member)
 			return
 		}
@@ -152,25 +153,27 @@
 			return
 		}
 	}
-	if from != member.ID && !g.departureConfirmed(member, update, from) {
+	if from != member.ID && !g.confirmDeparture(member, update, from) {
 		return
 	}
 	member.Incarnation = max(member.Incarnation, update.Incarnation)
 	reason := reasonDeathConfirmed
-	if update.State == Left {
+	if update.State == StateLeft {
 		reason = reasonLeft
 	}
 	g.markDeparted(member, update.State, reason)
 }
 
-// hasFreshContact reports whether a message of an alive member arrived within the last probe interval.
-func (g *Group) hasFreshContact(member *memberRecord) bool {
-	return member.State == Alive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
+// contactContradictsDeath reports whether a member is alive in this member's view and sent a message within the last
+// probe interval, so that a report of its death is wrong.
+func (g *Group) contactContradictsDeath(member *memberRecord) bool {
+	return member.State == StateAlive && member.lastMessageAt > 0 && g.now-member.lastMessageAt < g.ProbeInterval
 }
 
-// departureConfirmed records a report that a member is dead or left, and reports whether enough members confirm it. A
-// single report of a death may be wrong or a lie, so it only counts as a suspicion, which the member can refute.
-func (g *Group) departureConfirmed(member *memberRecord, update Update, from ID) bool {
+// confirmDeparture records a report that a member is dead or left, and reports whether enough members have reported
+// that. A single report of a death may be wrong or forged, so it only counts as a suspicion, which the member can
+// refute.
+func (g *Group) confirmDeparture(member *memberRecord, update Update, from ID) bool {
 	reporter := g.members[from]
 	if reporter == nil || g.distrusts(reporter) {
 		return false
@@ -179,20 +182,21 @@
 	if len(member.departureReporters) >= min(departureConfirmations, g.presentCount-2) {
 		return true
 	}
-	if update.State == Dead {
+	if update.State == StateDead {
 		member.Incarnation = max(member.Incarnation, update.Incarnation)
 		g.suspect(member, member.Incarnation, from, reasonReportedDead)
 	}
 	return false
 }
 
-// applyUpdateAboutSelf refutes updates about this member that are wrong.
+// applyUpdateAboutSelf refutes an update that does not report this member as alive. If the update has a later
+// generation than this member, the member adopts a generation above it.
 func (g *Group) applyUpdateAboutSelf(update Update) {
 	if update.Generation > g.self.Generation && update.Generation < math.MaxUint32 {
-		g.exceedGeneration(update.Generation)
+		g.raiseGeneration(update.Generation)
 		return
 	}
-	if update.Generation < g.self.Generation || update.State == Alive || g.leaving {
+	if update.Generation < g.self.Generation || update.State == StateAlive || g.leaving {
 		return
 	}
 	if update.Incarnation >= g.self.Incarnation {
@@ -203,9 +207,9 @@
 	}
 }
 
-// exceedGeneration continues this member with a generation after one that others know of its name. Either the clock was
-// set back between two starts, or another process owns the name; the others find out which as they check the claim.
-func (g *Group) exceedGeneration(known uint32) {
+// raiseGeneration gives this member a generation above the one that others know for its name. Either the clock was set
+// back between two starts, or another process owns the name. The others determine which by checking the name claim.
+func (g *Group) raiseGeneration(known uint32) {
 	g.logf("the name %s is known with a later generation: this member continues with a higher one", g.Name)
 	g.Generation = known + 1
 	g.self.Generation = known + 1
