--- a/maintenance/drain.go
+++ b/maintenance/drain.go
@@ -10,10 +10,10 @@
 type InFlightReport struct {
 	// DrainAcknowledged means that the instance knows of the drain and starts no new request.
 	DrainAcknowledged bool
-	// Calls is the number of its requests in flight.
-	Calls int
-	// SilentSince is since when the instance has been unreachable; 0 means that it is reachable.
-	SilentSince Micros
+	// RequestsInFlight is the number of its requests in flight.
+	RequestsInFlight int
+	// UnreachableSince is since when the instance has been unreachable; 0 means that it is reachable.
+	UnreachableSince Micros
 }
 
 // DrainComplete reports whether a draining machine may be touched, and otherwise which instance it waits for. The members
@@ -26,16 +26,16 @@
 // left. A request that was written completely before a pause has ended by then, and one that was not is withdrawn after
 // the pause, since its deadline has passed.
 func (s State) DrainComplete(permit Permit, now Micros, members map[string]InFlightReport, trusted bool) (complete bool, waitsFor string) {
-	silentUntil := permit.DrainStartedAt + s.Rules.SilentMemberTimeout
+	silentUntil := permit.DrainStartedAt + s.Rules.UnreachableMemberTimeout
 	timedOut := now > silentUntil
 	if !trusted && !timedOut {
 		return false, "the view of the fleet is not to be trusted"
 	}
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		report := members[name]
-		reachable := report.SilentSince == 0
-		if reachable && (!report.DrainAcknowledged || report.Calls > 0) {
-			return false, fmt.Sprintf("%s has %d calls out", name, report.Calls)
+		reachable := report.UnreachableSince == 0
+		if reachable && (!report.DrainAcknowledged || report.RequestsInFlight > 0) {
+			return false, fmt.Sprintf("%s has %d calls out", name, report.RequestsInFlight)
 		}
 		if !reachable && !timedOut {
 			return false, fmt.Sprintf("%s has not been heard of, and may send for another %d s", name, (silentUntil-now)/microsPerSecond)
--- a/maintenance/entry.go
+++ b/maintenance/entry.go
@@ -18,14 +18,14 @@
 
 // Request requests the maintenance of machines. See Permit for its fields.
 type Request struct {
-	Name        string   `json:"request"`
-	Machines    []string `json:"machines"`
-	RequestedBy string   `json:"by"`
-	Reason      string   `json:"reason"`
-	Urgency     int      `json:"urgency,omitempty"`
-	Duration    Micros   `json:"need"`
-	NotBefore   Micros   `json:"after,omitempty"`
-	NotAfter    Micros   `json:"until,omitempty"`
+	Name         string   `json:"request"`
+	Machines     []string `json:"machines"`
+	RequestedBy  string   `json:"by"`
+	Reason       string   `json:"reason"`
+	Urgency      int      `json:"urgency,omitempty"`
+	WorkDuration Micros   `json:"need"`
+	NotBefore    Micros   `json:"after,omitempty"`
+	NotAfter     Micros   `json:"until,omitempty"`
 }
 
 // Transition takes a permit to another step. It has no effect if the permit is not at From, so that duplicate and late
@@ -50,9 +50,9 @@
 
 // Freeze suspends the start of drains while it is active.
 type Freeze struct {
-	Active bool   `json:"on"`
-	By     string `json:"by"`
-	Reason string `json:"why,omitempty"`
+	Active      bool   `json:"on"`
+	RequestedBy string `json:"by"`
+	Reason      string `json:"why,omitempty"`
 }
 
 // Outcome is the result of an entry.
--- a/maintenance/helpers_test.go
+++ b/maintenance/helpers_test.go
@@ -25,7 +25,7 @@
 			layout.Machines = append(layout.Machines, Machine{
 				Name:   name,
 				Zone:   fmt.Sprint("z", replica%3),
-				Kind:   "std",
+				Type:   "std",
 				Stores: []Store{{Name: "s" + name, RingPosition: position, Weight: 1}},
 			})
 		}
@@ -52,5 +52,5 @@
 			machines = append(machines, machine.Name)
 		}
 	}
-	return mustApply(tb, s, Entry{Request: &Request{Name: "r", Machines: machines, Duration: 5 * minute}})
+	return mustApply(tb, s, Entry{Request: &Request{Name: "r", Machines: machines, WorkDuration: 5 * minute}})
 }
--- a/maintenance/layout.go
+++ b/maintenance/layout.go
@@ -16,12 +16,12 @@
 type Machine struct {
 	Name string `json:"name"`
 	Zone string `json:"zone,omitempty"`
-	// Kind groups machines between whose drains Rules.DrainSpacing must pass.
-	Kind   string   `json:"kind,omitempty"`
+	// Type groups machines between whose drains Rules.DrainSpacing must pass.
+	Type   string   `json:"kind,omitempty"`
 	Labels []string `json:"labels,omitempty"`
-	// Pair names a group of machines of which only one may be out at a time; empty is none.
-	Pair   string  `json:"pair,omitempty"`
-	Stores []Store `json:"stores,omitempty"`
+	// ExclusionGroup names a group of machines of which only one may be out at a time; empty is none.
+	ExclusionGroup string  `json:"pair,omitempty"`
+	Stores         []Store `json:"stores,omitempty"`
 	// Member means that an instance runs on the machine.
 	Member bool `json:"member,omitempty"`
 	// Voter means that this instance is a voter of the replicated log.
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -54,7 +54,7 @@
 				}
 			}
 		}
-		if holdsShard && healthy < max(1, s.Rules.MinHealthyReplicas) {
+		if holdsShard && healthy < max(1, s.Rules.MinAvailableReplicas) {
 			return fmt.Errorf("shard %d has %d healthy replicas", shard, healthy)
 		}
 	}
@@ -94,22 +94,22 @@
 		if machine.Member {
 			members.add(1, isOut)
 		}
-		if own.Pair != "" && machine.Pair == own.Pair {
+		if own.ExclusionGroup != "" && machine.ExclusionGroup == own.ExclusionGroup {
 			pair.add(1, isOut)
 		}
 	}
 	remainingVoters := voters.total - voters.out
 	switch {
-	case len(own.Stores) > 0 && stores.exceeds(s.Rules.MaxStoreFraction):
+	case len(own.Stores) > 0 && stores.exceeds(s.Rules.MaxUnavailableStoreFraction):
 		return fmt.Errorf("%d of %d stores are out", stores.out, stores.total)
-	case len(own.Stores) > 0 && zone.exceeds(s.Rules.MaxZoneFraction):
+	case len(own.Stores) > 0 && zone.exceeds(s.Rules.MaxUnavailableZoneFraction):
 		return fmt.Errorf("%d of %d stores of zone %s are out", zone.out, zone.total, own.Zone)
-	case own.Member && members.exceeds(s.Rules.MaxMemberFraction):
+	case own.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
 		return fmt.Errorf("%d of %d members are out", members.out, members.total)
 	case own.Voter && 2*remainingVoters <= voters.total:
 		return fmt.Errorf("%d of %d voters remain", remainingVoters, voters.total)
 	case pair.out > 1:
-		return fmt.Errorf("two of pair %s are out", own.Pair)
+		return fmt.Errorf("two of pair %s are out", own.ExclusionGroup)
 	case s.Freeze != nil:
 		return fmt.Errorf("drains are frozen")
 	}
@@ -123,12 +123,12 @@
 		machine := Machine{
 			Name:   fmt.Sprintf("m%03d", i),
 			Zone:   string(rune('a' + i%3)),
-			Kind:   string(rune('x' + i%2)),
+			Type:   string(rune('x' + i%2)),
 			Member: rng.IntN(2) == 0,
 			Voter:  i < 3,
 		}
 		if rng.IntN(4) == 0 {
-			machine.Pair = "p"
+			machine.ExclusionGroup = "p"
 		}
 		for k := range rng.IntN(3) {
 			machine.Stores = append(machine.Stores, Store{
@@ -145,15 +145,15 @@
 func randomRules(rng *rand.Rand) Rules {
 	fraction := func() float64 { return []float64{0, 0.2, 0.4, 1}[rng.IntN(4)] }
 	return Rules{
-		MinHealthyReplicas:  rng.IntN(3),
-		MaxStoreFraction:    fraction(),
-		MaxZoneFraction:     fraction(),
-		MaxMemberFraction:   fraction(),
-		MaxLoad:             fraction(),
-		DrainSpacing:        Micros(rng.IntN(3)) * minute,
-		WarmUpDuration:      minute,
-		DrainDuration:       minute,
-		SilentMemberTimeout: minute,
+		MinAvailableReplicas:         rng.IntN(3),
+		MaxUnavailableStoreFraction:  fraction(),
+		MaxUnavailableZoneFraction:   fraction(),
+		MaxUnavailableMemberFraction: fraction(),
+		MaxLoad:                      fraction(),
+		DrainSpacing:                 Micros(rng.IntN(3)) * minute,
+		WarmUpDuration:               minute,
+		DrainDuration:                minute,
+		UnreachableMemberTimeout:     minute,
 	}
 }
 
@@ -246,7 +246,7 @@
 		rules := randomRules(s.rng)
 		return []Entry{{Rules: &rules}}
 	case 4:
-		return []Entry{{Freeze: &Freeze{Active: s.rng.IntN(2) == 0, By: "op"}}}
+		return []Entry{{Freeze: &Freeze{Active: s.rng.IntN(2) == 0, RequestedBy: "op"}}}
 	case 5, 6, 7:
 		fault := ""
 		if s.rng.IntN(6) == 0 {
@@ -270,7 +270,7 @@
 }
 
 func (s *schedule) randomRequest(name, machine string) *Request {
-	request := &Request{Name: name, Machines: []string{machine}, Duration: minute, Urgency: s.rng.IntN(3)}
+	request := &Request{Name: name, Machines: []string{machine}, WorkDuration: minute, Urgency: s.rng.IntN(3)}
 	if s.rng.IntN(3) == 0 {
 		request.Machines = append(request.Machines, s.randomMachine())
 	}
--- a/maintenance/next.go
+++ b/maintenance/next.go
@@ -40,7 +40,7 @@
 				transitions = append(transitions, permit.transition(Requested, reason))
 			}
 		case WarmingUp:
-			warm := s.Now-permit.StepSince >= s.Rules.WarmUpDuration
+			warm := s.Now-permit.StepReachedAt >= s.Rules.WarmUpDuration
 			if warm && s.Unhealthy[permit.Machine] == "" {
 				transitions = append(transitions, permit.transition(Completed, ""))
 			}
--- a/maintenance/outages.go
+++ b/maintenance/outages.go
@@ -86,15 +86,15 @@
 	if machine.Voter {
 		o.voters += delta
 	}
-	if machine.Pair != "" {
-		o.machinesByPair[machine.Pair] += delta
+	if machine.ExclusionGroup != "" {
+		o.machinesByPair[machine.ExclusionGroup] += delta
 	}
 }
 
 // startDrain records that the drain of a machine starts.
 func (o *outages) startDrain(machine *Machine, now Micros) {
 	o.setOut(machine, true)
-	o.lastDrainByKind[machine.Kind] = now
+	o.lastDrainByKind[machine.Type] = now
 }
 
 // healthyReplicas returns how many healthy stores hold a shard.
@@ -136,7 +136,7 @@
 	if violation := o.storeViolation(machine); violation != nil {
 		return violation
 	}
-	if machine.Member && exceeds(o.members, o.totalMembers, o.rules.MaxMemberFraction) {
+	if machine.Member && exceeds(o.members, o.totalMembers, o.rules.MaxUnavailableMemberFraction) {
 		return violationf(RuleMembers, "%d of %d members of the fleet would be out", o.members, o.totalMembers)
 	}
 	if len(machine.Stores) > 0 && o.isOverloaded() {
@@ -145,8 +145,8 @@
 	if remaining := o.totalVoters - o.voters; machine.Voter && 2*remaining <= o.totalVoters {
 		return violationf(RuleVoters, "%d of %d voters would remain", remaining, o.totalVoters)
 	}
-	if machine.Pair != "" && o.machinesByPair[machine.Pair] > 1 {
-		return violationf(RulePair, "another of the pair %s is out", machine.Pair)
+	if machine.ExclusionGroup != "" && o.machinesByPair[machine.ExclusionGroup] > 1 {
+		return violationf(RuleExclusionGroup, "another of the pair %s is out", machine.ExclusionGroup)
 	}
 	return nil
 }
@@ -163,15 +163,15 @@
 			return violationf(RuleReplicas, "shard %d would have %d sound replicas of %d", shard, replicas, required)
 		}
 	}
-	if exceeds(o.stores, o.totalStores, o.rules.MaxStoreFraction) {
+	if exceeds(o.stores, o.totalStores, o.rules.MaxUnavailableStoreFraction) {
 		return violationf(RuleStores, "%d of %d stores would be out", o.stores, o.totalStores)
 	}
 	othersOut := o.stores > len(machine.Stores) // the fraction always allows one machine
-	if o.rules.MaxWeightFraction > 0 && othersOut && o.weight > o.rules.MaxWeightFraction*o.totalWeight+tolerance {
+	if o.rules.MaxUnavailableWeightFraction > 0 && othersOut && o.weight > o.rules.MaxUnavailableWeightFraction*o.totalWeight+tolerance {
 		return violationf(RuleWeight, "%.0f of %.0f of the stores' weight would be out", o.weight, o.totalWeight)
 	}
 	out, total := o.storesByZone[machine.Zone], o.totalStoresByZone[machine.Zone]
-	if exceeds(out, total, o.rules.MaxZoneFraction) {
+	if exceeds(out, total, o.rules.MaxUnavailableZoneFraction) {
 		return violationf(RuleZone, "%d of %d stores of zone %s would be out", out, total, machine.Zone)
 	}
 	return nil
@@ -199,17 +199,17 @@
 // the rule that delays it until then. It returns noTime if there is none.
 func (o *outages) earliestDrain(machine *Machine, now Micros) (at Micros, rule Rule) {
 	at = now
-	last, drained := o.lastDrainByKind[machine.Kind]
+	last, drained := o.lastDrainByKind[machine.Type]
 	if spaced := last + o.rules.DrainSpacing; drained && o.rules.DrainSpacing > 0 && spaced > at {
 		at = spaced
 		rule = RuleSpacing
 	}
 	open, ok := o.rules.nextOpen(at)
 	if !ok {
-		return noTime, RuleClosed
+		return noTime, RuleTimeWindow
 	}
 	if open != at {
-		return open, RuleClosed
+		return open, RuleTimeWindow
 	}
 	return at, rule
 }
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -43,16 +43,16 @@
 	Reason      string `json:"reason"`
 	// Urgency orders permits: higher ones are drained first.
 	Urgency int `json:"urgency,omitempty"`
-	// Duration is how long the work on the machine takes.
-	Duration Micros `json:"need"`
+	// WorkDuration is how long the work on the machine takes.
+	WorkDuration Micros `json:"need"`
 	// NotBefore is the earliest start of the drain; 0 is no limit.
 	NotBefore Micros `json:"after,omitempty"`
 	// NotAfter is the latest start of the drain; 0 is no limit.
 	NotAfter    Micros `json:"until,omitempty"`
 	RequestedAt Micros `json:"at"`
 	Step        Step   `json:"step"`
-	// StepSince is when the permit reached its step.
-	StepSince Micros `json:"since"`
+	// StepReachedAt is when the permit reached its step.
+	StepReachedAt Micros `json:"since"`
 	// DrainStartedAt is when its last drain started; 0 is never.
 	DrainStartedAt Micros `json:"drained,omitempty"`
 	// OverrideReason is why an operator had the machine drained regardless of the rules; empty if by the rules.
@@ -62,7 +62,7 @@
 }
 
 // dueAt returns when a machine in maintenance is expected back.
-func (p Permit) dueAt() Micros { return p.StepSince + p.Duration }
+func (p Permit) dueAt() Micros { return p.StepReachedAt + p.WorkDuration }
 
 // IsOverdue reports whether a machine in maintenance is not back in time. It still counts as out; operators are alerted.
 func (p Permit) IsOverdue(now Micros) bool { return p.Step == InMaintenance && now > p.dueAt() }
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -17,8 +17,8 @@
 	// Wave numbers the drains that start at the same time, from 1; 0 is a machine that is out already.
 	Wave     int    `json:"wave"`
 	StartsAt Micros `json:"begin"`
-	// EndsAt is when the machine counts as healthy again.
-	EndsAt Micros `json:"back"`
+	// AvailableAt is when the machine counts as healthy again.
+	AvailableAt Micros `json:"back"`
 }
 
 // Undrainable is a machine that the rules never allow to drain.
@@ -78,10 +78,10 @@
 		switch {
 		case permit.Step.isOut():
 			p.addDrain(machine, PlannedDrain{
-				Request:  permit.Request,
-				Machine:  permit.Machine,
-				StartsAt: permit.DrainStartedAt,
-				EndsAt:   s.Now + s.remainingDuration(permit),
+				Request:     permit.Request,
+				Machine:     permit.Machine,
+				StartsAt:    permit.DrainStartedAt,
+				AvailableAt: s.Now + s.remainingDuration(permit),
 			})
 		case permit.Step == Requested:
 			if undrainable := s.undrainable(permit, machine); undrainable != nil {
@@ -98,8 +98,8 @@
 // addDrain adds a drain to the plan and queues the machine's return.
 func (p *planner) addDrain(machine *Machine, drain PlannedDrain) {
 	p.plan.Drains = append(p.plan.Drains, drain)
-	p.plan.End = max(p.plan.End, drain.EndsAt)
-	heap.Push(&p.returns, machineReturn{at: drain.EndsAt, machine: machine})
+	p.plan.End = max(p.plan.End, drain.AvailableAt)
+	heap.Push(&p.returns, machineReturn{at: drain.AvailableAt, machine: machine})
 }
 
 // considerTime lowers nextTime to a time after now.
@@ -116,7 +116,7 @@
 	p.waiting = slices.DeleteFunc(p.waiting, func(permit Permit) bool {
 		machine := p.state.Layout.Machine(permit.Machine)
 		if permit.isExpiredAt(p.now) {
-			p.addUndrainable(permit, RuleViolation{RuleClosed, "its turn would come after its window"}, "a window that ends later, or a higher urgency")
+			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "its turn would come after its window"}, "a window that ends later, or a higher urgency")
 			return true
 		}
 		if !p.mayDrain(permit, machine) {
@@ -125,11 +125,11 @@
 		p.wave = wave
 		p.out.startDrain(machine, p.now)
 		p.addDrain(machine, PlannedDrain{
-			Request:  permit.Request,
-			Machine:  permit.Machine,
-			Wave:     wave,
-			StartsAt: p.now,
-			EndsAt:   p.now + p.state.permitDuration(permit),
+			Request:     permit.Request,
+			Machine:     permit.Machine,
+			Wave:        wave,
+			StartsAt:    p.now,
+			AvailableAt: p.now + p.state.permitDuration(permit),
 		})
 		return true
 	})
@@ -184,17 +184,17 @@
 
 // permitDuration returns how long a machine is out, from the start of the drain to the end of the warm-up.
 func (s State) permitDuration(permit Permit) Micros {
-	return s.Rules.DrainDuration + permit.Duration + s.Rules.WarmUpDuration
+	return s.Rules.DrainDuration + permit.WorkDuration + s.Rules.WarmUpDuration
 }
 
 // remainingDuration returns how long a machine that is out will still be.
 func (s State) remainingDuration(permit Permit) Micros {
-	elapsed := s.Now - permit.StepSince
+	elapsed := s.Now - permit.StepReachedAt
 	switch permit.Step {
 	case Draining, Drained:
-		return max(0, s.Rules.DrainDuration-elapsed) + permit.Duration + s.Rules.WarmUpDuration
+		return max(0, s.Rules.DrainDuration-elapsed) + permit.WorkDuration + s.Rules.WarmUpDuration
 	case InMaintenance:
-		return max(0, permit.Duration-elapsed) + s.Rules.WarmUpDuration
+		return max(0, permit.WorkDuration-elapsed) + s.Rules.WarmUpDuration
 	case WarmingUp:
 		return max(0, s.Rules.WarmUpDuration-elapsed)
 	default:
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -22,7 +22,7 @@
 		fewest = min(fewest, fewestReplicas(s))
 		open := 0
 		for _, permit := range slices.Clone(s.Permits) {
-			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepSince >= after {
+			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepReachedAt >= after {
 				transition := permit.transition(to, "")
 				s = mustApply(tb, s, Entry{At: now, Transition: &transition})
 			}
@@ -55,7 +55,7 @@
 	case Drained:
 		return InMaintenance, 0
 	case InMaintenance:
-		return Returning, permit.Duration
+		return Returning, permit.WorkDuration
 	case Returning:
 		return WarmingUp, 0
 	default:
@@ -66,12 +66,12 @@
 func TestRollingMaintenanceNearsLowerBound(t *testing.T) {
 	const stores, maxOut = 198, 19 // a tenth of the stores may be out at a time
 	rules := Rules{
-		MinHealthyReplicas: 2,
-		MaxStoreFraction:   0.1,
-		MaxZoneFraction:    0.2,
-		MaxLoad:            0.8,
-		WarmUpDuration:     minute,
-		DrainDuration:      30 * second,
+		MinAvailableReplicas:        2,
+		MaxUnavailableStoreFraction: 0.1,
+		MaxUnavailableZoneFraction:  0.2,
+		MaxLoad:                     0.8,
+		WarmUpDuration:              minute,
+		DrainDuration:               30 * second,
 	}
 	s := requestedState(t, uniformLayout(stores/3, 3), rules, 0.5)
 	plan := s.Plan()
@@ -96,7 +96,7 @@
 		remedy string
 	}{
 		"the last replica": {Rules{}, 0, uniformLayout(2, 1), RuleReplicas, "another replica of its shards first"},
-		"one of two":       {Rules{MinHealthyReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "keep_sound = 1, or another replica first"},
+		"one of two":       {Rules{MinAvailableReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "keep_sound = 1, or another replica first"},
 		"overload":         {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "room = 0.80, or less load"},
 		"the only voter":   {Rules{}, 0, onlyVoter, RuleVoters, "another voter first"},
 	} {
@@ -112,7 +112,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			rules := Rules{MinHealthyReplicas: 1, MaxStoreFraction: 0.1, WarmUpDuration: minute, DrainDuration: minute}
+			rules := Rules{MinAvailableReplicas: 1, MaxUnavailableStoreFraction: 0.1, WarmUpDuration: minute, DrainDuration: minute}
 			s := requestedState(b, uniformLayout(machines/2, 2), rules, 0)
 			for b.Loop() {
 				s.Plan()
--- a/maintenance/rules.go
+++ b/maintenance/rules.go
@@ -14,40 +14,40 @@
 // Rules are the limits that drains must keep. A zero value disables a rule, except for MinHealthyReplicas, which is 1 at
 // least. Fractions are from 0 to 1 and always allow one.
 type Rules struct {
-	// MinHealthyReplicas is the number of healthy replicas that each shard must keep.
-	MinHealthyReplicas int `json:"keep_sound"`
-	// MaxStoreFraction is the maximum fraction of all stores that is out at a time.
-	MaxStoreFraction float64 `json:"most_stores,omitempty"`
-	// MaxWeightFraction is the maximum fraction of the weight of all stores that is out at a time.
-	MaxWeightFraction float64 `json:"most_weight,omitempty"`
-	// MaxZoneFraction is the maximum fraction of the stores of one zone that is out at a time.
-	MaxZoneFraction float64 `json:"most_zone,omitempty"`
-	// MaxMemberFraction is the maximum fraction of the instances that is out at a time.
-	MaxMemberFraction float64 `json:"most_fleet,omitempty"`
+	// MinAvailableReplicas is the number of healthy replicas that each shard must keep.
+	MinAvailableReplicas int `json:"keep_sound"`
+	// MaxUnavailableStoreFraction is the maximum fraction of all stores that is out at a time.
+	MaxUnavailableStoreFraction float64 `json:"most_stores,omitempty"`
+	// MaxUnavailableWeightFraction is the maximum fraction of the weight of all stores that is out at a time.
+	MaxUnavailableWeightFraction float64 `json:"most_weight,omitempty"`
+	// MaxUnavailableZoneFraction is the maximum fraction of the stores of one zone that is out at a time.
+	MaxUnavailableZoneFraction float64 `json:"most_zone,omitempty"`
+	// MaxUnavailableMemberFraction is the maximum fraction of the instances that is out at a time.
+	MaxUnavailableMemberFraction float64 `json:"most_fleet,omitempty"`
 	// MaxLoad is the maximum load of the remaining stores, from 0 to 1, if the load is known.
 	MaxLoad float64 `json:"room,omitempty"`
 	// DrainSpacing is the minimum time between the starts of the drains of two machines of the same kind.
 	DrainSpacing Micros `json:"spacing,omitempty"`
 	// ClosedWindows are the parts of the day in which no drain starts.
-	ClosedWindows []Window `json:"closed,omitempty"`
+	ClosedWindows []DailyWindow `json:"closed,omitempty"`
 	// WarmUpDuration is how long a store warms up after its return.
 	WarmUpDuration Micros `json:"warm,omitempty"`
 	// DrainDuration is the expected duration of a drain, for predictions.
 	DrainDuration Micros `json:"drain,omitempty"`
-	// SilentMemberTimeout is how long after the announcement of a drain an instance that did not report may still send
+	// UnreachableMemberTimeout is how long after the announcement of a drain an instance that did not report may still send
 	// requests to the machine: the time in which it may start one, plus the longest deadline of one. See
 	// State.DrainComplete.
-	SilentMemberTimeout Micros `json:"unheard,omitempty"`
+	UnreachableMemberTimeout Micros `json:"unheard,omitempty"`
 }
 
-// Window is a part of each day in UTC, in microseconds since midnight. A window whose end is before its start spans
+// DailyWindow is a part of each day in UTC, in microseconds since midnight. A window whose end is before its start spans
 // midnight.
-type Window struct {
+type DailyWindow struct {
 	Start Micros `json:"from"`
 	End   Micros `json:"to"`
 }
 
-func (w Window) contains(at Micros) bool {
+func (w DailyWindow) contains(at Micros) bool {
 	timeOfDay := ((at % day) + day) % day
 	if w.Start <= w.End {
 		return timeOfDay >= w.Start && timeOfDay < w.End
@@ -55,7 +55,7 @@
 	return timeOfDay >= w.Start || timeOfDay < w.End
 }
 
-func (w Window) isValid() bool {
+func (w DailyWindow) isValid() bool {
 	return w.Start >= 0 && w.Start < day && w.End >= 0 && w.End <= day && w.Start != w.End
 }
 
@@ -65,10 +65,10 @@
 		name  string
 		value float64
 	}{
-		{"most_stores", r.MaxStoreFraction},
-		{"most_weight", r.MaxWeightFraction},
-		{"most_zone", r.MaxZoneFraction},
-		{"most_fleet", r.MaxMemberFraction},
+		{"most_stores", r.MaxUnavailableStoreFraction},
+		{"most_weight", r.MaxUnavailableWeightFraction},
+		{"most_zone", r.MaxUnavailableZoneFraction},
+		{"most_fleet", r.MaxUnavailableMemberFraction},
 		{"room", r.MaxLoad},
 	} {
 		inRange := fraction.value >= 0 && fraction.value <= 1 // false if it is not a number
@@ -83,14 +83,14 @@
 		{"spacing", r.DrainSpacing},
 		{"warm", r.WarmUpDuration},
 		{"drain", r.DrainDuration},
-		{"unheard", r.SilentMemberTimeout},
+		{"unheard", r.UnreachableMemberTimeout},
 	} {
 		if duration.value < 0 || duration.value > maxDuration {
 			return fmt.Errorf("rules: %s of %d us", duration.name, duration.value)
 		}
 	}
-	if r.MinHealthyReplicas < 0 {
-		return fmt.Errorf("rules: keep_sound is %d", r.MinHealthyReplicas)
+	if r.MinAvailableReplicas < 0 {
+		return fmt.Errorf("rules: keep_sound is %d", r.MinAvailableReplicas)
 	}
 	for _, window := range r.ClosedWindows {
 		if !window.isValid() {
@@ -104,12 +104,12 @@
 }
 
 // requiredReplicas returns the number of healthy replicas that each shard must keep.
-func (r Rules) requiredReplicas() int { return max(1, r.MinHealthyReplicas) }
+func (r Rules) requiredReplicas() int { return max(1, r.MinAvailableReplicas) }
 
 // nextOpen returns the first time from a given one on that is in no closed window. It returns false if there is none.
 func (r Rules) nextOpen(at Micros) (Micros, bool) {
 	for range 2*len(r.ClosedWindows) + 2 {
-		i := slices.IndexFunc(r.ClosedWindows, func(window Window) bool { return window.contains(at) })
+		i := slices.IndexFunc(r.ClosedWindows, func(window DailyWindow) bool { return window.contains(at) })
 		if i < 0 {
 			return at, true
 		}
@@ -123,17 +123,17 @@
 
 // The rules.
 const (
-	RuleReplicas Rule = "replicas"
-	RuleStores   Rule = "most_stores"
-	RuleWeight   Rule = "most_weight"
-	RuleZone     Rule = "most_zone"
-	RuleMembers  Rule = "most_fleet"
-	RuleLoad     Rule = "room"
-	RuleSpacing  Rule = "spacing"
-	RuleClosed   Rule = "closed"
-	RuleVoters   Rule = "voters"
-	RulePair     Rule = "pair"
-	RuleFreeze   Rule = "held"
+	RuleReplicas       Rule = "replicas"
+	RuleStores         Rule = "most_stores"
+	RuleWeight         Rule = "most_weight"
+	RuleZone           Rule = "most_zone"
+	RuleMembers        Rule = "most_fleet"
+	RuleLoad           Rule = "room"
+	RuleSpacing        Rule = "spacing"
+	RuleTimeWindow     Rule = "closed"
+	RuleVoters         Rule = "voters"
+	RuleExclusionGroup Rule = "pair"
+	RuleFreeze         Rule = "held"
 )
 
 // RuleViolation names the rule that forbids a drain, and the reason.
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -30,8 +30,8 @@
 	Unhealthy map[string]string `json:"unsound,omitempty"`
 	// Freeze is the active freeze; nil is none.
 	Freeze *Freeze `json:"held,omitempty"`
-	// LastDrainByKind is when the last drain of a machine of a kind started.
-	LastDrainByKind map[string]Micros `json:"began,omitempty"`
+	// LastDrainStartByType is when the last drain of a machine of a kind started.
+	LastDrainStartByType map[string]Micros `json:"began,omitempty"`
 }
 
 // Apply returns the state after an entry. It is deterministic: all instances that apply the same entries have the same
@@ -109,8 +109,8 @@
 		return s, rejectedf("the layout is not known yet")
 	case request.Name == "" || len(request.Machines) == 0:
 		return s, rejectedf("a request needs a name and machines")
-	case request.Duration <= 0 || request.Duration > maxDuration:
-		return s, rejectedf("work of %d us", request.Duration)
+	case request.WorkDuration <= 0 || request.WorkDuration > maxDuration:
+		return s, rejectedf("work of %d us", request.WorkDuration)
 	case !request.hasValidWindow(s.Now):
 		return s, rejectedf("its window is over before it begins")
 	case open+len(request.Machines) > maxOpenPermits:
@@ -141,17 +141,17 @@
 // permit returns the new permit of a machine.
 func (r Request) permit(machine string, now Micros) Permit {
 	return Permit{
-		Request:     r.Name,
-		Machine:     machine,
-		RequestedBy: r.RequestedBy,
-		Reason:      r.Reason,
-		Urgency:     r.Urgency,
-		Duration:    r.Duration,
-		NotBefore:   r.NotBefore,
-		NotAfter:    r.NotAfter,
-		RequestedAt: now,
-		Step:        Requested,
-		StepSince:   now,
+		Request:       r.Name,
+		Machine:       machine,
+		RequestedBy:   r.RequestedBy,
+		Reason:        r.Reason,
+		Urgency:       r.Urgency,
+		WorkDuration:  r.WorkDuration,
+		NotBefore:     r.NotBefore,
+		NotAfter:      r.NotAfter,
+		RequestedAt:   now,
+		Step:          Requested,
+		StepReachedAt: now,
 	}
 }
 
@@ -174,12 +174,12 @@
 				return s, Outcome{Rule: violation.Rule, Reason: violation.Reason}
 			}
 		}
-		s.LastDrainByKind = s.lastDrainsAfter(permit.Machine)
+		s.LastDrainStartByType = s.lastDrainsAfter(permit.Machine)
 		permit.DrainStartedAt = s.Now
 		permit.OverrideReason = transition.OverrideReason
 	}
 	permit.Step = transition.To
-	permit.StepSince = s.Now
+	permit.StepReachedAt = s.Now
 	permit.StepReason = transition.Reason
 	s.Permits = slices.Clone(s.Permits)
 	s.Permits[i] = permit
@@ -191,11 +191,11 @@
 func (s State) lastDrainsAfter(machineName string) map[string]Micros {
 	machine := s.Layout.Machine(machineName)
 	if machine == nil {
-		return s.LastDrainByKind
+		return s.LastDrainStartByType
 	}
-	lastDrains := make(map[string]Micros, len(s.LastDrainByKind)+1)
-	maps.Copy(lastDrains, s.LastDrainByKind)
-	lastDrains[machine.Kind] = s.Now
+	lastDrains := make(map[string]Micros, len(s.LastDrainStartByType)+1)
+	maps.Copy(lastDrains, s.LastDrainStartByType)
+	lastDrains[machine.Type] = s.Now
 	return lastDrains
 }
 
@@ -227,7 +227,7 @@
 	for machine := range s.Unhealthy {
 		out.setOut(s.Layout.Machine(machine), true)
 	}
-	maps.Copy(out.lastDrainByKind, s.LastDrainByKind)
+	maps.Copy(out.lastDrainByKind, s.LastDrainStartByType)
 	return out
 }
 
@@ -238,11 +238,11 @@
 	case machine == nil:
 		return violationf("", "machine %s is not in the layout", permit.Machine)
 	case s.Freeze != nil:
-		return violationf(RuleFreeze, "held by %s: %s", s.Freeze.By, s.Freeze.Reason)
+		return violationf(RuleFreeze, "held by %s: %s", s.Freeze.RequestedBy, s.Freeze.Reason)
 	case permit.NotBefore > s.Now:
-		return violationf(RuleClosed, "its window has not begun")
+		return violationf(RuleTimeWindow, "its window has not begun")
 	case permit.isExpiredAt(s.Now):
-		return violationf(RuleClosed, "its window has passed")
+		return violationf(RuleTimeWindow, "its window has passed")
 	}
 	out := s.outages()
 	if violation := out.violation(machine); violation != nil {
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -17,7 +17,7 @@
 
 func newPermitTest(t *testing.T) permitTest {
 	t.Helper()
-	rules := Rules{MinHealthyReplicas: 1, WarmUpDuration: minute, DrainDuration: minute, SilentMemberTimeout: 10 * second}
+	rules := Rules{MinAvailableReplicas: 1, WarmUpDuration: minute, DrainDuration: minute, UnreachableMemberTimeout: 10 * second}
 	layout := uniformLayout(1, 2)
 	return permitTest{
 		start:  requestedState(t, layout, rules, 0),
@@ -70,10 +70,10 @@
 	completion := Transition{Request: "r", Machine: test.first, From: WarmingUp, To: Completed}
 	assert.Equal(t, []Transition{completion}, healthy.NextTransitions(healthy.Now, ""))
 
-	tightened := mustApply(t, draining, Entry{Rules: &Rules{MinHealthyReplicas: 2}})
+	tightened := mustApply(t, draining, Entry{Rules: &Rules{MinAvailableReplicas: 2}})
 	assert.Len(t, tightened.NextTransitions(tightened.Now, ""), 1, "tightened rules recall a drain")
 
-	frozen := mustApply(t, test.start, Entry{Freeze: &Freeze{Active: true, By: "op", Reason: "lunch"}})
+	frozen := mustApply(t, test.start, Entry{Freeze: &Freeze{Active: true, RequestedBy: "op", Reason: "lunch"}})
 	assert.Empty(t, frozen.NextTransitions(frozen.Now, ""))
 	_, outcome = drain(frozen, test.first)
 	assert.Equal(t, RuleFreeze, outcome.Rule)
@@ -83,7 +83,7 @@
 }
 
 func TestDrainComplete(t *testing.T) {
-	s := State{Rules: Rules{SilentMemberTimeout: 10 * second}}
+	s := State{Rules: Rules{UnreachableMemberTimeout: 10 * second}}
 	permit := Permit{Step: Draining, DrainStartedAt: hour}
 	idle := InFlightReport{DrainAcknowledged: true}
 	for name, testCase := range map[string]struct {
@@ -94,9 +94,9 @@
 	}{
 		"all have reported":             {map[string]InFlightReport{"a": idle, "b": idle}, true, second, true},
 		"one has not acknowledged":      {map[string]InFlightReport{"a": {}, "b": idle}, true, hour, false},
-		"one has a call in flight":      {map[string]InFlightReport{"a": {DrainAcknowledged: true, Calls: 1}}, true, hour, false},
-		"one is silent":                 {map[string]InFlightReport{"a": {SilentSince: hour}, "b": idle}, true, 9 * second, false},
-		"one is silent until timed out": {map[string]InFlightReport{"a": {Calls: 3, SilentSince: hour}, "b": idle}, true, 11 * second, true},
+		"one has a call in flight":      {map[string]InFlightReport{"a": {DrainAcknowledged: true, RequestsInFlight: 1}}, true, hour, false},
+		"one is silent":                 {map[string]InFlightReport{"a": {UnreachableSince: hour}, "b": idle}, true, 9 * second, false},
+		"one is silent until timed out": {map[string]InFlightReport{"a": {RequestsInFlight: 3, UnreachableSince: hour}, "b": idle}, true, 11 * second, true},
 		"the view is not trusted":       {map[string]InFlightReport{"a": idle}, false, second, false},
 		"untrusted until timed out":     {map[string]InFlightReport{"a": idle}, false, 11 * second, true},
 	} {
@@ -113,21 +113,21 @@
 	hugeLoad := 1e300
 	storeOffRing := Machine{Name: "a", Stores: []Store{{Name: "s", RingPosition: 1}}}
 	for _, entry := range []Entry{
-		{Request: &Request{Name: "x", Machines: []string{"nobody"}, Duration: 1}},
-		{Request: &Request{Name: "x", Machines: []string{"m-0000"}, Duration: 1}},
-		{Request: &Request{Name: "x", Machines: []string{"m-0001", "m-0001"}, Duration: 1}},
-		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, Duration: -1}},
-		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, Duration: 1 << 60}},
-		{Request: &Request{Machines: []string{"m-0001"}, Duration: 1}},
-		{Request: &Request{Name: "x", Duration: 1}},
-		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, Duration: 1, NotBefore: 9 * day, NotAfter: day}},
+		{Request: &Request{Name: "x", Machines: []string{"nobody"}, WorkDuration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0000"}, WorkDuration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001", "m-0001"}, WorkDuration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, WorkDuration: -1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, WorkDuration: 1 << 60}},
+		{Request: &Request{Machines: []string{"m-0001"}, WorkDuration: 1}},
+		{Request: &Request{Name: "x", WorkDuration: 1}},
+		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, WorkDuration: 1, NotBefore: 9 * day, NotAfter: day}},
 		{Transition: &Transition{Request: "r", Machine: "m-0001", From: Requested, To: Draining}},
 		{Transition: &Transition{Request: "r", Machine: "m-0000", From: Requested, To: InMaintenance}},
-		{Rules: &Rules{MaxStoreFraction: 2}},
-		{Rules: &Rules{MinHealthyReplicas: -1}},
+		{Rules: &Rules{MaxUnavailableStoreFraction: 2}},
+		{Rules: &Rules{MinAvailableReplicas: -1}},
 		{Rules: &Rules{DrainSpacing: -1}},
-		{Rules: &Rules{ClosedWindows: []Window{{Start: 5, End: 5}}}},
-		{Rules: &Rules{ClosedWindows: []Window{{0, day / 2}, {day / 2, day}}}},
+		{Rules: &Rules{ClosedWindows: []DailyWindow{{Start: 5, End: 5}}}},
+		{Rules: &Rules{ClosedWindows: []DailyWindow{{0, day / 2}, {day / 2, day}}}},
 		{Load: &hugeLoad},
 		{Layout: &Layout{}},
 		{Layout: &Layout{RingSize: 1, ReplicationFactor: 1, Shards: 1, Machines: []Machine{{Name: "b"}, {Name: "a"}}}},
@@ -145,7 +145,7 @@
 }
 
 func TestClosedWindows(t *testing.T) {
-	rules := Rules{ClosedWindows: []Window{{8 * hour, 18 * hour}, {23 * hour, 2 * hour}, {18 * hour, 19 * hour}}}
+	rules := Rules{ClosedWindows: []DailyWindow{{8 * hour, 18 * hour}, {23 * hour, 2 * hour}, {18 * hour, 19 * hour}}}
 	require.NoError(t, rules.Validate())
 	for at, expected := range map[Micros]Micros{
 		7 * hour:         7 * hour,
