--- a/maintenance/drain.go
+++ b/maintenance/drain.go
@@ -25,10 +25,10 @@
 // the machine in service. That is the start of the drain, so that Rules.SilentMemberTimeout after it no such request is
 // left. A request that was written completely before a pause has ended by then, and one that was not is withdrawn after
 // the pause, since its deadline has passed.
-func (s State) DrainComplete(permit Permit, now Micros, members map[string]InFlightReport, trusted bool) (complete bool, waitsFor string) {
-	silentUntil := permit.DrainStartedAt + s.Rules.UnreachableMemberTimeout
-	timedOut := now > silentUntil
-	if !trusted && !timedOut {
+func (s State) DrainComplete(permit Permit, now Micros, members map[string]InFlightReport, viewTrusted bool) (complete bool, waitReason string) {
+	unreachableDeadline := permit.DrainStartedAt + s.Rules.UnreachableMemberTimeout
+	timedOut := now > unreachableDeadline
+	if !viewTrusted && !timedOut {
 		return false, "the view of the fleet is not to be trusted"
 	}
 	for _, name := range slices.Sorted(maps.Keys(members)) {
@@ -38,7 +38,7 @@
 			return false, fmt.Sprintf("%s has %d calls out", name, report.RequestsInFlight)
 		}
 		if !reachable && !timedOut {
-			return false, fmt.Sprintf("%s has not been heard of, and may send for another %d s", name, (silentUntil-now)/microsPerSecond)
+			return false, fmt.Sprintf("%s has not been heard of, and may send for another %d s", name, (unreachableDeadline-now)/microsPerSecond)
 		}
 	}
 	return true, ""
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machinesOut returns the machines that are out, without the code of outages.
-func machinesOut(s State) map[string]bool {
+// unavailableMachines returns the machines that are out, without the code of outages.
+func unavailableMachines(s State) map[string]bool {
 	out := map[string]bool{}
 	for _, permit := range s.Permits {
 		switch permit.Step {
@@ -29,7 +29,7 @@
 // checkDrain is the checker: it returns which rule the start of a machine's drain has violated. It counts what is out
 // without the code of outages.
 func checkDrain(s State, name string) error {
-	out := machinesOut(s)
+	out := unavailableMachines(s)
 	if err := checkReplicas(s, name, out); err != nil {
 		return err
 	}
@@ -37,9 +37,9 @@
 }
 
 // checkReplicas checks the replicas of the shards that a machine holds.
-func checkReplicas(s State, name string, out map[string]bool) error {
+func checkReplicas(s State, name string, unavailable map[string]bool) error {
 	for shard := range s.Layout.Shards {
-		healthy := 0
+		available := 0
 		holdsShard := false
 		for _, machine := range s.Layout.Machines {
 			for _, store := range machine.Stores {
@@ -47,68 +47,68 @@
 					if (shard+i)%s.Layout.RingSize != store.RingPosition {
 						continue
 					}
-					if !out[machine.Name] {
-						healthy++
+					if !unavailable[machine.Name] {
+						available++
 					}
 					holdsShard = holdsShard || machine.Name == name
 				}
 			}
 		}
-		if holdsShard && healthy < max(1, s.Rules.MinAvailableReplicas) {
-			return fmt.Errorf("shard %d has %d healthy replicas", shard, healthy)
+		if holdsShard && available < max(1, s.Rules.MinAvailableReplicas) {
+			return fmt.Errorf("shard %d has %d healthy replicas", shard, available)
 		}
 	}
 	return nil
 }
 
-// outCount counts what is out of a total.
-type outCount struct {
-	out   int
-	total int
+// unavailableCount counts what is out of a total.
+type unavailableCount struct {
+	unavailable int
+	total       int
 }
 
-func (c *outCount) add(count int, out bool) {
+func (c *unavailableCount) add(count int, unavailable bool) {
 	c.total += count
-	if out {
-		c.out += count
+	if unavailable {
+		c.unavailable += count
 	}
 }
 
-func (c *outCount) exceeds(fraction float64) bool {
-	return fraction > 0 && c.out > 1 && float64(c.out) > fraction*float64(c.total)+1e-6
+func (c *unavailableCount) exceeds(fraction float64) bool {
+	return fraction > 0 && c.unavailable > 1 && float64(c.unavailable) > fraction*float64(c.total)+1e-6
 }
 
 // checkFractions checks the rules on stores, zones, members, voters and pairs, and the freeze.
-func checkFractions(s State, name string, out map[string]bool) error {
+func checkFractions(s State, name string, unavailable map[string]bool) error {
 	own := s.Layout.Machine(name)
-	var stores, zone, members, voters, pair outCount
+	var stores, zone, members, voters, pair unavailableCount
 	for _, machine := range s.Layout.Machines {
-		isOut := out[machine.Name]
-		stores.add(len(machine.Stores), isOut)
+		isUnavailable := unavailable[machine.Name]
+		stores.add(len(machine.Stores), isUnavailable)
 		if machine.Zone == own.Zone {
-			zone.add(len(machine.Stores), isOut)
+			zone.add(len(machine.Stores), isUnavailable)
 		}
 		if machine.Voter {
-			voters.add(1, isOut)
+			voters.add(1, isUnavailable)
 		}
 		if machine.Member {
-			members.add(1, isOut)
+			members.add(1, isUnavailable)
 		}
 		if own.ExclusionGroup != "" && machine.ExclusionGroup == own.ExclusionGroup {
-			pair.add(1, isOut)
+			pair.add(1, isUnavailable)
 		}
 	}
-	remainingVoters := voters.total - voters.out
+	remainingVoters := voters.total - voters.unavailable
 	switch {
 	case len(own.Stores) > 0 && stores.exceeds(s.Rules.MaxUnavailableStoreFraction):
-		return fmt.Errorf("%d of %d stores are out", stores.out, stores.total)
+		return fmt.Errorf("%d of %d stores are out", stores.unavailable, stores.total)
 	case len(own.Stores) > 0 && zone.exceeds(s.Rules.MaxUnavailableZoneFraction):
-		return fmt.Errorf("%d of %d stores of zone %s are out", zone.out, zone.total, own.Zone)
+		return fmt.Errorf("%d of %d stores of zone %s are out", zone.unavailable, zone.total, own.Zone)
 	case own.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
-		return fmt.Errorf("%d of %d members are out", members.out, members.total)
+		return fmt.Errorf("%d of %d members are out", members.unavailable, members.total)
 	case own.Voter && 2*remainingVoters <= voters.total:
 		return fmt.Errorf("%d of %d voters remain", remainingVoters, voters.total)
-	case pair.out > 1:
+	case pair.unavailable > 1:
 		return fmt.Errorf("two of pair %s are out", own.ExclusionGroup)
 	case s.Freeze != nil:
 		return fmt.Errorf("drains are frozen")
@@ -160,8 +160,8 @@
 const (
 	// scheduleSteps is the number of steps of a schedule.
 	scheduleSteps = 40
-	// visibleStates is how many of the latest states leaders may act on.
-	visibleStates = 8
+	// maxRecentStates is how many of the latest states leaders may act on.
+	maxRecentStates = 8
 )
 
 // schedule is one random run of the model: leaders propose by old states, and some proposals are lost, repeated or late;
@@ -169,24 +169,24 @@
 type schedule struct {
 	rng    *rand.Rand
 	layout *Layout
-	// sabotage overrides the rules at each random drain, which the checker must detect.
-	sabotage bool
-	now      Micros
-	state    State
-	// recent are the latest states.
-	recent []State
-	// late are entries that are repeated later.
-	late []Entry
+	// overrideRules overrides the rules at each random drain, which the checker must detect.
+	overrideRules bool
+	now           Micros
+	state         State
+	// recentStates are the latest states.
+	recentStates []State
+	// duplicates are entries that are repeated later.
+	duplicates []Entry
 	// lastSteps are the last known steps by request and machine.
 	lastSteps map[string]Step
 }
 
 // runSchedule runs the schedule of a seed. It returns the first violation.
-func runSchedule(seed uint64, sabotage bool) error {
+func runSchedule(seed uint64, overrideRules bool) error {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	layout := randomLayout(rng, 4+rng.IntN(5))
 	load := rng.Float64()
-	s := &schedule{rng: rng, layout: layout, sabotage: sabotage, now: noon, lastSteps: map[string]Step{}}
+	s := &schedule{rng: rng, layout: layout, overrideRules: overrideRules, now: noon, lastSteps: map[string]Step{}}
 	rules := randomRules(rng)
 	initial := []Entry{{Layout: layout}, {Rules: &rules}, {Load: &load}}
 	for _, entry := range initial {
@@ -211,22 +211,22 @@
 func (s *schedule) runStep(step int) error {
 	for _, entry := range s.propose(step) {
 		entry.At = s.now - Micros(s.rng.IntN(200))*second // leaders' clocks differ
-		fate := s.rng.IntN(10)
-		if fate == 0 {
+		delivery := s.rng.IntN(10)
+		if delivery == 0 {
 			continue // lost
 		}
-		if fate < 3 {
-			s.late = append(s.late, entry)
+		if delivery < 3 {
+			s.duplicates = append(s.duplicates, entry)
 		}
 		if err := s.apply(entry); err != nil {
 			return err
 		}
 	}
-	if len(s.late) == 0 || s.rng.IntN(2) != 0 {
+	if len(s.duplicates) == 0 || s.rng.IntN(2) != 0 {
 		return nil
 	}
-	entry := s.late[0]
-	s.late = s.late[1:]
+	entry := s.duplicates[0]
+	s.duplicates = s.duplicates[1:]
 	if entry.Rules != nil {
 		return nil
 	}
@@ -235,7 +235,7 @@
 
 // propose returns the entries of a random event, some of them by an old state.
 func (s *schedule) propose(step int) []Entry {
-	view := s.recent[s.rng.IntN(len(s.recent))]
+	view := s.recentStates[s.rng.IntN(len(s.recentStates))]
 	machine := s.randomMachine()
 	switch s.rng.IntN(12) {
 	case 0, 1:
@@ -289,7 +289,7 @@
 		to = allowed[s.rng.IntN(len(allowed))]
 	}
 	transition := permit.transition(to, "")
-	if s.sabotage && to == Draining {
+	if s.overrideRules && to == Draining {
 		transition.OverrideReason = "the rule is broken on purpose"
 	}
 	return &transition
@@ -299,7 +299,7 @@
 func (s *schedule) apply(entry Entry) error {
 	before := s.state
 	next, outcome := before.Apply(entry)
-	if err := checkRepeatable(before, next, outcome, entry); err != nil {
+	if err := checkDeterminism(before, next, outcome, entry); err != nil {
 		return err
 	}
 	s.state = next
@@ -308,19 +308,19 @@
 			return err
 		}
 	}
-	if err := s.checkMaintenanceKept(); err != nil {
+	if err := s.checkStaysInMaintenance(); err != nil {
 		return err
 	}
-	s.recent = append(s.recent, next)
-	if len(s.recent) > visibleStates {
-		s.recent = s.recent[1:]
+	s.recentStates = append(s.recentStates, next)
+	if len(s.recentStates) > maxRecentStates {
+		s.recentStates = s.recentStates[1:]
 	}
 	return nil
 }
 
-// checkRepeatable checks that an entry has the same result whenever it is applied to a state, and that a repeated
+// checkDeterminism checks that an entry has the same result whenever it is applied to a state, and that a repeated
 // transition or request has no effect.
-func checkRepeatable(before, next State, outcome Outcome, entry Entry) error {
+func checkDeterminism(before, next State, outcome Outcome, entry Entry) error {
 	again, outcomeAgain := before.Apply(entry)
 	encoded, err := json.Marshal(next)
 	if err != nil {
@@ -351,7 +351,7 @@
 func checkTransition(before, after State, transition Transition) error {
 	permit := after.Permits[after.permitIndex(transition.Request, transition.Machine)]
 	previous := before.Permits[before.permitIndex(transition.Request, transition.Machine)]
-	if permit.Step == Draining && previous.Step == Requested && !machinesOut(before)[permit.Machine] {
+	if permit.Step == Draining && previous.Step == Requested && !unavailableMachines(before)[permit.Machine] {
 		if err := checkDrain(after, permit.Machine); err != nil {
 			return err
 		}
@@ -362,8 +362,8 @@
 	return nil
 }
 
-// checkMaintenanceKept checks that a machine in maintenance stays out until it is reported back.
-func (s *schedule) checkMaintenanceKept() error {
+// checkStaysInMaintenance checks that a machine in maintenance stays out until it is reported back.
+func (s *schedule) checkStaysInMaintenance() error {
 	for _, permit := range s.state.Permits {
 		key := permit.Request + permit.Machine
 		if s.lastSteps[key] == InMaintenance && permit.Step != InMaintenance && permit.Step != Returning {
--- a/maintenance/next.go
+++ b/maintenance/next.go
@@ -11,24 +11,24 @@
 		return nil
 	}
 	transitions := s.transitionsOfOpenPermits(fault)
-	if fault != "" || s.Freeze != nil || s.returnedUnhealthy() {
+	if fault != "" || s.Freeze != nil || s.anyReturnedUnhealthy() {
 		return transitions
 	}
 	return append(transitions, s.drainsToStart()...)
 }
 
-// returnedUnhealthy reports whether a machine is unhealthy after its maintenance. No further drain starts then.
-func (s State) returnedUnhealthy() bool {
+// anyReturnedUnhealthy reports whether a machine is unhealthy after its maintenance. No further drain starts then.
+func (s State) anyReturnedUnhealthy() bool {
 	return slices.ContainsFunc(s.Permits, func(permit Permit) bool {
-		back := permit.Step == Returning || permit.Step == WarmingUp
-		return back && s.Unhealthy[permit.Machine] != ""
+		returned := permit.Step == Returning || permit.Step == WarmingUp
+		return returned && s.Unhealthy[permit.Machine] != ""
 	})
 }
 
 // transitionsOfOpenPermits returns the expirations, recalls and completions.
 func (s State) transitionsOfOpenPermits(fault string) []Transition {
 	var transitions []Transition
-	out := s.outages()
+	outages := s.outageCounts()
 	for _, permit := range s.Permits {
 		switch permit.Step {
 		case Requested:
@@ -36,7 +36,7 @@
 				transitions = append(transitions, permit.transition(Expired, "its window passed"))
 			}
 		case Draining:
-			if reason := s.recallReason(out, permit, fault); reason != "" {
+			if reason := s.recallReason(outages, permit, fault); reason != "" {
 				transitions = append(transitions, permit.transition(Requested, reason))
 			}
 		case WarmingUp:
@@ -53,16 +53,16 @@
 // recallReason returns why a drain is to be recalled, or an empty string: there is a fault, or the rules no longer permit
 // it, since another machine went out or the rules were tightened. A machine to be recalled is removed from the outages,
 // so that the remaining drains are judged without it.
-func (s State) recallReason(out *outages, permit Permit, fault string) string {
+func (s State) recallReason(outages *outageCounts, permit Permit, fault string) string {
 	machine := s.Layout.Machine(permit.Machine)
 	if fault != "" || permit.OverrideReason != "" || machine == nil {
 		return fault
 	}
-	out.setOut(machine, false)
-	if violation := out.violation(machine); violation != nil {
+	outages.setUnavailable(machine, false)
+	if violation := outages.violationIfUnavailable(machine); violation != nil {
 		return violation.String()
 	}
-	out.setOut(machine, true)
+	outages.setUnavailable(machine, true)
 	return ""
 }
 
@@ -76,13 +76,13 @@
 	})
 	s.sortByPriority(waiting)
 	var transitions []Transition
-	out := s.outages()
+	outages := s.outageCounts()
 	for _, permit := range waiting {
 		machine := s.Layout.Machine(permit.Machine)
-		if at, _ := out.earliestDrain(machine, s.Now); at != s.Now || out.violation(machine) != nil {
+		if start, _ := outages.earliestDrainStart(machine, s.Now); start != s.Now || outages.violationIfUnavailable(machine) != nil {
 			continue
 		}
-		out.startDrain(machine, s.Now)
+		outages.startDrain(machine, s.Now)
 		transitions = append(transitions, permit.transition(Draining, ""))
 	}
 	return transitions
--- a/maintenance/outages.go
+++ b/maintenance/outages.go
@@ -8,9 +8,9 @@
 	noReplicaLimit = 1 << 30
 )
 
-// outages counts what is out of service. Its totals are of all machines, whether out or not. Adding and removing a
+// outageCounts counts what is out of service. Its totals are of all machines, whether out or not. Adding and removing a
 // machine costs time in proportion to its stores.
-type outages struct {
+type outageCounts struct {
 	layout *Layout
 	rules  Rules
 	// load is the fraction of the weight of all stores that is in use; 0 is unknown.
@@ -22,34 +22,34 @@
 	totalMembers      int
 	totalVoters       int
 
-	machines        map[string]bool // whether the machine of a name is out
-	healthyStores   []int           // by ring position
-	stores          int
-	weight          float64
-	storesByZone    map[string]int
-	members         int
-	voters          int
-	machinesByPair  map[string]int
-	lastDrainByKind map[string]Micros // the last start of a drain of a machine of a kind
+	unavailableMachines         map[string]bool // whether the machine of a name is out
+	availableStores             []int           // by ring position
+	unavailableStores           int
+	unavailableWeight           float64
+	unavailableStoresByZone     map[string]int
+	unavailableMembers          int
+	unavailableVoters           int
+	unavailableByExclusionGroup map[string]int
+	lastDrainStartByType        map[string]Micros // the last start of a drain of a machine of a kind
 }
 
-// newOutages returns the counts while nothing is out.
-func newOutages(layout *Layout, rules Rules, load float64) *outages {
-	o := &outages{
-		layout:            layout,
-		rules:             rules,
-		load:              load,
-		totalStoresByZone: map[string]int{},
-		machines:          map[string]bool{},
-		healthyStores:     make([]int, layout.RingSize),
-		storesByZone:      map[string]int{},
-		machinesByPair:    map[string]int{},
-		lastDrainByKind:   map[string]Micros{},
+// newOutageCounts returns the counts while nothing is out.
+func newOutageCounts(layout *Layout, rules Rules, load float64) *outageCounts {
+	o := &outageCounts{
+		layout:                      layout,
+		rules:                       rules,
+		load:                        load,
+		totalStoresByZone:           map[string]int{},
+		unavailableMachines:         map[string]bool{},
+		availableStores:             make([]int, layout.RingSize),
+		unavailableStoresByZone:     map[string]int{},
+		unavailableByExclusionGroup: map[string]int{},
+		lastDrainStartByType:        map[string]Micros{},
 	}
 	for i := range layout.Machines {
 		machine := &layout.Machines[i]
 		for _, store := range machine.Stores {
-			o.healthyStores[store.RingPosition]++
+			o.availableStores[store.RingPosition]++
 			o.totalStores++
 			o.totalWeight += store.Weight
 			o.totalStoresByZone[machine.Zone]++
@@ -64,51 +64,51 @@
 	return o
 }
 
-// setOut records that a machine is out or back in service. It does nothing if the machine is nil.
-func (o *outages) setOut(machine *Machine, out bool) {
-	if machine == nil || o.machines[machine.Name] == out {
+// setUnavailable records that a machine is out or back in service. It does nothing if the machine is nil.
+func (o *outageCounts) setUnavailable(machine *Machine, unavailable bool) {
+	if machine == nil || o.unavailableMachines[machine.Name] == unavailable {
 		return
 	}
 	delta := 1
-	if !out {
+	if !unavailable {
 		delta = -1
 	}
-	o.machines[machine.Name] = out
+	o.unavailableMachines[machine.Name] = unavailable
 	for _, store := range machine.Stores {
-		o.healthyStores[store.RingPosition] -= delta
-		o.stores += delta
-		o.weight += float64(delta) * store.Weight
-		o.storesByZone[machine.Zone] += delta
+		o.availableStores[store.RingPosition] -= delta
+		o.unavailableStores += delta
+		o.unavailableWeight += float64(delta) * store.Weight
+		o.unavailableStoresByZone[machine.Zone] += delta
 	}
 	if machine.Member {
-		o.members += delta
+		o.unavailableMembers += delta
 	}
 	if machine.Voter {
-		o.voters += delta
+		o.unavailableVoters += delta
 	}
 	if machine.ExclusionGroup != "" {
-		o.machinesByPair[machine.ExclusionGroup] += delta
+		o.unavailableByExclusionGroup[machine.ExclusionGroup] += delta
 	}
 }
 
 // startDrain records that the drain of a machine starts.
-func (o *outages) startDrain(machine *Machine, now Micros) {
-	o.setOut(machine, true)
-	o.lastDrainByKind[machine.Type] = now
+func (o *outageCounts) startDrain(machine *Machine, now Micros) {
+	o.setUnavailable(machine, true)
+	o.lastDrainStartByType[machine.Type] = now
 }
 
-// healthyReplicas returns how many healthy stores hold a shard.
-func (o *outages) healthyReplicas(shard int) int {
+// availableReplicas returns how many healthy stores hold a shard.
+func (o *outageCounts) availableReplicas(shard int) int {
 	replicas := 0
 	for i := range o.layout.ReplicationFactor {
-		replicas += o.healthyStores[(shard+i)%o.layout.RingSize]
+		replicas += o.availableStores[(shard+i)%o.layout.RingSize]
 	}
 	return replicas
 }
 
-// weakestShard returns the shard with the fewest healthy replicas that the stores at a ring position hold, and their
+// leastReplicatedShard returns the shard with the fewest healthy replicas that the stores at a ring position hold, and their
 // number.
-func (o *outages) weakestShard(position int) (shard, replicas int) {
+func (o *outageCounts) leastReplicatedShard(position int) (shard, replicas int) {
 	shard = noShard
 	replicas = noReplicaLimit
 	for i := range o.layout.ReplicationFactor {
@@ -117,99 +117,99 @@
 			continue
 		}
 		// The shards candidate, candidate + RingSize and so on have the same replicas.
-		if healthy := o.healthyReplicas(candidate); healthy < replicas {
+		if available := o.availableReplicas(candidate); available < replicas {
 			shard = candidate
-			replicas = healthy
+			replicas = available
 		}
 	}
 	return shard, replicas
 }
 
-// violation returns the rule that forbids to take a machine out in addition to what is out, other than by time, or nil.
+// violationIfUnavailable returns the rule that forbids to take a machine out in addition to what is out, other than by time, or nil.
 // While a rule is violated already, it forbids what would make it worse, and nothing else.
-func (o *outages) violation(machine *Machine) *RuleViolation {
-	if o.machines[machine.Name] {
+func (o *outageCounts) violationIfUnavailable(machine *Machine) *RuleViolation {
+	if o.unavailableMachines[machine.Name] {
 		return nil // it is out already: nothing gets worse
 	}
-	o.setOut(machine, true)
-	defer o.setOut(machine, false)
+	o.setUnavailable(machine, true)
+	defer o.setUnavailable(machine, false)
 	if violation := o.storeViolation(machine); violation != nil {
 		return violation
 	}
-	if machine.Member && exceeds(o.members, o.totalMembers, o.rules.MaxUnavailableMemberFraction) {
-		return violationf(RuleMembers, "%d of %d members of the fleet would be out", o.members, o.totalMembers)
+	if machine.Member && exceedsFraction(o.unavailableMembers, o.totalMembers, o.rules.MaxUnavailableMemberFraction) {
+		return violationf(RuleMembers, "%d of %d members of the fleet would be out", o.unavailableMembers, o.totalMembers)
 	}
 	if len(machine.Stores) > 0 && o.isOverloaded() {
 		return violationf(RuleLoad, "the load of %.2f would be %.2f of what remains", o.load, o.remainingLoad())
 	}
-	if remaining := o.totalVoters - o.voters; machine.Voter && 2*remaining <= o.totalVoters {
+	if remaining := o.totalVoters - o.unavailableVoters; machine.Voter && 2*remaining <= o.totalVoters {
 		return violationf(RuleVoters, "%d of %d voters would remain", remaining, o.totalVoters)
 	}
-	if machine.ExclusionGroup != "" && o.machinesByPair[machine.ExclusionGroup] > 1 {
+	if machine.ExclusionGroup != "" && o.unavailableByExclusionGroup[machine.ExclusionGroup] > 1 {
 		return violationf(RuleExclusionGroup, "another of the pair %s is out", machine.ExclusionGroup)
 	}
 	return nil
 }
 
 // storeViolation returns the violated rule on replicas and stores after a machine was taken out, or nil.
-func (o *outages) storeViolation(machine *Machine) *RuleViolation {
+func (o *outageCounts) storeViolation(machine *Machine) *RuleViolation {
 	if len(machine.Stores) == 0 {
 		return nil
 	}
 	required := o.rules.requiredReplicas()
 	for _, store := range machine.Stores {
-		shard, replicas := o.weakestShard(store.RingPosition)
+		shard, replicas := o.leastReplicatedShard(store.RingPosition)
 		if shard != noShard && replicas < required {
 			return violationf(RuleReplicas, "shard %d would have %d sound replicas of %d", shard, replicas, required)
 		}
 	}
-	if exceeds(o.stores, o.totalStores, o.rules.MaxUnavailableStoreFraction) {
-		return violationf(RuleStores, "%d of %d stores would be out", o.stores, o.totalStores)
+	if exceedsFraction(o.unavailableStores, o.totalStores, o.rules.MaxUnavailableStoreFraction) {
+		return violationf(RuleStores, "%d of %d stores would be out", o.unavailableStores, o.totalStores)
 	}
-	othersOut := o.stores > len(machine.Stores) // the fraction always allows one machine
-	if o.rules.MaxUnavailableWeightFraction > 0 && othersOut && o.weight > o.rules.MaxUnavailableWeightFraction*o.totalWeight+tolerance {
-		return violationf(RuleWeight, "%.0f of %.0f of the stores' weight would be out", o.weight, o.totalWeight)
+	othersUnavailable := o.unavailableStores > len(machine.Stores) // the fraction always allows one machine
+	if o.rules.MaxUnavailableWeightFraction > 0 && othersUnavailable && o.unavailableWeight > o.rules.MaxUnavailableWeightFraction*o.totalWeight+tolerance {
+		return violationf(RuleWeight, "%.0f of %.0f of the stores' weight would be out", o.unavailableWeight, o.totalWeight)
 	}
-	out, total := o.storesByZone[machine.Zone], o.totalStoresByZone[machine.Zone]
-	if exceeds(out, total, o.rules.MaxUnavailableZoneFraction) {
-		return violationf(RuleZone, "%d of %d stores of zone %s would be out", out, total, machine.Zone)
+	unavailable, total := o.unavailableStoresByZone[machine.Zone], o.totalStoresByZone[machine.Zone]
+	if exceedsFraction(unavailable, total, o.rules.MaxUnavailableZoneFraction) {
+		return violationf(RuleZone, "%d of %d stores of zone %s would be out", unavailable, total, machine.Zone)
 	}
 	return nil
 }
 
 // isOverloaded reports whether the load of the remaining stores exceeds the limit.
-func (o *outages) isOverloaded() bool {
+func (o *outageCounts) isOverloaded() bool {
 	if o.rules.MaxLoad <= 0 || o.load <= 0 {
 		return false
 	}
-	return o.load*o.totalWeight > o.rules.MaxLoad*(o.totalWeight-o.weight)+tolerance
+	return o.load*o.totalWeight > o.rules.MaxLoad*(o.totalWeight-o.unavailableWeight)+tolerance
 }
 
 // remainingLoad returns the load of the remaining stores.
-func (o *outages) remainingLoad() float64 {
-	return o.load * o.totalWeight / max(tolerance, o.totalWeight-o.weight)
+func (o *outageCounts) remainingLoad() float64 {
+	return o.load * o.totalWeight / max(tolerance, o.totalWeight-o.unavailableWeight)
 }
 
-// exceeds reports whether a count exceeds a fraction of a total. A fraction always allows one; 0 allows all.
-func exceeds(count, total int, fraction float64) bool {
+// exceedsFraction reports whether a count exceedsFraction a fraction of a total. A fraction always allows one; 0 allows all.
+func exceedsFraction(count, total int, fraction float64) bool {
 	return fraction > 0 && count > 1 && float64(count) > fraction*float64(total)+tolerance
 }
 
-// earliestDrain returns the first time from now on at which the rules on time allow the drain of a machine to start, and
+// earliestDrainStart returns the first time from now on at which the rules on time allow the drain of a machine to start, and
 // the rule that delays it until then. It returns noTime if there is none.
-func (o *outages) earliestDrain(machine *Machine, now Micros) (at Micros, rule Rule) {
-	at = now
-	last, drained := o.lastDrainByKind[machine.Type]
-	if spaced := last + o.rules.DrainSpacing; drained && o.rules.DrainSpacing > 0 && spaced > at {
-		at = spaced
+func (o *outageCounts) earliestDrainStart(machine *Machine, now Micros) (start Micros, rule Rule) {
+	start = now
+	lastStart, found := o.lastDrainStartByType[machine.Type]
+	if spacingEnd := lastStart + o.rules.DrainSpacing; found && o.rules.DrainSpacing > 0 && spacingEnd > start {
+		start = spacingEnd
 		rule = RuleSpacing
 	}
-	open, ok := o.rules.nextOpen(at)
+	openTime, ok := o.rules.nextOpenTime(start)
 	if !ok {
 		return noTime, RuleTimeWindow
 	}
-	if open != at {
-		return open, RuleTimeWindow
+	if openTime != start {
+		return openTime, RuleTimeWindow
 	}
-	return at, rule
+	return start, rule
 }
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -26,8 +26,8 @@
 	WarmingUp:     {Completed, Returning},
 }
 
-// isOut reports whether the machine of a permit counts as out.
-func (s Step) isOut() bool {
+// isUnavailable reports whether the machine of a permit counts as out.
+func (s Step) isUnavailable() bool {
 	return s == Draining || s == Drained || s == InMaintenance || s == Returning || s == WarmingUp
 }
 
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -49,10 +49,10 @@
 	for len(p.waiting) > 0 {
 		p.startWave()
 		if p.nextTime == noTime {
-			p.giveUpWaiting()
+			p.markWaitingUndrainable()
 			break
 		}
-		p.advance()
+		p.advanceTime()
 	}
 	slices.SortStableFunc(p.plan.Drains, func(a, b PlannedDrain) int { return cmp.Compare(a.StartsAt, b.StartsAt) })
 	return p.plan
@@ -61,7 +61,7 @@
 // planner simulates the drains of a plan.
 type planner struct {
 	state   State
-	out     *outages
+	outages *outageCounts
 	returns returnQueue
 	waiting []Permit // by priority
 	now     Micros
@@ -72,16 +72,16 @@
 }
 
 func newPlanner(s State) *planner {
-	p := &planner{state: s, out: s.outages(), now: s.Now, nextTime: noTime}
+	p := &planner{state: s, outages: s.outageCounts(), now: s.Now, nextTime: noTime}
 	for _, permit := range s.Permits {
 		machine := s.Layout.Machine(permit.Machine)
 		switch {
-		case permit.Step.isOut():
+		case permit.Step.isUnavailable():
 			p.addDrain(machine, PlannedDrain{
 				Request:     permit.Request,
 				Machine:     permit.Machine,
 				StartsAt:    permit.DrainStartedAt,
-				AvailableAt: s.Now + s.remainingDuration(permit),
+				AvailableAt: s.Now + s.remainingUnavailableDuration(permit),
 			})
 		case permit.Step == Requested:
 			if undrainable := s.undrainable(permit, machine); undrainable != nil {
@@ -102,8 +102,8 @@
 	heap.Push(&p.returns, machineReturn{at: drain.AvailableAt, machine: machine})
 }
 
-// considerTime lowers nextTime to a time after now.
-func (p *planner) considerTime(at Micros) {
+// lowerNextTime lowers nextTime to a time after now.
+func (p *planner) lowerNextTime(at Micros) {
 	if at > p.now && (p.nextTime == noTime || at < p.nextTime) {
 		p.nextTime = at
 	}
@@ -123,50 +123,50 @@
 			return false
 		}
 		p.wave = wave
-		p.out.startDrain(machine, p.now)
+		p.outages.startDrain(machine, p.now)
 		p.addDrain(machine, PlannedDrain{
 			Request:     permit.Request,
 			Machine:     permit.Machine,
 			Wave:        wave,
 			StartsAt:    p.now,
-			AvailableAt: p.now + p.state.permitDuration(permit),
+			AvailableAt: p.now + p.state.unavailableDuration(permit),
 		})
 		return true
 	})
 	if len(p.returns) > 0 {
-		p.considerTime(p.returns[0].at)
+		p.lowerNextTime(p.returns[0].at)
 	}
 }
 
 // mayDrain reports whether the drain of a permit may start now, and otherwise considers when it may by time.
 func (p *planner) mayDrain(permit Permit, machine *Machine) bool {
 	if permit.NotBefore > p.now {
-		p.considerTime(permit.NotBefore)
+		p.lowerNextTime(permit.NotBefore)
 		return false
 	}
-	if at, _ := p.out.earliestDrain(machine, p.now); at != p.now {
-		p.considerTime(at)
+	if start, _ := p.outages.earliestDrainStart(machine, p.now); start != p.now {
+		p.lowerNextTime(start)
 		return false
 	}
-	return p.out.violation(machine) == nil
+	return p.outages.violationIfUnavailable(machine) == nil
 }
 
-// advance advances the time to nextTime and returns the machines that are back by then. Unhealthy ones stay out.
-func (p *planner) advance() {
+// advanceTime advances the time to nextTime and returns the machines that are back by then. Unhealthy ones stay out.
+func (p *planner) advanceTime() {
 	p.now = p.nextTime
 	for len(p.returns) > 0 && p.returns[0].at <= p.now {
 		returned := heap.Pop(&p.returns).(machineReturn)
 		if returned.machine != nil && p.state.Unhealthy[returned.machine.Name] == "" {
-			p.out.setOut(returned.machine, false)
+			p.outages.setUnavailable(returned.machine, false)
 		}
 	}
 }
 
-// giveUpWaiting adds the permits that still wait as undrainable, because of machines that are out without a known return.
-func (p *planner) giveUpWaiting() {
+// markWaitingUndrainable adds the permits that still wait as undrainable, because of machines that are out without a known return.
+func (p *planner) markWaitingUndrainable() {
 	for _, permit := range p.waiting {
 		violation := RuleViolation{}
-		if v := p.out.violation(p.state.Layout.Machine(permit.Machine)); v != nil {
+		if v := p.outages.violationIfUnavailable(p.state.Layout.Machine(permit.Machine)); v != nil {
 			violation = *v
 		}
 		p.addUndrainable(permit, violation, "the return of what is out now")
@@ -182,13 +182,13 @@
 	})
 }
 
-// permitDuration returns how long a machine is out, from the start of the drain to the end of the warm-up.
-func (s State) permitDuration(permit Permit) Micros {
+// unavailableDuration returns how long a machine is out, from the start of the drain to the end of the warm-up.
+func (s State) unavailableDuration(permit Permit) Micros {
 	return s.Rules.DrainDuration + permit.WorkDuration + s.Rules.WarmUpDuration
 }
 
-// remainingDuration returns how long a machine that is out will still be.
-func (s State) remainingDuration(permit Permit) Micros {
+// remainingUnavailableDuration returns how long a machine that is out will still be.
+func (s State) remainingUnavailableDuration(permit Permit) Micros {
 	elapsed := s.Now - permit.StepReachedAt
 	switch permit.Step {
 	case Draining, Drained:
@@ -210,24 +210,24 @@
 		result.Remedy = "a layout that has it"
 		return result
 	}
-	out := newOutages(s.Layout, s.Rules, s.Load)
-	violation := out.violation(machine)
+	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
+	violation := outages.violationIfUnavailable(machine)
 	if violation == nil {
 		return nil
 	}
 	result.RuleViolation = *violation
-	out.setOut(machine, true)
-	result.Remedy = out.remedy(violation.Rule, machine)
+	outages.setUnavailable(machine, true)
+	result.Remedy = outages.remedy(violation.Rule, machine)
 	return result
 }
 
 // remedy returns the smallest change that would allow a machine, which is the only one out, to be out.
-func (o *outages) remedy(rule Rule, machine *Machine) string {
+func (o *outageCounts) remedy(rule Rule, machine *Machine) string {
 	switch rule {
 	case RuleReplicas:
 		fewest := noReplicaLimit
 		for _, store := range machine.Stores {
-			_, replicas := o.weakestShard(store.RingPosition)
+			_, replicas := o.leastReplicatedShard(store.RingPosition)
 			fewest = min(fewest, replicas)
 		}
 		if fewest < 1 {
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -11,15 +11,15 @@
 
 // completeRequest takes all permits to their end as a leader would. It returns how long that took and the fewest healthy
 // replicas that any shard had.
-func completeRequest(tb testing.TB, s State) (elapsed Micros, fewest int) {
+func completeRequest(tb testing.TB, s State) (elapsed Micros, minReplicas int) {
 	tb.Helper()
 	startedAt := s.Now
-	fewest = noReplicaLimit
+	minReplicas = noReplicaLimit
 	for now := s.Now; ; now += 10 * second {
 		for _, transition := range s.NextTransitions(now, "") {
 			s = mustApply(tb, s, Entry{At: now, Transition: &transition})
 		}
-		fewest = min(fewest, fewestReplicas(s))
+		minReplicas = min(minReplicas, minAvailableReplicas(s))
 		open := 0
 		for _, permit := range slices.Clone(s.Permits) {
 			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepReachedAt >= after {
@@ -31,18 +31,18 @@
 			}
 		}
 		if open == 0 {
-			return now - startedAt, fewest
+			return now - startedAt, minReplicas
 		}
 		require.Less(tb, now-startedAt, 100*hour, "no progress")
 	}
 }
 
-// fewestReplicas returns the fewest healthy replicas of any shard.
-func fewestReplicas(s State) int {
-	out := s.outages()
+// minAvailableReplicas returns the fewest healthy replicas of any shard.
+func minAvailableReplicas(s State) int {
+	outages := s.outageCounts()
 	fewest := noReplicaLimit
 	for shard := range s.Layout.Shards {
-		fewest = min(fewest, out.healthyReplicas(shard))
+		fewest = min(fewest, outages.availableReplicas(shard))
 	}
 	return fewest
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRollingMaintenanceNearsLowerBound(t *testing.T) {
+func TestRollingMaintenanceDurationNearLowerBound(t *testing.T) {
 	const stores, maxOut = 198, 19 // a tenth of the stores may be out at a time
 	rules := Rules{
 		MinAvailableReplicas:        2,
@@ -75,13 +75,13 @@
 	}
 	s := requestedState(t, uniformLayout(stores/3, 3), rules, 0.5)
 	plan := s.Plan()
-	elapsed, fewest := completeRequest(t, s)
+	elapsed, minReplicas := completeRequest(t, s)
 	perMachine := rules.DrainDuration + rules.WarmUpDuration + 5*minute
 	lowerBound := Micros((stores+maxOut-1)/maxOut) * perMachine
 	assert.Less(t, float64(elapsed), 1.3*float64(lowerBound))
 	predicted := plan.End - s.Now
 	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "the plan predicted another end")
-	assert.Equal(t, 2, fewest)
+	assert.Equal(t, 2, minReplicas)
 	assert.Empty(t, plan.Undrainable)
 	t.Logf("%d stores in %d s, the least is %d s, foretold %d s", stores, elapsed/second, lowerBound/second, predicted/second)
 }
--- a/maintenance/priority.go
+++ b/maintenance/priority.go
@@ -10,10 +10,10 @@
 // then earlier ends of time windows, then the most replicas on other waiting machines, since those fit into the fewest
 // waves, then age, then name.
 func (s State) sortByPriority(waiting []Permit) {
-	waitingStores := make([]int, s.Layout.RingSize) // by ring position
+	waitingStoresByPosition := make([]int, s.Layout.RingSize) // by ring position
 	for _, permit := range waiting {
 		for _, store := range s.Layout.Machine(permit.Machine).Stores {
-			waitingStores[store.RingPosition]++
+			waitingStoresByPosition[store.RingPosition]++
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b Permit) int {
@@ -23,7 +23,7 @@
 			cmp.Compare(voterRank(machineA), voterRank(machineB)),
 			cmp.Compare(b.Urgency, a.Urgency),
 			cmp.Compare(latestStart(a), latestStart(b)),
-			cmp.Compare(s.waitingReplicas(machineB, waitingStores), s.waitingReplicas(machineA, waitingStores)),
+			cmp.Compare(s.replicasOnWaitingMachines(machineB, waitingStoresByPosition), s.replicasOnWaitingMachines(machineA, waitingStoresByPosition)),
 			cmp.Compare(a.RequestedAt, b.RequestedAt),
 			cmp.Compare(a.Machine, b.Machine),
 		)
@@ -45,12 +45,12 @@
 	return permit.NotAfter
 }
 
-// waitingReplicas returns how many waiting stores share shards with those of a machine.
-func (s State) waitingReplicas(machine *Machine, waitingStores []int) int {
+// replicasOnWaitingMachines returns how many waiting stores share shards with those of a machine.
+func (s State) replicasOnWaitingMachines(machine *Machine, waitingStoresByPosition []int) int {
 	count := 0
 	for _, store := range machine.Stores {
 		for offset := 1 - s.Layout.ReplicationFactor; offset < s.Layout.ReplicationFactor; offset++ {
-			count += waitingStores[s.Layout.wrap(store.RingPosition+offset)]
+			count += waitingStoresByPosition[s.Layout.wrap(store.RingPosition+offset)]
 		}
 	}
 	return count
--- a/maintenance/rules.go
+++ b/maintenance/rules.go
@@ -97,7 +97,7 @@
 			return fmt.Errorf("rules: a window from %d to %d us of the day", window.Start, window.End)
 		}
 	}
-	if _, ok := r.nextOpen(0); !ok {
+	if _, ok := r.nextOpenTime(0); !ok {
 		return fmt.Errorf("rules: the windows leave no time of the day")
 	}
 	return nil
@@ -106,8 +106,8 @@
 // requiredReplicas returns the number of healthy replicas that each shard must keep.
 func (r Rules) requiredReplicas() int { return max(1, r.MinAvailableReplicas) }
 
-// nextOpen returns the first time from a given one on that is in no closed window. It returns false if there is none.
-func (r Rules) nextOpen(at Micros) (Micros, bool) {
+// nextOpenTime returns the first time from a given one on that is in no closed window. It returns false if there is none.
+func (r Rules) nextOpenTime(at Micros) (Micros, bool) {
 	for range 2*len(r.ClosedWindows) + 2 {
 		i := slices.IndexFunc(r.ClosedWindows, func(window DailyWindow) bool { return window.contains(at) })
 		if i < 0 {
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -11,8 +11,8 @@
 	maxFinishedPermits = 200 * 52
 	// maxOpenPermits bounds the permits that are not finished. A larger request is assumed to be a mistake.
 	maxOpenPermits = 10_000
-	// maxLoad is the maximum load of an entry.
-	maxLoad = 100
+	// maxReportedLoad is the maximum load of an entry.
+	maxReportedLoad = 100
 
 	microsPerSecond = 1_000_000
 )
@@ -51,7 +51,7 @@
 		s.Rules = *entry.Rules
 	case entry.Load != nil:
 		load := *entry.Load
-		inRange := load >= 0 && load <= maxLoad // false if it is not a number
+		inRange := load >= 0 && load <= maxReportedLoad // false if it is not a number
 		if !inRange {
 			return s, rejectedf("a load of %v", load)
 		}
@@ -125,7 +125,7 @@
 			return s, rejectedf("machine %s is asked for by %s", machine, openRequests[machine])
 		}
 		openRequests[machine] = request.Name
-		permits = append(permits, request.permit(machine, s.Now))
+		permits = append(permits, request.newPermit(machine, s.Now))
 	}
 	s.Permits = permits
 	return s, applied()
@@ -138,8 +138,8 @@
 	return r.NotAfter == 0 || r.NotAfter >= max(r.NotBefore, now)
 }
 
-// permit returns the new permit of a machine.
-func (r Request) permit(machine string, now Micros) Permit {
+// newPermit returns the new newPermit of a machine.
+func (r Request) newPermit(machine string, now Micros) Permit {
 	return Permit{
 		Request:       r.Name,
 		Machine:       machine,
@@ -174,7 +174,7 @@
 				return s, Outcome{Rule: violation.Rule, Reason: violation.Reason}
 			}
 		}
-		s.LastDrainStartByType = s.lastDrainsAfter(permit.Machine)
+		s.LastDrainStartByType = s.lastDrainStartsAfter(permit.Machine)
 		permit.DrainStartedAt = s.Now
 		permit.OverrideReason = transition.OverrideReason
 	}
@@ -183,24 +183,24 @@
 	permit.StepReason = transition.Reason
 	s.Permits = slices.Clone(s.Permits)
 	s.Permits[i] = permit
-	s.dropOldPermits()
+	s.dropOldestFinishedPermits()
 	return s, applied()
 }
 
-// lastDrainsAfter returns LastDrainByKind after the start of a machine's drain.
-func (s State) lastDrainsAfter(machineName string) map[string]Micros {
+// lastDrainStartsAfter returns LastDrainByKind after the start of a machine's drain.
+func (s State) lastDrainStartsAfter(machineName string) map[string]Micros {
 	machine := s.Layout.Machine(machineName)
 	if machine == nil {
 		return s.LastDrainStartByType
 	}
-	lastDrains := make(map[string]Micros, len(s.LastDrainStartByType)+1)
-	maps.Copy(lastDrains, s.LastDrainStartByType)
-	lastDrains[machine.Type] = s.Now
-	return lastDrains
+	lastDrainStarts := make(map[string]Micros, len(s.LastDrainStartByType)+1)
+	maps.Copy(lastDrainStarts, s.LastDrainStartByType)
+	lastDrainStarts[machine.Type] = s.Now
+	return lastDrainStarts
 }
 
-// dropOldPermits drops the oldest finished permits beyond maxFinishedPermits.
-func (s *State) dropOldPermits() {
+// dropOldestFinishedPermits drops the oldest finished permits beyond maxFinishedPermits.
+func (s *State) dropOldestFinishedPermits() {
 	finished := 0
 	for _, permit := range s.Permits {
 		if permit.Step.isFinal() {
@@ -216,19 +216,19 @@
 	})
 }
 
-// outages returns what is out in this state.
-func (s State) outages() *outages {
-	out := newOutages(s.Layout, s.Rules, s.Load)
+// outageCounts returns what is out in this state.
+func (s State) outageCounts() *outageCounts {
+	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
 	for _, permit := range s.Permits {
-		if permit.Step.isOut() {
-			out.setOut(s.Layout.Machine(permit.Machine), true)
+		if permit.Step.isUnavailable() {
+			outages.setUnavailable(s.Layout.Machine(permit.Machine), true)
 		}
 	}
 	for machine := range s.Unhealthy {
-		out.setOut(s.Layout.Machine(machine), true)
+		outages.setUnavailable(s.Layout.Machine(machine), true)
 	}
-	maps.Copy(out.lastDrainByKind, s.LastDrainStartByType)
-	return out
+	maps.Copy(outages.lastDrainStartByType, s.LastDrainStartByType)
+	return outages
 }
 
 // drainViolation returns the rule that forbids to start the drain of a permit now, or nil.
@@ -244,12 +244,12 @@
 	case permit.isExpiredAt(s.Now):
 		return violationf(RuleTimeWindow, "its window has passed")
 	}
-	out := s.outages()
-	if violation := out.violation(machine); violation != nil {
+	outages := s.outageCounts()
+	if violation := outages.violationIfUnavailable(machine); violation != nil {
 		return violation
 	}
-	if at, rule := out.earliestDrain(machine, s.Now); at != s.Now {
-		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("not for another %d s", (at-s.Now)/microsPerSecond)}
+	if start, rule := outages.earliestDrainStart(machine, s.Now); start != s.Now {
+		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("not for another %d s", (start-s.Now)/microsPerSecond)}
 	}
 	return nil
 }
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -30,8 +30,8 @@
 	return s.Apply(Entry{At: s.Now, Transition: &Transition{Request: "r", Machine: machine, From: Requested, To: Draining}})
 }
 
-// takeThrough takes the permit of a machine through some steps, from the first to the last.
-func takeThrough(t *testing.T, s State, machine string, steps ...Step) State {
+// applySteps takes the permit of a machine through some steps, from the first to the last.
+func applySteps(t *testing.T, s State, machine string, steps ...Step) State {
 	t.Helper()
 	for i := range len(steps) - 1 {
 		transition := Transition{Request: "r", Machine: machine, From: steps[i], To: steps[i+1]}
@@ -40,7 +40,7 @@
 	return s
 }
 
-func TestPermitsThroughFaults(t *testing.T) {
+func TestPermitTransitionsUnderFaults(t *testing.T) {
 	const violation = "shard 0 would have 0 sound replicas of 1"
 	test := newPermitTest(t)
 	draining, outcome := drain(test.start, test.first)
@@ -56,13 +56,13 @@
 	assert.Equal(t, recall, transitions[0])
 	assert.Equal(t, Transition{Request: "r", Machine: test.second, From: Requested, To: Draining}, transitions[1])
 
-	out := takeThrough(t, draining, test.first, Draining, Drained, InMaintenance)
+	out := applySteps(t, draining, test.first, Draining, Drained, InMaintenance)
 	out.Now += 30 * day
 	assert.True(t, out.Permits[0].IsOverdue(out.Now))
 	assert.Equal(t, InMaintenance, out.Permits[0].Step, "an overdue machine still counts as out")
 	assert.Empty(t, out.NextTransitions(out.Now, "a zone is lost"), "a machine that may be touched is not recalled")
 
-	warm := takeThrough(t, out, test.first, InMaintenance, Returning, WarmingUp)
+	warm := applySteps(t, out, test.first, InMaintenance, Returning, WarmingUp)
 	unhealthy := mustApply(t, warm, Entry{HealthChange: &HealthChange{Machine: test.first, Reason: "slow"}})
 	unhealthy.Now += hour
 	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "a machine that returns unhealthy stops the plan")
@@ -153,7 +153,7 @@
 		23*hour + minute: 26 * hour,
 		5*day + hour:     5*day + 2*hour,
 	} {
-		open, ok := rules.nextOpen(at)
+		open, ok := rules.nextOpenTime(at)
 		assert.True(t, ok)
 		assert.Equal(t, expected, open)
 	}
