--- a/maintenance/doc.go
+++ b/maintenance/doc.go
@@ -1,8 +1,11 @@
-// Package maintenance decides in which order machines are drained for maintenance, and when a machine may be touched. It
-// is a pure state machine without a clock or I/O. The replicated log applies entries to a State, which is therefore the
-// same at every instance. Rules are checked only as an entry is applied, so that two drains that together violate a rule
-// are never both permitted, whichever leaders proposed them. Plan predicts the order of the drains.
+// Package maintenance decides in which order machines are drained for maintenance, and when work on a machine may
+// start.
 //
-// All times are microseconds since 1970, as the entries carry them. Time never runs backwards: an entry whose time is
-// before that of an earlier one is applied at the earlier one's time.
+// It is a deterministic state machine without a clock or I/O. The replicated log applies its entries to a State, which
+// is therefore the same at every instance. Rules are checked when an entry is applied, not when it is proposed, so two
+// drains that together violate a rule are never both permitted, even if different leaders proposed them. State.Plan
+// predicts the order of the drains.
+//
+// All times are in microseconds since the Unix epoch (1970) and come from the entries. The time of a State never
+// decreases: an entry that is older than one applied before it is applied at the time of the newer one.
 package maintenance
--- a/maintenance/entry.go
+++ b/maintenance/entry.go
@@ -4,11 +4,11 @@
 
 // Entry is an entry of the replicated log. Exactly one field other than At is set.
 type Entry struct {
-	// At is the time of the proposer.
+	// At is the time of the proposal by the proposer's clock.
 	At     Micros  `json:"at"`
 	Layout *Layout `json:"layout,omitempty"`
 	Rules  *Rules  `json:"rules,omitempty"`
-	// Load is the fraction of the weight of all stores that is in use.
+	// Load is the fraction of the total store weight that is in use.
 	Load         *float64      `json:"load,omitempty"`
 	Request      *Request      `json:"ask,omitempty"`
 	Transition   *Transition   `json:"move,omitempty"`
@@ -16,7 +16,7 @@
 	Freeze       *Freeze       `json:"hold,omitempty"`
 }
 
-// Request requests the maintenance of machines. See Permit for its fields.
+// Request requests the maintenance of machines. Permit describes the fields.
 type Request struct {
 	Name         string   `json:"request"`
 	Machines     []string `json:"machines"`
@@ -28,7 +28,7 @@
 	NotAfter     Micros   `json:"until,omitempty"`
 }
 
-// Transition takes a permit to another step. It has no effect if the permit is not at From, so that duplicate and late
+// Transition moves a permit to another step. It has no effect if the permit is not at step From, so duplicate and late
 // transitions are harmless.
 type Transition struct {
 	Request string `json:"request"`
@@ -36,32 +36,33 @@
 	From    Step   `json:"from"`
 	To      Step   `json:"to"`
 	Reason  string `json:"why,omitempty"`
-	// OverrideReason is why an operator has the machine drained regardless of the rules; empty is by the rules.
+	// OverrideReason is the reason for which an operator starts the drain regardless of the rules; empty if the rules
+	// apply.
 	OverrideReason string `json:"override,omitempty"`
 }
 
-// HealthChange reports that a machine without a permit is out of service or back: it crashed, was lost with its zone or
-// was drained by others.
+// HealthChange reports that a machine became unavailable for a reason other than its permit (it crashed, was lost with
+// its zone or was drained by others), or that it is available again.
 type HealthChange struct {
 	Machine string `json:"machine"`
 	Healthy bool   `json:"sound"`
 	Reason  string `json:"why,omitempty"`
 }
 
-// Freeze suspends the start of drains while it is active.
+// Freeze suspends the start of drains while it is active. Drains that override the rules still start.
 type Freeze struct {
 	Active      bool   `json:"on"`
 	RequestedBy string `json:"by"`
 	Reason      string `json:"why,omitempty"`
 }
 
-// Outcome is the result of an entry.
+// Outcome is the result of applying an entry.
 type Outcome struct {
-	// Applied means that the entry was applied, now or before.
+	// Applied is true if the entry was applied, now or earlier.
 	Applied bool `json:"done"`
-	// Rule is the rule by which the entry was rejected; empty if no rule is the cause.
+	// Rule is the rule that rejected the entry; empty if the entry was applied or was rejected for another reason.
 	Rule Rule `json:"rule,omitempty"`
-	// Reason explains the rejection; empty if the entry was applied.
+	// Reason describes why the entry was rejected; empty if it was applied.
 	Reason string `json:"why,omitempty"`
 }
 
--- a/maintenance/helpers_test.go
+++ b/maintenance/helpers_test.go
@@ -12,11 +12,12 @@
 	minute        = 60 * second
 	hour          = 60 * minute
 
-	// noon is the time at which tests start.
+	// noon is the time at which the tests start.
 	noon = 12 * hour
 )
 
-// uniformLayout returns a layout with a store per machine. The replicas of a shard are in different zones.
+// uniformLayout returns a layout with one store per machine and as many machines per ring position as there are
+// replicas. Up to three replicas of a shard are in different zones.
 func uniformLayout(ringSize, replicas int) *Layout {
 	layout := &Layout{RingSize: ringSize, ReplicationFactor: 1, Shards: 2 * ringSize}
 	for position := range ringSize {
@@ -41,7 +42,8 @@
 	return next
 }
 
-// requestedState returns a state in which the maintenance of some machines was requested, or of all if none is given.
+// requestedState returns a state in which the maintenance of the given machines is requested, or of all if none is
+// given.
 func requestedState(tb testing.TB, layout *Layout, rules Rules, load float64, machines ...string) State {
 	tb.Helper()
 	s := mustApply(tb, State{}, Entry{At: noon, Layout: layout})
--- a/maintenance/layout.go
+++ b/maintenance/layout.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// Micros is a duration or a time in microseconds.
+// Micros is a time or a duration in microseconds.
 type Micros = int64
 
 // maxWeight is the maximum weight of a store.
 const maxWeight = 1e12
 
-// Machine is a failure domain: the stores on a machine, and an instance of this program if one runs there.
+// Machine is a failure domain: the stores on a machine and the instance of this program that runs there, if any.
 type Machine struct {
 	Name string `json:"name"`
 	Zone string `json:"zone,omitempty"`
-	// Type groups machines between whose drains Rules.DrainSpacing must pass.
-	Type   string   `json:"kind,omitempty"`
+	// Type is the type of the machine. Rules.DrainSpacing applies to the drains of machines of the same type.
+	Type string `json:"kind,omitempty"`
+	// Labels are not evaluated by the rules.
 	Labels []string `json:"labels,omitempty"`
-	// ExclusionGroup names a group of machines of which only one may be out at a time; empty is none.
+	// ExclusionGroup names a group of machines of which at most one may be unavailable at a time; empty if none.
 	ExclusionGroup string  `json:"pair,omitempty"`
 	Stores         []Store `json:"stores,omitempty"`
-	// Member means that an instance runs on the machine.
+	// Member is true if an instance runs on the machine.
 	Member bool `json:"member,omitempty"`
-	// Voter means that this instance is a voter of the replicated log.
+	// Voter is true if this instance is a voter of the replicated log.
 	Voter bool `json:"voter,omitempty"`
 }
 
@@ -33,12 +34,12 @@
 	Name string `json:"name"`
 	// RingPosition is the position of the store on the ring; see Layout.
 	RingPosition int `json:"cell"`
-	// Weight is the share of the work that the store does when it is healthy, in any unit.
+	// Weight is the amount of work that the store does when it is available, in a unit common to all stores.
 	Weight float64 `json:"weight"`
 }
 
-// Layout describes all machines and the placement of shards. Shard s is held by the stores at the ring positions
-// (s + i) mod RingSize for i from 0 to ReplicationFactor - 1.
+// Layout describes all machines and the placement of the shards. Shard s is held by the stores at the ring positions
+// (s + i) mod RingSize, for i from 0 to ReplicationFactor - 1.
 type Layout struct {
 	RingSize          int `json:"cells"`
 	ReplicationFactor int `json:"reach"`
@@ -47,23 +48,23 @@
 	Machines []Machine `json:"machines"`
 }
 
-// Validate returns an error that describes the first inconsistency, or nil.
+// Validate returns an error that describes the first inconsistency, or nil if there is none.
 func (l *Layout) Validate() error {
 	if l.RingSize < 1 || l.ReplicationFactor < 1 || l.ReplicationFactor > l.RingSize || l.Shards < 1 {
-		return fmt.Errorf("layout: %d shards on %d cells with a reach of %d", l.Shards, l.RingSize, l.ReplicationFactor)
+		return fmt.Errorf("layout: shards = %d, cells = %d and reach = %d must be positive, and reach at most cells", l.Shards, l.RingSize, l.ReplicationFactor)
 	}
 	machineByStore := map[string]string{}
 	for i, machine := range l.Machines {
 		if machine.Name == "" || i > 0 && machine.Name <= l.Machines[i-1].Name {
-			return fmt.Errorf("layout: machine %q is not in its place by name, or comes twice", machine.Name)
+			return fmt.Errorf("layout: machine %q has no name, is listed twice or is not sorted by name", machine.Name)
 		}
 		for _, store := range machine.Stores {
 			if other, duplicate := machineByStore[store.Name]; duplicate {
-				return fmt.Errorf("layout: store %s is on %s and on %s", store.Name, other, machine.Name)
+				return fmt.Errorf("layout: store %s is listed on both machine %s and machine %s", store.Name, other, machine.Name)
 			}
 			machineByStore[store.Name] = machine.Name
 			if !l.isValidStore(store) {
-				return fmt.Errorf("layout: store %s has cell %d and weight %v", store.Name, store.RingPosition, store.Weight)
+				return fmt.Errorf("layout: store %s: cell %d or weight %v is out of range", store.Name, store.RingPosition, store.Weight)
 			}
 		}
 	}
@@ -72,10 +73,10 @@
 
 func (l *Layout) isValidStore(store Store) bool {
 	onRing := store.RingPosition >= 0 && store.RingPosition < l.RingSize
-	return onRing && store.Weight >= 0 && store.Weight <= maxWeight // false if the weight is not a number
+	return onRing && store.Weight >= 0 && store.Weight <= maxWeight // false if the weight is NaN
 }
 
-// Machine returns the machine of a name, or nil if there is none.
+// Machine returns the machine with the given name, or nil if there is none.
 func (l *Layout) Machine(name string) *Machine {
 	i, found := slices.BinarySearchFunc(l.Machines, name, func(machine Machine, name string) int {
 		return cmp.Compare(machine.Name, name)
@@ -86,5 +87,5 @@
 	return &l.Machines[i]
 }
 
-// wrap returns a position on the ring.
+// wrap maps a position before the start or after the end of the ring to the ring.
 func (l *Layout) wrap(position int) int { return (position%l.RingSize + l.RingSize) % l.RingSize }
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unavailableMachines returns the machines that are out, without the code of outages.
+// unavailableMachines returns the unavailable machines. It does not use the type outageCounts, which it serves to
+// check.
 func unavailableMachines(s State) map[string]bool {
 	out := map[string]bool{}
 	for _, permit := range s.Permits {
@@ -26,8 +27,8 @@
 	return out
 }
 
-// checkDrain is the checker: it returns which rule the start of a machine's drain has violated. It counts what is out
-// without the code of outages.
+// checkDrain returns an error if the start of the drain of a machine has violated a rule. It does not use the type
+// outageCounts, which it serves to check.
 func checkDrain(s State, name string) error {
 	out := unavailableMachines(s)
 	if err := checkReplicas(s, name, out); err != nil {
@@ -36,7 +37,7 @@
 	return checkFractions(s, name, out)
 }
 
-// checkReplicas checks the replicas of the shards that a machine holds.
+// checkReplicas checks the number of available replicas of each shard that a machine holds.
 func checkReplicas(s State, name string, unavailable map[string]bool) error {
 	for shard := range s.Layout.Shards {
 		available := 0
@@ -55,13 +56,13 @@
 			}
 		}
 		if holdsShard && available < max(1, s.Rules.MinAvailableReplicas) {
-			return fmt.Errorf("shard %d has %d healthy replicas", shard, available)
+			return fmt.Errorf("shard %d has %d available replicas, fewer than required", shard, available)
 		}
 	}
 	return nil
 }
 
-// unavailableCount counts what is out of a total.
+// unavailableCount counts how many of a total are unavailable.
 type unavailableCount struct {
 	unavailable int
 	total       int
@@ -78,7 +79,7 @@
 	return fraction > 0 && c.unavailable > 1 && float64(c.unavailable) > fraction*float64(c.total)+1e-6
 }
 
-// checkFractions checks the rules on stores, zones, members, voters and pairs, and the freeze.
+// checkFractions checks the rules on stores, zones, members, voters and exclusion groups, and the freeze.
 func checkFractions(s State, name string, unavailable map[string]bool) error {
 	own := s.Layout.Machine(name)
 	var stores, zone, members, voters, pair unavailableCount
@@ -101,17 +102,17 @@
 	remainingVoters := voters.total - voters.unavailable
 	switch {
 	case len(own.Stores) > 0 && stores.exceeds(s.Rules.MaxUnavailableStoreFraction):
-		return fmt.Errorf("%d of %d stores are out", stores.unavailable, stores.total)
+		return fmt.Errorf("%d of %d stores are unavailable", stores.unavailable, stores.total)
 	case len(own.Stores) > 0 && zone.exceeds(s.Rules.MaxUnavailableZoneFraction):
-		return fmt.Errorf("%d of %d stores of zone %s are out", zone.unavailable, zone.total, own.Zone)
+		return fmt.Errorf("%d of %d stores of zone %s are unavailable", zone.unavailable, zone.total, own.Zone)
 	case own.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
-		return fmt.Errorf("%d of %d members are out", members.unavailable, members.total)
+		return fmt.Errorf("%d of %d members are unavailable", members.unavailable, members.total)
 	case own.Voter && 2*remainingVoters <= voters.total:
-		return fmt.Errorf("%d of %d voters remain", remainingVoters, voters.total)
+		return fmt.Errorf("%d of %d voters remain available, which is no majority", remainingVoters, voters.total)
 	case pair.unavailable > 1:
-		return fmt.Errorf("two of pair %s are out", own.ExclusionGroup)
+		return fmt.Errorf("more than one machine of exclusion group %s is unavailable", own.ExclusionGroup)
 	case s.Freeze != nil:
-		return fmt.Errorf("drains are frozen")
+		return fmt.Errorf("a drain started during a freeze")
 	}
 	return nil
 }
@@ -158,30 +159,30 @@
 }
 
 const (
-	// scheduleSteps is the number of steps of a schedule.
+	// scheduleSteps is the number of steps of each schedule.
 	scheduleSteps = 40
-	// maxRecentStates is how many of the latest states leaders may act on.
+	// maxRecentStates is the number of latest states on which leaders base their proposals.
 	maxRecentStates = 8
 )
 
-// schedule is one random run of the model: leaders propose by old states, and some proposals are lost, repeated or late;
-// machines crash and return, rules change, and operators freeze and cancel.
+// schedule is a random run of the model. Leaders propose on the basis of outdated states, and some proposals are lost,
+// duplicated or delayed. Machines crash and return, rules change, and operators freeze drains and cancel permits.
 type schedule struct {
 	rng    *rand.Rand
 	layout *Layout
-	// overrideRules overrides the rules at each random drain, which the checker must detect.
+	// overrideRules makes each random drain override the rules, which the checks must detect.
 	overrideRules bool
 	now           Micros
 	state         State
-	// recentStates are the latest states.
+	// recentStates are the latest states, the oldest first.
 	recentStates []State
-	// duplicates are entries that are repeated later.
+	// duplicates are entries that are applied again later.
 	duplicates []Entry
-	// lastSteps are the last known steps by request and machine.
+	// lastSteps holds the last known step of each permit, by request and machine.
 	lastSteps map[string]Step
 }
 
-// runSchedule runs the schedule of a seed. It returns the first violation.
+// runSchedule runs the schedule of a seed. It returns an error that describes the first violation, or nil.
 func runSchedule(seed uint64, overrideRules bool) error {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	layout := randomLayout(rng, 4+rng.IntN(5))
@@ -207,10 +208,11 @@
 
 func (s *schedule) advanceTime() { s.now += Micros(s.rng.IntN(90)) * second }
 
-// runStep proposes entries, of which some are lost and some are repeated later, and perhaps repeats an earlier one.
+// runStep proposes entries, some of which are lost or applied again in a later step, and may apply an earlier entry
+// again.
 func (s *schedule) runStep(step int) error {
 	for _, entry := range s.propose(step) {
-		entry.At = s.now - Micros(s.rng.IntN(200))*second // leaders' clocks differ
+		entry.At = s.now - Micros(s.rng.IntN(200))*second // the clocks of leaders differ
 		delivery := s.rng.IntN(10)
 		if delivery == 0 {
 			continue // lost
@@ -233,7 +235,7 @@
 	return s.apply(entry)
 }
 
-// propose returns the entries of a random event, some of them by an old state.
+// propose returns the entries of a random event. Some of them are based on an outdated state.
 func (s *schedule) propose(step int) []Entry {
 	view := s.recentStates[s.rng.IntN(len(s.recentStates))]
 	machine := s.randomMachine()
@@ -250,7 +252,7 @@
 	case 5, 6, 7:
 		fault := ""
 		if s.rng.IntN(6) == 0 {
-			fault = "a zone is lost"
+			fault = "a zone is unreachable"
 		}
 		var entries []Entry
 		for _, transition := range view.NextTransitions(s.now, fault) {
@@ -280,7 +282,7 @@
 	return request
 }
 
-// randomTransition returns a transition of some permit in a view, which may not be allowed.
+// randomTransition returns a transition of a random permit in a state. The transition may not be allowed.
 func (s *schedule) randomTransition(view State) *Transition {
 	permit := view.Permits[s.rng.IntN(len(view.Permits))]
 	steps := []Step{Requested, Draining, Drained, InMaintenance, Returning, WarmingUp, Completed, Cancelled}
@@ -290,12 +292,12 @@
 	}
 	transition := permit.transition(to, "")
 	if s.overrideRules && to == Draining {
-		transition.OverrideReason = "the rule is broken on purpose"
+		transition.OverrideReason = "deliberate violation"
 	}
 	return &transition
 }
 
-// apply applies an entry and checks the rules.
+// apply applies an entry and checks the new state. It returns an error that describes the first violation, or nil.
 func (s *schedule) apply(entry Entry) error {
 	before := s.state
 	next, outcome := before.Apply(entry)
@@ -318,8 +320,8 @@
 	return nil
 }
 
-// checkDeterminism checks that an entry has the same result whenever it is applied to a state, and that a repeated
-// transition or request has no effect.
+// checkDeterminism checks that an entry always has the same result when it is applied to the same state, and that a
+// repeated transition or request has no effect.
 func checkDeterminism(before, next State, outcome Outcome, entry Entry) error {
 	again, outcomeAgain := before.Apply(entry)
 	encoded, err := json.Marshal(next)
@@ -331,7 +333,7 @@
 		return err
 	}
 	if string(encoded) != string(encodedAgain) || outcome != outcomeAgain {
-		return fmt.Errorf("one entry made two states")
+		return fmt.Errorf("the same entry, applied twice to the same state, had different results")
 	}
 	if entry.Transition == nil && entry.Request == nil {
 		return nil
@@ -342,12 +344,13 @@
 		return err
 	}
 	if string(encodedRepeated) != string(encoded) {
-		return fmt.Errorf("a repeated entry changed something: %+v", entry)
+		return fmt.Errorf("a repeated entry changed the state: %+v", entry)
 	}
 	return nil
 }
 
-// checkTransition checks a transition that was applied. The drain of a machine that was out before makes nothing worse.
+// checkTransition checks a transition that was applied. It does not check the drain of a machine that was unavailable
+// before, as that makes no violation worse.
 func checkTransition(before, after State, transition Transition) error {
 	permit := after.Permits[after.permitIndex(transition.Request, transition.Machine)]
 	previous := before.Permits[before.permitIndex(transition.Request, transition.Machine)]
@@ -357,30 +360,32 @@
 		}
 	}
 	if permit.Step == InMaintenance && previous.Step != Drained && previous.Step != Returning && previous.Step != InMaintenance {
-		return fmt.Errorf("%s is in maintenance and was %s", permit.Machine, previous.Step)
+		return fmt.Errorf("%s reached maintenance from step %s", permit.Machine, previous.Step)
 	}
 	return nil
 }
 
-// checkStaysInMaintenance checks that a machine in maintenance stays out until it is reported back.
+// checkStaysInMaintenance checks that a machine in maintenance stays unavailable until it is reported as returning.
 func (s *schedule) checkStaysInMaintenance() error {
 	for _, permit := range s.state.Permits {
 		key := permit.Request + permit.Machine
 		if s.lastSteps[key] == InMaintenance && permit.Step != InMaintenance && permit.Step != Returning {
-			return fmt.Errorf("%s was in maintenance and is %s", permit.Machine, permit.Step)
+			return fmt.Errorf("%s went from maintenance to step %s", permit.Machine, permit.Step)
 		}
 		s.lastSteps[key] = permit.Step
 	}
 	return nil
 }
 
+// Leaders with outdated states propose drains that are permitted one by one, but not together. The rules must hold in
+// each state nevertheless.
 func TestNoScheduleViolatesRules(t *testing.T) {
 	for seed := range uint64(schedules) {
 		require.NoError(t, runSchedule(seed, false), "seed %d", seed)
 	}
 }
 
-// The checker itself is checked: it detects drains that override the rules.
+// A checker that detects nothing would let every schedule pass. It must detect drains that override the rules.
 func TestCheckerDetectsViolation(t *testing.T) {
 	violations := 0
 	for seed := range uint64(500) {
@@ -389,5 +394,5 @@
 		}
 	}
 	assert.Greater(t, violations, 50)
-	t.Logf("%d of 500 schedules with sabotage violate a rule", violations)
+	t.Logf("%d of 500 schedules with overridden rules violate a rule", violations)
 }
--- a/maintenance/next.go
+++ b/maintenance/next.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// NextTransitions returns the transitions that a leader proposes now: the start of drains, the recall of drains that are
-// not complete and no longer permitted, and the end of permits that expired or completed. A fault, described for
-// operators, recalls all drains and starts none; empty is no fault.
+// NextTransitions returns the transitions that a leader proposes now: the start of drains, the recall of incomplete
+// drains that are no longer permitted, and the end of permits that expired or completed. The fault is a description for
+// operators, or empty if there is none. During a fault, all incomplete drains are recalled and no drain is started.
 func (s State) NextTransitions(now Micros, fault string) []Transition {
 	s.Now = max(s.Now, now)
 	if s.Layout == nil {
@@ -17,7 +17,7 @@
 	return append(transitions, s.drainsToStart()...)
 }
 
-// anyReturnedUnhealthy reports whether a machine is unhealthy after its maintenance. No further drain starts then.
+// anyReturnedUnhealthy reports whether a machine is unhealthy after its maintenance. No further drain is started then.
 func (s State) anyReturnedUnhealthy() bool {
 	return slices.ContainsFunc(s.Permits, func(permit Permit) bool {
 		returned := permit.Step == Returning || permit.Step == WarmingUp
@@ -25,7 +25,7 @@
 	})
 }
 
-// transitionsOfOpenPermits returns the expirations, recalls and completions.
+// transitionsOfOpenPermits returns the expirations, recalls and completions that are due.
 func (s State) transitionsOfOpenPermits(fault string) []Transition {
 	var transitions []Transition
 	outages := s.outageCounts()
@@ -44,15 +44,16 @@
 			if warm && s.Unhealthy[permit.Machine] == "" {
 				transitions = append(transitions, permit.transition(Completed, ""))
 			}
-		default: // the next transition is an operator's or an instance's
+		default: // the next transition is proposed by an operator or an instance
 		}
 	}
 	return transitions
 }
 
-// recallReason returns why a drain is to be recalled, or an empty string: there is a fault, or the rules no longer permit
-// it, since another machine went out or the rules were tightened. A machine to be recalled is removed from the outages,
-// so that the remaining drains are judged without it.
+// recallReason returns the reason to recall a drain, or an empty string if the drain continues. A drain is recalled
+// during a fault, or when the rules no longer permit it because another machine became unavailable or the rules were
+// tightened; a drain that overrides the rules is recalled only during a fault. If the rules are the reason,
+// recallReason records the machine as available in outages, so that the remaining drains are checked without it.
 func (s State) recallReason(outages *outageCounts, permit Permit, fault string) string {
 	machine := s.Layout.Machine(permit.Machine)
 	if fault != "" || permit.OverrideReason != "" || machine == nil {
@@ -66,7 +67,7 @@
 	return ""
 }
 
-// drainsToStart returns the drains that the rules permit together.
+// drainsToStart returns the drains that the rules permit to start now, together, selected by priority.
 func (s State) drainsToStart() []Transition {
 	waiting := slices.DeleteFunc(slices.Clone(s.Permits), func(permit Permit) bool {
 		return permit.Step != Requested ||
--- a/maintenance/outages.go
+++ b/maintenance/outages.go
@@ -3,17 +3,17 @@
 const (
 	// tolerance absorbs rounding errors in comparisons of fractions and weights.
 	tolerance = 1e-9
-	// noShard is the shard, and noReplicaLimit the number of replicas, at a ring position that holds no shard.
+	// noShard and noReplicaLimit stand for the shard and its number of replicas at a ring position that holds no shard.
 	noShard        = -1
 	noReplicaLimit = 1 << 30
 )
 
-// outageCounts counts what is out of service. Its totals are of all machines, whether out or not. Adding and removing a
-// machine costs time in proportion to its stores.
+// outageCounts counts what is unavailable. The totals include all machines, available or not. Adding or removing a
+// machine takes time proportional to the number of its stores.
 type outageCounts struct {
 	layout *Layout
 	rules  Rules
-	// load is the fraction of the weight of all stores that is in use; 0 is unknown.
+	// load is the fraction of the total store weight that is in use; 0 if unknown.
 	load float64
 
 	totalStores       int
@@ -22,7 +22,7 @@
 	totalMembers      int
 	totalVoters       int
 
-	unavailableMachines         map[string]bool // whether the machine of a name is out
+	unavailableMachines         map[string]bool // by name
 	availableStores             []int           // by ring position
 	unavailableStores           int
 	unavailableWeight           float64
@@ -30,10 +30,10 @@
 	unavailableMembers          int
 	unavailableVoters           int
 	unavailableByExclusionGroup map[string]int
-	lastDrainStartByType        map[string]Micros // the last start of a drain of a machine of a kind
+	lastDrainStartByType        map[string]Micros
 }
 
-// newOutageCounts returns the counts while nothing is out.
+// newOutageCounts returns the counts while everything is available.
 func newOutageCounts(layout *Layout, rules Rules, load float64) *outageCounts {
 	o := &outageCounts{
 		layout:                      layout,
@@ -64,7 +64,7 @@
 	return o
 }
 
-// setUnavailable records that a machine is out or back in service. It does nothing if the machine is nil.
+// setUnavailable records that a machine is unavailable, or available again. It does nothing if the machine is nil.
 func (o *outageCounts) setUnavailable(machine *Machine, unavailable bool) {
 	if machine == nil || o.unavailableMachines[machine.Name] == unavailable {
 		return
@@ -97,7 +97,7 @@
 	o.lastDrainStartByType[machine.Type] = now
 }
 
-// availableReplicas returns how many healthy stores hold a shard.
+// availableReplicas returns the number of available stores that hold a shard.
 func (o *outageCounts) availableReplicas(shard int) int {
 	replicas := 0
 	for i := range o.layout.ReplicationFactor {
@@ -106,8 +106,8 @@
 	return replicas
 }
 
-// leastReplicatedShard returns the shard with the fewest healthy replicas that the stores at a ring position hold, and their
-// number.
+// leastReplicatedShard returns the shard with the fewest available replicas of those that the stores at a ring position
+// hold, and the number of these replicas. It returns noShard and noReplicaLimit if the stores hold no shard.
 func (o *outageCounts) leastReplicatedShard(position int) (shard, replicas int) {
 	shard = noShard
 	replicas = noReplicaLimit
@@ -116,7 +116,7 @@
 		if candidate >= o.layout.Shards {
 			continue
 		}
-		// The shards candidate, candidate + RingSize and so on have the same replicas.
+		// The shards candidate, candidate + RingSize and so on are held by the same stores.
 		if available := o.availableReplicas(candidate); available < replicas {
 			shard = candidate
 			replicas = available
@@ -125,11 +125,11 @@
 	return shard, replicas
 }
 
-// violationIfUnavailable returns the rule that forbids to take a machine out in addition to what is out, other than by time, or nil.
-// While a rule is violated already, it forbids what would make it worse, and nothing else.
+// violationIfUnavailable returns the rule violation that would result if a machine became unavailable as well, or nil.
+// It does not check the rules on time. A rule that is already violated forbids only what makes the violation worse.
 func (o *outageCounts) violationIfUnavailable(machine *Machine) *RuleViolation {
 	if o.unavailableMachines[machine.Name] {
-		return nil // it is out already: nothing gets worse
+		return nil // already unavailable: no violation gets worse
 	}
 	o.setUnavailable(machine, true)
 	defer o.setUnavailable(machine, false)
@@ -137,21 +137,22 @@
 		return violation
 	}
 	if machine.Member && exceedsFraction(o.unavailableMembers, o.totalMembers, o.rules.MaxUnavailableMemberFraction) {
-		return violationf(RuleMembers, "%d of %d members of the fleet would be out", o.unavailableMembers, o.totalMembers)
+		return violationf(RuleMembers, "%d of %d members would be unavailable", o.unavailableMembers, o.totalMembers)
 	}
 	if len(machine.Stores) > 0 && o.isOverloaded() {
-		return violationf(RuleLoad, "the load of %.2f would be %.2f of what remains", o.load, o.remainingLoad())
+		return violationf(RuleLoad, "the load of %.2f would rise to %.2f on the remaining stores", o.load, o.remainingLoad())
 	}
 	if remaining := o.totalVoters - o.unavailableVoters; machine.Voter && 2*remaining <= o.totalVoters {
-		return violationf(RuleVoters, "%d of %d voters would remain", remaining, o.totalVoters)
+		return violationf(RuleVoters, "%d of %d voters would remain, which is no majority", remaining, o.totalVoters)
 	}
 	if machine.ExclusionGroup != "" && o.unavailableByExclusionGroup[machine.ExclusionGroup] > 1 {
-		return violationf(RuleExclusionGroup, "another of the pair %s is out", machine.ExclusionGroup)
+		return violationf(RuleExclusionGroup, "another machine of pair %s is unavailable", machine.ExclusionGroup)
 	}
 	return nil
 }
 
-// storeViolation returns the violated rule on replicas and stores after a machine was taken out, or nil.
+// storeViolation returns the violation of a rule on replicas or stores, or nil. The machine must be recorded as
+// unavailable.
 func (o *outageCounts) storeViolation(machine *Machine) *RuleViolation {
 	if len(machine.Stores) == 0 {
 		return nil
@@ -160,19 +161,19 @@
 	for _, store := range machine.Stores {
 		shard, replicas := o.leastReplicatedShard(store.RingPosition)
 		if shard != noShard && replicas < required {
-			return violationf(RuleReplicas, "shard %d would have %d sound replicas of %d", shard, replicas, required)
+			return violationf(RuleReplicas, "shard %d would have %d available replicas, but needs %d", shard, replicas, required)
 		}
 	}
 	if exceedsFraction(o.unavailableStores, o.totalStores, o.rules.MaxUnavailableStoreFraction) {
-		return violationf(RuleStores, "%d of %d stores would be out", o.unavailableStores, o.totalStores)
+		return violationf(RuleStores, "%d of %d stores would be unavailable", o.unavailableStores, o.totalStores)
 	}
 	othersUnavailable := o.unavailableStores > len(machine.Stores) // the fraction always allows one machine
 	if o.rules.MaxUnavailableWeightFraction > 0 && othersUnavailable && o.unavailableWeight > o.rules.MaxUnavailableWeightFraction*o.totalWeight+tolerance {
-		return violationf(RuleWeight, "%.0f of %.0f of the stores' weight would be out", o.unavailableWeight, o.totalWeight)
+		return violationf(RuleWeight, "weight %.0f of a total store weight of %.0f would be unavailable", o.unavailableWeight, o.totalWeight)
 	}
 	unavailable, total := o.unavailableStoresByZone[machine.Zone], o.totalStoresByZone[machine.Zone]
 	if exceedsFraction(unavailable, total, o.rules.MaxUnavailableZoneFraction) {
-		return violationf(RuleZone, "%d of %d stores of zone %s would be out", unavailable, total, machine.Zone)
+		return violationf(RuleZone, "%d of %d stores of zone %s would be unavailable", unavailable, total, machine.Zone)
 	}
 	return nil
 }
@@ -190,13 +191,14 @@
 	return o.load * o.totalWeight / max(tolerance, o.totalWeight-o.unavailableWeight)
 }
 
-// exceedsFraction reports whether a count exceedsFraction a fraction of a total. A fraction always allows one; 0 allows all.
+// exceedsFraction reports whether a count exceeds a fraction of a total. A count of 1 never does, and a fraction of 0
+// is no limit.
 func exceedsFraction(count, total int, fraction float64) bool {
 	return fraction > 0 && count > 1 && float64(count) > fraction*float64(total)+tolerance
 }
 
-// earliestDrainStart returns the first time from now on at which the rules on time allow the drain of a machine to start, and
-// the rule that delays it until then. It returns noTime if there is none.
+// earliestDrainStart returns the first time, now or later, at which the rules on time allow the drain of a machine to
+// start, and the rule that delays it until then. It returns noTime if there is no such time.
 func (o *outageCounts) earliestDrainStart(machine *Machine, now Micros) (start Micros, rule Rule) {
 	start = now
 	lastStart, found := o.lastDrainStartByType[machine.Type]
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -1,76 +1,78 @@
 package maintenance
 
-// Step is the progress of a permit.
+// Step is the stage that a permit has reached.
 type Step string
 
-// The steps. The machine counts as out from Draining to WarmingUp.
+// The steps of a permit. The machine counts as unavailable from Draining to WarmingUp.
 const (
-	Requested     Step = "asked"     // waits to be drained
+	Requested     Step = "asked"     // waiting to be drained
 	Draining      Step = "draining"  // its stores receive no new requests and finish those in flight
-	Drained       Step = "empty"     // no request is in flight at its stores and none will be sent: it may be touched
+	Drained       Step = "empty"     // no request to its stores is in flight and none will be sent: the work may start
 	InMaintenance Step = "out"       // the work is in progress
-	Returning     Step = "returning" // the work is reported finished, but not all stores are in service yet
-	WarmingUp     Step = "warming"   // all stores are in service, with reduced load
+	Returning     Step = "returning" // the work is reported as finished, but not all stores are in service yet
+	WarmingUp     Step = "warming"   // all stores are in service, at reduced load
 	Completed     Step = "done"
-	Cancelled     Step = "cancelled" // withdrawn before the machine was touched
-	Expired       Step = "expired"   // not drained before the end of its time window
+	Cancelled     Step = "cancelled" // withdrawn before the work started
+	Expired       Step = "expired"   // the drain did not start before the end of the time window
 )
 
 // allowedTransitions are the steps that may follow each step.
 var allowedTransitions = map[Step][]Step{
 	Requested:     {Draining, Cancelled, Expired},
-	Draining:      {Drained, Cancelled, Requested}, // Requested: recalled, it waits again
+	Draining:      {Drained, Cancelled, Requested}, // Requested after a recall
 	Drained:       {InMaintenance, Cancelled},
 	InMaintenance: {Returning},
 	Returning:     {WarmingUp, InMaintenance},
 	WarmingUp:     {Completed, Returning},
 }
 
-// isUnavailable reports whether the machine of a permit counts as out.
+// isUnavailable reports whether the machine of a permit at this step counts as unavailable.
 func (s Step) isUnavailable() bool {
 	return s == Draining || s == Drained || s == InMaintenance || s == Returning || s == WarmingUp
 }
 
-// isFinal reports whether a permit has ended.
+// isFinal reports whether a permit at this step has ended.
 func (s Step) isFinal() bool { return s == Completed || s == Cancelled || s == Expired }
 
-// Permit is the maintenance of one machine.
+// Permit is the requested maintenance of one machine, up to its end.
 type Permit struct {
-	// Request is the name of the request; with the machine it identifies the permit.
+	// Request is the name of the request. Together with Machine, it identifies the permit.
 	Request     string `json:"request"`
 	Machine     string `json:"machine"`
 	RequestedBy string `json:"by"`
 	Reason      string `json:"reason"`
-	// Urgency orders permits: higher ones are drained first.
+	// Urgency orders the drains: higher values are drained first.
 	Urgency int `json:"urgency,omitempty"`
-	// WorkDuration is how long the work on the machine takes.
+	// WorkDuration is the expected duration of the work on the machine, without the drain and the warm-up.
 	WorkDuration Micros `json:"need"`
-	// NotBefore is the earliest start of the drain; 0 is no limit.
+	// NotBefore is the earliest time at which the drain may start; 0 if there is none.
 	NotBefore Micros `json:"after,omitempty"`
-	// NotAfter is the latest start of the drain; 0 is no limit.
+	// NotAfter is the latest time at which the drain may start; 0 if there is none.
 	NotAfter    Micros `json:"until,omitempty"`
 	RequestedAt Micros `json:"at"`
 	Step        Step   `json:"step"`
-	// StepReachedAt is when the permit reached its step.
+	// StepReachedAt is the time at which the permit reached its step.
 	StepReachedAt Micros `json:"since"`
-	// DrainStartedAt is when its last drain started; 0 is never.
+	// DrainStartedAt is the time at which the latest drain started; 0 if none has.
 	DrainStartedAt Micros `json:"drained,omitempty"`
-	// OverrideReason is why an operator had the machine drained regardless of the rules; empty if by the rules.
+	// OverrideReason is the reason for which an operator started the drain regardless of the rules; empty if the rules
+	// applied.
 	OverrideReason string `json:"override,omitempty"`
-	// StepReason explains the last transition if it was not the ordinary one.
+	// StepReason explains the last transition; empty if that was the usual one.
 	StepReason string `json:"why,omitempty"`
 }
 
-// dueAt returns when a machine in maintenance is expected back.
+// dueAt returns the time at which the work on a machine in maintenance should be finished.
 func (p Permit) dueAt() Micros { return p.StepReachedAt + p.WorkDuration }
 
-// IsOverdue reports whether a machine in maintenance is not back in time. It still counts as out; operators are alerted.
+// IsOverdue reports whether the work on a machine in maintenance takes longer than requested. The machine still counts
+// as unavailable; operators are alerted.
 func (p Permit) IsOverdue(now Micros) bool { return p.Step == InMaintenance && now > p.dueAt() }
 
-// isExpiredAt reports whether the latest start of the drain has passed.
+// isExpiredAt reports whether the latest time at which the drain may start has passed.
 func (p Permit) isExpiredAt(now Micros) bool { return p.NotAfter > 0 && now > p.NotAfter }
 
-// transition returns a transition of the permit from its step.
+// transition returns a transition of the permit from its current step.
 func (p Permit) transition(to Step, reason string) Transition {
 	return Transition{Request: p.Request, Machine: p.Machine, From: p.Step, To: to, Reason: reason}
 }
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -7,40 +7,41 @@
 	"slices"
 )
 
-// noTime is the absence of a time.
+// noTime represents the absence of a time.
 const noTime Micros = -1
 
-// PlannedDrain is the predicted drain of one machine.
+// PlannedDrain is the predicted drain and return of one machine.
 type PlannedDrain struct {
 	Request string `json:"request"`
 	Machine string `json:"machine"`
-	// Wave numbers the drains that start at the same time, from 1; 0 is a machine that is out already.
+	// Wave is the number, from 1, of the group of drains that start at the same time; 0 if the machine is already
+	// unavailable.
 	Wave     int    `json:"wave"`
 	StartsAt Micros `json:"begin"`
-	// AvailableAt is when the machine counts as healthy again.
+	// AvailableAt is the time at which the machine counts as available again.
 	AvailableAt Micros `json:"back"`
 }
 
-// Undrainable is a machine that the rules never allow to drain.
+// Undrainable is a machine whose maintenance was requested but that the plan cannot drain.
 type Undrainable struct {
 	Request string `json:"request"`
 	Machine string `json:"machine"`
 	RuleViolation
-	// Remedy is the smallest change that would allow it.
+	// Remedy is the smallest change that would allow the drain.
 	Remedy string `json:"nearest"`
 }
 
 // Plan is the predicted order of the drains.
 type Plan struct {
-	// Drains are sorted by their start.
+	// Drains are sorted by StartsAt.
 	Drains      []PlannedDrain `json:"turns"`
 	Undrainable []Undrainable  `json:"never,omitempty"`
-	// End is when the last machine counts as healthy again.
+	// End is the time at which the last machine counts as available again.
 	End Micros `json:"end"`
 }
 
 // Plan predicts the drains of all open permits. They start in the order of sortByPriority, as early as the rules allow:
-// at the return of another machine or at the end of a closed window.
+// now, when another machine returns, or when a restriction on time ends.
 func (s State) Plan() Plan {
 	if s.Layout == nil {
 		return Plan{}
@@ -66,7 +67,7 @@
 	waiting []Permit // by priority
 	now     Micros
 	wave    int
-	// nextTime is the first time after now at which another drain may become possible.
+	// nextTime is the first time after now at which another drain may become possible, or noTime.
 	nextTime Micros
 	plan     Plan
 }
@@ -95,28 +96,28 @@
 	return p
 }
 
-// addDrain adds a drain to the plan and queues the machine's return.
+// addDrain adds a drain to the plan and the return of the machine to the queue.
 func (p *planner) addDrain(machine *Machine, drain PlannedDrain) {
 	p.plan.Drains = append(p.plan.Drains, drain)
 	p.plan.End = max(p.plan.End, drain.AvailableAt)
 	heap.Push(&p.returns, machineReturn{at: drain.AvailableAt, machine: machine})
 }
 
-// lowerNextTime lowers nextTime to a time after now.
+// lowerNextTime sets nextTime to the given time if that is after now and before nextTime.
 func (p *planner) lowerNextTime(at Micros) {
 	if at > p.now && (p.nextTime == noTime || at < p.nextTime) {
 		p.nextTime = at
 	}
 }
 
-// startWave starts all drains that the rules allow now, and determines nextTime.
+// startWave starts all drains that the rules allow now, and sets nextTime.
 func (p *planner) startWave() {
 	p.nextTime = noTime
 	wave := p.wave + 1
 	p.waiting = slices.DeleteFunc(p.waiting, func(permit Permit) bool {
 		machine := p.state.Layout.Machine(permit.Machine)
 		if permit.isExpiredAt(p.now) {
-			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "its turn would come after its window"}, "a window that ends later, or a higher urgency")
+			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "the drain could start only after the end of its time window"}, "extend the time window, or raise the urgency")
 			return true
 		}
 		if !p.mayDrain(permit, machine) {
@@ -138,7 +139,8 @@
 	}
 }
 
-// mayDrain reports whether the drain of a permit may start now, and otherwise considers when it may by time.
+// mayDrain reports whether the drain of a permit may start now. If it is too early, mayDrain lowers nextTime to the
+// earliest start.
 func (p *planner) mayDrain(permit Permit, machine *Machine) bool {
 	if permit.NotBefore > p.now {
 		p.lowerNextTime(permit.NotBefore)
@@ -151,7 +153,8 @@
 	return p.outages.violationIfUnavailable(machine) == nil
 }
 
-// advanceTime advances the time to nextTime and returns the machines that are back by then. Unhealthy ones stay out.
+// advanceTime sets the time to nextTime and records the machines that return by then as available, except unhealthy
+// ones.
 func (p *planner) advanceTime() {
 	p.now = p.nextTime
 	for len(p.returns) > 0 && p.returns[0].at <= p.now {
@@ -162,14 +165,15 @@
 	}
 }
 
-// markWaitingUndrainable adds the permits that still wait as undrainable, because of machines that are out without a known return.
+// markWaitingUndrainable adds all waiting machines to the undrainable ones, as they wait for unavailable machines whose
+// return is not known.
 func (p *planner) markWaitingUndrainable() {
 	for _, permit := range p.waiting {
 		violation := RuleViolation{}
 		if v := p.outages.violationIfUnavailable(p.state.Layout.Machine(permit.Machine)); v != nil {
 			violation = *v
 		}
-		p.addUndrainable(permit, violation, "the return of what is out now")
+		p.addUndrainable(permit, violation, "return the unavailable machines to service")
 	}
 }
 
@@ -182,12 +186,13 @@
 	})
 }
 
-// unavailableDuration returns how long a machine is out, from the start of the drain to the end of the warm-up.
+// unavailableDuration returns the time for which a machine is unavailable, from the start of the drain to the end of
+// the warm-up.
 func (s State) unavailableDuration(permit Permit) Micros {
 	return s.Rules.DrainDuration + permit.WorkDuration + s.Rules.WarmUpDuration
 }
 
-// remainingUnavailableDuration returns how long a machine that is out will still be.
+// remainingUnavailableDuration returns the time after which an unavailable machine is expected to be available.
 func (s State) remainingUnavailableDuration(permit Permit) Micros {
 	elapsed := s.Now - permit.StepReachedAt
 	switch permit.Step {
@@ -202,12 +207,12 @@
 	}
 }
 
-// undrainable returns why the rules never allow a machine to drain, even if everything else is healthy, or nil.
+// undrainable returns why a machine cannot be drained even while all others are available, or nil if it can.
 func (s State) undrainable(permit Permit, machine *Machine) *Undrainable {
 	result := &Undrainable{Request: permit.Request, Machine: permit.Machine}
 	if machine == nil {
-		result.RuleViolation = RuleViolation{Reason: "it is not in the layout"}
-		result.Remedy = "a layout that has it"
+		result.RuleViolation = RuleViolation{Reason: "the machine is not in the layout"}
+		result.Remedy = "add the machine to the layout"
 		return result
 	}
 	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
@@ -221,7 +226,8 @@
 	return result
 }
 
-// remedy returns the smallest change that would allow a machine, which is the only one out, to be out.
+// remedy returns the smallest change after which a rule allows a machine to be unavailable. The machine must be the
+// only one that is recorded as unavailable.
 func (o *outageCounts) remedy(rule Rule, machine *Machine) string {
 	switch rule {
 	case RuleReplicas:
@@ -231,25 +237,25 @@
 			fewest = min(fewest, replicas)
 		}
 		if fewest < 1 {
-			return "another replica of its shards first"
+			return "add another replica of its shards"
 		}
-		return fmt.Sprintf("keep_sound = %d, or another replica first", fewest)
+		return fmt.Sprintf("set keep_sound to %d, or add another replica of its shards", fewest)
 	case RuleLoad:
-		return fmt.Sprintf("room = %.2f, or less load", o.remainingLoad())
+		return fmt.Sprintf("set room to %.2f, or reduce the load", o.remainingLoad())
 	case RuleVoters:
-		return "another voter first"
+		return "add another voter"
 	default:
-		return "a rule " + string(rule) + " that allows one machine"
+		return "relax the rule " + string(rule) + " until it allows one machine"
 	}
 }
 
-// machineReturn is the predicted return of a machine. The machine is nil if it is no longer in the layout.
+// machineReturn is the predicted return of a machine to service. The machine is nil if it is no longer in the layout.
 type machineReturn struct {
 	at      Micros
 	machine *Machine
 }
 
-// returnQueue is a heap of returns, the earliest first.
+// returnQueue is a heap of machine returns, the earliest first.
 type returnQueue []machineReturn
 
 func (q returnQueue) Len() int { return len(q) }
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// completeRequest takes all permits to their end as a leader would. It returns how long that took and the fewest healthy
-// replicas that any shard had.
+// completeRequest takes all permits to their end, as leaders, operators and instances would. It returns the elapsed
+// time and the minimum number of available replicas that any shard had.
 func completeRequest(tb testing.TB, s State) (elapsed Micros, minReplicas int) {
 	tb.Helper()
 	startedAt := s.Now
@@ -33,11 +33,11 @@
 		if open == 0 {
 			return now - startedAt, minReplicas
 		}
-		require.Less(tb, now-startedAt, 100*hour, "no progress")
+		require.Less(tb, now-startedAt, 100*hour, "the permits are not completed after 100 hours")
 	}
 }
 
-// minAvailableReplicas returns the fewest healthy replicas of any shard.
+// minAvailableReplicas returns the minimum number of available replicas of any shard.
 func minAvailableReplicas(s State) int {
 	outages := s.outageCounts()
 	fewest := noReplicaLimit
@@ -47,7 +47,8 @@
 	return fewest
 }
 
-// operatorTransition returns the step to which operators and instances take a permit, and after which time.
+// operatorTransition returns the next step to which operators or instances move a permit, and the time after which they
+// do. The step is empty if the next transition is a leader's.
 func operatorTransition(s State, permit Permit) (to Step, after Micros) {
 	switch permit.Step {
 	case Draining:
@@ -63,8 +64,10 @@
 	}
 }
 
+// A poor order of the drains, or drains that start late, would make the maintenance of all machines much longer than
+// the limit on unavailable stores requires.
 func TestRollingMaintenanceDurationNearLowerBound(t *testing.T) {
-	const stores, maxOut = 198, 19 // a tenth of the stores may be out at a time
+	const stores, maxOut = 198, 19 // a tenth of the stores may be unavailable at a time
 	rules := Rules{
 		MinAvailableReplicas:        2,
 		MaxUnavailableStoreFraction: 0.1,
@@ -80,12 +83,13 @@
 	lowerBound := Micros((stores+maxOut-1)/maxOut) * perMachine
 	assert.Less(t, float64(elapsed), 1.3*float64(lowerBound))
 	predicted := plan.End - s.Now
-	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "the plan predicted another end")
+	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "duration predicted by the plan")
 	assert.Equal(t, 2, minReplicas)
 	assert.Empty(t, plan.Undrainable)
-	t.Logf("%d stores in %d s, the least is %d s, foretold %d s", stores, elapsed/second, lowerBound/second, predicted/second)
+	t.Logf("%d stores: completed in %d s, lower bound %d s, predicted %d s", stores, elapsed/second, lowerBound/second, predicted/second)
 }
 
+// Without a reason and a remedy, an operator cannot tell why a machine is never drained.
 func TestUndrainableMachinesNameRuleAndRemedy(t *testing.T) {
 	onlyVoter := &Layout{RingSize: 1, ReplicationFactor: 1, Shards: 1, Machines: []Machine{{Name: "v", Voter: true}}}
 	for name, testCase := range map[string]struct {
@@ -95,10 +99,10 @@
 		rule   Rule
 		remedy string
 	}{
-		"the last replica": {Rules{}, 0, uniformLayout(2, 1), RuleReplicas, "another replica of its shards first"},
-		"one of two":       {Rules{MinAvailableReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "keep_sound = 1, or another replica first"},
-		"overload":         {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "room = 0.80, or less load"},
-		"the only voter":   {Rules{}, 0, onlyVoter, RuleVoters, "another voter first"},
+		"no second replica":            {Rules{}, 0, uniformLayout(2, 1), RuleReplicas, "add another replica of its shards"},
+		"one of two required replicas": {Rules{MinAvailableReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "set keep_sound to 1, or add another replica of its shards"},
+		"overload":                     {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "set room to 0.80, or reduce the load"},
+		"only voter":                   {Rules{}, 0, onlyVoter, RuleVoters, "add another voter"},
 	} {
 		s := requestedState(t, testCase.layout, testCase.rules, testCase.load)
 		plan := s.Plan()
--- a/maintenance/priority.go
+++ b/maintenance/priority.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// sortByPriority sorts waiting permits in the order in which they are drained: voters last, then higher urgency first,
-// then earlier ends of time windows, then the most replicas on other waiting machines, since those fit into the fewest
-// waves, then age, then name.
+// sortByPriority sorts waiting permits in the order in which they are drained: voters last, then the highest urgency
+// first, then the earliest end of the time window, then the most replicas on other waiting machines, as such a machine
+// fits into the fewest waves, then the oldest request, then the name of the machine.
 func (s State) sortByPriority(waiting []Permit) {
-	waitingStoresByPosition := make([]int, s.Layout.RingSize) // by ring position
+	waitingStoresByPosition := make([]int, s.Layout.RingSize)
 	for _, permit := range waiting {
 		for _, store := range s.Layout.Machine(permit.Machine).Stores {
 			waitingStoresByPosition[store.RingPosition]++
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// latestStart returns the latest start of a permit's drain.
+// latestStart returns the latest time at which the drain of a permit may start.
 func latestStart(permit Permit) Micros {
 	if permit.NotAfter == 0 {
 		return math.MaxInt64
@@ -45,7 +45,8 @@
 	return permit.NotAfter
 }
 
-// replicasOnWaitingMachines returns how many waiting stores share shards with those of a machine.
+// replicasOnWaitingMachines returns the number of stores on waiting machines that share shards with each store of a
+// machine, summed over its stores. It includes the machine itself.
 func (s State) replicasOnWaitingMachines(machine *Machine, waitingStoresByPosition []int) int {
 	count := 0
 	for _, store := range machine.Stores {
--- a/maintenance/rules.go
+++ b/maintenance/rules.go
@@ -8,39 +8,40 @@
 // day is the length of a day in microseconds.
 const day Micros = 24 * 3600 * 1_000_000
 
-// maxDuration is the maximum of any configured or requested duration.
+// maxDuration is the maximum of all configured and requested durations.
 const maxDuration = 30 * day
 
-// Rules are the limits that drains must keep. A zero value disables a rule, except for MinHealthyReplicas, which is 1 at
-// least. Fractions are from 0 to 1 and always allow one.
+// Rules are the limits that drains must keep. A zero value disables a rule, except for MinAvailableReplicas, which is
+// at least 1. Fractions are from 0 to 1. A fraction of stores or instances always allows one of them to be
+// unavailable, and a fraction of the weight always allows one machine.
 type Rules struct {
-	// MinAvailableReplicas is the number of healthy replicas that each shard must keep.
+	// MinAvailableReplicas is the minimum number of available replicas of each shard.
 	MinAvailableReplicas int `json:"keep_sound"`
-	// MaxUnavailableStoreFraction is the maximum fraction of all stores that is out at a time.
+	// MaxUnavailableStoreFraction is the maximum fraction of all stores that may be unavailable at a time.
 	MaxUnavailableStoreFraction float64 `json:"most_stores,omitempty"`
-	// MaxUnavailableWeightFraction is the maximum fraction of the weight of all stores that is out at a time.
+	// MaxUnavailableWeightFraction is the maximum fraction of the total store weight that may be unavailable at a time.
 	MaxUnavailableWeightFraction float64 `json:"most_weight,omitempty"`
-	// MaxUnavailableZoneFraction is the maximum fraction of the stores of one zone that is out at a time.
+	// MaxUnavailableZoneFraction is the maximum fraction of the stores of a zone that may be unavailable at a time.
 	MaxUnavailableZoneFraction float64 `json:"most_zone,omitempty"`
-	// MaxUnavailableMemberFraction is the maximum fraction of the instances that is out at a time.
+	// MaxUnavailableMemberFraction is the maximum fraction of the instances that may be unavailable at a time.
 	MaxUnavailableMemberFraction float64 `json:"most_fleet,omitempty"`
-	// MaxLoad is the maximum load of the remaining stores, from 0 to 1, if the load is known.
+	// MaxLoad is the maximum load of the available stores, from 0 to 1. It is not checked while the load is unknown.
 	MaxLoad float64 `json:"room,omitempty"`
-	// DrainSpacing is the minimum time between the starts of the drains of two machines of the same kind.
+	// DrainSpacing is the minimum time between the starts of the drains of two machines of the same type.
 	DrainSpacing Micros `json:"spacing,omitempty"`
-	// ClosedWindows are the parts of the day in which no drain starts.
+	// ClosedWindows are the parts of each day in which no drain may start.
 	ClosedWindows []DailyWindow `json:"closed,omitempty"`
-	// WarmUpDuration is how long a store warms up after its return.
+	// WarmUpDuration is the duration of the warm-up of a store after its return.
 	WarmUpDuration Micros `json:"warm,omitempty"`
-	// DrainDuration is the expected duration of a drain, for predictions.
+	// DrainDuration is the expected duration of a drain. It is used for predictions only.
 	DrainDuration Micros `json:"drain,omitempty"`
-	// UnreachableMemberTimeout is how long after the announcement of a drain an instance that did not report may still send
-	// requests to the machine: the time in which it may start one, plus the longest deadline of one. See
-	// State.DrainComplete.
+	// UnreachableMemberTimeout is the time after the announcement of a drain during which an instance that has not
+	// reported may still send requests to the machine: the time in which it may start a request, plus the longest
+	// deadline of a request. See State.DrainComplete.
 	UnreachableMemberTimeout Micros `json:"unheard,omitempty"`
 }
 
-// DailyWindow is a part of each day in UTC, in microseconds since midnight. A window whose end is before its start spans
+// DailyWindow is a part of each day, in microseconds since midnight UTC. A window whose end is before its start spans
 // midnight.
 type DailyWindow struct {
 	Start Micros `json:"from"`
@@ -59,7 +60,7 @@
 	return w.Start >= 0 && w.Start < day && w.End >= 0 && w.End <= day && w.Start != w.End
 }
 
-// Validate returns an error that describes an invalid rule, or nil.
+// Validate returns an error that describes the first invalid rule, or nil if there is none.
 func (r Rules) Validate() error {
 	for _, fraction := range []struct {
 		name  string
@@ -71,9 +72,9 @@
 		{"most_fleet", r.MaxUnavailableMemberFraction},
 		{"room", r.MaxLoad},
 	} {
-		inRange := fraction.value >= 0 && fraction.value <= 1 // false if it is not a number
+		inRange := fraction.value >= 0 && fraction.value <= 1 // false if the value is NaN
 		if !inRange {
-			return fmt.Errorf("rules: %s is %v and no part", fraction.name, fraction.value)
+			return fmt.Errorf("rules: %s = %v is not a fraction from 0 to 1", fraction.name, fraction.value)
 		}
 	}
 	for _, duration := range []struct {
@@ -86,27 +87,28 @@
 		{"unheard", r.UnreachableMemberTimeout},
 	} {
 		if duration.value < 0 || duration.value > maxDuration {
-			return fmt.Errorf("rules: %s of %d us", duration.name, duration.value)
+			return fmt.Errorf("rules: %s = %d us is negative or exceeds the maximum of 30 days", duration.name, duration.value)
 		}
 	}
 	if r.MinAvailableReplicas < 0 {
-		return fmt.Errorf("rules: keep_sound is %d", r.MinAvailableReplicas)
+		return fmt.Errorf("rules: keep_sound = %d is negative", r.MinAvailableReplicas)
 	}
 	for _, window := range r.ClosedWindows {
 		if !window.isValid() {
-			return fmt.Errorf("rules: a window from %d to %d us of the day", window.Start, window.End)
+			return fmt.Errorf("rules: closed window from %d to %d us is empty or not within a day", window.Start, window.End)
 		}
 	}
 	if _, ok := r.nextOpenTime(0); !ok {
-		return fmt.Errorf("rules: the windows leave no time of the day")
+		return fmt.Errorf("rules: the closed windows cover the whole day")
 	}
 	return nil
 }
 
-// requiredReplicas returns the number of healthy replicas that each shard must keep.
+// requiredReplicas returns the minimum number of available replicas of each shard.
 func (r Rules) requiredReplicas() int { return max(1, r.MinAvailableReplicas) }
 
-// nextOpenTime returns the first time from a given one on that is in no closed window. It returns false if there is none.
+// nextOpenTime returns the first time, at or after the given one, that is in no closed window. It returns false if
+// there is none.
 func (r Rules) nextOpenTime(at Micros) (Micros, bool) {
 	for range 2*len(r.ClosedWindows) + 2 {
 		i := slices.IndexFunc(r.ClosedWindows, func(window DailyWindow) bool { return window.contains(at) })
@@ -118,25 +120,25 @@
 	return 0, false
 }
 
-// Rule is the name of a rule, as operators see it. It is empty for what no rule is about, such as an unknown machine.
+// Rule is the name of a rule, as operators see it. It is empty if the cause is no rule, such as an unknown machine.
 type Rule string
 
 // The rules.
 const (
-	RuleReplicas       Rule = "replicas"
-	RuleStores         Rule = "most_stores"
-	RuleWeight         Rule = "most_weight"
-	RuleZone           Rule = "most_zone"
-	RuleMembers        Rule = "most_fleet"
-	RuleLoad           Rule = "room"
-	RuleSpacing        Rule = "spacing"
-	RuleTimeWindow     Rule = "closed"
-	RuleVoters         Rule = "voters"
-	RuleExclusionGroup Rule = "pair"
-	RuleFreeze         Rule = "held"
+	RuleReplicas       Rule = "replicas"    // Rules.MinAvailableReplicas
+	RuleStores         Rule = "most_stores" // Rules.MaxUnavailableStoreFraction
+	RuleWeight         Rule = "most_weight" // Rules.MaxUnavailableWeightFraction
+	RuleZone           Rule = "most_zone"   // Rules.MaxUnavailableZoneFraction
+	RuleMembers        Rule = "most_fleet"  // Rules.MaxUnavailableMemberFraction
+	RuleLoad           Rule = "room"        // Rules.MaxLoad
+	RuleSpacing        Rule = "spacing"     // Rules.DrainSpacing
+	RuleTimeWindow     Rule = "closed"      // Rules.ClosedWindows and the time window of the request
+	RuleVoters         Rule = "voters"      // a majority of the voters must be available
+	RuleExclusionGroup Rule = "pair"        // Machine.ExclusionGroup
+	RuleFreeze         Rule = "held"        // State.Freeze
 )
 
-// RuleViolation names the rule that forbids a drain, and the reason.
+// RuleViolation is the rule that forbids a drain, and the reason.
 type RuleViolation struct {
 	Rule   Rule   `json:"rule"`
 	Reason string `json:"why"`
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -7,35 +7,39 @@
 )
 
 const (
-	// maxFinishedPermits is the number of finished permits that are kept for reports and to detect repeated requests.
+	// maxFinishedPermits is the maximum number of finished permits that are kept for reports and to detect repeated
+	// requests.
 	maxFinishedPermits = 200 * 52
-	// maxOpenPermits bounds the permits that are not finished. A larger request is assumed to be a mistake.
+	// maxOpenPermits is the maximum number of unfinished permits. A request that exceeds it is assumed to be a mistake.
 	maxOpenPermits = 10_000
-	// maxReportedLoad is the maximum load of an entry.
+	// maxReportedLoad is the maximum load that an entry may report.
 	maxReportedLoad = 100
 
 	microsPerSecond = 1_000_000
 )
 
-// State is the result of all entries so far. The values that it references are never modified, so that a copy of a State
-// is a snapshot.
+// State is the result of all entries applied so far. The values that it references are never modified, so a copy of a
+// State is a snapshot.
 type State struct {
+	// Now is the latest time of the entries so far.
 	Now    Micros  `json:"now"`
 	Layout *Layout `json:"layout,omitempty"`
 	Rules  Rules   `json:"rules"`
-	Load   float64 `json:"load"`
-	// Permits are in the order of their requests. The oldest finished ones are dropped.
+	// Load is the fraction of the total store weight that is in use; 0 if unknown.
+	Load float64 `json:"load"`
+	// Permits are in the order of their requests. The oldest finished ones beyond maxFinishedPermits are dropped.
 	Permits []Permit `json:"permits"`
-	// Unhealthy holds the reasons of the machines without a permit that are out of service.
+	// Unhealthy maps each machine that is unavailable for a reason other than its permit to that reason; see
+	// HealthChange.
 	Unhealthy map[string]string `json:"unsound,omitempty"`
-	// Freeze is the active freeze; nil is none.
+	// Freeze is the active freeze; nil if there is none.
 	Freeze *Freeze `json:"held,omitempty"`
-	// LastDrainStartByType is when the last drain of a machine of a kind started.
+	// LastDrainStartByType is the time at which the latest drain of a machine of each type started.
 	LastDrainStartByType map[string]Micros `json:"began,omitempty"`
 }
 
-// Apply returns the state after an entry. It is deterministic: all instances that apply the same entries have the same
-// state. A rejected entry changes nothing but the time.
+// Apply returns the state after an entry, and the outcome of the entry. It is deterministic: all instances that apply
+// the same entries have the same state. A rejected entry changes nothing but the time.
 func (s State) Apply(entry Entry) (State, Outcome) {
 	s.Now = max(s.Now, entry.At)
 	switch {
@@ -51,9 +55,9 @@
 		s.Rules = *entry.Rules
 	case entry.Load != nil:
 		load := *entry.Load
-		inRange := load >= 0 && load <= maxReportedLoad // false if it is not a number
+		inRange := load >= 0 && load <= maxReportedLoad // false if the load is NaN
 		if !inRange {
-			return s, rejectedf("a load of %v", load)
+			return s, rejectedf("load %v is not a number from 0 to 100", load)
 		}
 		s.Load = load
 	case entry.Request != nil:
@@ -71,7 +75,7 @@
 	return s, applied()
 }
 
-// unhealthyAfter returns the unhealthy machines after a change.
+// unhealthyAfter returns Unhealthy after a change.
 func (s State) unhealthyAfter(change HealthChange) map[string]string {
 	unhealthy := make(map[string]string, len(s.Unhealthy)+1)
 	maps.Copy(unhealthy, s.Unhealthy)
@@ -83,7 +87,7 @@
 	return unhealthy
 }
 
-// permitIndex returns the index of a permit, or -1 if there is none.
+// permitIndex returns the index of the permit for a machine in a request, or -1 if there is none.
 func (s State) permitIndex(request, machine string) int {
 	return slices.IndexFunc(s.Permits, func(permit Permit) bool {
 		return permit.Request == request && permit.Machine == machine
@@ -106,23 +110,23 @@
 	}
 	switch {
 	case s.Layout == nil:
-		return s, rejectedf("the layout is not known yet")
+		return s, rejectedf("cannot accept a request before the layout is known")
 	case request.Name == "" || len(request.Machines) == 0:
-		return s, rejectedf("a request needs a name and machines")
+		return s, rejectedf("request has no name or no machines")
 	case request.WorkDuration <= 0 || request.WorkDuration > maxDuration:
-		return s, rejectedf("work of %d us", request.WorkDuration)
+		return s, rejectedf("work duration of %d us is not positive or exceeds the maximum of 30 days", request.WorkDuration)
 	case !request.hasValidWindow(s.Now):
-		return s, rejectedf("its window is over before it begins")
+		return s, rejectedf("time window of the request is negative, ends before it starts or has passed")
 	case open+len(request.Machines) > maxOpenPermits:
-		return s, rejectedf("%d machines wait already", open)
+		return s, rejectedf("cannot accept more machines: %d permits are open already", open)
 	}
 	permits := slices.Clone(s.Permits)
 	for _, machine := range request.Machines {
 		if s.Layout.Machine(machine) == nil {
-			return s, rejectedf("there is no machine %s", machine)
+			return s, rejectedf("machine %s is not in the layout", machine)
 		}
 		if openRequests[machine] != "" {
-			return s, rejectedf("machine %s is asked for by %s", machine, openRequests[machine])
+			return s, rejectedf("machine %s is already part of request %s", machine, openRequests[machine])
 		}
 		openRequests[machine] = request.Name
 		permits = append(permits, request.newPermit(machine, s.Now))
@@ -138,7 +142,7 @@
 	return r.NotAfter == 0 || r.NotAfter >= max(r.NotBefore, now)
 }
 
-// newPermit returns the new newPermit of a machine.
+// newPermit returns a new permit for a machine of the request.
 func (r Request) newPermit(machine string, now Micros) Permit {
 	return Permit{
 		Request:       r.Name,
@@ -155,18 +159,19 @@
 	}
 }
 
-// applyTransition takes a permit to another step. A transition to Draining must keep the rules unless it overrides them.
+// applyTransition moves a permit to another step. A transition to Draining must keep the rules unless it overrides
+// them.
 func (s State) applyTransition(transition Transition) (State, Outcome) {
 	i := s.permitIndex(transition.Request, transition.Machine)
 	if i < 0 {
-		return s, rejectedf("there is no permit for %s in %s", transition.Machine, transition.Request)
+		return s, rejectedf("there is no permit for machine %s in request %s", transition.Machine, transition.Request)
 	}
 	permit := s.Permits[i]
 	if permit.Step == transition.To {
-		return s, applied() // a repeated transition
+		return s, applied() // the transition is repeated
 	}
 	if permit.Step != transition.From || !slices.Contains(allowedTransitions[permit.Step], transition.To) {
-		return s, rejectedf("%s is %s, and cannot go from %s to %s", permit.Machine, permit.Step, transition.From, transition.To)
+		return s, rejectedf("machine %s is at step %s: cannot move it from step %s to %s", permit.Machine, permit.Step, transition.From, transition.To)
 	}
 	if transition.To == Draining {
 		if transition.OverrideReason == "" {
@@ -187,7 +192,7 @@
 	return s, applied()
 }
 
-// lastDrainStartsAfter returns LastDrainByKind after the start of a machine's drain.
+// lastDrainStartsAfter returns LastDrainStartByType after the start of the drain of a machine.
 func (s State) lastDrainStartsAfter(machineName string) map[string]Micros {
 	machine := s.Layout.Machine(machineName)
 	if machine == nil {
@@ -216,7 +221,7 @@
 	})
 }
 
-// outageCounts returns what is out in this state.
+// outageCounts returns the counts of what is unavailable in this state.
 func (s State) outageCounts() *outageCounts {
 	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
 	for _, permit := range s.Permits {
@@ -231,25 +236,25 @@
 	return outages
 }
 
-// drainViolation returns the rule that forbids to start the drain of a permit now, or nil.
+// drainViolation returns the violation that forbids starting the drain of a permit now, or nil.
 func (s State) drainViolation(permit Permit) *RuleViolation {
 	machine := s.Layout.Machine(permit.Machine)
 	switch {
 	case machine == nil:
 		return violationf("", "machine %s is not in the layout", permit.Machine)
 	case s.Freeze != nil:
-		return violationf(RuleFreeze, "held by %s: %s", s.Freeze.RequestedBy, s.Freeze.Reason)
+		return violationf(RuleFreeze, "drains are frozen by %s: %s", s.Freeze.RequestedBy, s.Freeze.Reason)
 	case permit.NotBefore > s.Now:
-		return violationf(RuleTimeWindow, "its window has not begun")
+		return violationf(RuleTimeWindow, "the time window of the request has not started")
 	case permit.isExpiredAt(s.Now):
-		return violationf(RuleTimeWindow, "its window has passed")
+		return violationf(RuleTimeWindow, "the time window of the request has passed")
 	}
 	outages := s.outageCounts()
 	if violation := outages.violationIfUnavailable(machine); violation != nil {
 		return violation
 	}
 	if start, rule := outages.earliestDrainStart(machine, s.Now); start != s.Now {
-		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("not for another %d s", (start-s.Now)/microsPerSecond)}
+		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("the drain may not start for another %d s", (start-s.Now)/microsPerSecond)}
 	}
 	return nil
 }
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// permitTest is a state in which the maintenance of two machines was requested that hold the only two replicas.
+// permitTest is a state in which the maintenance of the two machines with the only replicas of all shards is requested.
 type permitTest struct {
 	start  State
 	first  string
@@ -26,11 +26,12 @@
 	}
 }
 
+// drain applies the start of the drain of a machine.
 func drain(s State, machine string) (State, Outcome) {
 	return s.Apply(Entry{At: s.Now, Transition: &Transition{Request: "r", Machine: machine, From: Requested, To: Draining}})
 }
 
-// applySteps takes the permit of a machine through some steps, from the first to the last.
+// applySteps moves the permit of a machine from the first of some steps to the last.
 func applySteps(t *testing.T, s State, machine string, steps ...Step) State {
 	t.Helper()
 	for i := range len(steps) - 1 {
@@ -40,18 +41,20 @@
 	return s
 }
 
+// Concurrent proposals, crashes, tightened rules and freezes must neither make both replicas unavailable nor interrupt
+// work that has started.
 func TestPermitTransitionsUnderFaults(t *testing.T) {
-	const violation = "shard 0 would have 0 sound replicas of 1"
+	const violation = "shard 0 would have 0 available replicas, but needs 1"
 	test := newPermitTest(t)
 	draining, outcome := drain(test.start, test.first)
 	require.True(t, outcome.Applied)
-	// Two voters propose to drain both replicas at the same time.
+	// Two leaders propose to drain both replicas at the same time.
 	_, outcome = drain(draining, test.second)
 	assert.Equal(t, Outcome{Rule: RuleReplicas, Reason: violation}, outcome)
 
 	crashed := mustApply(t, draining, Entry{HealthChange: &HealthChange{Machine: test.second, Reason: "crashed"}})
 	transitions := crashed.NextTransitions(crashed.Now, "")
-	require.Len(t, transitions, 2, "the drain is recalled when the other replica is lost; the lost machine may be drained")
+	require.Len(t, transitions, 2, "the drain is recalled because the other replica is lost, and the lost machine is drained instead")
 	recall := Transition{Request: "r", Machine: test.first, From: Draining, To: Requested, Reason: "replicas: " + violation}
 	assert.Equal(t, recall, transitions[0])
 	assert.Equal(t, Transition{Request: "r", Machine: test.second, From: Requested, To: Draining}, transitions[1])
@@ -59,13 +62,13 @@
 	out := applySteps(t, draining, test.first, Draining, Drained, InMaintenance)
 	out.Now += 30 * day
 	assert.True(t, out.Permits[0].IsOverdue(out.Now))
-	assert.Equal(t, InMaintenance, out.Permits[0].Step, "an overdue machine still counts as out")
-	assert.Empty(t, out.NextTransitions(out.Now, "a zone is lost"), "a machine that may be touched is not recalled")
+	assert.Equal(t, InMaintenance, out.Permits[0].Step, "an overdue machine stays in maintenance")
+	assert.Empty(t, out.NextTransitions(out.Now, "a zone is unreachable"), "a machine in maintenance is not recalled")
 
 	warm := applySteps(t, out, test.first, InMaintenance, Returning, WarmingUp)
 	unhealthy := mustApply(t, warm, Entry{HealthChange: &HealthChange{Machine: test.first, Reason: "slow"}})
 	unhealthy.Now += hour
-	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "a machine that returns unhealthy stops the plan")
+	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "no transition is proposed while a machine is unhealthy after its maintenance")
 	healthy := mustApply(t, unhealthy, Entry{HealthChange: &HealthChange{Machine: test.first, Healthy: true}})
 	completion := Transition{Request: "r", Machine: test.first, From: WarmingUp, To: Completed}
 	assert.Equal(t, []Transition{completion}, healthy.NextTransitions(healthy.Now, ""))
@@ -73,15 +76,17 @@
 	tightened := mustApply(t, draining, Entry{Rules: &Rules{MinAvailableReplicas: 2}})
 	assert.Len(t, tightened.NextTransitions(tightened.Now, ""), 1, "tightened rules recall a drain")
 
-	frozen := mustApply(t, test.start, Entry{Freeze: &Freeze{Active: true, RequestedBy: "op", Reason: "lunch"}})
+	frozen := mustApply(t, test.start, Entry{Freeze: &Freeze{Active: true, RequestedBy: "op", Reason: "incident"}})
 	assert.Empty(t, frozen.NextTransitions(frozen.Now, ""))
 	_, outcome = drain(frozen, test.first)
 	assert.Equal(t, RuleFreeze, outcome.Rule)
-	override := Transition{Request: "r", Machine: test.first, From: Requested, To: Draining, OverrideReason: "disk on fire"}
+	override := Transition{Request: "r", Machine: test.first, From: Requested, To: Draining, OverrideReason: "disk failure"}
 	overridden := mustApply(t, frozen, Entry{Transition: &override})
-	assert.Equal(t, "disk on fire", overridden.Permits[0].OverrideReason)
+	assert.Equal(t, "disk failure", overridden.Permits[0].OverrideReason)
 }
 
+// Work that starts too early would interrupt requests of instances that are still in flight or are sent by an instance
+// that does not know of the drain.
 func TestDrainComplete(t *testing.T) {
 	s := State{Rules: Rules{UnreachableMemberTimeout: 10 * second}}
 	permit := Permit{Step: Draining, DrainStartedAt: hour}
@@ -92,13 +97,13 @@
 		elapsed  Micros
 		complete bool
 	}{
-		"all have reported":             {map[string]InFlightReport{"a": idle, "b": idle}, true, second, true},
-		"one has not acknowledged":      {map[string]InFlightReport{"a": {}, "b": idle}, true, hour, false},
-		"one has a call in flight":      {map[string]InFlightReport{"a": {DrainAcknowledged: true, RequestsInFlight: 1}}, true, hour, false},
-		"one is silent":                 {map[string]InFlightReport{"a": {UnreachableSince: hour}, "b": idle}, true, 9 * second, false},
-		"one is silent until timed out": {map[string]InFlightReport{"a": {RequestsInFlight: 3, UnreachableSince: hour}, "b": idle}, true, 11 * second, true},
-		"the view is not trusted":       {map[string]InFlightReport{"a": idle}, false, second, false},
-		"untrusted until timed out":     {map[string]InFlightReport{"a": idle}, false, 11 * second, true},
+		"all reported no request":           {map[string]InFlightReport{"a": idle, "b": idle}, true, second, true},
+		"one has not acknowledged":          {map[string]InFlightReport{"a": {}, "b": idle}, true, hour, false},
+		"one has a request in flight":       {map[string]InFlightReport{"a": {DrainAcknowledged: true, RequestsInFlight: 1}}, true, hour, false},
+		"one is unreachable":                {map[string]InFlightReport{"a": {UnreachableSince: hour}, "b": idle}, true, 9 * second, false},
+		"one is unreachable, but timed out": {map[string]InFlightReport{"a": {RequestsInFlight: 3, UnreachableSince: hour}, "b": idle}, true, 11 * second, true},
+		"untrusted view":                    {map[string]InFlightReport{"a": idle}, false, second, false},
+		"untrusted view, but timed out":     {map[string]InFlightReport{"a": idle}, false, 11 * second, true},
 	} {
 		complete, waitsFor := s.DrainComplete(permit, permit.DrainStartedAt+testCase.elapsed, testCase.members, testCase.trusted)
 		assert.Equal(t, testCase.complete, complete, name)
@@ -106,6 +111,7 @@
 	}
 }
 
+// An invalid entry that was applied in part would corrupt the state of all instances.
 func TestInvalidEntriesChangeNothing(t *testing.T) {
 	s := requestedState(t, uniformLayout(2, 2), Rules{}, 0, "m-0000")
 	before, err := json.Marshal(s)
@@ -144,6 +150,7 @@
 	}
 }
 
+// Windows that adjoin one another or span midnight must delay a drain until the end of the last of them.
 func TestClosedWindows(t *testing.T) {
 	rules := Rules{ClosedWindows: []DailyWindow{{8 * hour, 18 * hour}, {23 * hour, 2 * hour}, {18 * hour, 19 * hour}}}
 	require.NoError(t, rules.Validate())
