--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -13,28 +13,28 @@
 // unavailableMachines returns the unavailable machines. It does not use the type outageCounts, which it serves to
 // check.
 func unavailableMachines(s State) map[string]bool {
-	out := map[string]bool{}
+	unavailable := map[string]bool{}
 	for _, permit := range s.Permits {
 		switch permit.Step {
 		case Draining, Drained, InMaintenance, Returning, WarmingUp:
-			out[permit.Machine] = true
+			unavailable[permit.Machine] = true
 		default:
 		}
 	}
 	for machine := range s.Unhealthy {
-		out[machine] = true
+		unavailable[machine] = true
 	}
-	return out
+	return unavailable
 }
 
 // checkDrain returns an error if the start of the drain of a machine has violated a rule. It does not use the type
 // outageCounts, which it serves to check.
 func checkDrain(s State, name string) error {
-	out := unavailableMachines(s)
-	if err := checkReplicas(s, name, out); err != nil {
+	unavailable := unavailableMachines(s)
+	if err := checkReplicas(s, name, unavailable); err != nil {
 		return err
 	}
-	return checkFractions(s, name, out)
+	return checkCounts(s, name, unavailable)
 }
 
 // checkReplicas checks the number of available replicas of each shard that a machine holds.
@@ -79,14 +79,14 @@
 	return fraction > 0 && c.unavailable > 1 && float64(c.unavailable) > fraction*float64(c.total)+1e-6
 }
 
-// checkFractions checks the rules on stores, zones, members, voters and exclusion groups, and the freeze.
-func checkFractions(s State, name string, unavailable map[string]bool) error {
-	own := s.Layout.Machine(name)
-	var stores, zone, members, voters, pair unavailableCount
+// checkCounts checks the rules on stores, zones, members, voters and exclusion groups, and the freeze.
+func checkCounts(s State, name string, unavailable map[string]bool) error {
+	drained := s.Layout.Machine(name)
+	var stores, zone, members, voters, exclusionGroup unavailableCount
 	for _, machine := range s.Layout.Machines {
 		isUnavailable := unavailable[machine.Name]
 		stores.add(len(machine.Stores), isUnavailable)
-		if machine.Zone == own.Zone {
+		if machine.Zone == drained.Zone {
 			zone.add(len(machine.Stores), isUnavailable)
 		}
 		if machine.Voter {
@@ -95,22 +95,22 @@
 		if machine.Member {
 			members.add(1, isUnavailable)
 		}
-		if own.ExclusionGroup != "" && machine.ExclusionGroup == own.ExclusionGroup {
-			pair.add(1, isUnavailable)
+		if drained.ExclusionGroup != "" && machine.ExclusionGroup == drained.ExclusionGroup {
+			exclusionGroup.add(1, isUnavailable)
 		}
 	}
 	remainingVoters := voters.total - voters.unavailable
 	switch {
-	case len(own.Stores) > 0 && stores.exceeds(s.Rules.MaxUnavailableStoreFraction):
+	case len(drained.Stores) > 0 && stores.exceeds(s.Rules.MaxUnavailableStoreFraction):
 		return fmt.Errorf("%d of %d stores are unavailable", stores.unavailable, stores.total)
-	case len(own.Stores) > 0 && zone.exceeds(s.Rules.MaxUnavailableZoneFraction):
-		return fmt.Errorf("%d of %d stores of zone %s are unavailable", zone.unavailable, zone.total, own.Zone)
-	case own.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
+	case len(drained.Stores) > 0 && zone.exceeds(s.Rules.MaxUnavailableZoneFraction):
+		return fmt.Errorf("%d of %d stores of zone %s are unavailable", zone.unavailable, zone.total, drained.Zone)
+	case drained.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
 		return fmt.Errorf("%d of %d members are unavailable", members.unavailable, members.total)
-	case own.Voter && 2*remainingVoters <= voters.total:
+	case drained.Voter && 2*remainingVoters <= voters.total:
 		return fmt.Errorf("%d of %d voters remain available, which is no majority", remainingVoters, voters.total)
-	case pair.unavailable > 1:
-		return fmt.Errorf("more than one machine of exclusion group %s is unavailable", own.ExclusionGroup)
+	case exclusionGroup.unavailable > 1:
+		return fmt.Errorf("more than one machine of exclusion group %s is unavailable", drained.ExclusionGroup)
 	case s.Freeze != nil:
 		return fmt.Errorf("a drain started during a freeze")
 	}
@@ -237,7 +237,7 @@
 
 // propose returns the entries of a random event. Some of them are based on an outdated state.
 func (s *schedule) propose(step int) []Entry {
-	view := s.recentStates[s.rng.IntN(len(s.recentStates))]
+	observed := s.recentStates[s.rng.IntN(len(s.recentStates))]
 	machine := s.randomMachine()
 	switch s.rng.IntN(12) {
 	case 0, 1:
@@ -255,15 +255,15 @@
 			fault = "a zone is unreachable"
 		}
 		var entries []Entry
-		for _, transition := range view.NextTransitions(s.now, fault) {
+		for _, transition := range observed.NextTransitions(s.now, fault) {
 			entries = append(entries, Entry{Transition: &transition})
 		}
 		return entries
 	default:
-		if len(view.Permits) == 0 {
+		if len(observed.Permits) == 0 {
 			return nil
 		}
-		return []Entry{{Transition: s.randomTransition(view)}}
+		return []Entry{{Transition: s.randomTransition(observed)}}
 	}
 }
 
@@ -283,8 +283,8 @@
 }
 
 // randomTransition returns a transition of a random permit in a state. The transition may not be allowed.
-func (s *schedule) randomTransition(view State) *Transition {
-	permit := view.Permits[s.rng.IntN(len(view.Permits))]
+func (s *schedule) randomTransition(observed State) *Transition {
+	permit := observed.Permits[s.rng.IntN(len(observed.Permits))]
 	steps := []Step{Requested, Draining, Drained, InMaintenance, Returning, WarmingUp, Completed, Cancelled}
 	to := steps[s.rng.IntN(len(steps))]
 	if allowed := allowedTransitions[permit.Step]; len(allowed) > 0 && s.rng.IntN(3) > 0 {
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -20,17 +20,17 @@
 			s = mustApply(tb, s, Entry{At: now, Transition: &transition})
 		}
 		minReplicas = min(minReplicas, minAvailableReplicas(s))
-		open := 0
+		openPermits := 0
 		for _, permit := range slices.Clone(s.Permits) {
 			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepReachedAt >= after {
 				transition := permit.transition(to, "")
 				s = mustApply(tb, s, Entry{At: now, Transition: &transition})
 			}
 			if !permit.Step.isFinal() {
-				open++
+				openPermits++
 			}
 		}
-		if open == 0 {
+		if openPermits == 0 {
 			return now - startedAt, minReplicas
 		}
 		require.Less(tb, now-startedAt, 100*hour, "the permits are not completed after 100 hours")
@@ -67,7 +67,7 @@
 // A poor order of the drains, or drains that start late, would make the maintenance of all machines much longer than
 // the limit on unavailable stores requires.
 func TestRollingMaintenanceDurationNearLowerBound(t *testing.T) {
-	const stores, maxOut = 198, 19 // a tenth of the stores may be unavailable at a time
+	const stores, maxUnavailable = 198, 19 // a tenth of the stores may be unavailable at a time
 	rules := Rules{
 		MinAvailableReplicas:        2,
 		MaxUnavailableStoreFraction: 0.1,
@@ -80,7 +80,7 @@
 	plan := s.Plan()
 	elapsed, minReplicas := completeRequest(t, s)
 	perMachine := rules.DrainDuration + rules.WarmUpDuration + 5*minute
-	lowerBound := Micros((stores+maxOut-1)/maxOut) * perMachine
+	lowerBound := Micros((stores+maxUnavailable-1)/maxUnavailable) * perMachine
 	assert.Less(t, float64(elapsed), 1.3*float64(lowerBound))
 	predicted := plan.End - s.Now
 	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "duration predicted by the plan")
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -100,12 +100,12 @@
 	if repeated {
 		return s, applied()
 	}
-	openRequests := map[string]string{} // by machine
-	open := 0
+	openRequestByMachine := map[string]string{}
+	openPermits := 0
 	for _, permit := range s.Permits {
 		if !permit.Step.isFinal() {
-			openRequests[permit.Machine] = permit.Request
-			open++
+			openRequestByMachine[permit.Machine] = permit.Request
+			openPermits++
 		}
 	}
 	switch {
@@ -117,18 +117,18 @@
 		return s, rejectedf("work duration of %d us is not positive or exceeds the maximum of 30 days", request.WorkDuration)
 	case !request.hasValidWindow(s.Now):
 		return s, rejectedf("time window of the request is negative, ends before it starts or has passed")
-	case open+len(request.Machines) > maxOpenPermits:
-		return s, rejectedf("cannot accept more machines: %d permits are open already", open)
+	case openPermits+len(request.Machines) > maxOpenPermits:
+		return s, rejectedf("cannot accept more machines: %d permits are open already", openPermits)
 	}
 	permits := slices.Clone(s.Permits)
 	for _, machine := range request.Machines {
 		if s.Layout.Machine(machine) == nil {
 			return s, rejectedf("machine %s is not in the layout", machine)
 		}
-		if openRequests[machine] != "" {
-			return s, rejectedf("machine %s is already part of request %s", machine, openRequests[machine])
+		if openRequestByMachine[machine] != "" {
+			return s, rejectedf("machine %s is already part of request %s", machine, openRequestByMachine[machine])
 		}
-		openRequests[machine] = request.Name
+		openRequestByMachine[machine] = request.Name
 		permits = append(permits, request.newPermit(machine, s.Now))
 	}
 	s.Permits = permits
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -59,13 +59,13 @@
 	assert.Equal(t, recall, transitions[0])
 	assert.Equal(t, Transition{Request: "r", Machine: test.second, From: Requested, To: Draining}, transitions[1])
 
-	out := applySteps(t, draining, test.first, Draining, Drained, InMaintenance)
-	out.Now += 30 * day
-	assert.True(t, out.Permits[0].IsOverdue(out.Now))
-	assert.Equal(t, InMaintenance, out.Permits[0].Step, "an overdue machine stays in maintenance")
-	assert.Empty(t, out.NextTransitions(out.Now, "a zone is unreachable"), "a machine in maintenance is not recalled")
+	inMaintenance := applySteps(t, draining, test.first, Draining, Drained, InMaintenance)
+	inMaintenance.Now += 30 * day
+	assert.True(t, inMaintenance.Permits[0].IsOverdue(inMaintenance.Now))
+	assert.Equal(t, InMaintenance, inMaintenance.Permits[0].Step, "an overdue machine stays in maintenance")
+	assert.Empty(t, inMaintenance.NextTransitions(inMaintenance.Now, "a zone is unreachable"), "a machine in maintenance is not recalled")
 
-	warm := applySteps(t, out, test.first, InMaintenance, Returning, WarmingUp)
+	warm := applySteps(t, inMaintenance, test.first, InMaintenance, Returning, WarmingUp)
 	unhealthy := mustApply(t, warm, Entry{HealthChange: &HealthChange{Machine: test.first, Reason: "slow"}})
 	unhealthy.Now += hour
 	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "no transition is proposed while a machine is unhealthy after its maintenance")
@@ -105,9 +105,9 @@
 		"untrusted view":                    {map[string]InFlightReport{"a": idle}, false, second, false},
 		"untrusted view, but timed out":     {map[string]InFlightReport{"a": idle}, false, 11 * second, true},
 	} {
-		complete, waitsFor := s.DrainComplete(permit, permit.DrainStartedAt+testCase.elapsed, testCase.members, testCase.trusted)
+		complete, waitReason := s.DrainComplete(permit, permit.DrainStartedAt+testCase.elapsed, testCase.members, testCase.trusted)
 		assert.Equal(t, testCase.complete, complete, name)
-		assert.Equal(t, testCase.complete, waitsFor == "", name)
+		assert.Equal(t, testCase.complete, waitReason == "", name)
 	}
 }
 
