--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -108,7 +108,7 @@
 	case drained.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
 		return fmt.Errorf("%d of %d members are unavailable", members.unavailable, members.total)
 	case drained.Voter && 2*remainingVoters <= voters.total:
-		return fmt.Errorf("%d of %d voters remain available, which is no majority", remainingVoters, voters.total)
+		return fmt.Errorf("%d of %d voters remain available, which is not a majority", remainingVoters, voters.total)
 	case exclusionGroup.unavailable > 1:
 		return fmt.Errorf("more than one machine of exclusion group %s is unavailable", drained.ExclusionGroup)
 	case s.Freeze != nil:
--- a/maintenance/outages.go
+++ b/maintenance/outages.go
@@ -143,7 +143,7 @@
 		return violationf(RuleLoad, "the load of %.2f would rise to %.2f on the remaining stores", o.load, o.remainingLoad())
 	}
 	if remaining := o.totalVoters - o.unavailableVoters; machine.Voter && 2*remaining <= o.totalVoters {
-		return violationf(RuleVoters, "%d of %d voters would remain, which is no majority", remaining, o.totalVoters)
+		return violationf(RuleVoters, "%d of %d voters would remain, which is not a majority", remaining, o.totalVoters)
 	}
 	if machine.ExclusionGroup != "" && o.unavailableByExclusionGroup[machine.ExclusionGroup] > 1 {
 		return violationf(RuleExclusionGroup, "another machine of pair %s is unavailable", machine.ExclusionGroup)
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -34,7 +34,7 @@
 // isFinal reports whether a permit at this step has ended.
 func (s Step) isFinal() bool { return s == Completed || s == Cancelled || s == Expired }
 
-// Permit is the requested maintenance of one machine, up to its end.
+// Permit is the maintenance of one machine, from its request to its end.
 type Permit struct {
 	// Request is the name of the request. Together with Machine, it identifies the permit.
 	Request     string `json:"request"`
--- a/maintenance/rules.go
+++ b/maintenance/rules.go
@@ -12,8 +12,8 @@
 const maxDuration = 30 * day
 
 // Rules are the limits that drains must keep. A zero value disables a rule, except for MinAvailableReplicas, which is
-// at least 1. Fractions are from 0 to 1. A fraction of stores or instances always allows one of them to be
-// unavailable, and a fraction of the weight always allows one machine.
+// at least 1. Fractions are from 0 to 1. A fraction of stores or instances always allows one of them to be unavailable,
+// and a fraction of the weight always allows one machine.
 type Rules struct {
 	// MinAvailableReplicas is the minimum number of available replicas of each shard.
 	MinAvailableReplicas int `json:"keep_sound"`
@@ -120,7 +120,7 @@
 	return 0, false
 }
 
-// Rule is the name of a rule, as operators see it. It is empty if the cause is no rule, such as an unknown machine.
+// Rule is the name of a rule, as operators see it. It is empty if the cause is not a rule, such as an unknown machine.
 type Rule string
 
 // The rules.
