--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -10,36 +10,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machinesOut returns the machines that are out, without the code of outages.
-func machinesOut(s State) map[string]bool {
-	out := map[string]bool{}
+// unavailableMachines returns the unavailable machines. It does not use the type outageCounts, which it serves to
+// check.
+func unavailableMachines(s State) map[string]bool {
+	unavailable := map[string]bool{}
 	for _, permit := range s.Permits {
 		switch permit.Step {
 		case Draining, Drained, InMaintenance, Returning, WarmingUp:
-			out[permit.Machine] = true
+			unavailable[permit.Machine] = true
 		default:
 		}
 	}
 	for machine := range s.Unhealthy {
-		out[machine] = true
+		unavailable[machine] = true
 	}
-	return out
+	return unavailable
 }
 
-// checkDrain is the checker: it returns which rule the start of a machine's drain has violated. It counts what is out
-// without the code of outages.
+// checkDrain returns an error if the start of the drain of a machine has violated a rule. It does not use the type
+// outageCounts, which it serves to check.
 func checkDrain(s State, name string) error {
-	out := machinesOut(s)
-	if err := checkReplicas(s, name, out); err != nil {
+	unavailable := unavailableMachines(s)
+	if err := checkReplicas(s, name, unavailable); err != nil {
 		return err
 	}
-	return checkFractions(s, name, out)
+	return checkCounts(s, name, unavailable)
 }
 
-// checkReplicas checks the replicas of the shards that a machine holds.
-func checkReplicas(s State, name string, out map[string]bool) error {
+// checkReplicas checks the number of available replicas of each shard that a machine holds.
+func checkReplicas(s State, name string, unavailable map[string]bool) error {
 	for shard := range s.Layout.Shards {
-		healthy := 0
+		available := 0
 		holdsShard := false
 		for _, machine := range s.Layout.Machines {
 			for _, store := range machine.Stores {
@@ -47,71 +48,71 @@
 					if (shard+i)%s.Layout.RingSize != store.RingPosition {
 						continue
 					}
-					if !out[machine.Name] {
-						healthy++
+					if !unavailable[machine.Name] {
+						available++
 					}
 					holdsShard = holdsShard || machine.Name == name
 				}
 			}
 		}
-		if holdsShard && healthy < max(1, s.Rules.MinHealthyReplicas) {
-			return fmt.Errorf("shard %d has %d healthy replicas", shard, healthy)
+		if holdsShard && available < max(1, s.Rules.MinAvailableReplicas) {
+			return fmt.Errorf("shard %d has %d available replicas, fewer than required", shard, available)
 		}
 	}
 	return nil
 }
 
-// outCount counts what is out of a total.
-type outCount struct {
-	out   int
-	total int
+// unavailableCount counts how many of a total are unavailable.
+type unavailableCount struct {
+	unavailable int
+	total       int
 }
 
-func (c *outCount) add(count int, out bool) {
+func (c *unavailableCount) add(count int, unavailable bool) {
 	c.total += count
-	if out {
-		c.out += count
+	if unavailable {
+		c.unavailable += count
 	}
 }
 
-func (c *outCount) exceeds(fraction float64) bool {
-	return fraction > 0 && c.out > 1 && float64(c.out) > fraction*float64(c.total)+1e-6
+func (c *unavailableCount) exceeds(fraction float64) bool {
+	return fraction > 0 && c.unavailable > 1 && float64(c.unavailable) > fraction*float64(c.total)+1e-6
 }
 
-// checkFractions checks the rules on stores, zones, members, voters and pairs, and the freeze.
-func checkFractions(s State, name string, out map[string]bool) error {
-	own := s.Layout.Machine(name)
-	var stores, zone, members, voters, pair outCount
+// checkCounts checks the rules on stores, zones, members, voters and exclusion groups, and the freeze.
+func checkCounts(s State, name string, unavailable map[string]bool) error {
+	drained := s.Layout.Machine(name)
+	var stores, zone, members, voters, exclusionGroup unavailableCount
 	for _, machine := range s.Layout.Machines {
-		isOut := out[machine.Name]
-		stores.add(len(machine.Stores), isOut)
-		if machine.Zone == own.Zone {
-			zone.add(len(machine.Stores), isOut)
+		isUnavailable := unavailable[machine.Name]
+		stores.add(len(machine.Stores), isUnavailable)
+		if machine.Zone == drained.Zone {
+			zone.add(len(machine.Stores), isUnavailable)
 		}
 		if machine.Voter {
-			voters.add(1, isOut)
+			voters.add(1, isUnavailable)
 		}
 		if machine.Member {
-			members.add(1, isOut)
+			members.add(1, isUnavailable)
 		}
-		if own.Pair != "" && machine.Pair == own.Pair {
-			pair.add(1, isOut)
+		if drained.ExclusionGroup != "" && machine.ExclusionGroup == drained.ExclusionGroup {
+			exclusionGroup.add(1, isUnavailable)
 		}
 	}
-	remainingVoters := voters.total - voters.out
+	remainingVoters := voters.total - voters.unavailable
 	switch {
-	case len(own.Stores) > 0 && stores.exceeds(s.Rules.MaxStoreFraction):
-		return fmt.Errorf("%d of %d stores are out", stores.out, stores.total)
-	case len(own.Stores) > 0 && zone.exceeds(s.Rules.MaxZoneFraction):
-		return fmt.Errorf("%d of %d stores of zone %s are out", zone.out, zone.total, own.Zone)
-	case own.Member && members.exceeds(s.Rules.MaxMemberFraction):
-		return fmt.Errorf("%d of %d members are out", members.out, members.total)
-	case own.Voter && 2*remainingVoters <= voters.total:
-		return fmt.Errorf("%d of %d voters remain", remainingVoters, voters.total)
-	case pair.out > 1:
-		return fmt.Errorf("two of pair %s are out", own.Pair)
+	case len(drained.Stores) > 0 && stores.exceeds(s.Rules.MaxUnavailableStoreFraction):
+		return fmt.Errorf("%d of %d stores are unavailable", stores.unavailable, stores.total)
+	case len(drained.Stores) > 0 && zone.exceeds(s.Rules.MaxUnavailableZoneFraction):
+		return fmt.Errorf("%d of %d stores of zone %s are unavailable", zone.unavailable, zone.total, drained.Zone)
+	case drained.Member && members.exceeds(s.Rules.MaxUnavailableMemberFraction):
+		return fmt.Errorf("%d of %d members are unavailable", members.unavailable, members.total)
+	case drained.Voter && 2*remainingVoters <= voters.total:
+		return fmt.Errorf("%d of %d voters remain available, which is not a majority", remainingVoters, voters.total)
+	case exclusionGroup.unavailable > 1:
+		return fmt.Errorf("more than one machine of exclusion group %s is unavailable", drained.ExclusionGroup)
 	case s.Freeze != nil:
-		return fmt.Errorf("drains are frozen")
+		return fmt.Errorf("a drain started during a freeze")
 	}
 	return nil
 }
@@ -123,12 +124,12 @@
 		machine := Machine{
 			Name:   fmt.Sprintf("m%03d", i),
 			Zone:   string(rune('a' + i%3)),
-			Kind:   string(rune('x' + i%2)),
+			Type:   string(rune('x' + i%2)),
 			Member: rng.IntN(2) == 0,
 			Voter:  i < 3,
 		}
 		if rng.IntN(4) == 0 {
-			machine.Pair = "p"
+			machine.ExclusionGroup = "p"
 		}
 		for k := range rng.IntN(3) {
 			machine.Stores = append(machine.Stores, Store{
@@ -145,48 +146,48 @@
 func randomRules(rng *rand.Rand) Rules {
 	fraction := func() float64 { return []float64{0, 0.2, 0.4, 1}[rng.IntN(4)] }
 	return Rules{
-		MinHealthyReplicas:  rng.IntN(3),
-		MaxStoreFraction:    fraction(),
-		MaxZoneFraction:     fraction(),
-		MaxMemberFraction:   fraction(),
-		MaxLoad:             fraction(),
-		DrainSpacing:        Micros(rng.IntN(3)) * minute,
-		WarmUpDuration:      minute,
-		DrainDuration:       minute,
-		SilentMemberTimeout: minute,
+		MinAvailableReplicas:         rng.IntN(3),
+		MaxUnavailableStoreFraction:  fraction(),
+		MaxUnavailableZoneFraction:   fraction(),
+		MaxUnavailableMemberFraction: fraction(),
+		MaxLoad:                      fraction(),
+		DrainSpacing:                 Micros(rng.IntN(3)) * minute,
+		WarmUpDuration:               minute,
+		DrainDuration:                minute,
+		UnreachableMemberTimeout:     minute,
 	}
 }
 
 const (
-	// scheduleSteps is the number of steps of a schedule.
+	// scheduleSteps is the number of steps of each schedule.
 	scheduleSteps = 40
-	// visibleStates is how many of the latest states leaders may act on.
-	visibleStates = 8
+	// maxRecentStates is the number of latest states on which leaders base their proposals.
+	maxRecentStates = 8
 )
 
-// schedule is one random run of the model: leaders propose by old states, and some proposals are lost, repeated or late;
-// machines crash and return, rules change, and operators freeze and cancel.
+// schedule is a random run of the model. Leaders propose on the basis of outdated states, and some proposals are lost,
+// duplicated or delayed. Machines crash and return, rules change, and operators freeze drains and cancel permits.
 type schedule struct {
 	rng    *rand.Rand
 	layout *Layout
-	// sabotage overrides the rules at each random drain, which the checker must detect.
-	sabotage bool
-	now      Micros
-	state    State
-	// recent are the latest states.
-	recent []State
-	// late are entries that are repeated later.
-	late []Entry
-	// lastSteps are the last known steps by request and machine.
+	// overrideRules makes each random drain override the rules, which the checks must detect.
+	overrideRules bool
+	now           Micros
+	state         State
+	// recentStates are the latest states, the oldest first.
+	recentStates []State
+	// duplicates are entries that are applied again later.
+	duplicates []Entry
+	// lastSteps holds the last known step of each permit, by request and machine.
 	lastSteps map[string]Step
 }
 
-// runSchedule runs the schedule of a seed. It returns the first violation.
-func runSchedule(seed uint64, sabotage bool) error {
+// runSchedule runs the schedule of a seed. It returns an error that describes the first violation, or nil.
+func runSchedule(seed uint64, overrideRules bool) error {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	layout := randomLayout(rng, 4+rng.IntN(5))
 	load := rng.Float64()
-	s := &schedule{rng: rng, layout: layout, sabotage: sabotage, now: noon, lastSteps: map[string]Step{}}
+	s := &schedule{rng: rng, layout: layout, overrideRules: overrideRules, now: noon, lastSteps: map[string]Step{}}
 	rules := randomRules(rng)
 	initial := []Entry{{Layout: layout}, {Rules: &rules}, {Load: &load}}
 	for _, entry := range initial {
@@ -207,35 +208,36 @@
 
 func (s *schedule) advanceTime() { s.now += Micros(s.rng.IntN(90)) * second }
 
-// runStep proposes entries, of which some are lost and some are repeated later, and perhaps repeats an earlier one.
+// runStep proposes entries, some of which are lost or applied again in a later step, and may apply an earlier entry
+// again.
 func (s *schedule) runStep(step int) error {
 	for _, entry := range s.propose(step) {
-		entry.At = s.now - Micros(s.rng.IntN(200))*second // leaders' clocks differ
-		fate := s.rng.IntN(10)
-		if fate == 0 {
+		entry.At = s.now - Micros(s.rng.IntN(200))*second // the clocks of leaders differ
+		delivery := s.rng.IntN(10)
+		if delivery == 0 {
 			continue // lost
 		}
-		if fate < 3 {
-			s.late = append(s.late, entry)
+		if delivery < 3 {
+			s.duplicates = append(s.duplicates, entry)
 		}
 		if err := s.apply(entry); err != nil {
 			return err
 		}
 	}
-	if len(s.late) == 0 || s.rng.IntN(2) != 0 {
+	if len(s.duplicates) == 0 || s.rng.IntN(2) != 0 {
 		return nil
 	}
-	entry := s.late[0]
-	s.late = s.late[1:]
+	entry := s.duplicates[0]
+	s.duplicates = s.duplicates[1:]
 	if entry.Rules != nil {
 		return nil
 	}
 	return s.apply(entry)
 }
 
-// propose returns the entries of a random event, some of them by an old state.
+// propose returns the entries of a random event. Some of them are based on an outdated state.
 func (s *schedule) propose(step int) []Entry {
-	view := s.recent[s.rng.IntN(len(s.recent))]
+	observed := s.recentStates[s.rng.IntN(len(s.recentStates))]
 	machine := s.randomMachine()
 	switch s.rng.IntN(12) {
 	case 0, 1:
@@ -246,22 +248,22 @@
 		rules := randomRules(s.rng)
 		return []Entry{{Rules: &rules}}
 	case 4:
-		return []Entry{{Freeze: &Freeze{Active: s.rng.IntN(2) == 0, By: "op"}}}
+		return []Entry{{Freeze: &Freeze{Active: s.rng.IntN(2) == 0, RequestedBy: "op"}}}
 	case 5, 6, 7:
 		fault := ""
 		if s.rng.IntN(6) == 0 {
-			fault = "a zone is lost"
+			fault = "a zone is unreachable"
 		}
 		var entries []Entry
-		for _, transition := range view.NextTransitions(s.now, fault) {
+		for _, transition := range observed.NextTransitions(s.now, fault) {
 			entries = append(entries, Entry{Transition: &transition})
 		}
 		return entries
 	default:
-		if len(view.Permits) == 0 {
+		if len(observed.Permits) == 0 {
 			return nil
 		}
-		return []Entry{{Transition: s.randomTransition(view)}}
+		return []Entry{{Transition: s.randomTransition(observed)}}
 	}
 }
 
@@ -270,7 +272,7 @@
 }
 
 func (s *schedule) randomRequest(name, machine string) *Request {
-	request := &Request{Name: name, Machines: []string{machine}, Duration: minute, Urgency: s.rng.IntN(3)}
+	request := &Request{Name: name, Machines: []string{machine}, WorkDuration: minute, Urgency: s.rng.IntN(3)}
 	if s.rng.IntN(3) == 0 {
 		request.Machines = append(request.Machines, s.randomMachine())
 	}
@@ -280,26 +282,26 @@
 	return request
 }
 
-// randomTransition returns a transition of some permit in a view, which may not be allowed.
-func (s *schedule) randomTransition(view State) *Transition {
-	permit := view.Permits[s.rng.IntN(len(view.Permits))]
+// randomTransition returns a transition of a random permit in a state. The transition may not be allowed.
+func (s *schedule) randomTransition(observed State) *Transition {
+	permit := observed.Permits[s.rng.IntN(len(observed.Permits))]
 	steps := []Step{Requested, Draining, Drained, InMaintenance, Returning, WarmingUp, Completed, Cancelled}
 	to := steps[s.rng.IntN(len(steps))]
 	if allowed := allowedTransitions[permit.Step]; len(allowed) > 0 && s.rng.IntN(3) > 0 {
 		to = allowed[s.rng.IntN(len(allowed))]
 	}
 	transition := permit.transition(to, "")
-	if s.sabotage && to == Draining {
-		transition.OverrideReason = "the rule is broken on purpose"
+	if s.overrideRules && to == Draining {
+		transition.OverrideReason = "deliberate violation"
 	}
 	return &transition
 }
 
-// apply applies an entry and checks the rules.
+// apply applies an entry and checks the new state. It returns an error that describes the first violation, or nil.
 func (s *schedule) apply(entry Entry) error {
 	before := s.state
 	next, outcome := before.Apply(entry)
-	if err := checkRepeatable(before, next, outcome, entry); err != nil {
+	if err := checkDeterminism(before, next, outcome, entry); err != nil {
 		return err
 	}
 	s.state = next
@@ -308,19 +310,19 @@
 			return err
 		}
 	}
-	if err := s.checkMaintenanceKept(); err != nil {
+	if err := s.checkStaysInMaintenance(); err != nil {
 		return err
 	}
-	s.recent = append(s.recent, next)
-	if len(s.recent) > visibleStates {
-		s.recent = s.recent[1:]
+	s.recentStates = append(s.recentStates, next)
+	if len(s.recentStates) > maxRecentStates {
+		s.recentStates = s.recentStates[1:]
 	}
 	return nil
 }
 
-// checkRepeatable checks that an entry has the same result whenever it is applied to a state, and that a repeated
-// transition or request has no effect.
-func checkRepeatable(before, next State, outcome Outcome, entry Entry) error {
+// checkDeterminism checks that an entry always has the same result when it is applied to the same state, and that a
+// repeated transition or request has no effect.
+func checkDeterminism(before, next State, outcome Outcome, entry Entry) error {
 	again, outcomeAgain := before.Apply(entry)
 	encoded, err := json.Marshal(next)
 	if err != nil {
@@ -331,7 +333,7 @@
 		return err
 	}
 	if string(encoded) != string(encodedAgain) || outcome != outcomeAgain {
-		return fmt.Errorf("one entry made two states")
+		return fmt.Errorf("the same entry, applied twice to the same state, had different results")
 	}
 	if entry.Transition == nil && entry.Request == nil {
 		return nil
@@ -342,45 +344,48 @@
 		return err
 	}
 	if string(encodedRepeated) != string(encoded) {
-		return fmt.Errorf("a repeated entry changed something: %+v", entry)
+		return fmt.Errorf("a repeated entry changed the state: %+v", entry)
 	}
 	return nil
 }
 
-// checkTransition checks a transition that was applied. The drain of a machine that was out before makes nothing worse.
+// checkTransition checks a transition that was applied. It does not check the drain of a machine that was unavailable
+// before, as that makes no violation worse.
 func checkTransition(before, after State, transition Transition) error {
 	permit := after.Permits[after.permitIndex(transition.Request, transition.Machine)]
 	previous := before.Permits[before.permitIndex(transition.Request, transition.Machine)]
-	if permit.Step == Draining && previous.Step == Requested && !machinesOut(before)[permit.Machine] {
+	if permit.Step == Draining && previous.Step == Requested && !unavailableMachines(before)[permit.Machine] {
 		if err := checkDrain(after, permit.Machine); err != nil {
 			return err
 		}
 	}
 	if permit.Step == InMaintenance && previous.Step != Drained && previous.Step != Returning && previous.Step != InMaintenance {
-		return fmt.Errorf("%s is in maintenance and was %s", permit.Machine, previous.Step)
+		return fmt.Errorf("%s reached maintenance from step %s", permit.Machine, previous.Step)
 	}
 	return nil
 }
 
-// checkMaintenanceKept checks that a machine in maintenance stays out until it is reported back.
-func (s *schedule) checkMaintenanceKept() error {
+// checkStaysInMaintenance checks that a machine in maintenance stays unavailable until it is reported as returning.
+func (s *schedule) checkStaysInMaintenance() error {
 	for _, permit := range s.state.Permits {
 		key := permit.Request + permit.Machine
 		if s.lastSteps[key] == InMaintenance && permit.Step != InMaintenance && permit.Step != Returning {
-			return fmt.Errorf("%s was in maintenance and is %s", permit.Machine, permit.Step)
+			return fmt.Errorf("%s went from maintenance to step %s", permit.Machine, permit.Step)
 		}
 		s.lastSteps[key] = permit.Step
 	}
 	return nil
 }
 
+// Leaders with outdated states propose drains that are permitted one by one, but not together. The rules must hold in
+// each state nevertheless.
 func TestNoScheduleViolatesRules(t *testing.T) {
 	for seed := range uint64(schedules) {
 		require.NoError(t, runSchedule(seed, false), "seed %d", seed)
 	}
 }
 
-// The checker itself is checked: it detects drains that override the rules.
+// A checker that detects nothing would let every schedule pass. It must detect drains that override the rules.
 func TestCheckerDetectsViolation(t *testing.T) {
 	violations := 0
 	for seed := range uint64(500) {
@@ -389,5 +394,5 @@
 		}
 	}
 	assert.Greater(t, violations, 50)
-	t.Logf("%d of 500 schedules with sabotage violate a rule", violations)
+	t.Logf("%d of 500 schedules with overridden rules violate a rule", violations)
 }
--- a/maintenance/next.go
+++ b/maintenance/next.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// NextTransitions returns the transitions that a leader proposes now: the start of drains, the recall of drains that are
-// not complete and no longer permitted, and the end of permits that expired or completed. A fault, described for
-// operators, recalls all drains and starts none; empty is no fault.
+// NextTransitions returns the transitions that a leader proposes now: the start of drains, the recall of incomplete
+// drains that are no longer permitted, and the end of permits that expired or completed. The fault is a description for
+// operators, or empty if there is none. During a fault, all incomplete drains are recalled and no drain is started.
 func (s State) NextTransitions(now Micros, fault string) []Transition {
 	s.Now = max(s.Now, now)
 	if s.Layout == nil {
 		return nil
 	}
 	transitions := s.transitionsOfOpenPermits(fault)
-	if fault != "" || s.Freeze != nil || s.returnedUnhealthy() {
+	if fault != "" || s.Freeze != nil || s.anyReturnedUnhealthy() {
 		return transitions
 	}
 	return append(transitions, s.drainsToStart()...)
 }
 
-// returnedUnhealthy reports whether a machine is unhealthy after its maintenance. No further drain starts then.
-func (s State) returnedUnhealthy() bool {
+// anyReturnedUnhealthy reports whether a machine is unhealthy after its maintenance. No further drain is started then.
+func (s State) anyReturnedUnhealthy() bool {
 	return slices.ContainsFunc(s.Permits, func(permit Permit) bool {
-		back := permit.Step == Returning || permit.Step == WarmingUp
-		return back && s.Unhealthy[permit.Machine] != ""
+		returned := permit.Step == Returning || permit.Step == WarmingUp
+		return returned && s.Unhealthy[permit.Machine] != ""
 	})
 }
 
-// transitionsOfOpenPermits returns the expirations, recalls and completions.
+// transitionsOfOpenPermits returns the expirations, recalls and completions that are due.
 func (s State) transitionsOfOpenPermits(fault string) []Transition {
 	var transitions []Transition
-	out := s.outages()
+	outages := s.outageCounts()
 	for _, permit := range s.Permits {
 		switch permit.Step {
 		case Requested:
@@ -36,37 +36,38 @@
 				transitions = append(transitions, permit.transition(Expired, "its window passed"))
 			}
 		case Draining:
-			if reason := s.recallReason(out, permit, fault); reason != "" {
+			if reason := s.recallReason(outages, permit, fault); reason != "" {
 				transitions = append(transitions, permit.transition(Requested, reason))
 			}
 		case WarmingUp:
-			warm := s.Now-permit.StepSince >= s.Rules.WarmUpDuration
+			warm := s.Now-permit.StepReachedAt >= s.Rules.WarmUpDuration
 			if warm && s.Unhealthy[permit.Machine] == "" {
 				transitions = append(transitions, permit.transition(Completed, ""))
 			}
-		default: // the next transition is an operator's or an instance's
+		default: // the next transition is proposed by an operator or an instance
 		}
 	}
 	return transitions
 }
 
-// recallReason returns why a drain is to be recalled, or an empty string: there is a fault, or the rules no longer permit
-// it, since another machine went out or the rules were tightened. A machine to be recalled is removed from the outages,
-// so that the remaining drains are judged without it.
-func (s State) recallReason(out *outages, permit Permit, fault string) string {
+// recallReason returns the reason to recall a drain, or an empty string if the drain continues. A drain is recalled
+// during a fault, or when the rules no longer permit it because another machine became unavailable or the rules were
+// tightened; a drain that overrides the rules is recalled only during a fault. If the rules are the reason,
+// recallReason records the machine as available in outages, so that the remaining drains are checked without it.
+func (s State) recallReason(outages *outageCounts, permit Permit, fault string) string {
 	machine := s.Layout.Machine(permit.Machine)
 	if fault != "" || permit.OverrideReason != "" || machine == nil {
 		return fault
 	}
-	out.setOut(machine, false)
-	if violation := out.violation(machine); violation != nil {
+	outages.setUnavailable(machine, false)
+	if violation := outages.violationIfUnavailable(machine); violation != nil {
 		return violation.String()
 	}
-	out.setOut(machine, true)
+	outages.setUnavailable(machine, true)
 	return ""
 }
 
-// drainsToStart returns the drains that the rules permit together.
+// drainsToStart returns the drains that the rules permit to start now, together, selected by priority.
 func (s State) drainsToStart() []Transition {
 	waiting := slices.DeleteFunc(slices.Clone(s.Permits), func(permit Permit) bool {
 		return permit.Step != Requested ||
@@ -76,13 +77,13 @@
 	})
 	s.sortByPriority(waiting)
 	var transitions []Transition
-	out := s.outages()
+	outages := s.outageCounts()
 	for _, permit := range waiting {
 		machine := s.Layout.Machine(permit.Machine)
-		if at, _ := out.earliestDrain(machine, s.Now); at != s.Now || out.violation(machine) != nil {
+		if start, _ := outages.earliestDrainStart(machine, s.Now); start != s.Now || outages.violationIfUnavailable(machine) != nil {
 			continue
 		}
-		out.startDrain(machine, s.Now)
+		outages.startDrain(machine, s.Now)
 		transitions = append(transitions, permit.transition(Draining, ""))
 	}
 	return transitions
