--- a/admin/config.go
+++ b/admin/config.go
@@ -111,7 +111,7 @@
 		return
 	}
 	s.execute(w, raftnode.Command{Change: &sharedconfig.Change{
-		Request:         change.Request,
+		RequestID:       change.Request,
 		ExpectedVersion: change.Expect,
 		Text:            change.Text,
 		Digest:          document.Digest(change.Text),
@@ -133,11 +133,11 @@
 
 // outcomeStatus maps the outcomes of commands to HTTP statuses.
 var outcomeStatus = map[sharedconfig.Status]int{
-	sharedconfig.Done:     http.StatusOK,
-	sharedconfig.Conflict: http.StatusConflict,
-	sharedconfig.Busy:     http.StatusConflict,
-	sharedconfig.Rejected: http.StatusUnprocessableEntity,
-	sharedconfig.Unknown:  http.StatusServiceUnavailable,
+	sharedconfig.StatusDone:     http.StatusOK,
+	sharedconfig.StatusConflict: http.StatusConflict,
+	sharedconfig.StatusBusy:     http.StatusConflict,
+	sharedconfig.StatusRejected: http.StatusUnprocessableEntity,
+	sharedconfig.StatusUnknown:  http.StatusServiceUnavailable,
 }
 
 func (s *Server) execute(w http.ResponseWriter, command raftnode.Command) {
--- a/cmd/alderproxy/client.go
+++ b/cmd/alderproxy/client.go
@@ -50,19 +50,19 @@
 
 // printOutcome prints the outcome of a change or of a command about instances. One that was not done is an error.
 func (a *adminCommand) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
-	if outcome.Status == sharedconfig.Done || a.json {
+	if outcome.Status == sharedconfig.StatusDone || a.json {
 		err := a.print(to, outcome, func(out *output) { printDone(out, outcome) })
-		if err != nil || outcome.Status == sharedconfig.Done {
+		if err != nil || outcome.Status == sharedconfig.StatusDone {
 			return err
 		}
 	}
 	switch {
-	case outcome.Status == sharedconfig.Unknown && outcome.Request != "":
-		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Reason, outcome.Request)
-	case outcome.Status == sharedconfig.Unknown:
+	case outcome.Status == sharedconfig.StatusUnknown && outcome.RequestID != "":
+		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Reason, outcome.RequestID)
+	case outcome.Status == sharedconfig.StatusUnknown:
 		return fmt.Errorf("unknown whether it was done: %s", outcome.Reason)
-	case outcome.Instance != "":
-		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.Instance, outcome.Reason)
+	case outcome.RejectedBy != "":
+		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.RejectedBy, outcome.Reason)
 	}
 	return fmt.Errorf("%s: %s", outcome.Status, outcome.Reason)
 }
--- a/cmd/alderproxy/config.go
+++ b/cmd/alderproxy/config.go
@@ -124,7 +124,7 @@
 	change.Reason = flags.reason
 	outcome, err := client.Put(change)
 	if errors.Is(err, admin.ErrUnreachable) {
-		outcome = sharedconfig.Outcome{Request: change.Request, Reason: err.Error()}
+		outcome = sharedconfig.Outcome{RequestID: change.Request, Reason: err.Error()}
 	} else if err != nil {
 		return err
 	}
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -52,8 +52,8 @@
 	active := report.State.Active()
 	out.printf("folder %s of %s: %d versions, the newest is %d (%s) by %s; the log ends at entry %d of term %d\n",
 		directory, report.Name, len(report.State.Versions), active.Number, active.Digest, active.Author, report.LastLogIndex, report.Term)
-	if pending := report.State.Pending; pending != nil {
-		out.printf("change %s by %s is pending: it will be dropped\n", pending.Request, pending.Author)
+	if pending := report.State.PendingChange; pending != nil {
+		out.printf("change %s by %s is pending: it will be dropped\n", pending.RequestID, pending.Author)
 	}
 	for _, m := range report.Members {
 		if m.Name != report.Name {
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -155,7 +155,7 @@
 		add := &sharedconfig.Member{Name: name, Addr: r.instances[name].peerProxy.Addr()}
 		o, err := first.client().Execute(raftnode.Command{Add: add})
 		require.NoError(r.t, err)
-		require.Equal(r.t, sharedconfig.Done, o.Status, o.Reason)
+		require.Equal(r.t, sharedconfig.StatusDone, o.Status, o.Reason)
 	}
 }
 
@@ -333,7 +333,7 @@
 	require.Eventually(r.t, func() bool {
 		o, err := r.instances["n2"].client().Execute(raftnode.Command{TransferLeadership: &name})
 		s, err2 := r.instances[name].client().Status()
-		return err == nil && err2 == nil && o.Status == sharedconfig.Done && s.Leader == name
+		return err == nil && err2 == nil && o.Status == sharedconfig.StatusDone && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -29,7 +29,7 @@
 			o, err := n1.client().Put(configPut("change", 1, 2))
 			if err == nil { // it may have answered right before it died
 				require.Equal(t, "decided", step)
-				require.Equal(t, sharedconfig.Outcome{Request: "change", Status: sharedconfig.Done, Version: 2}, o)
+				require.Equal(t, sharedconfig.Outcome{RequestID: "change", Status: sharedconfig.StatusDone, Version: 2}, o)
 			} else {
 				require.ErrorIs(t, err, admin.ErrUnreachable)
 			}
@@ -51,7 +51,7 @@
 			}
 			o, err = n2.client().Put(configPut("change", 1, 2))
 			require.NoError(t, err)
-			assert.Equal(t, sharedconfig.Outcome{Request: "change", Status: sharedconfig.Done, Version: 2}, o)
+			assert.Equal(t, sharedconfig.Outcome{RequestID: "change", Status: sharedconfig.StatusDone, Version: 2}, o)
 			r.waitUntilServing(2, "n1", "n2", "n3")
 			for _, name := range []string{"n1", "n2", "n3"} {
 				all, err := r.instances[name].client().History(false)
@@ -60,7 +60,7 @@
 			}
 			o, err = n2.client().Put(configPut("other", 1, 3))
 			require.NoError(t, err)
-			assert.Equal(t, sharedconfig.Conflict, o.Status)
+			assert.Equal(t, sharedconfig.StatusConflict, o.Status)
 		})
 	}
 }
@@ -81,7 +81,7 @@
 		require.NoError(t, err)
 		o, err := r.instances["n2"].client().Put(configPut("while "+name, s.Number, 10+int(s.Number)))
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		var waiting []*bufio.Reader
 		for range 5 { // the kernel takes these for it
 			c, err := new(net.Dialer).DialContext(t.Context(), "tcp", i.searchAddr)
@@ -122,7 +122,7 @@
 		for range 3 {
 			count[(<-results).Status]++
 		}
-		assert.Equal(t, map[sharedconfig.Status]int{sharedconfig.Done: 1, sharedconfig.Conflict: 2}, count)
+		assert.Equal(t, map[sharedconfig.Status]int{sharedconfig.StatusDone: 1, sharedconfig.StatusConflict: 2}, count)
 	}
 	r.waitUntilServing(6, "n1", "n2", "n3")
 	for what, text := range map[string]string{ // a document that one front cannot serve is activated nowhere
@@ -133,8 +133,8 @@
 	} {
 		o, err := r.instances["n3"].client().Put(admin.ConfigChange{Request: what, Expect: 6, Text: text, Author: "test"})
 		if err == nil {
-			assert.Equal(t, sharedconfig.Rejected, o.Status)
-			assert.NotEmpty(t, o.Instance)
+			assert.Equal(t, sharedconfig.StatusRejected, o.Status)
+			assert.NotEmpty(t, o.RejectedBy)
 			err = errors.New(o.Reason)
 		}
 		require.ErrorContains(t, err, what)
@@ -158,9 +158,9 @@
 		var err error
 		require.Eventually(t, func() bool {
 			o, err = client.Put(configPut(fmt.Sprint("c", v), v, int(v)+1))
-			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
+			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.StatusUnknown
 		}, 20*time.Second, 10*time.Millisecond)
-		require.Equal(t, sharedconfig.Done, o.Status, "%s %v", o.Reason, err)
+		require.Equal(t, sharedconfig.StatusDone, o.Status, "%s %v", o.Reason, err)
 	}
 	r.waitUntilServing(9, "n2", "n3")
 	sum := load.stop()
--- a/processtest/data_directory_test.go
+++ b/processtest/data_directory_test.go
@@ -76,7 +76,7 @@
 		p.Text += long
 		o, err := r.instances["n2"].client().Put(p)
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 	}
 	time.Sleep(time.Second) // the bound
 	status, version, err := n3.search()
--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -37,10 +37,10 @@
 		var err error
 		require.Eventually(t, func() bool {
 			o, err = r.instances[asked].client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
-			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.Unknown
+			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.StatusUnknown
 		}, 20*time.Second, 20*time.Millisecond)
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		load.versionReplaced(version)
 		version++
 		r.waitUntilServing(version, follow...)
@@ -51,7 +51,7 @@
 	f1 := r.instances["f1"].client()
 	o, err := f1.Put(configPut("elsewhere", version, 99))
 	require.NoError(t, err)
-	assert.Equal(t, sharedconfig.Rejected, o.Status)
+	assert.Equal(t, sharedconfig.StatusRejected, o.Status)
 	assert.Contains(t, o.Reason, r.instances["n2"].peerProxy.Addr())
 	v, err := f1.Show(0, true)
 	require.NoError(t, err)
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -64,7 +64,7 @@
 		began := time.Now()
 		o, err := r.instances["n2"].client().Put(configPut(fmt.Sprint(v), v, int(v)+1))
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		done = append(done, time.Since(began))
 		until(t, func() bool { return r.allServe(v+1, "n1", "n2", "n3") })
 		everywhere = append(everywhere, time.Since(began))
@@ -119,7 +119,7 @@
 		require.NoError(t, err)
 		o, err := r.instances[others[0]].client().Put(configPut(fmt.Sprint("after ", round), v.Number, round+1000))
 		require.NoError(t, err)
-		require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		puts = append(puts, time.Since(began))
 		stop.Store(true)
 		wg.Wait()
@@ -174,7 +174,7 @@
 			require.NoError(t, err)
 			o, err := r.instances["n3"].client().Put(configPut(fmt.Sprint("load ", v.Number), v.Number, int(v.Number)+1))
 			require.NoError(t, err)
-			require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+			require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		}
 		wg.Wait()
 		return sum
@@ -216,8 +216,8 @@
 		n := open()
 		for v := uint64(1); v < 1000; v++ {
 			text := fmt.Sprintf(documentTemplate, v+1)
-			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{Request: fmt.Sprint(v), ExpectedVersion: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
-			require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{RequestID: fmt.Sprint(v), ExpectedVersion: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
+			require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		}
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
 		require.NoError(t, n.Close())
@@ -343,7 +343,7 @@
 	survivor := r.instances[without(voters, leader)[0]]
 	until(r.t, func() bool {
 		o, _ := survivor.client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
-		return o.Status == sharedconfig.Done
+		return o.Status == sharedconfig.StatusDone
 	})
 	load.versionReplaced(version)
 	began := time.Now()
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -175,7 +175,7 @@
 	}, 20*time.Second, 50*time.Millisecond)
 	o, err := client.Put(configPut("split", 1, 2))
 	require.NoError(t, err)
-	require.Equal(t, sharedconfig.Done, o.Status, o.Reason)
+	require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 	load.versionReplaced(1)
 	r.waitForView(there, 30*time.Second)
 	// The smaller side stops serving within the staleness bound: its version may have been replaced.
--- a/raftnode/bootstrap.go
+++ b/raftnode/bootstrap.go
@@ -31,8 +31,8 @@
 		Bootstrap: &sharedconfig.Bootstrap{
 			GroupID:     group,
 			MaxVersions: keep,
-			First: sharedconfig.Change{
-				Request:     "first-" + group,
+			FirstChange: sharedconfig.Change{
+				RequestID:   "first-" + group,
 				Text:        text,
 				Digest:      digest,
 				Author:      author,
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -20,11 +20,11 @@
 // appendEntry appends an entry to the log and waits until it is applied.
 func (n *Node) appendEntry(action sharedconfig.AppendEntry) {
 	err := n.applyEntry(action.Entry)
-	if action.Request == "" {
+	if action.RequestID == "" {
 		return
 	}
 	if err != nil {
-		n.events.push(sharedconfig.AppendFailed{Request: action.Request})
+		n.events.push(sharedconfig.AppendFailed{RequestID: action.RequestID})
 		return
 	}
 	if action.Entry.Decide != nil {
@@ -50,12 +50,12 @@
 // checkChange asks a member, perhaps this one, whether it could serve a change's document.
 func (n *Node) checkChange(action sharedconfig.CheckChange) {
 	result := sharedconfig.CheckResult{
-		Request:    action.Change.Request,
-		InstanceID: action.Member.DataDirectoryID,
+		RequestID:  action.Change.RequestID,
+		InstanceID: action.Member.InstanceID,
 	}
 	rejection, err := n.requestCheck(action)
 	if err != nil {
-		result.TimedOut = true
+		result.NoReply = true
 		result.Reason = err.Error()
 	} else {
 		result.Accepted = rejection == ""
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -133,7 +133,7 @@
 		config := c.newConfig(name)
 		c.open(config)
 		outcome := n1.Execute(addCommand(name, config.Address), 15*time.Second)
-		require.Equal(c.t, sharedconfig.Done, outcome.Status, outcome.Reason)
+		require.Equal(c.t, sharedconfig.StatusDone, outcome.Status, outcome.Reason)
 	}
 	c.waitUntilServing(1)
 }
@@ -188,7 +188,7 @@
 
 func changeCommand(request string, expected uint64, text string) Command {
 	return Command{Change: &sharedconfig.Change{
-		Request:         request,
+		RequestID:       request,
 		ExpectedVersion: expected,
 		Text:            text,
 		Digest:          text,
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -37,7 +37,7 @@
 	deadline := time.Now().Add(timeout)
 	outcome := sharedconfig.Outcome{Reason: ErrNoLeader.Error()}
 	if command.Change != nil {
-		outcome.Request = command.Change.Request
+		outcome.RequestID = command.Change.RequestID
 	}
 	for time.Now().Before(deadline) {
 		attemptTimeout := time.Until(deadline)
@@ -48,7 +48,7 @@
 			outcome = attempted
 		}
 		// Busy: another change ends soon.
-		if outcome.Status != sharedconfig.Unknown && outcome.Status != sharedconfig.Busy {
+		if outcome.Status != sharedconfig.StatusUnknown && outcome.Status != sharedconfig.StatusBusy {
 			return outcome
 		}
 		select {
@@ -71,7 +71,7 @@
 	}
 	outcome, err := n.forward(command, id, address, timeout)
 	if err != nil {
-		outcome = sharedconfig.Outcome{Request: outcome.Request, Reason: err.Error()}
+		outcome = sharedconfig.Outcome{RequestID: outcome.RequestID, Reason: err.Error()}
 	}
 	return outcome, true
 }
@@ -106,13 +106,13 @@
 	switch {
 	case command.Change != nil:
 		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-			return sharedconfig.ChangeRequested{Call: call, Change: *command.Change}
+			return sharedconfig.ChangeRequested{CallID: call, Change: *command.Change}
 		})
 	case command.Add != nil:
 		return n.addMember(*command.Add, timeout)
 	case command.Remove != "":
 		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-			return sharedconfig.RemoveMemberRequested{Call: call, Name: command.Remove}
+			return sharedconfig.RemoveMemberRequested{CallID: call, Name: command.Remove}
 		})
 	case command.TransferLeadership != nil:
 		return n.transferLeadershipTo(*command.TransferLeadership)
@@ -133,9 +133,9 @@
 	if name != member.Name {
 		return refusedOutcome(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
 	}
-	added := sharedconfig.Member{Name: name, DataDirectoryID: directoryID, Addr: member.Addr}
+	added := sharedconfig.Member{Name: name, InstanceID: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-		return sharedconfig.AddMemberRequested{Call: call, Member: added}
+		return sharedconfig.AddMemberRequested{CallID: call, Member: added}
 	})
 }
 
@@ -149,5 +149,5 @@
 }
 
 func refusedOutcome(reason string) sharedconfig.Outcome {
-	return sharedconfig.Outcome{Status: sharedconfig.Rejected, Reason: reason}
+	return sharedconfig.Outcome{Status: sharedconfig.StatusRejected, Reason: reason}
 }
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -82,11 +82,11 @@
 	assert.Equal(t, written.Status.Digest, node.Status().Digest)
 
 	// A change that the earlier revision has made is known, and another one can be made on top.
-	repeated := node.Execute(changeCommand(active.Request, active.Number-1, "other"), 10*time.Second)
-	assert.Equal(t, sharedconfig.Outcome{Request: active.Request, Status: sharedconfig.Done, Version: active.Number}, repeated)
+	repeated := node.Execute(changeCommand(active.RequestID, active.Number-1, "other"), 10*time.Second)
+	assert.Equal(t, sharedconfig.Outcome{RequestID: active.RequestID, Status: sharedconfig.StatusDone, Version: active.Number}, repeated)
 	next := active.Number + 1
 	changed := node.Execute(changeCommand("next", active.Number, "next text"), 10*time.Second)
-	assert.Equal(t, sharedconfig.Outcome{Request: "next", Status: sharedconfig.Done, Version: next}, changed)
+	assert.Equal(t, sharedconfig.Outcome{RequestID: "next", Status: sharedconfig.StatusDone, Version: next}, changed)
 	waitUntilServes(t, node, next)
 	require.NoError(t, node.Close())
 
@@ -95,7 +95,7 @@
 	waitUntilServes(t, node, next)
 	assert.Equal(t, "next text", node.State().Active().Text)
 	assert.Equal(t, written.State.Versions, node.State().Versions[:len(written.State.Versions)])
-	assert.Equal(t, written.State.Retired, node.State().Retired)
+	assert.Equal(t, written.State.RetiredIDs, node.State().RetiredIDs)
 
 	followerConfig := earlierConfig(directory, "f1")
 	followerConfig.Voters = []string{config.Listener.Addr().String()}
--- a/raftnode/event_loop.go
+++ b/raftnode/event_loop.go
@@ -48,13 +48,13 @@
 		n.notifyStep(StepCheck)
 		go n.checkChange(action)
 	case sharedconfig.Reply:
-		n.commands.complete(action.Call, action.Outcome)
+		n.commands.complete(action.CallID, action.Outcome)
 	case sharedconfig.RequestLease:
 		go n.requestLease(action.Seq)
 	case sharedconfig.VerifyLeadership:
 		go n.verifyLeadership(action.Seq)
-	case sharedconfig.LeaseAnswer:
-		n.leaseRequests.complete(action.Call, action)
+	case sharedconfig.LeaseReply:
+		n.leaseRequests.complete(action.CallID, action)
 	case sharedconfig.ChangeMembership:
 		go n.changeMembership(action)
 	case sharedconfig.WaitForCatchUp:
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -132,7 +132,7 @@
 // record adds a call to the history. A write whose outcome is unknown may take effect at any later time.
 func (r *faultRun) record(client int, called time.Time, call registerCall, result registerResult) {
 	returned := time.Since(r.began)
-	if call.write && result.status == sharedconfig.Unknown {
+	if call.write && result.status == sharedconfig.StatusUnknown {
 		returned = time.Hour
 	}
 	r.mu.Lock()
@@ -144,7 +144,7 @@
 		Output:   result,
 		Return:   returned.Nanoseconds(),
 	})
-	if !call.write || result.status == sharedconfig.Done {
+	if !call.write || result.status == sharedconfig.StatusDone {
 		r.answered++
 	}
 }
@@ -186,9 +186,9 @@
 		switch {
 		case !operation.Input.(registerCall).write:
 			result.reads++
-		case status == sharedconfig.Done:
+		case status == sharedconfig.StatusDone:
 			result.done++
-		case status == sharedconfig.Unknown:
+		case status == sharedconfig.StatusUnknown:
 			result.unknown++
 		}
 	}
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -86,7 +86,7 @@
 	for _, action := range f.core.Step(clock.Now(), events) {
 		f.perform(action)
 	}
-	group := f.core.Group()
+	group := f.core.GroupID()
 	voters := f.core.Voters()
 	f.group.Store(&group)
 	f.voters.Store(&voters)
@@ -148,7 +148,7 @@
 		Serving:        served,
 		Digest:         active.Digest,
 		LeaseRemaining: f.leaseRemaining(),
-		Reason:         f.lease.Load().Reason(clock.Now(), served),
+		Reason:         f.lease.Load().NotCoveredReason(clock.Now(), served),
 	}
 	for _, voter := range *f.voters.Load() {
 		if voter.Name != "" {
@@ -181,7 +181,7 @@
 func (f *Follower) Execute(command Command, _ time.Duration) sharedconfig.Outcome {
 	outcome := refusedOutcome(fmt.Sprintf("%v: give the order to one of %s", ErrNotVoter, f.voterAddresses()))
 	if command.Change != nil {
-		outcome.Request = command.Change.Request
+		outcome.RequestID = command.Change.RequestID
 	}
 	return outcome
 }
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -41,7 +41,7 @@
 	if n.raft.CurrentTerm() != term {
 		term = 0 // the answer may be about either term
 	}
-	n.events.push(sharedconfig.LeadershipVerified{Seq: seq, OK: err == nil, Term: term})
+	n.events.push(sharedconfig.VerifyLeadershipResult{Seq: seq, OK: err == nil, Term: term})
 }
 
 // TransferLeadership gives the leadership, if this instance has it, to any other voter. Before a planned stop it spares
@@ -64,7 +64,7 @@
 // transferLeadershipTo transfers the leadership to the voter with a name, or to any voter if the name is empty.
 func (n *Node) transferLeadershipTo(name string) sharedconfig.Outcome {
 	if name != "" && name == n.config.Name {
-		return sharedconfig.Outcome{Status: sharedconfig.Done, Reason: name + " leads"}
+		return sharedconfig.Outcome{Status: sharedconfig.StatusDone, Reason: name + " leads"}
 	}
 	var future raft.Future
 	if name == "" {
@@ -74,7 +74,7 @@
 		if !found {
 			return refusedOutcome("there is no instance " + name + " with a vote")
 		}
-		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.DataDirectoryID), raft.ServerAddress(voter.Addr))
+		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.InstanceID), raft.ServerAddress(voter.Addr))
 	}
 	err := future.Error()
 	if errors.Is(err, raft.ErrNotLeader) {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return refusedOutcome(err.Error())
 	}
-	return sharedconfig.Outcome{Status: sharedconfig.Done}
+	return sharedconfig.Outcome{Status: sharedconfig.StatusDone}
 }
 
 // voter returns the voter with a name.
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -19,13 +19,13 @@
 // requestLease requests a lease for the event loop. It reports nothing if the request fails: the event loop sends the
 // next one after a lease interval.
 func (n *Node) requestLease(seq uint64) {
-	timeout := leaseRequestIntervals * microseconds(n.settings.LeaseInterval)
+	timeout := leaseRequestIntervals * microseconds(n.settings.LeaseRenewalInterval)
 	grant, err := n.requestLeaseFromLeader(timeout)
 	if err != nil || !grant.OK {
 		n.config.Log.WithError(err).WithField("ask", seq).Debug("no lease granted")
 		return
 	}
-	n.events.push(sharedconfig.LeaseAnswerReceived{
+	n.events.push(sharedconfig.LeaseReplyReceived{
 		Seq:     seq,
 		OK:      grant.OK,
 		Version: grant.Version,
@@ -35,7 +35,7 @@
 
 // requestLeaseFromLeader requests a lease from the leader, which may be this instance, or from the other members if no
 // leader is known.
-func (n *Node) requestLeaseFromLeader(timeout time.Duration) (sharedconfig.LeaseAnswer, error) {
+func (n *Node) requestLeaseFromLeader(timeout time.Duration) (sharedconfig.LeaseReply, error) {
 	address, id := n.raft.LeaderWithID()
 	var body []byte
 	var err error
@@ -48,28 +48,28 @@
 		body, err = n.endpoint.Call(peerTarget(id, address), rpcRequestLease, nil, nil, timeout)
 	}
 	if err != nil {
-		return sharedconfig.LeaseAnswer{}, err
+		return sharedconfig.LeaseReply{}, err
 	}
-	var grant sharedconfig.LeaseAnswer
+	var grant sharedconfig.LeaseReply
 	err = json.Unmarshal(body, &grant)
 	return grant, err
 }
 
 // requestLeaseFromMembers requests a lease from one member after the other: an instance that was removed hears from no
 // leader any more, and learns of its removal this way.
-func (n *Node) requestLeaseFromMembers(timeout time.Duration) (sharedconfig.LeaseAnswer, error) {
+func (n *Node) requestLeaseFromMembers(timeout time.Duration) (sharedconfig.LeaseReply, error) {
 	for _, member := range n.Members() {
 		target := memberTarget(member)
 		if target.ID == string(n.directory.id) {
 			continue
 		}
 		body, err := n.endpoint.Call(target, rpcRequestLease, nil, nil, timeout/2)
-		var grant sharedconfig.LeaseAnswer
+		var grant sharedconfig.LeaseReply
 		if err == nil && json.Unmarshal(body, &grant) == nil && grant.OK {
 			return grant, nil
 		}
 	}
-	return sharedconfig.LeaseAnswer{}, ErrNoLeader
+	return sharedconfig.LeaseReply{}, ErrNoLeader
 }
 
 // handleLeaseRequest answers a member that requests a lease.
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	answer, ok := callEventLoop(n, n.leaseRequests, leaseVerificationTimeout, func(call uint64) sharedconfig.Event {
-		return sharedconfig.LeaseRequested{Call: call, InstanceID: directoryID}
+		return sharedconfig.LeaseRequested{CallID: call, InstanceID: directoryID}
 	})
 	if !ok {
 		return nil, errNotVerified
@@ -96,5 +96,5 @@
 	// The state is read before the lease: a lease for a later version does not cover an earlier one.
 	state := n.state.Load()
 	lease := n.lease.Load()
-	return json.Marshal(sharedconfig.AnswerPoll(*state, *lease, clock.Now(), n.Members(), request))
+	return json.Marshal(sharedconfig.NewPollReply(*state, *lease, clock.Now(), n.Members(), request))
 }
--- a/raftnode/linearizability_test.go
+++ b/raftnode/linearizability_test.go
@@ -46,17 +46,17 @@
 	written := registerState{call.expected + 1, call.text}
 	expectationHolds := current.version == call.expected
 	switch result.status {
-	case sharedconfig.Done:
+	case sharedconfig.StatusDone:
 		if expectationHolds && result.version == written.version {
 			return []any{written}
 		}
 		return nil
-	case sharedconfig.Conflict:
+	case sharedconfig.StatusConflict:
 		if !expectationHolds {
 			return []any{current}
 		}
 		return nil
-	case sharedconfig.Rejected:
+	case sharedconfig.StatusRejected:
 		return []any{current}
 	default: // unknown: it may have been written, now or later, or not
 		if expectationHolds {
--- a/raftnode/membership_test.go
+++ b/raftnode/membership_test.go
@@ -25,16 +25,16 @@
 	node := c.open(config)
 	add := addCommand(name, config.Address)
 	outcome := leader.Execute(add, 5*time.Second)
-	assert.Equal(t, sharedconfig.Rejected, outcome.Status)
+	assert.Equal(t, sharedconfig.StatusRejected, outcome.Status)
 	assert.Contains(t, outcome.Reason, "another folder")
 	assert.Zero(t, node.Status().Term, "it was asked for its vote")
 
-	require.Equal(t, sharedconfig.Done, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
 	outcome = leader.Execute(add, 15*time.Second)
-	require.Equal(t, sharedconfig.Done, outcome.Status, outcome.Reason)
+	require.Equal(t, sharedconfig.StatusDone, outcome.Status, outcome.Reason)
 	c.waitUntilServing(1)
 
-	require.Equal(t, sharedconfig.Done, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return node.Status().Reason == ErrRemoved.Error() }, 10*time.Second, 5*time.Millisecond)
 	outcome = leader.Execute(add, 5*time.Second)
 	assert.Contains(t, outcome.Reason, "removed from this group for good")
@@ -49,13 +49,13 @@
 	c.moveToNewAddress(&config)
 	n2 := c.open(config)
 	require.Eventually(t, func() bool {
-		return c.leader().Execute(addCommand("n2", config.Address), 10*time.Second).Status == sharedconfig.Done
+		return c.leader().Execute(addCommand("n2", config.Address), 10*time.Second).Status == sharedconfig.StatusDone
 	}, 20*time.Second, 50*time.Millisecond)
 	c.waitUntilServing(1)
 	for _, member := range n2.Members() {
 		assert.True(t, member.Voter, member.Name)
 	}
-	require.Equal(t, sharedconfig.Done, n2.Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, n2.Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	c.waitUntilServing(2)
 }
 
@@ -67,7 +67,7 @@
 	other := c.nodes[c.otherNames(leader.config.Name)[0]]
 	for version := uint64(1); version <= 12; version++ {
 		text := fmt.Sprint(version)
-		require.Equal(t, sharedconfig.Done, leader.Execute(changeCommand(text, version, text), 10*time.Second).Status)
+		require.Equal(t, sharedconfig.StatusDone, leader.Execute(changeCommand(text, version, text), 10*time.Second).Status)
 	}
 	for _, node := range c.nodes {
 		require.NoError(t, node.raft.Snapshot().Error())
@@ -80,7 +80,7 @@
 	require.NoError(t, leader.Close())
 	delete(c.nodes, leader.config.Name)
 	outcome := <-outcomes
-	assert.Equal(t, sharedconfig.Done, outcome.Status, outcome.Reason)
+	assert.Equal(t, sharedconfig.StatusDone, outcome.Status, outcome.Reason)
 	c.waitUntilServing(13)
 	voters := 0
 	for _, member := range n4.Members() {
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -35,7 +35,7 @@
 
 	lastCall      atomic.Uint64 // id of the newest call into the event loop
 	commands      *pendingCalls[sharedconfig.Outcome]
-	leaseRequests *pendingCalls[sharedconfig.LeaseAnswer]
+	leaseRequests *pendingCalls[sharedconfig.LeaseReply]
 
 	mu             sync.Mutex
 	versionChanged chan struct{} // closed, and replaced, when another version becomes active
@@ -72,13 +72,13 @@
 	n := &Node{
 		instance:       newInstance(config, directory, directoryID),
 		commands:       newPendingCalls[sharedconfig.Outcome](),
-		leaseRequests:  newPendingCalls[sharedconfig.LeaseAnswer](),
+		leaseRequests:  newPendingCalls[sharedconfig.LeaseReply](),
 		versionChanged: make(chan struct{}),
 	}
 	n.logEntry = n.describe
 	n.group.Store(&group)
 	n.settings.Removed = removed
-	n.core = sharedconfig.New(n.settings, sharedconfig.State{})
+	n.core = sharedconfig.NewCore(n.settings, sharedconfig.State{})
 	lease := n.core.Lease()
 	n.lease.Store(&lease)
 	n.state.Store(&sharedconfig.State{})
--- a/raftnode/node_test.go
+++ b/raftnode/node_test.go
@@ -15,21 +15,21 @@
 	c.bootstrap()
 	for _, node := range c.nodes { // any instance forwards it to the leader
 		outcome := node.Execute(changeCommand("a", 1, "two"), 10*time.Second)
-		assert.Equal(t, sharedconfig.Outcome{Request: "a", Status: sharedconfig.Done, Version: 2}, outcome)
+		assert.Equal(t, sharedconfig.Outcome{RequestID: "a", Status: sharedconfig.StatusDone, Version: 2}, outcome)
 	}
 	c.waitUntilServing(2)
 	outcome := c.leader().Execute(changeCommand("b", 1, "other"), 10*time.Second)
-	assert.Equal(t, sharedconfig.Conflict, outcome.Status)
+	assert.Equal(t, sharedconfig.StatusConflict, outcome.Status)
 }
 
 func TestOneRejectionRefusesTheChange(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
 	outcome := c.nodes["n1"].Execute(changeCommand("a", 1, "bad for n3"), 10*time.Second)
-	want := sharedconfig.Outcome{Request: "a", Status: sharedconfig.Rejected, Instance: "n3", Reason: "n3 has no such index"}
+	want := sharedconfig.Outcome{RequestID: "a", Status: sharedconfig.StatusRejected, RejectedBy: "n3", Reason: "n3 has no such index"}
 	assert.Equal(t, want, outcome)
 	c.waitUntilServing(1)
-	assert.Equal(t, sharedconfig.Done, c.nodes["n2"].Execute(changeCommand("b", 1, "two"), 10*time.Second).Status)
+	assert.Equal(t, sharedconfig.StatusDone, c.nodes["n2"].Execute(changeCommand("b", 1, "two"), 10*time.Second).Status)
 	c.waitUntilServing(2)
 }
 
@@ -41,7 +41,7 @@
 	others := c.otherNames(partitioned.config.Name)
 	c.faults.Isolate(partitioned.config.Name, others...)
 	outcome := c.nodes[others[0]].Execute(changeCommand("a", 1, "two"), 10*time.Second)
-	require.Equal(t, sharedconfig.Done, outcome.Status, outcome.Reason)
+	require.Equal(t, sharedconfig.StatusDone, outcome.Status, outcome.Reason)
 	replaced := time.Now()
 	require.Eventually(t, func() bool { return !isServing(partitioned) }, 10*time.Second, time.Millisecond)
 	assert.Less(t, time.Since(replaced), c.stalenessBound)
@@ -54,7 +54,7 @@
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
 	config := c.closeNode("n2")
-	require.Equal(t, sharedconfig.Done, c.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, c.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	c.faults.Isolate("n2", "n1", "n3")
 	c.listenAgain(&config)
 	n2 := c.open(config)
@@ -95,7 +95,7 @@
 
 	c.faults.Clear()
 	c.waitUntilServing(1)
-	require.Equal(t, sharedconfig.Done, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return !isServing(node) }, 10*time.Second, 5*time.Millisecond)
 	partition()
 	node = restart()
--- a/raftnode/recovery_test.go
+++ b/raftnode/recovery_test.go
@@ -17,7 +17,7 @@
 func TestRecoverUnsafe(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
-	require.Equal(t, sharedconfig.Done, c.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, c.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	c.waitUntilServing(2)
 	for _, node := range c.nodes {
 		require.NoError(t, node.Close())
@@ -35,13 +35,13 @@
 	require.NoError(t, RecoverUnsafe(config.DataDirectory, "n3", config.Address), "at another address")
 	n3 := c.open(config)
 	c.waitUntilServing(2)
-	require.Equal(t, sharedconfig.Done, n3.Execute(changeCommand("b", 2, "three"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, n3.Execute(changeCommand("b", 2, "three"), 10*time.Second).Status)
 
 	oldConfig := c.configs["n1"]
 	oldConfig.Listener = listen(t, anyLocalPort)
 	n1 := c.open(oldConfig)
 	outcome := n3.Execute(addCommand("n1", oldConfig.Listener.Addr().String()), 5*time.Second)
-	assert.Equal(t, sharedconfig.Rejected, outcome.Status, "a member of the old group has joined the new one")
+	assert.Equal(t, sharedconfig.StatusRejected, outcome.Status, "a member of the old group has joined the new one")
 	assert.False(t, isServing(n1))
 }
 
@@ -55,7 +55,7 @@
 	c := newTestCluster(t, time.Second)
 	node := c.bootstrapSingle("n1")
 	c.waitUntilServing(1)
-	require.Equal(t, sharedconfig.Done, node.Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, node.Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	require.NoError(t, node.raft.Snapshot().Error())
 	snapshots, err := node.directory.openSnapshots(node.newRaftLogger())
 	require.NoError(t, err)
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -21,16 +21,16 @@
 
 	name := "n2"
 	for want, message := range map[string]any{
-		`{"Call":1,"OK":true,"Version":2,"Removed":true}`: sharedconfig.LeaseAnswer{
-			Call: 1, OK: true, Version: 2, Removed: true,
+		`{"Call":1,"OK":true,"Version":2,"Removed":true}`: sharedconfig.LeaseReply{
+			CallID: 1, OK: true, Version: 2, Removed: true,
 		},
 		`{"remove":"n2"}`:    Command{Remove: name},
 		`{"hand_over":"n2"}`: Command{TransferLeadership: &name},
 		`{"add":{"name":"n2","folder":"f","addr":"a","voter":true}}`: Command{
-			Add: &sharedconfig.Member{Name: name, DataDirectoryID: "f", Addr: "a", Voter: true},
+			Add: &sharedconfig.Member{Name: name, InstanceID: "f", Addr: "a", Voter: true},
 		},
 		`{"change":{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"w","at":2}}`: Command{
-			Change: &sharedconfig.Change{Request: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", RequestedAt: 2},
+			Change: &sharedconfig.Change{RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", RequestedAt: 2},
 		},
 	} {
 		encoded, err := json.Marshal(message)
--- a/raftnode/serving_report.go
+++ b/raftnode/serving_report.go
@@ -20,7 +20,7 @@
 func (i *instance) reportServing() {
 	version := i.servedVersion.Load()
 	lease := i.lease.Load()
-	reason := lease.Reason(clock.Now(), version)
+	reason := lease.NotCoveredReason(clock.Now(), version)
 	reasonWithoutDuration, _, _ := strings.Cut(reason, " for ")
 	if reasonWithoutDuration == i.serving.reason {
 		recent := time.Since(i.serving.at) < servingReportInterval
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -47,13 +47,13 @@
 		Serving:        served,
 		Digest:         state.Active().Digest,
 		LeaseRemaining: n.leaseRemaining(),
-		Reason:         n.lease.Load().Reason(now, served),
+		Reason:         n.lease.Load().NotCoveredReason(now, served),
 		Members:        n.Members(),
 		FirstLogIndex:  firstIndex,
 		LastLogIndex:   n.raft.LastIndex(),
 	}
-	if state.Pending != nil {
-		status.Pending = state.Pending.Request
+	if state.PendingChange != nil {
+		status.Pending = state.PendingChange.RequestID
 	}
 	return status
 }
--- a/sharedconfig/actions.go
+++ b/sharedconfig/actions.go
@@ -6,8 +6,8 @@
 
 // AppendEntry appends an entry to the log. Its result is reported by EntriesApplied, or by AppendFailed with the same request.
 type AppendEntry struct {
-	Entry   Entry
-	Request string // empty: the core does not wait for the result
+	Entry     Entry
+	RequestID string // empty: the core does not wait for the result
 }
 
 // CheckChange asks a member, which may be this instance, to check a change. It is answered by one CheckResult.
@@ -18,7 +18,7 @@
 
 // Reply answers a call of ChangeRequested, AddMemberRequested or RemoveMemberRequested.
 type Reply struct {
-	Call    uint64
+	CallID  uint64
 	Outcome Outcome
 }
 
@@ -28,9 +28,9 @@
 // VerifyLeadership asks a majority whether this instance still leads. It is answered by one LeadershipVerified.
 type VerifyLeadership struct{ Seq uint64 }
 
-// LeaseAnswer answers a LeaseRequested. It is sent as JSON to the member that asked.
-type LeaseAnswer struct {
-	Call    uint64 `json:"Call"`
+// LeaseReply answers a LeaseRequested. It is sent as JSON to the member that asked.
+type LeaseReply struct {
+	CallID  uint64 `json:"Call"`
 	OK      bool   `json:"OK"`
 	Version uint64 `json:"Version"`
 	Removed bool   `json:"Removed"`
@@ -68,7 +68,7 @@
 func (Reply) action()            {}
 func (RequestLease) action()     {}
 func (VerifyLeadership) action() {}
-func (LeaseAnswer) action()      {}
+func (LeaseReply) action()       {}
 func (ChangeMembership) action() {}
 func (WaitForCatchUp) action()   {}
 func (Activate) action()         {}
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -26,15 +26,15 @@
 // handleChangeRequested queues a change. A request with a known outcome is answered at once, and one that repeats the
 // current change waits with it.
 func (c *Core) handleChangeRequested(e ChangeRequested) {
-	known := c.state.Outcome(e.Change.Request)
-	isDecided := known.Status != Unknown && known.Status != Pending
+	known := c.state.Outcome(e.Change.RequestID)
+	isDecided := known.Status != StatusUnknown && known.Status != StatusPending
 	switch {
 	case !c.leading:
-		c.emit(Reply{Call: e.Call, Outcome: Outcome{Request: e.Change.Request, Reason: reasonNotLeader}})
-	case c.currentChange != nil && c.currentChange.Request == e.Change.Request:
-		c.currentChange.calls = append(c.currentChange.calls, e.Call)
+		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{RequestID: e.Change.RequestID, Reason: reasonNotLeader}})
+	case c.currentChange != nil && c.currentChange.RequestID == e.Change.RequestID:
+		c.currentChange.calls = append(c.currentChange.calls, e.CallID)
 	case isDecided && c.ready:
-		c.emit(Reply{Call: e.Call, Outcome: known})
+		c.emit(Reply{CallID: e.CallID, Outcome: known})
 	default:
 		c.queuedChanges = append(c.queuedChanges, e)
 	}
@@ -43,15 +43,15 @@
 // handleOutcome advances the current change by the outcome of an applied entry.
 func (c *Core) handleOutcome(outcome Outcome) {
 	current := c.currentChange
-	if current == nil || current.Request != outcome.Request || outcome.Request == "" {
+	if current == nil || current.RequestID != outcome.RequestID || outcome.RequestID == "" {
 		return
 	}
 	switch outcome.Status {
-	case Pending:
+	case StatusPending:
 		current.proposed = true
-	case Busy: // an earlier leader's change is pending, which is decided first
+	case StatusBusy: // an earlier leader's change is pending, which is decided first
 		c.requeueCurrentChange()
-	case Unknown: // of an entry that decided nothing
+	case StatusUnknown: // of an entry that decided nothing
 	default:
 		c.replyAll(current.calls, outcome)
 		c.currentChange = nil
@@ -59,7 +59,7 @@
 }
 
 func (c *Core) handleAppendFailed(e AppendFailed) {
-	if c.currentChange != nil && c.currentChange.Request == e.Request {
+	if c.currentChange != nil && c.currentChange.RequestID == e.RequestID {
 		c.abandonCurrentChange(reasonAppendFailed)
 	}
 }
@@ -69,7 +69,7 @@
 	if c.currentChange == nil {
 		return
 	}
-	c.replyAll(c.currentChange.calls, Outcome{Request: c.currentChange.Request, Reason: reason})
+	c.replyAll(c.currentChange.calls, Outcome{RequestID: c.currentChange.RequestID, Reason: reason})
 	c.currentChange = nil
 }
 
@@ -79,7 +79,7 @@
 	c.currentChange = nil
 	queue := make([]ChangeRequested, 0, len(current.calls)+len(c.queuedChanges))
 	for _, call := range current.calls {
-		queue = append(queue, ChangeRequested{Call: call, Change: current.Change})
+		queue = append(queue, ChangeRequested{CallID: call, Change: current.Change})
 	}
 	c.queuedChanges = append(queue, c.queuedChanges...)
 }
@@ -103,11 +103,11 @@
 
 // resumePendingChange takes over a change that an earlier leader proposed and did not decide.
 func (c *Core) resumePendingChange() {
-	if c.state.Pending == nil {
+	if c.state.PendingChange == nil {
 		return
 	}
-	c.logf("change %s is pending from an earlier term: checking it again", c.state.Pending.Request)
-	c.currentChange = &changeInProgress{Change: *c.state.Pending, proposed: true}
+	c.logf("change %s is pending from an earlier term: checking it again", c.state.PendingChange.RequestID)
+	c.currentChange = &changeInProgress{Change: *c.state.PendingChange, proposed: true}
 }
 
 // proposeNextChange proposes the first queued change that has no outcome yet.
@@ -115,16 +115,16 @@
 	for len(c.queuedChanges) > 0 {
 		next := c.queuedChanges[0]
 		c.queuedChanges = c.queuedChanges[1:]
-		if known := c.state.Outcome(next.Change.Request); known.Status != Unknown {
-			c.emit(Reply{Call: next.Call, Outcome: known})
+		if known := c.state.Outcome(next.Change.RequestID); known.Status != StatusUnknown {
+			c.emit(Reply{CallID: next.CallID, Outcome: known})
 			continue
 		}
 		c.currentChange = &changeInProgress{
 			Change:       next.Change,
-			calls:        []uint64{next.Call},
+			calls:        []uint64{next.CallID},
 			callDeadline: c.now + c.settings.ChangeTimeout,
 		}
-		c.emit(AppendEntry{Entry: Entry{Propose: &next.Change}, Request: next.Change.Request})
+		c.emit(AppendEntry{Entry: Entry{Propose: &next.Change}, RequestID: next.Change.RequestID})
 		return
 	}
 }
@@ -133,10 +133,10 @@
 func (c *Core) attachQueuedCalls() {
 	current := c.currentChange
 	c.queuedChanges = slices.DeleteFunc(c.queuedChanges, func(queued ChangeRequested) bool {
-		if queued.Change.Request != current.Request {
+		if queued.Change.RequestID != current.RequestID {
 			return false
 		}
-		current.calls = append(current.calls, queued.Call)
+		current.calls = append(current.calls, queued.CallID)
 		return true
 	})
 }
@@ -147,7 +147,7 @@
 	if current.callDeadline == 0 || c.now < current.callDeadline {
 		return
 	}
-	c.replyAll(current.calls, Outcome{Request: current.Request, Reason: reasonChangeTimedOut})
+	c.replyAll(current.calls, Outcome{RequestID: current.RequestID, Reason: reasonChangeTimedOut})
 	current.calls = nil
 	current.callDeadline = 0
 }
@@ -161,14 +161,14 @@
 	current.checkDeadline = c.now + c.settings.CheckTimeout
 	current.unanswered = map[string]Member{}
 	for _, member := range c.members {
-		current.unanswered[member.DataDirectoryID] = member
+		current.unanswered[member.InstanceID] = member
 		c.emit(CheckChange{Member: member, Change: current.Change})
 	}
 }
 
 func (c *Core) handleCheckResult(e CheckResult) {
 	current := c.currentChange
-	if current == nil || current.Request != e.Request || current.decided {
+	if current == nil || current.RequestID != e.RequestID || current.decided {
 		return
 	}
 	member, outstanding := current.unanswered[e.InstanceID]
@@ -177,8 +177,8 @@
 	}
 	delete(current.unanswered, e.InstanceID)
 	switch {
-	case e.TimedOut:
-		c.logf("instance %s did not check change %s: %s", member.Name, e.Request, cmp.Or(e.Reason, "no answer"))
+	case e.NoReply:
+		c.logf("instance %s did not check change %s: %s", member.Name, e.RequestID, cmp.Or(e.Reason, "no answer"))
 	case !e.Accepted && current.rejection == nil:
 		current.rejection = &e
 		current.rejectedBy = member.Name
@@ -195,10 +195,10 @@
 	if current == nil || current.unanswered == nil || current.decided {
 		return
 	}
-	decision := Decision{Request: current.Request}
+	decision := Decision{RequestID: current.RequestID}
 	switch {
 	case current.rejection != nil:
-		decision.Instance = current.rejectedBy
+		decision.RejectedBy = current.rejectedBy
 		decision.Reason = current.rejection.Reason
 	case len(current.unanswered) > 0 && c.now < current.checkDeadline:
 		return
@@ -209,7 +209,7 @@
 	}
 	current.decided = true
 	current.accepted = decision.Accept
-	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, Request: current.Request})
+	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, RequestID: current.RequestID})
 }
 
 // mayBeActivating reports whether the current change may already be committed although it is not applied here.
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -43,14 +43,14 @@
 	catchUpRequestedAt map[string]Micros // time of the last WaitForCatchUp by instance ID
 }
 
-// New returns the core of an instance whose log has led to the given state. It knows no members and no leader yet.
-func New(settings Settings, state State) *Core {
+// NewCore returns the core of an instance whose log has led to the given state. It knows no members and no leader yet.
+func NewCore(settings Settings, state State) *Core {
 	return &Core{
 		settings:           settings,
 		state:              state,
 		lease:              Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
 		leaseRequests:      map[uint64]Micros{},
-		leaseRequestedAt:   -settings.LeaseInterval,
+		leaseRequestedAt:   -settings.LeaseRenewalInterval,
 		lastRequestFrom:    map[string]Micros{},
 		catchUpRequestedAt: map[string]Micros{},
 	}
@@ -93,15 +93,15 @@
 		c.handleCheckResult(e)
 	case LeaseRequested:
 		c.handleLeaseRequested(e)
-	case LeadershipVerified:
+	case VerifyLeadershipResult:
 		c.handleVerified(e)
-	case LeaseAnswerReceived:
+	case LeaseReplyReceived:
 		c.handleLeaseGranted(e)
 	case AddMemberRequested:
 		c.handleAddRequested(e)
 	case RemoveMemberRequested:
 		c.handleRemoveRequested(e)
-	case MembershipChanged:
+	case ChangeMembershipResult:
 		c.handleMembershipChanged(e)
 	case CaughtUp:
 		c.handleCaughtUp(e)
@@ -146,11 +146,11 @@
 func (c *Core) failPendingCalls() {
 	c.abandonCurrentChange(reasonLeadershipLost)
 	for _, queued := range c.queuedChanges {
-		c.emit(Reply{Call: queued.Call, Outcome: Outcome{Request: queued.Change.Request, Reason: reasonLeadershipLost}})
+		c.emit(Reply{CallID: queued.CallID, Outcome: Outcome{RequestID: queued.Change.RequestID, Reason: reasonLeadershipLost}})
 	}
-	c.finishMembershipChange(Unknown, reasonLeadershipLost)
+	c.finishMembershipChange(StatusUnknown, reasonLeadershipLost)
 	for _, request := range slices.Concat(c.waitingLeases, c.verifyingLeases) {
-		c.emit(LeaseAnswer{Call: request.Call})
+		c.emit(LeaseReply{CallID: request.CallID})
 	}
 }
 
@@ -164,6 +164,6 @@
 
 func (c *Core) replyAll(calls []uint64, outcome Outcome) {
 	for _, call := range calls {
-		c.emit(Reply{Call: call, Outcome: outcome})
+		c.emit(Reply{CallID: call, Outcome: outcome})
 	}
 }
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -9,14 +9,14 @@
 
 // newLeader returns the core of f1, which leads in term 4, with three members of which f3 has no vote.
 func newLeader() *Core {
-	first := Change{Request: "first", Text: "0"}
-	state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 9, First: first}})
-	core := New(DefaultSettings("f1", 1_000_000, false), State{})
+	first := Change{RequestID: "first", Text: "0"}
+	state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 9, FirstChange: first}})
+	core := NewCore(DefaultSettings("f1", 1_000_000, false), State{})
 	core.Step(0, []Event{
 		MemberList{Members: []Member{
-			{Name: "n1", DataDirectoryID: "f1", Addr: "a1", Voter: true},
-			{Name: "n2", DataDirectoryID: "f2", Addr: "a2", Voter: true},
-			{Name: "n3", DataDirectoryID: "f3", Addr: "a3", Voter: false},
+			{Name: "n1", InstanceID: "f1", Addr: "a1", Voter: true},
+			{Name: "n2", InstanceID: "f2", Addr: "a2", Voter: true},
+			{Name: "n3", InstanceID: "f3", Addr: "a3", Voter: false},
 		}},
 		EntriesApplied{State: state},
 		LeadershipChanged{Leading: true, Term: 4},
@@ -38,44 +38,44 @@
 
 func TestLeasesRequireVerification(t *testing.T) {
 	for name, c := range map[string]struct {
-		verified   LeadershipVerified
+		verified   VerifyLeadershipResult
 		instanceID string
-		want       LeaseAnswer
+		want       LeaseReply
 	}{
 		"verified": {
-			verified:   LeadershipVerified{OK: true, Term: 4},
+			verified:   VerifyLeadershipResult{OK: true, Term: 4},
 			instanceID: "f2",
-			want:       LeaseAnswer{Call: 1, OK: true, Version: 1},
+			want:       LeaseReply{CallID: 1, OK: true, Version: 1},
 		},
 		"not the leader": {
-			verified:   LeadershipVerified{Term: 4},
+			verified:   VerifyLeadershipResult{Term: 4},
 			instanceID: "f2",
-			want:       LeaseAnswer{Call: 1},
+			want:       LeaseReply{CallID: 1},
 		},
 		"another term": {
-			verified:   LeadershipVerified{OK: true, Term: 5},
+			verified:   VerifyLeadershipResult{OK: true, Term: 5},
 			instanceID: "f2",
-			want:       LeaseAnswer{Call: 1},
+			want:       LeaseReply{CallID: 1},
 		},
 		"not a member": {
-			verified:   LeadershipVerified{OK: true, Term: 4},
+			verified:   VerifyLeadershipResult{OK: true, Term: 4},
 			instanceID: "f9",
-			want:       LeaseAnswer{Call: 1, Version: 1},
+			want:       LeaseReply{CallID: 1, Version: 1},
 		},
 		"without a vote": {
-			verified:   LeadershipVerified{OK: true, Term: 4},
+			verified:   VerifyLeadershipResult{OK: true, Term: 4},
 			instanceID: "f3",
-			want:       LeaseAnswer{Call: 1, OK: true, Version: 1},
+			want:       LeaseReply{CallID: 1, OK: true, Version: 1},
 		},
 	} {
 		core := newLeader()
-		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{Call: 1, InstanceID: c.instanceID}}))
+		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{CallID: 1, InstanceID: c.instanceID}}))
 		require.Len(t, verify, 1, name)
 		// A request during a verification waits for the next one.
-		assert.Empty(t, actionsOf[VerifyLeadership](core.Step(2, []Event{LeaseRequested{Call: 2, InstanceID: "f2"}})), name)
+		assert.Empty(t, actionsOf[VerifyLeadership](core.Step(2, []Event{LeaseRequested{CallID: 2, InstanceID: "f2"}})), name)
 		c.verified.Seq = verify[0].Seq
 		actions := core.Step(3, []Event{c.verified})
-		assert.Equal(t, []LeaseAnswer{c.want}, actionsOf[LeaseAnswer](actions), name)
+		assert.Equal(t, []LeaseReply{c.want}, actionsOf[LeaseReply](actions), name)
 		assert.Len(t, actionsOf[VerifyLeadership](actions), 1, name)
 	}
 }
@@ -84,8 +84,8 @@
 // after the other, there may be one for a short time only.
 func TestLeaseRequestRetriesUntilGranted(t *testing.T) {
 	settings := DefaultSettings("f1", 5_000_000, false)
-	retryInterval := settings.LeaseInterval / 8
-	core := New(settings, State{})
+	retryInterval := settings.LeaseRenewalInterval / 8
+	core := NewCore(settings, State{})
 	requestsAt := func(now Micros) []RequestLease {
 		return actionsOf[RequestLease](core.Step(now, []Event{Tick{}}))
 	}
@@ -93,7 +93,7 @@
 	assert.Empty(t, requestsAt(retryInterval-1))
 	requests := requestsAt(retryInterval)
 	require.Len(t, requests, 1, "not requested again")
-	core.Step(retryInterval+1, []Event{LeaseAnswerReceived{Seq: requests[0].Seq, OK: true, Version: 1}})
-	assert.Empty(t, requestsAt(settings.LeaseInterval), "granted, and requested again at once")
-	assert.Len(t, requestsAt(retryInterval+settings.LeaseInterval), 1)
+	core.Step(retryInterval+1, []Event{LeaseReplyReceived{Seq: requests[0].Seq, OK: true, Version: 1}})
+	assert.Empty(t, requestsAt(settings.LeaseRenewalInterval), "granted, and requested again at once")
+	assert.Len(t, requestsAt(retryInterval+settings.LeaseRenewalInterval), 1)
 }
--- a/sharedconfig/encoding_test.go
+++ b/sharedconfig/encoding_test.go
@@ -11,13 +11,13 @@
 // TestEncodedNames checks the names in stored and sent data, which must not change with the names in the code.
 func TestEncodedNames(t *testing.T) {
 	change := Change{
-		Request: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, RestoredVersion: 6,
+		RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, RestoredVersion: 6,
 	}
 	version := Version{
-		Number: 2, Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, Request: "r", RestoredVersion: 6, Text: "t",
+		Number: 2, Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, RequestID: "r", RestoredVersion: 6, Text: "t",
 	}
-	member := Member{Name: "n1", DataDirectoryID: "f1", Addr: "a1", Voter: true}
-	outcome := Outcome{Request: "r", Status: Rejected, Version: 2, Instance: "n1", Reason: "no"}
+	member := Member{Name: "n1", InstanceID: "f1", Addr: "a1", Voter: true}
+	outcome := Outcome{RequestID: "r", Status: StatusRejected, Version: 2, RejectedBy: "n1", Reason: "no"}
 	const (
 		changeJSON  = `{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"why","at":5,"restores":6}`
 		versionJSON = `{"number":2,"digest":"d","author":"a","reason":"why","at":5,"request":"r","restores":6,"text":"t"}`
@@ -30,22 +30,22 @@
 		memberJSON:  member,
 		outcomeJSON: outcome,
 		`{"found":{"group":"g","keep":3,"first":` + changeJSON + `}}`: Entry{
-			Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 3, First: change},
+			Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 3, FirstChange: change},
 		},
 		`{"propose":` + changeJSON + `}`: Entry{Propose: &change},
 		`{"decide":{"request":"r","accept":true,"instance":"n1","why":"no"}}`: Entry{
-			Decide: &Decision{Request: "r", Accept: true, Instance: "n1", Reason: "no"},
+			Decide: &Decision{RequestID: "r", Accept: true, RejectedBy: "n1", Reason: "no"},
 		},
 		`{"retire":{"folder":"f1"}}`: Entry{Retire: &Retirement{InstanceID: "f1"}},
 		`{"group":"g","keep":3,"versions":[` + versionJSON + `],"pending":` + changeJSON +
 			`,"outcomes":[` + outcomeJSON + `],"retired":["f1"]}`: State{
-			GroupID: "g", MaxVersions: 3, Versions: []Version{version}, Pending: &change, Outcomes: []Outcome{outcome}, Retired: []string{"f1"},
+			GroupID: "g", MaxVersions: 3, Versions: []Version{version}, PendingChange: &change, Outcomes: []Outcome{outcome}, RetiredIDs: []string{"f1"},
 		},
 		`{"have":2,"digest":"d"}`: PollRequest{Version: 2, Digest: "d"},
 		`{"ok":true,"why":"no","group":"g","version":2,"left":7,"active":` + versionJSON + `,"voters":[` + memberJSON + `]}`: PollReply{
-			Seq: 9, OK: true, Reason: "no", Group: "g", Version: 2, LeaseRemaining: 7, Active: &version, Voters: []Member{member},
+			Seq: 9, OK: true, Reason: "no", GroupID: "g", Version: 2, LeaseRemaining: 7, Active: &version, Voters: []Member{member},
 		},
-		`{"Call":4,"OK":true,"Version":2,"Removed":true}`: LeaseAnswer{Call: 4, OK: true, Version: 2, Removed: true},
+		`{"Call":4,"OK":true,"Version":2,"Removed":true}`: LeaseReply{CallID: 4, OK: true, Version: 2, Removed: true},
 	} {
 		got, err := json.Marshal(value)
 		require.NoError(t, err)
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -17,15 +17,15 @@
 type Bootstrap struct {
 	GroupID     string `json:"group"`
 	MaxVersions int    `json:"keep"` // number of versions retained in the history
-	First       Change `json:"first"`
+	FirstChange Change `json:"first"`
 }
 
 // Decision commits or rejects the pending change.
 type Decision struct {
-	Request  string `json:"request"`
-	Accept   bool   `json:"accept"`
-	Instance string `json:"instance,omitempty"` // name of the instance that rejected it
-	Reason   string `json:"why,omitempty"`      // reason of a rejection
+	RequestID  string `json:"request"`
+	Accept     bool   `json:"accept"`
+	RejectedBy string `json:"instance,omitempty"` // name of the instance that rejected it
+	Reason     string `json:"why,omitempty"`      // reason of a rejection
 }
 
 // Retirement records the ID of a removed instance, which must never become a member again.
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -26,37 +26,37 @@
 
 // ChangeRequested is a caller's request for a change. It is answered by one Reply.
 type ChangeRequested struct {
-	Call   uint64
+	CallID uint64
 	Change Change
 }
 
 // AppendFailed reports that an entry was not appended to the log, or that its fate is unknown.
-type AppendFailed struct{ Request string }
+type AppendFailed struct{ RequestID string }
 
 // CheckResult is a member's answer to CheckChange.
 type CheckResult struct {
-	Request    string
+	RequestID  string
 	InstanceID string // instance ID of the member
 	Accepted   bool
-	TimedOut   bool   // the member did not answer; Accepted has no meaning then
+	NoReply    bool   // the member did not answer; Accepted has no meaning then
 	Reason     string // of a rejection or of a missing answer
 }
 
 // LeaseRequested is a member's request for a lease. It is answered by one LeaseAnswer.
 type LeaseRequested struct {
-	Call       uint64
+	CallID     uint64
 	InstanceID string // instance ID of the member
 }
 
-// LeadershipVerified is the answer to VerifyLeadership: whether a majority still took this instance for the leader of the term.
-type LeadershipVerified struct {
+// VerifyLeadershipResult is the answer to VerifyLeadership: whether a majority still took this instance for the leader of the term.
+type VerifyLeadershipResult struct {
 	Seq  uint64
 	OK   bool
 	Term uint64
 }
 
-// LeaseAnswerReceived is the leader's answer to RequestLease. The other fields have no meaning if OK is false.
-type LeaseAnswerReceived struct {
+// LeaseReplyReceived is the leader's answer to RequestLease. The other fields have no meaning if OK is false.
+type LeaseReplyReceived struct {
 	Seq     uint64
 	OK      bool
 	Version uint64 // version that the leader confirms
@@ -65,18 +65,18 @@
 
 // AddMemberRequested is a caller's request to add a member, or to change the address of one. It is answered by one Reply.
 type AddMemberRequested struct {
-	Call   uint64
+	CallID uint64
 	Member Member
 }
 
 // RemoveMemberRequested is a caller's request to remove a member. It is answered by one Reply.
 type RemoveMemberRequested struct {
-	Call uint64
-	Name string
+	CallID uint64
+	Name   string
 }
 
-// MembershipChanged is the answer to ChangeMembership: whether the new configuration was committed.
-type MembershipChanged struct {
+// ChangeMembershipResult is the answer to ChangeMembership: whether the new configuration was committed.
+type ChangeMembershipResult struct {
 	Seq    uint64
 	OK     bool
 	Reason string // why it was not committed, as far as known
@@ -93,7 +93,7 @@
 	Seq            uint64   `json:"-"`
 	OK             bool     `json:"ok"`
 	Reason         string   `json:"why,omitempty"`
-	Group          string   `json:"group,omitempty"`
+	GroupID        string   `json:"group,omitempty"`
 	Version        uint64   `json:"version,omitempty"` // active version, which the voter's lease covers
 	LeaseRemaining Micros   `json:"left,omitempty"`    // remaining duration of that lease on the voter's clock
 	Active         *Version `json:"active,omitempty"`  // nil: the poll named the same version
@@ -103,20 +103,20 @@
 // PollFailed reports that a voter did not answer a poll, or that its answer was invalid.
 type PollFailed struct{ Seq uint64 }
 
-func (EntriesApplied) event()        {}
-func (LeadershipChanged) event()     {}
-func (LeaderReady) event()           {}
-func (MemberList) event()            {}
-func (ChangeRequested) event()       {}
-func (AppendFailed) event()          {}
-func (CheckResult) event()           {}
-func (LeaseRequested) event()        {}
-func (LeadershipVerified) event()    {}
-func (LeaseAnswerReceived) event()   {}
-func (AddMemberRequested) event()    {}
-func (RemoveMemberRequested) event() {}
-func (MembershipChanged) event()     {}
-func (CaughtUp) event()              {}
-func (Tick) event()                  {}
-func (PollReply) event()             {}
-func (PollFailed) event()            {}
+func (EntriesApplied) event()         {}
+func (LeadershipChanged) event()      {}
+func (LeaderReady) event()            {}
+func (MemberList) event()             {}
+func (ChangeRequested) event()        {}
+func (AppendFailed) event()           {}
+func (CheckResult) event()            {}
+func (LeaseRequested) event()         {}
+func (VerifyLeadershipResult) event() {}
+func (LeaseReplyReceived) event()     {}
+func (AddMemberRequested) event()     {}
+func (RemoveMemberRequested) event()  {}
+func (ChangeMembershipResult) event() {}
+func (CaughtUp) event()               {}
+func (Tick) event()                   {}
+func (PollReply) event()              {}
+func (PollFailed) event()             {}
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -41,7 +41,7 @@
 		active:       last,
 		lease:        Lease{ServeWhenStale: settings.ServeWhenStale},
 		pendingPolls: map[uint64]pendingPoll{},
-		polledAt:     -settings.LeaseInterval,
+		polledAt:     -settings.LeaseRenewalInterval,
 		failedAt:     map[string]Micros{},
 	}
 	for _, addr := range voters {
@@ -53,8 +53,8 @@
 // Active returns the latest version that this instance knows.
 func (f *Follower) Active() Version { return f.active }
 
-// Group returns the ID of the group that this instance follows. It is empty before the first reply.
-func (f *Follower) Group() string { return f.group }
+// GroupID returns the ID of the group that this instance follows. It is empty before the first reply.
+func (f *Follower) GroupID() string { return f.group }
 
 // Voters returns the known voters in this instance's order of preference.
 func (f *Follower) Voters() []Member { return f.votersByPreference() }
@@ -93,9 +93,9 @@
 func (f *Follower) pollInterval() Micros {
 	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Covers(f.now, f.active.Number)
 	if isCurrent {
-		return f.settings.LeaseInterval
+		return f.settings.LeaseRenewalInterval
 	}
-	return f.settings.LeaseInterval / pollRetryDivisor
+	return f.settings.LeaseRenewalInterval / pollRetryDivisor
 }
 
 // expirePolls marks voters as failed that have not answered within half a lease interval. A poll older than the
@@ -104,7 +104,7 @@
 	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
 		pending := f.pendingPolls[seq]
 		age := f.now - pending.sentAt
-		if age >= f.settings.LeaseInterval/2 {
+		if age >= f.settings.LeaseRenewalInterval/2 {
 			f.markFailed(pending.voter)
 		}
 		if age >= f.settings.StalenessBound {
@@ -142,11 +142,11 @@
 		return
 	}
 	isFirstReply := f.group == ""
-	if !isFirstReply && e.Group != f.group {
-		f.rejectGroup(pending.voter, e.Group)
+	if !isFirstReply && e.GroupID != f.group {
+		f.rejectGroup(pending.voter, e.GroupID)
 		return
 	}
-	f.group = e.Group
+	f.group = e.GroupID
 	if len(e.Voters) > 0 {
 		f.knownVoters = e.Voters
 	}
--- a/sharedconfig/follower_test.go
+++ b/sharedconfig/follower_test.go
@@ -23,7 +23,7 @@
 	return PollReply{
 		Seq:            seq,
 		OK:             true,
-		Group:          group,
+		GroupID:        group,
 		Version:        version,
 		LeaseRemaining: modelStalenessBound,
 		Active:         &Version{Number: version, Digest: "d"},
@@ -56,7 +56,7 @@
 		require.NotEqual(t, second.Voter.Addr, third.Voter.Addr)
 		failedOverTo[third.Voter.Addr]++
 
-		late := PollReply{Seq: second.Seq, OK: true, Group: "g", Version: 3, LeaseRemaining: bound}
+		late := PollReply{Seq: second.Seq, OK: true, GroupID: "g", Version: 3, LeaseRemaining: bound}
 		require.Empty(t, f.Step(201_000, []Event{late}), "a poll counts once")
 
 		stepForPoll(f, 300_000, grantingReply(third.Seq, "other", 9, nil))
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -73,9 +73,9 @@
 	return l
 }
 
-// Reason returns, in words, why an instance does not serve a version or serves it without a valid grant. It is empty if
+// NotCoveredReason returns, in words, why an instance does not serve a version or serves it without a valid grant. It is empty if
 // a grant covers the version.
-func (l Lease) Reason(now Micros, version uint64) string {
+func (l Lease) NotCoveredReason(now Micros, version uint64) string {
 	switch {
 	case l.Removed:
 		return "this instance was removed from its group"
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -24,12 +24,12 @@
 func (c *Core) leaseRequestInterval() Micros {
 	_, isPending := c.leaseRequests[c.lastLeaseRequest]
 	if isPending || c.lastLeaseRequest == 0 {
-		return c.settings.LeaseInterval / leaseRetryDivisor
+		return c.settings.LeaseRenewalInterval / leaseRetryDivisor
 	}
-	return c.settings.LeaseInterval
+	return c.settings.LeaseRenewalInterval
 }
 
-func (c *Core) handleLeaseGranted(e LeaseAnswerReceived) {
+func (c *Core) handleLeaseGranted(e LeaseReplyReceived) {
 	requestedAt, isPending := c.leaseRequests[e.Seq]
 	if !isPending || !e.OK {
 		return
@@ -53,7 +53,7 @@
 // request and would not count for it.
 func (c *Core) handleLeaseRequested(e LeaseRequested) {
 	if !c.leading || !c.ready {
-		c.emit(LeaseAnswer{Call: e.Call})
+		c.emit(LeaseReply{CallID: e.CallID})
 		return
 	}
 	c.lastRequestFrom[e.InstanceID] = c.now
@@ -76,15 +76,15 @@
 
 // handleVerified answers the lease requests that waited for the verification. It confirms the version that was active
 // when the verification began.
-func (c *Core) handleVerified(e LeadershipVerified) {
+func (c *Core) handleVerified(e VerifyLeadershipResult) {
 	if e.Seq != c.verificationSeq {
 		return
 	}
 	isLeader := e.OK && e.Term == c.term
 	for _, request := range c.verifyingLeases {
-		answer := LeaseAnswer{Call: request.Call}
+		answer := LeaseReply{CallID: request.CallID}
 		if isLeader && c.verifyingVersion > 0 {
-			_, isMember := c.findMember(func(m Member) bool { return m.DataDirectoryID == request.InstanceID })
+			_, isMember := c.findMember(func(m Member) bool { return m.InstanceID == request.InstanceID })
 			answer.Version = c.verifyingVersion
 			answer.Removed = c.state.IsRetired(request.InstanceID)
 			answer.OK = isMember || answer.Removed
--- a/sharedconfig/lease_test.go
+++ b/sharedconfig/lease_test.go
@@ -48,6 +48,6 @@
 		"this instance was removed from its group":                    {Removed: true},
 		"nobody has confirmed that version 2 is still the active one": {},
 	} {
-		assert.Equal(t, reason, lease.Reason(9, 2))
+		assert.Equal(t, reason, lease.NotCoveredReason(9, 2))
 	}
 }
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -21,18 +21,18 @@
 	current, known := c.findMember(func(m Member) bool { return m.Name == member.Name })
 	occupant, occupied := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
-	case !c.acceptMembershipRequest(e.Call):
-	case c.state.IsRetired(member.DataDirectoryID):
-		c.reject(e.Call, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
-	case known && current.DataDirectoryID != member.DataDirectoryID:
-		c.reject(e.Call, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
+	case !c.acceptMembershipRequest(e.CallID):
+	case c.state.IsRetired(member.InstanceID):
+		c.reject(e.CallID, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
+	case known && current.InstanceID != member.InstanceID:
+		c.reject(e.CallID, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
 	case occupied:
-		c.reject(e.Call, "%s is the address of %s", member.Addr, occupant.Name)
+		c.reject(e.CallID, "%s is the address of %s", member.Addr, occupant.Name)
 	case known && current.Addr == member.Addr && current.Voter:
-		c.emit(Reply{Call: e.Call, Outcome: Outcome{Status: Done, Reason: member.Name + " is a member already"}})
+		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is a member already"}})
 	default:
 		member.Voter = known && current.Voter
-		c.beginMembershipChange(membershipChange{call: e.Call, member: member})
+		c.beginMembershipChange(membershipChange{call: e.CallID, member: member})
 		c.submitMembershipChange()
 	}
 }
@@ -43,17 +43,17 @@
 	member, known := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
-	case !c.acceptMembershipRequest(e.Call):
+	case !c.acceptMembershipRequest(e.CallID):
 	case !known:
-		c.reject(e.Call, "there is no instance %s", e.Name)
+		c.reject(e.CallID, "there is no instance %s", e.Name)
 	case member.Voter && remaining == 0:
-		c.reject(e.Call, "%s is the last instance with a vote", member.Name)
-	case member.Voter && c.reachableVoters(member.DataDirectoryID) <= remaining/2:
-		c.reject(e.Call, "without %s no majority would be reachable: %d of %d",
-			member.Name, c.reachableVoters(member.DataDirectoryID), remaining)
+		c.reject(e.CallID, "%s is the last instance with a vote", member.Name)
+	case member.Voter && c.reachableVoters(member.InstanceID) <= remaining/2:
+		c.reject(e.CallID, "without %s no majority would be reachable: %d of %d",
+			member.Name, c.reachableVoters(member.InstanceID), remaining)
 	default:
-		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
-		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.DataDirectoryID}}})
+		c.beginMembershipChange(membershipChange{call: e.CallID, member: member, remove: true})
+		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.InstanceID}}})
 		c.submitMembershipChange()
 	}
 }
@@ -62,22 +62,22 @@
 func (c *Core) acceptMembershipRequest(call uint64) bool {
 	switch {
 	case !c.leading || !c.ready:
-		c.emit(Reply{Call: call, Outcome: Outcome{Reason: reasonNotLeader}})
+		c.emit(Reply{CallID: call, Outcome: Outcome{Reason: reasonNotLeader}})
 		return false
 	case c.membershipChange != nil:
 		reason := "the change of " + c.membershipChange.member.Name + " is under way"
-		c.emit(Reply{Call: call, Outcome: Outcome{Status: Busy, Reason: reason}})
+		c.emit(Reply{CallID: call, Outcome: Outcome{Status: StatusBusy, Reason: reason}})
 		return false
 	}
 	return true
 }
 
 func (c *Core) reject(call uint64, format string, args ...any) {
-	c.emit(Reply{Call: call, Outcome: Outcome{Status: Rejected, Reason: fmt.Sprintf(format, args...)}})
+	c.emit(Reply{CallID: call, Outcome: Outcome{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}})
 }
 
 func (c *Core) beginMembershipChange(change membershipChange) {
-	change.deadline = c.now + c.settings.CatchUpTimeout
+	change.deadline = c.now + c.settings.MembershipChangeTimeout
 	c.membershipChange = &change
 }
 
@@ -88,16 +88,16 @@
 	c.emit(ChangeMembership{Seq: change.seq, Member: change.member, Remove: change.remove})
 }
 
-func (c *Core) handleMembershipChanged(e MembershipChanged) {
+func (c *Core) handleMembershipChanged(e ChangeMembershipResult) {
 	change := c.membershipChange
 	if change == nil || change.seq != e.Seq {
 		return
 	}
 	switch {
 	case !e.OK: // it may have been committed nevertheless
-		c.finishMembershipChange(Unknown, e.Reason)
+		c.finishMembershipChange(StatusUnknown, e.Reason)
 	case change.remove || change.member.Voter:
-		c.finishMembershipChange(Done, "")
+		c.finishMembershipChange(StatusDone, "")
 	default: // the new member has yet to catch up
 		change.seq = 0
 	}
@@ -107,7 +107,7 @@
 	if c.membershipChange == nil {
 		return
 	}
-	c.emit(Reply{Call: c.membershipChange.call, Outcome: Outcome{Status: status, Reason: reason}})
+	c.emit(Reply{CallID: c.membershipChange.call, Outcome: Outcome{Status: status, Reason: reason}})
 	c.membershipChange = nil
 }
 
@@ -115,7 +115,7 @@
 // that an earlier leader began with. It also ends a membership change after its deadline.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
-		isRetired := c.state.IsRetired(member.DataDirectoryID)
+		isRetired := c.state.IsRetired(member.InstanceID)
 		if isRetired && c.membershipChange == nil {
 			c.beginMembershipChange(membershipChange{member: member, remove: true})
 			c.submitMembershipChange()
@@ -129,11 +129,11 @@
 
 // requestCatchUp asks a member without a vote to report when it has caught up, again after each check timeout.
 func (c *Core) requestCatchUp(member Member) {
-	requestedAt, requested := c.catchUpRequestedAt[member.DataDirectoryID]
+	requestedAt, requested := c.catchUpRequestedAt[member.InstanceID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
 		return
 	}
-	c.catchUpRequestedAt[member.DataDirectoryID] = c.now
+	c.catchUpRequestedAt[member.InstanceID] = c.now
 	c.emit(WaitForCatchUp{Member: member})
 }
 
@@ -146,13 +146,13 @@
 	if change.seq == 0 {
 		reason = change.member.Name + " is a member and has no vote yet: it has not caught up in time and gets one as soon as it has"
 	}
-	c.finishMembershipChange(Unknown, reason)
+	c.finishMembershipChange(StatusUnknown, reason)
 }
 
 // handleCaughtUp gives a member a vote. If another membership change is in progress, the member is asked again later.
 func (c *Core) handleCaughtUp(e CaughtUp) {
-	member, isMember := c.findMember(func(m Member) bool { return m.DataDirectoryID == e.InstanceID })
-	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.DataDirectoryID) {
+	member, isMember := c.findMember(func(m Member) bool { return m.InstanceID == e.InstanceID })
+	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
 		return
 	}
 	member.Voter = true
@@ -160,7 +160,7 @@
 	switch {
 	case change == nil: // an earlier leader added it
 		c.beginMembershipChange(membershipChange{member: member})
-	case change.seq == 0 && change.member.DataDirectoryID == member.DataDirectoryID:
+	case change.seq == 0 && change.member.InstanceID == member.InstanceID:
 		change.member = member
 	default:
 		return
@@ -174,12 +174,12 @@
 func (c *Core) reachableVoters(except string) int {
 	count := 0
 	for _, member := range c.members {
-		if !member.Voter || member.DataDirectoryID == except {
+		if !member.Voter || member.InstanceID == except {
 			continue
 		}
-		requestedAt, hasRequested := c.lastRequestFrom[member.DataDirectoryID]
-		isRecent := hasRequested && requestedAt+c.settings.ReachableFor > c.now
-		if member.DataDirectoryID == c.settings.InstanceID || isRecent {
+		requestedAt, hasRequested := c.lastRequestFrom[member.InstanceID]
+		isRecent := hasRequested && requestedAt+c.settings.ReachabilityTimeout > c.now
+		if member.InstanceID == c.settings.InstanceID || isRecent {
 			count++
 		}
 	}
--- a/sharedconfig/membership_test.go
+++ b/sharedconfig/membership_test.go
@@ -8,10 +8,10 @@
 )
 
 func addRequest(name, instanceID, addr string) Event {
-	return AddMemberRequested{Call: 1, Member: Member{Name: name, DataDirectoryID: instanceID, Addr: addr}}
+	return AddMemberRequested{CallID: 1, Member: Member{Name: name, InstanceID: instanceID, Addr: addr}}
 }
 
-func removeRequest(name string) Event { return RemoveMemberRequested{Call: 1, Name: name} }
+func removeRequest(name string) Event { return RemoveMemberRequested{CallID: 1, Name: name} }
 
 func TestMembershipRequests(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -54,7 +54,7 @@
 	} {
 		core := newLeader()
 		state := core.State()
-		state.Retired = []string{"f7"}
+		state.RetiredIDs = []string{"f7"}
 		actions := core.Step(5_000_000, []Event{EntriesApplied{State: state}, c.request})
 		changes, replies := actionsOf[ChangeMembership](actions), actionsOf[Reply](actions)
 		if c.want == "" {
@@ -62,7 +62,7 @@
 			assert.Empty(t, replies, name)
 			second := actionsOf[Reply](core.Step(5_000_001, []Event{addRequest("n5", "f5", "a5")}))
 			require.Len(t, second, 1, name)
-			assert.Equal(t, Busy, second[0].Outcome.Status, name)
+			assert.Equal(t, StatusBusy, second[0].Outcome.Status, name)
 		} else if assert.Len(t, replies, 1, name) {
 			assert.Equal(t, c.want, replies[0].Outcome.Reason, name)
 			assert.Empty(t, changes, name)
@@ -75,7 +75,7 @@
 func TestNewLeaderCompletesMembershipChanges(t *testing.T) {
 	core := newLeader()
 	state := core.State()
-	state.Retired = []string{"f2"}
+	state.RetiredIDs = []string{"f2"}
 	changes := actionsOf[ChangeMembership](core.Step(5_000_000, []Event{EntriesApplied{State: state}}))
 	require.Len(t, changes, 1)
 	assert.True(t, changes[0].Remove)
--- a/sharedconfig/model_faults_test.go
+++ b/sharedconfig/model_faults_test.go
@@ -42,7 +42,7 @@
 	change := m.newChange(m.stateAfter(len(m.log)).Active().Number)
 	if m.rng.IntN(4) == 0 && m.nextID > 3 {
 		change = m.calls[uint64(m.rng.IntN(int(m.nextID-2))+1)]
-		if change.Request == "" {
+		if change.RequestID == "" {
 			return
 		}
 	}
@@ -53,19 +53,19 @@
 		to = m.leader
 	}
 	n := m.nodes[to]
-	n.events = append(n.events, ChangeRequested{Call: call, Change: change})
+	n.events = append(n.events, ChangeRequested{CallID: call, Change: change})
 	if m.rng.IntN(3) == 0 {
 		m.nextID++
 		competing := m.newChange(change.ExpectedVersion)
 		m.calls[m.nextID] = competing
-		n.events = append(n.events, ChangeRequested{Call: m.nextID, Change: competing})
+		n.events = append(n.events, ChangeRequested{CallID: m.nextID, Change: competing})
 	}
 }
 
 // newChange returns a change for the latest ID.
 func (m *model) newChange(expectedVersion uint64) Change {
 	return Change{
-		Request:         fmt.Sprint("r", m.nextID),
+		RequestID:       fmt.Sprint("r", m.nextID),
 		Text:            fmt.Sprint(m.nextID),
 		Digest:          fmt.Sprint(m.nextID),
 		ExpectedVersion: expectedVersion,
--- a/sharedconfig/model_followers_test.go
+++ b/sharedconfig/model_followers_test.go
@@ -71,7 +71,7 @@
 		if n.partitioned && m.rng.IntN(2) == 0 {
 			return
 		}
-		reply := AnswerPoll(n.State(), n.Lease(), m.now+n.clockOffset, m.members, a.Request)
+		reply := NewPollReply(n.State(), n.Lease(), m.now+n.clockOffset, m.members, a.Request)
 		reply.Seq = a.Seq
 		m.send(i, 0, func(*modelNode) {
 			if f.Follower == sender {
--- a/sharedconfig/model_invariants_test.go
+++ b/sharedconfig/model_invariants_test.go
@@ -32,17 +32,17 @@
 		requireDistinctRequests(t, seed, final.Versions)
 		for call, outcome := range m.replies {
 			switch outcome.Status {
-			case Unknown:
+			case StatusUnknown:
 				unknown++
 				continue
-			case Done:
+			case StatusDone:
 				done++
-			case Rejected, Conflict:
+			case StatusRejected, StatusConflict:
 				refused++
 			default:
 				t.Fatalf("seed %d: call %d was answered %v", seed, call, outcome)
 			}
-			recorded := final.Outcome(m.calls[call].Request)
+			recorded := final.Outcome(m.calls[call].RequestID)
 			require.Equal(t, recorded, outcome, "seed %d: the answer to call %d was not true", seed, call)
 		}
 		for _, n := range m.nodes {
@@ -61,8 +61,8 @@
 	t.Helper()
 	count := map[string]int{}
 	for _, version := range versions {
-		count[version.Request]++
-		require.Equal(t, 1, count[version.Request], "seed %d: change %s was made twice", seed, version.Request)
+		count[version.RequestID]++
+		require.Equal(t, 1, count[version.RequestID], "seed %d: change %s was made twice", seed, version.RequestID)
 	}
 }
 
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -69,11 +69,11 @@
 		replies:          map[uint64]Outcome{},
 		leaseRequestSeqs: map[uint64]uint64{},
 	}
-	m.commit(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
+	m.commit(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 50, FirstChange: Change{RequestID: "first", Text: "0", Digest: "0"}}})
 	for i := range nodeCount {
 		name := fmt.Sprint("n", i)
 		instanceID := fmt.Sprint("f", i)
-		m.members = append(m.members, Member{Name: name, DataDirectoryID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
+		m.members = append(m.members, Member{Name: name, InstanceID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
 		m.nodes = append(m.nodes, newModelNode(name, instanceID, Micros(m.rng.IntN(maxClockOffset))))
 	}
 	return m
@@ -81,7 +81,7 @@
 
 func newModelNode(name, instanceID string, clockOffset Micros) *modelNode {
 	return &modelNode{
-		Core:        New(DefaultSettings(instanceID, modelStalenessBound, false), State{}),
+		Core:        NewCore(DefaultSettings(instanceID, modelStalenessBound, false), State{}),
 		name:        name,
 		instanceID:  instanceID,
 		clockOffset: clockOffset,
@@ -213,18 +213,18 @@
 		m.sendCheck(i, a)
 	case RequestLease:
 		m.sendLeaseRequest(i, a)
-	case LeaseAnswer:
+	case LeaseReply:
 		m.sendLeaseAnswer(i, a)
 	case VerifyLeadership:
-		verified := LeadershipVerified{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
+		verified := VerifyLeadershipResult{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
 		m.send(i, 0, func(n *modelNode) { n.events = append(n.events, verified) })
 	case Activate:
 		n.version = a.Version.Number
 	case Reply:
-		if _, answered := m.replies[a.Call]; answered {
-			m.t.Fatalf("call %d was answered twice", a.Call)
+		if _, answered := m.replies[a.CallID]; answered {
+			m.t.Fatalf("call %d was answered twice", a.CallID)
 		}
-		m.replies[a.Call] = a.Outcome
+		m.replies[a.CallID] = a.Outcome
 	}
 }
 
@@ -240,7 +240,7 @@
 		return
 	}
 	m.send(i, 0, func(n *modelNode) {
-		n.events = append(n.events, AppendFailed{Request: a.Request}, LeadershipChanged{Leading: false, Term: m.term})
+		n.events = append(n.events, AppendFailed{RequestID: a.RequestID}, LeadershipChanged{Leading: false, Term: m.term})
 	})
 	if leads {
 		m.elect()
@@ -249,12 +249,12 @@
 
 func (m *model) sendCheck(i int, a CheckChange) {
 	for j, n := range m.nodes {
-		if n.instanceID != a.Member.DataDirectoryID {
+		if n.instanceID != a.Member.InstanceID {
 			continue
 		}
 		m.sendBetween(i, j, func(n *modelNode) {
 			result := CheckResult{
-				Request:    a.Change.Request,
+				RequestID:  a.Change.RequestID,
 				InstanceID: n.instanceID,
 				Accepted:   !n.rejectsChanges,
 				Reason:     "no",
@@ -281,13 +281,13 @@
 	m.leaseRequestSeqs[call] = a.Seq
 	sender := m.nodes[i]
 	m.sendBetween(i, to, func(n *modelNode) {
-		n.events = append(n.events, LeaseRequested{Call: call, InstanceID: sender.instanceID})
+		n.events = append(n.events, LeaseRequested{CallID: call, InstanceID: sender.instanceID})
 	})
 }
 
-func (m *model) sendLeaseAnswer(i int, a LeaseAnswer) {
-	to := int(a.Call % 100)
-	granted := LeaseAnswerReceived{Seq: m.leaseRequestSeqs[a.Call], OK: a.OK, Version: a.Version, Removed: a.Removed}
+func (m *model) sendLeaseAnswer(i int, a LeaseReply) {
+	to := int(a.CallID % 100)
+	granted := LeaseReplyReceived{Seq: m.leaseRequestSeqs[a.CallID], OK: a.OK, Version: a.Version, Removed: a.Removed}
 	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, granted) })
 }
 
--- a/sharedconfig/poll.go
+++ b/sharedconfig/poll.go
@@ -8,16 +8,16 @@
 	Digest  string `json:"digest"` // of that version
 }
 
-// AnswerPoll returns a voter's reply to a poll: the active version and the rest of the voter's lease, if that covers the
+// NewPollReply returns a voter's reply to a poll: the active version and the rest of the voter's lease, if that covers the
 // version. The caller must read the state before the lease: a grant for a newer version does not cover an older one.
-func AnswerPoll(state State, lease Lease, now Micros, members []Member, request PollRequest) PollReply {
+func NewPollReply(state State, lease Lease, now Micros, members []Member, request PollRequest) PollReply {
 	active := state.Active()
 	if !lease.Covers(now, active.Number) {
-		return PollReply{Reason: cmp.Or(lease.Reason(now, active.Number), "no lease")}
+		return PollReply{Reason: cmp.Or(lease.NotCoveredReason(now, active.Number), "no lease")}
 	}
 	reply := PollReply{
 		OK:             true,
-		Group:          state.GroupID,
+		GroupID:        state.GroupID,
 		Version:        active.Number,
 		LeaseRemaining: lease.ExpiresAt(active.Number) - now,
 	}
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -2,15 +2,15 @@
 
 // Settings are the parameters of a Core or Follower.
 type Settings struct {
-	InstanceID     string // identifies the instance by its data directory, for as long as that exists
-	StalenessBound Micros // how long a version may be served after it was replaced
-	ServeWhenStale bool   // keep serving without a lease instead of rejecting queries
-	Removed        bool   // the instance learned before that it was removed from the group
-	LeaseInterval  Micros // time between two lease requests
-	CheckTimeout   Micros // how long members have to check a change
-	CatchUpTimeout Micros // how long a membership change may take, including a new member's catching up with the log
-	ReachableFor   Micros // a member counts as reachable for this long after a lease request
-	ChangeTimeout  Micros // how long a caller waits for the decision on a change
+	InstanceID              string // identifies the instance by its data directory, for as long as that exists
+	StalenessBound          Micros // how long a version may be served after it was replaced
+	ServeWhenStale          bool   // keep serving without a lease instead of rejecting queries
+	Removed                 bool   // the instance learned before that it was removed from the group
+	LeaseRenewalInterval    Micros // time between two lease requests
+	CheckTimeout            Micros // how long members have to check a change
+	MembershipChangeTimeout Micros // how long a membership change may take, including a new member's catching up with the log
+	ReachabilityTimeout     Micros // a member counts as reachable for this long after a lease request
+	ChangeTimeout           Micros // how long a caller waits for the decision on a change
 }
 
 // Bounds and defaults of Settings that DefaultSettings derives.
@@ -27,13 +27,13 @@
 // DefaultSettings returns the settings of an instance for a staleness bound.
 func DefaultSettings(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
 	return Settings{
-		InstanceID:     instanceID,
-		StalenessBound: stalenessBound,
-		ServeWhenStale: serveWhenStale,
-		LeaseInterval:  min(max(stalenessBound/10, minLeaseInterval), maxLeaseInterval),
-		CheckTimeout:   defaultCheckTimeout,
-		CatchUpTimeout: defaultCatchUpTimeout,
-		ReachableFor:   max(2*stalenessBound/5, minReachableFor),
-		ChangeTimeout:  defaultChangeTimeout,
+		InstanceID:              instanceID,
+		StalenessBound:          stalenessBound,
+		ServeWhenStale:          serveWhenStale,
+		LeaseRenewalInterval:    min(max(stalenessBound/10, minLeaseInterval), maxLeaseInterval),
+		CheckTimeout:            defaultCheckTimeout,
+		MembershipChangeTimeout: defaultCatchUpTimeout,
+		ReachabilityTimeout:     max(2*stalenessBound/5, minReachableFor),
+		ChangeTimeout:           defaultChangeTimeout,
 	}
 }
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -17,12 +17,12 @@
 // State is the result of the log's entries up to a point. Methods return new states and never modify what a state
 // refers to, so a copy stays valid.
 type State struct {
-	GroupID     string    `json:"group"`    // ID of the group; empty before the bootstrap
-	MaxVersions int       `json:"keep"`     // number of versions retained
-	Versions    []Version `json:"versions"` // by ascending number; the last one is active
-	Pending     *Change   `json:"pending,omitempty"`
-	Outcomes    []Outcome `json:"outcomes"`          // of the latest changes, in the order of their decisions
-	Retired     []string  `json:"retired,omitempty"` // IDs of removed instances
+	GroupID       string    `json:"group"`    // ID of the group; empty before the bootstrap
+	MaxVersions   int       `json:"keep"`     // number of versions retained
+	Versions      []Version `json:"versions"` // by ascending number; the last one is active
+	PendingChange *Change   `json:"pending,omitempty"`
+	Outcomes      []Outcome `json:"outcomes"`          // of the latest changes, in the order of their decisions
+	RetiredIDs    []string  `json:"retired,omitempty"` // IDs of removed instances
 }
 
 // Active returns the active version. Its number is 0 before the bootstrap.
@@ -46,19 +46,19 @@
 
 // Outcome returns the outcome of a request. Its status is Unknown if the request is not known or no longer retained.
 func (s State) Outcome(request string) Outcome {
-	if s.Pending != nil && s.Pending.Request == request {
-		return Outcome{Request: request, Status: Pending}
+	if s.PendingChange != nil && s.PendingChange.RequestID == request {
+		return Outcome{RequestID: request, Status: StatusPending}
 	}
 	for _, outcome := range slices.Backward(s.Outcomes) {
-		if outcome.Request == request {
+		if outcome.RequestID == request {
 			return outcome
 		}
 	}
-	return Outcome{Request: request}
+	return Outcome{RequestID: request}
 }
 
 // IsRetired reports whether the instance of the given ID was removed from the group.
-func (s State) IsRetired(instanceID string) bool { return slices.Contains(s.Retired, instanceID) }
+func (s State) IsRetired(instanceID string) bool { return slices.Contains(s.RetiredIDs, instanceID) }
 
 // Apply returns the state after an entry and the outcome of the change that the entry concerns, if any.
 //
@@ -69,55 +69,55 @@
 	case e.Bootstrap != nil && len(s.Versions) == 0:
 		s.GroupID = e.Bootstrap.GroupID
 		s.MaxVersions = max(minRetainedVersions, e.Bootstrap.MaxVersions)
-		return s.activate(e.Bootstrap.First)
+		return s.activate(e.Bootstrap.FirstChange)
 	case e.Propose != nil && len(s.Versions) > 0:
 		return s.propose(*e.Propose)
 	case e.Decide != nil:
 		return s.decide(*e.Decide)
 	case e.Retire != nil && !s.IsRetired(e.Retire.InstanceID):
-		s.Retired = append(slices.Clip(s.Retired), e.Retire.InstanceID)
+		s.RetiredIDs = append(slices.Clip(s.RetiredIDs), e.Retire.InstanceID)
 	}
 	return s, Outcome{}
 }
 
 func (s State) propose(change Change) (State, Outcome) {
-	if known := s.Outcome(change.Request); known.Status != Unknown {
+	if known := s.Outcome(change.RequestID); known.Status != StatusUnknown {
 		return s, known
 	}
-	outcome := Outcome{Request: change.Request}
+	outcome := Outcome{RequestID: change.RequestID}
 	active := s.Active()
 	switch {
-	case s.Pending != nil: // not recorded, so that the request may be repeated
-		outcome.Status = Busy
-		outcome.Reason = "change " + s.Pending.Request + " is under way"
+	case s.PendingChange != nil: // not recorded, so that the request may be repeated
+		outcome.Status = StatusBusy
+		outcome.Reason = "change " + s.PendingChange.RequestID + " is under way"
 		return s, outcome
 	case change.ExpectedVersion != active.Number:
-		outcome.Status = Conflict
+		outcome.Status = StatusConflict
 		outcome.Reason = fmt.Sprintf("version %d is active and not %d", active.Number, change.ExpectedVersion)
 		return s.recordOutcome(outcome), outcome
 	case change.Digest == active.Digest && change.Text == active.Text:
-		outcome.Status = Done
+		outcome.Status = StatusDone
 		outcome.Version = active.Number
 		outcome.Reason = "nothing to change"
 		return s.recordOutcome(outcome), outcome
 	}
-	s.Pending = &change
-	outcome.Status = Pending
+	s.PendingChange = &change
+	outcome.Status = StatusPending
 	return s, outcome
 }
 
 func (s State) decide(decision Decision) (State, Outcome) {
-	if s.Pending == nil || s.Pending.Request != decision.Request {
-		return s, s.Outcome(decision.Request)
+	if s.PendingChange == nil || s.PendingChange.RequestID != decision.RequestID {
+		return s, s.Outcome(decision.RequestID)
 	}
-	change := *s.Pending
-	s.Pending = nil
+	change := *s.PendingChange
+	s.PendingChange = nil
 	if !decision.Accept {
 		outcome := Outcome{
-			Request:  decision.Request,
-			Status:   Rejected,
-			Instance: decision.Instance,
-			Reason:   decision.Reason,
+			RequestID:  decision.RequestID,
+			Status:     StatusRejected,
+			RejectedBy: decision.RejectedBy,
+			Reason:     decision.Reason,
 		}
 		return s.recordOutcome(outcome), outcome
 	}
@@ -131,12 +131,12 @@
 		Author:          change.Author,
 		Reason:          change.Reason,
 		RequestedAt:     change.RequestedAt,
-		Request:         change.Request,
+		RequestID:       change.RequestID,
 		RestoredVersion: change.RestoredVersion,
 		Text:            change.Text,
 	}
 	s.Versions = appendBounded(s.Versions, version, s.MaxVersions)
-	outcome := Outcome{Request: change.Request, Status: Done, Version: version.Number}
+	outcome := Outcome{RequestID: change.RequestID, Status: StatusDone, Version: version.Number}
 	return s.recordOutcome(outcome), outcome
 }
 
@@ -159,8 +159,8 @@
 // retired. A pending change is dropped, since the members that had to check it are gone.
 func (s State) Recover(group string, retired []string) State {
 	s.GroupID = group
-	s.Pending = nil
-	s.Retired = append(slices.Clip(s.Retired), retired...)
+	s.PendingChange = nil
+	s.RetiredIDs = append(slices.Clip(s.RetiredIDs), retired...)
 	return s
 }
 
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -14,8 +14,8 @@
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := rapid.IntRange(2, 5).Draw(t, "keep")
-		first := Change{Request: "first", Text: "0", Digest: "0"}
-		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: keep, First: first}})
+		first := Change{RequestID: "first", Text: "0", Digest: "0"}
+		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: keep, FirstChange: first}})
 		reported := map[string]Outcome{}
 		made := map[string]bool{"first": true}
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
@@ -27,12 +27,12 @@
 			require.LessOrEqual(t, len(next.Versions), keep)
 			require.Equal(t, "g", next.GroupID)
 			requireValidActivation(t, state, next, entry, made)
-			if outcome.Status == Done || outcome.Status == Rejected || outcome.Status == Conflict {
-				if earlier, known := reported[outcome.Request]; known {
+			if outcome.Status == StatusDone || outcome.Status == StatusRejected || outcome.Status == StatusConflict {
+				if earlier, known := reported[outcome.RequestID]; known {
 					require.Equal(t, earlier, outcome)
 				}
-				reported[outcome.Request] = outcome
-				require.Equal(t, outcome, next.Outcome(outcome.Request))
+				reported[outcome.RequestID] = outcome
+				require.Equal(t, outcome, next.Outcome(outcome.RequestID))
 			}
 			state = next
 		}
@@ -45,9 +45,9 @@
 	case 0, 1:
 		text := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "text"))
 		expect := state.Active().Number - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
-		return Entry{Propose: &Change{Request: request, Text: text, Digest: text, ExpectedVersion: expect}}
+		return Entry{Propose: &Change{RequestID: request, Text: text, Digest: text, ExpectedVersion: expect}}
 	case 2:
-		return Entry{Decide: &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Reason: "no"}}
+		return Entry{Decide: &Decision{RequestID: request, Accept: rapid.Bool().Draw(t, "accept"), Reason: "no"}}
 	default:
 		return Entry{Bootstrap: &Bootstrap{GroupID: "other"}}
 	}
@@ -60,10 +60,10 @@
 	switch active.Number {
 	case state.Active().Number:
 	case state.Active().Number + 1:
-		require.False(t, made[active.Request], "made twice")
-		committed := entry.Decide != nil && entry.Decide.Accept && state.Pending != nil && state.Pending.Request == active.Request
+		require.False(t, made[active.RequestID], "made twice")
+		committed := entry.Decide != nil && entry.Decide.Accept && state.PendingChange != nil && state.PendingChange.RequestID == active.RequestID
 		require.True(t, committed, "active without both entries")
-		made[active.Request] = true
+		made[active.RequestID] = true
 	default:
 		t.Fatalf("version %d follows %d", active.Number, state.Active().Number)
 	}
