--- a/document/document_test.go
+++ b/document/document_test.go
@@ -114,7 +114,7 @@
 }
 
 // The shared text of an instance's file parses as a document of the same meaning.
-func TestShared(t *testing.T) {
+func TestSharedText(t *testing.T) {
 	f := inifile.Read("file", "[instance]\nid = n1\n"+validText+"[log]\nlevel = info\n")
 	require.NoError(t, f.Err())
 	text := SharedText(f)
--- a/document/parse.go
+++ b/document/parse.go
@@ -24,8 +24,8 @@
 	maxDuration = time.Hour
 )
 
-// idempotencies maps the values of the setting "effect".
-var idempotencies = map[string]policy.Idempotency{
+// idempotencyByEffect maps the values of the setting "effect".
+var idempotencyByEffect = map[string]policy.Idempotency{
 	"safe":   policy.Idempotent,
 	"keyed":  policy.IdempotentByKey,
 	"unsafe": policy.NonIdempotent,
@@ -145,7 +145,7 @@
 	s.Required("give_up")
 	objective := s.Duration("aim", time.Second, time.Millisecond, maxDuration)
 	timeout := s.Duration("give_up", maxDuration, time.Millisecond, maxDuration)
-	idempotency := idempotencies[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
+	idempotency := idempotencyByEffect[s.Choice("effect", "safe", "safe", "keyed", "unsafe")]
 	window := s.Duration("window", 0, 0, maxDuration)
 	class := policy.Class{
 		Name:                s.Name,
--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// loopsPerLeaseInterval is how often the event loop runs between two lease requests if nothing wakes it.
-	loopsPerLeaseInterval = 8
+	// loopsPerRenewalInterval is how often the event loop runs between two lease requests if nothing wakes it.
+	loopsPerRenewalInterval = 8
 	// retryAfter is when clients of an instance without a lease should try again. A lease may arrive at any time.
 	retryAfter = time.Second
 )
@@ -59,7 +59,7 @@
 // runEventLoop passes the pushed events to a step function, at least loopsPerLeaseInterval times in a lease interval, and
 // reports changes of the state of serving after each step.
 func (i *instance) runEventLoop(step func([]sharedconfig.Event)) {
-	ticker := time.NewTicker(microseconds(i.settings.LeaseRenewalInterval) / loopsPerLeaseInterval)
+	ticker := time.NewTicker(microseconds(i.settings.LeaseRenewalInterval) / loopsPerRenewalInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// leaseRequestIntervals bounds a lease request, in lease intervals.
+	// leaseRequestIntervals bounds a lease request, in lease renewal intervals.
 	leaseRequestIntervals = 4
 	// leaseVerificationTimeout bounds the wait for a majority before a lease request is answered.
 	leaseVerificationTimeout = 2 * time.Second
 )
 
 // requestLease requests a lease for the event loop. It reports nothing if the request fails: the event loop sends the
-// next one after a lease interval.
+// next one after a lease renewal interval.
 func (n *Node) requestLease(seq uint64) {
 	timeout := leaseRequestIntervals * microseconds(n.settings.LeaseRenewalInterval)
 	grant, err := n.requestLeaseFromLeader(timeout)
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -9,32 +9,32 @@
 // changeInProgress is the change that the leader has proposed or is about to decide.
 type changeInProgress struct {
 	Change
-	calls        []uint64 // calls that wait for the outcome
-	callDeadline Micros   // when the calls are answered at the latest; 0: no call waits
-	proposed     bool     // the entry that proposes it is applied
-
-	unanswered    map[string]Member // members whose check is outstanding, by instance ID; nil: the check has not begun
-	checkDeadline Micros
-	acceptCount   int          // voters that accepted
-	rejection     *CheckResult // the first one; nil: none so far
-	rejectedBy    string       // name of its member
-
-	decided  bool // the entry that decides it is sent to the log
-	accepted bool // by that entry
+	callIDs         []uint64 // calls that wait for the outcome
+	callDeadline    Micros   // when the calls are answered at the latest; 0: no call waits
+	proposalApplied bool     // the entry that proposes it is applied
+
+	outstandingChecks map[string]Member // members whose check is outstanding, by instance ID; nil: the check has not begun
+	checkDeadline     Micros
+	acceptCount       int          // voters that accepted
+	firstRejection    *CheckResult // the first one; nil: none so far
+	rejectedBy        string       // name of its member
+
+	decisionSubmitted bool // the entry that decides it is sent to the log
+	decisionAccepts   bool // by that entry
 }
 
 // handleChangeRequested queues a change. A request with a known outcome is answered at once, and one that repeats the
 // current change waits with it.
 func (c *Core) handleChangeRequested(e ChangeRequested) {
-	known := c.state.Outcome(e.Change.RequestID)
-	isDecided := known.Status != StatusUnknown && known.Status != StatusPending
+	recorded := c.state.Outcome(e.Change.RequestID)
+	isDecided := recorded.Status != StatusUnknown && recorded.Status != StatusPending
 	switch {
 	case !c.leading:
 		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{RequestID: e.Change.RequestID, Reason: reasonNotLeader}})
 	case c.currentChange != nil && c.currentChange.RequestID == e.Change.RequestID:
-		c.currentChange.calls = append(c.currentChange.calls, e.CallID)
-	case isDecided && c.ready:
-		c.emit(Reply{CallID: e.CallID, Outcome: known})
+		c.currentChange.callIDs = append(c.currentChange.callIDs, e.CallID)
+	case isDecided && c.leaderReady:
+		c.emit(Reply{CallID: e.CallID, Outcome: recorded})
 	default:
 		c.queuedChanges = append(c.queuedChanges, e)
 	}
@@ -48,12 +48,12 @@
 	}
 	switch outcome.Status {
 	case StatusPending:
-		current.proposed = true
+		current.proposalApplied = true
 	case StatusBusy: // an earlier leader's change is pending, which is decided first
 		c.requeueCurrentChange()
 	case StatusUnknown: // of an entry that decided nothing
 	default:
-		c.replyAll(current.calls, outcome)
+		c.replyAll(current.callIDs, outcome)
 		c.currentChange = nil
 	}
 }
@@ -69,7 +69,7 @@
 	if c.currentChange == nil {
 		return
 	}
-	c.replyAll(c.currentChange.calls, Outcome{RequestID: c.currentChange.RequestID, Reason: reason})
+	c.replyAll(c.currentChange.callIDs, Outcome{RequestID: c.currentChange.RequestID, Reason: reason})
 	c.currentChange = nil
 }
 
@@ -77,16 +77,16 @@
 func (c *Core) requeueCurrentChange() {
 	current := c.currentChange
 	c.currentChange = nil
-	queue := make([]ChangeRequested, 0, len(current.calls)+len(c.queuedChanges))
-	for _, call := range current.calls {
-		queue = append(queue, ChangeRequested{CallID: call, Change: current.Change})
+	queue := make([]ChangeRequested, 0, len(current.callIDs)+len(c.queuedChanges))
+	for _, callID := range current.callIDs {
+		queue = append(queue, ChangeRequested{CallID: callID, Change: current.Change})
 	}
 	c.queuedChanges = append(queue, c.queuedChanges...)
 }
 
-// startNextChange makes the pending or else the next queued change the current one and has it checked once it is
+// advanceCurrentChange makes the pending or else the next queued change the current one and has it checked once it is
 // proposed.
-func (c *Core) startNextChange() {
+func (c *Core) advanceCurrentChange() {
 	if c.currentChange == nil {
 		c.resumePendingChange()
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	c.logf("change %s is pending from an earlier term: checking it again", c.state.PendingChange.RequestID)
-	c.currentChange = &changeInProgress{Change: *c.state.PendingChange, proposed: true}
+	c.currentChange = &changeInProgress{Change: *c.state.PendingChange, proposalApplied: true}
 }
 
 // proposeNextChange proposes the first queued change that has no outcome yet.
@@ -115,13 +115,13 @@
 	for len(c.queuedChanges) > 0 {
 		next := c.queuedChanges[0]
 		c.queuedChanges = c.queuedChanges[1:]
-		if known := c.state.Outcome(next.Change.RequestID); known.Status != StatusUnknown {
-			c.emit(Reply{CallID: next.CallID, Outcome: known})
+		if recorded := c.state.Outcome(next.Change.RequestID); recorded.Status != StatusUnknown {
+			c.emit(Reply{CallID: next.CallID, Outcome: recorded})
 			continue
 		}
 		c.currentChange = &changeInProgress{
 			Change:       next.Change,
-			calls:        []uint64{next.CallID},
+			callIDs:      []uint64{next.CallID},
 			callDeadline: c.now + c.settings.ChangeTimeout,
 		}
 		c.emit(AppendEntry{Entry: Entry{Propose: &next.Change}, RequestID: next.Change.RequestID})
@@ -136,7 +136,7 @@
 		if queued.Change.RequestID != current.RequestID {
 			return false
 		}
-		current.calls = append(current.calls, queued.CallID)
+		current.callIDs = append(current.callIDs, queued.CallID)
 		return true
 	})
 }
@@ -147,40 +147,40 @@
 	if current.callDeadline == 0 || c.now < current.callDeadline {
 		return
 	}
-	c.replyAll(current.calls, Outcome{RequestID: current.RequestID, Reason: reasonChangeTimedOut})
-	current.calls = nil
+	c.replyAll(current.callIDs, Outcome{RequestID: current.RequestID, Reason: reasonChangeTimedOut})
+	current.callIDs = nil
 	current.callDeadline = 0
 }
 
 // startCheck asks all members to check the current change once it is proposed.
 func (c *Core) startCheck() {
 	current := c.currentChange
-	if !current.proposed || current.unanswered != nil {
+	if !current.proposalApplied || current.outstandingChecks != nil {
 		return
 	}
 	current.checkDeadline = c.now + c.settings.CheckTimeout
-	current.unanswered = map[string]Member{}
+	current.outstandingChecks = map[string]Member{}
 	for _, member := range c.members {
-		current.unanswered[member.InstanceID] = member
+		current.outstandingChecks[member.InstanceID] = member
 		c.emit(CheckChange{Member: member, Change: current.Change})
 	}
 }
 
 func (c *Core) handleCheckResult(e CheckResult) {
 	current := c.currentChange
-	if current == nil || current.RequestID != e.RequestID || current.decided {
+	if current == nil || current.RequestID != e.RequestID || current.decisionSubmitted {
 		return
 	}
-	member, outstanding := current.unanswered[e.InstanceID]
+	member, outstanding := current.outstandingChecks[e.InstanceID]
 	if !outstanding {
 		return
 	}
-	delete(current.unanswered, e.InstanceID)
+	delete(current.outstandingChecks, e.InstanceID)
 	switch {
 	case e.NoReply:
 		c.logf("instance %s did not check change %s: %s", member.Name, e.RequestID, cmp.Or(e.Reason, "no answer"))
-	case !e.Accepted && current.rejection == nil:
-		current.rejection = &e
+	case !e.Accepted && current.firstRejection == nil:
+		current.firstRejection = &e
 		current.rejectedBy = member.Name
 	case e.Accepted && member.Voter:
 		current.acceptCount++
@@ -192,27 +192,27 @@
 // cut off from them would otherwise learn only later that it cannot commit it.
 func (c *Core) decideCurrentChange() {
 	current := c.currentChange
-	if current == nil || current.unanswered == nil || current.decided {
+	if current == nil || current.outstandingChecks == nil || current.decisionSubmitted {
 		return
 	}
 	decision := Decision{RequestID: current.RequestID}
 	switch {
-	case current.rejection != nil:
+	case current.firstRejection != nil:
 		decision.RejectedBy = current.rejectedBy
-		decision.Reason = current.rejection.Reason
-	case len(current.unanswered) > 0 && c.now < current.checkDeadline:
+		decision.Reason = current.firstRejection.Reason
+	case len(current.outstandingChecks) > 0 && c.now < current.checkDeadline:
 		return
 	case current.acceptCount <= c.voterCount()/2:
 		decision.Reason = fmt.Sprintf("only %d of %d instances could check it", current.acceptCount, c.voterCount())
 	default:
 		decision.Accept = true
 	}
-	current.decided = true
-	current.accepted = decision.Accept
+	current.decisionSubmitted = true
+	current.decisionAccepts = decision.Accept
 	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, RequestID: current.RequestID})
 }
 
-// mayBeActivating reports whether the current change may already be committed although it is not applied here.
-func (c *Core) mayBeActivating() bool {
-	return c.currentChange != nil && c.currentChange.decided && c.currentChange.accepted
+// mayBeCommitted reports whether the current change may already be committed although it is not applied here.
+func (c *Core) mayBeCommitted() bool {
+	return c.currentChange != nil && c.currentChange.decisionSubmitted && c.currentChange.decisionAccepts
 }
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -19,13 +19,13 @@
 	members  []Member
 	lease    Lease
 
-	leaseRequests    map[uint64]Micros // time of each request that may still be answered
-	lastLeaseRequest uint64            // sequence number
-	leaseRequestedAt Micros
+	pendingLeaseRequests map[uint64]Micros // time of each request that may still be answered
+	lastLeaseRequestSeq  uint64            // sequence number
+	lastLeaseRequestAt   Micros
 
-	term    uint64
-	leading bool
-	ready   bool // leading, and everything committed in earlier terms is applied
+	term        uint64
+	leading     bool
+	leaderReady bool // leading, and everything committed in earlier terms is applied
 
 	// The fields below are in use only while this instance leads.
 
@@ -33,26 +33,26 @@
 	currentChange *changeInProgress
 	lastSeq       uint64 // sequence number of the latest VerifyLeadership or ChangeMembership
 
-	waitingLeases    []LeaseRequested // for the next verification
-	verifyingLeases  []LeaseRequested // for the verification in flight
-	verifyingVersion uint64           // active version when the verification in flight began
-	verificationSeq  uint64           // 0: none is in flight
+	queuedLeaseRequests    []LeaseRequested // for the next verification
+	verifyingLeaseRequests []LeaseRequested // for the verification in flight
+	verifyingVersion       uint64           // active version when the verification in flight began
+	verificationSeq        uint64           // 0: none is in flight
 
-	membershipChange   *membershipChange // in progress
-	lastRequestFrom    map[string]Micros // time of the last lease request by instance ID
-	catchUpRequestedAt map[string]Micros // time of the last WaitForCatchUp by instance ID
+	membershipChange       *membershipChange // in progress
+	memberLeaseRequestedAt map[string]Micros // time of the last lease request by instance ID
+	catchUpRequestedAt     map[string]Micros // time of the last WaitForCatchUp by instance ID
 }
 
 // NewCore returns the core of an instance whose log has led to the given state. It knows no members and no leader yet.
 func NewCore(settings Settings, state State) *Core {
 	return &Core{
-		settings:           settings,
-		state:              state,
-		lease:              Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
-		leaseRequests:      map[uint64]Micros{},
-		leaseRequestedAt:   -settings.LeaseRenewalInterval,
-		lastRequestFrom:    map[string]Micros{},
-		catchUpRequestedAt: map[string]Micros{},
+		settings:               settings,
+		state:                  state,
+		lease:                  Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
+		pendingLeaseRequests:   map[uint64]Micros{},
+		lastLeaseRequestAt:     -settings.LeaseRenewalInterval,
+		memberLeaseRequestedAt: map[string]Micros{},
+		catchUpRequestedAt:     map[string]Micros{},
 	}
 }
 
@@ -69,8 +69,8 @@
 		c.handleEvent(e)
 	}
 	c.requestLease()
-	if c.leading && c.ready {
-		c.advanceLeader()
+	if c.leading && c.leaderReady {
+		c.stepLeader()
 	}
 	return c.actions
 }
@@ -78,11 +78,11 @@
 func (c *Core) handleEvent(e Event) {
 	switch e := e.(type) {
 	case EntriesApplied:
-		c.handleApplied(e)
+		c.handleEntriesApplied(e)
 	case LeadershipChanged:
-		c.handleRole(e)
+		c.handleLeadershipChanged(e)
 	case LeaderReady:
-		c.ready = c.ready || c.leading && e.Term == c.term
+		c.leaderReady = c.leaderReady || c.leading && e.Term == c.term
 	case MemberList:
 		c.members = e.Members
 	case ChangeRequested:
@@ -94,21 +94,21 @@
 	case LeaseRequested:
 		c.handleLeaseRequested(e)
 	case VerifyLeadershipResult:
-		c.handleVerified(e)
+		c.handleVerifyLeadershipResult(e)
 	case LeaseReplyReceived:
-		c.handleLeaseGranted(e)
+		c.handleLeaseReply(e)
 	case AddMemberRequested:
-		c.handleAddRequested(e)
+		c.handleAddMemberRequested(e)
 	case RemoveMemberRequested:
-		c.handleRemoveRequested(e)
+		c.handleRemoveMemberRequested(e)
 	case ChangeMembershipResult:
-		c.handleMembershipChanged(e)
+		c.handleChangeMembershipResult(e)
 	case CaughtUp:
 		c.handleCaughtUp(e)
 	}
 }
 
-func (c *Core) handleApplied(e EntriesApplied) {
+func (c *Core) handleEntriesApplied(e EntriesApplied) {
 	previous := c.state.Active()
 	c.state = e.State
 	if active := c.state.Active(); active.Number != previous.Number {
@@ -119,9 +119,9 @@
 	}
 }
 
-// handleRole starts or ends this instance's leadership. A leader of a new term starts over: what it had in progress in
+// handleLeadershipChanged starts or ends this instance's leadership. A leader of a new term starts over: what it had in progress in
 // an earlier one has an unknown outcome.
-func (c *Core) handleRole(e LeadershipChanged) {
+func (c *Core) handleLeadershipChanged(e LeadershipChanged) {
 	unchanged := e.Leading == c.leading && (!e.Leading || e.Term == c.term)
 	if unchanged {
 		c.term = max(c.term, e.Term)
@@ -132,13 +132,13 @@
 	}
 	c.leading = e.Leading
 	c.term = e.Term
-	c.ready = false
+	c.leaderReady = false
 	c.queuedChanges = nil
 	c.currentChange = nil
-	c.waitingLeases = nil
-	c.verifyingLeases = nil
+	c.queuedLeaseRequests = nil
+	c.verifyingLeaseRequests = nil
 	c.verificationSeq = 0
-	clear(c.lastRequestFrom)
+	clear(c.memberLeaseRequestedAt)
 	clear(c.catchUpRequestedAt)
 }
 
@@ -149,21 +149,21 @@
 		c.emit(Reply{CallID: queued.CallID, Outcome: Outcome{RequestID: queued.Change.RequestID, Reason: reasonLeadershipLost}})
 	}
 	c.finishMembershipChange(StatusUnknown, reasonLeadershipLost)
-	for _, request := range slices.Concat(c.waitingLeases, c.verifyingLeases) {
+	for _, request := range slices.Concat(c.queuedLeaseRequests, c.verifyingLeaseRequests) {
 		c.emit(LeaseReply{CallID: request.CallID})
 	}
 }
 
-// advanceLeader does what is due for a leader that is ready.
-func (c *Core) advanceLeader() {
-	c.startNextChange()
+// stepLeader does what is due for a leader that is ready.
+func (c *Core) stepLeader() {
+	c.advanceCurrentChange()
 	c.decideCurrentChange()
 	c.startVerification()
 	c.advanceMembership()
 }
 
-func (c *Core) replyAll(calls []uint64, outcome Outcome) {
-	for _, call := range calls {
-		c.emit(Reply{CallID: call, Outcome: outcome})
+func (c *Core) replyAll(callIDs []uint64, outcome Outcome) {
+	for _, callID := range callIDs {
+		c.emit(Reply{CallID: callID, Outcome: outcome})
 	}
 }
--- a/sharedconfig/datadir_test.go
+++ b/sharedconfig/datadir_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDataDirectoryCheckUsable(t *testing.T) {
+func TestDataDirectoryValidate(t *testing.T) {
 	errChecksum := errors.New("bad")
 	intact9 := SnapshotInfo{Name: "a", LastIndex: 9}
 	corrupt15 := SnapshotInfo{Name: "b", LastIndex: 15, Err: errChecksum}
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -14,17 +14,17 @@
 // without load on the leader. Calls of its methods must not overlap.
 type Follower struct {
 	stepState
-	settings     Settings
-	seedVoters   []Member // from the settings, with addresses only
-	knownVoters  []Member // by the latest reply
-	active       Version
-	group        string // ID of the group; empty before the first reply
-	loggedGroup  string // the latest other group that was logged
-	lease        Lease
-	pendingPolls map[uint64]pendingPoll
-	lastPoll     uint64 // sequence number
-	polledAt     Micros
-	failedAt     map[string]Micros // time of a voter's last failure by address
+	settings      Settings
+	seedVoters    []Member // from the settings, with addresses only
+	knownVoters   []Member // by the latest reply
+	active        Version
+	groupID       string // ID of the group; empty before the first reply
+	loggedGroupID string // the latest other group that was logged
+	lease         Lease
+	pendingPolls  map[uint64]pendingPoll
+	lastPollSeq   uint64 // sequence number
+	lastPollAt    Micros
+	voterFailedAt map[string]Micros // time of a voter's last failure by address
 }
 
 // pendingPoll is a poll that may still be answered.
@@ -37,12 +37,12 @@
 // served before its start, with the number 0 if there is none.
 func NewFollower(settings Settings, voters []string, last Version) *Follower {
 	f := &Follower{
-		settings:     settings,
-		active:       last,
-		lease:        Lease{ServeWhenStale: settings.ServeWhenStale},
-		pendingPolls: map[uint64]pendingPoll{},
-		polledAt:     -settings.LeaseRenewalInterval,
-		failedAt:     map[string]Micros{},
+		settings:      settings,
+		active:        last,
+		lease:         Lease{ServeWhenStale: settings.ServeWhenStale},
+		pendingPolls:  map[uint64]pendingPoll{},
+		lastPollAt:    -settings.LeaseRenewalInterval,
+		voterFailedAt: map[string]Micros{},
 	}
 	for _, addr := range voters {
 		f.seedVoters = append(f.seedVoters, Member{Addr: addr, Voter: true})
@@ -54,7 +54,7 @@
 func (f *Follower) Active() Version { return f.active }
 
 // GroupID returns the ID of the group that this instance follows. It is empty before the first reply.
-func (f *Follower) GroupID() string { return f.group }
+func (f *Follower) GroupID() string { return f.groupID }
 
 // Voters returns the known voters in this instance's order of preference.
 func (f *Follower) Voters() []Member { return f.votersByPreference() }
@@ -65,9 +65,9 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case PollReply:
-			f.handleReply(e)
+			f.handlePollReply(e)
 		case PollFailed:
-			f.handleCallTimedOut(e)
+			f.handlePollFailed(e)
 		}
 	}
 	f.poll()
@@ -76,7 +76,7 @@
 
 // poll polls the preferred voter when a poll is due.
 func (f *Follower) poll() {
-	if f.now < f.polledAt+f.pollInterval() {
+	if f.now < f.lastPollAt+f.pollInterval() {
 		return
 	}
 	f.expirePolls()
@@ -84,14 +84,14 @@
 	if len(voters) == 0 {
 		return
 	}
-	f.lastPoll++
-	f.polledAt = f.now
-	f.pendingPolls[f.lastPoll] = pendingPoll{sentAt: f.now, voter: voters[0]}
-	f.emit(PollVoter{Seq: f.lastPoll, Voter: voters[0], Request: f.pollRequest()})
+	f.lastPollSeq++
+	f.lastPollAt = f.now
+	f.pendingPolls[f.lastPollSeq] = pendingPoll{sentAt: f.now, voter: voters[0]}
+	f.emit(PollVoter{Seq: f.lastPollSeq, Voter: voters[0], Request: f.pollRequest()})
 }
 
 func (f *Follower) pollInterval() Micros {
-	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Covers(f.now, f.active.Number)
+	isCurrent := len(f.pendingPolls) == 0 && f.lastPollSeq > 0 && f.lease.Covers(f.now, f.active.Number)
 	if isCurrent {
 		return f.settings.LeaseRenewalInterval
 	}
@@ -116,13 +116,13 @@
 // pollRequest names the version that this instance has. Before the first reply it names none, since the version may be
 // of a group that was bootstrapped again since.
 func (f *Follower) pollRequest() PollRequest {
-	if f.group == "" {
+	if f.groupID == "" {
 		return PollRequest{}
 	}
 	return PollRequest{Version: f.active.Number, Digest: f.active.Digest}
 }
 
-func (f *Follower) handleCallTimedOut(e PollFailed) {
+func (f *Follower) handlePollFailed(e PollFailed) {
 	pending, isPending := f.pendingPolls[e.Seq]
 	if !isPending {
 		return
@@ -131,7 +131,7 @@
 	f.markFailed(pending.voter)
 }
 
-func (f *Follower) handleReply(e PollReply) {
+func (f *Follower) handlePollReply(e PollReply) {
 	pending, isPending := f.pendingPolls[e.Seq]
 	if !isPending { // a duplicate, or too late
 		return
@@ -141,12 +141,12 @@
 		f.markFailed(pending.voter)
 		return
 	}
-	isFirstReply := f.group == ""
-	if !isFirstReply && e.GroupID != f.group {
-		f.rejectGroup(pending.voter, e.GroupID)
+	isFirstReply := f.groupID == ""
+	if !isFirstReply && e.GroupID != f.groupID {
+		f.ignoreOtherGroup(pending.voter, e.GroupID)
 		return
 	}
-	f.group = e.GroupID
+	f.groupID = e.GroupID
 	if len(e.Voters) > 0 {
 		f.knownVoters = e.Voters
 	}
@@ -158,15 +158,15 @@
 	f.extendLease(pending.sentAt, e)
 }
 
-// rejectGroup ignores a voter of another group and logs that once for each group.
-func (f *Follower) rejectGroup(voter Member, group string) {
+// ignoreOtherGroup ignores a voter of another group and logs that once for each group.
+func (f *Follower) ignoreOtherGroup(voter Member, group string) {
 	f.markFailed(voter)
-	if f.loggedGroup == group {
+	if f.loggedGroupID == group {
 		return
 	}
-	f.loggedGroup = group
+	f.loggedGroupID = group
 	f.logf("ignoring the voter at %s: it belongs to group %s and not to %s; if the group was bootstrapped again, restart this instance",
-		voter.Addr, group, f.group)
+		voter.Addr, group, f.groupID)
 }
 
 // replacesActive reports whether a version replaces the one that this instance has. Numbers only grow, except with the
@@ -180,10 +180,10 @@
 
 // extendLease adds the grant of a reply to a poll that was sent at the given time.
 func (f *Follower) extendLease(sentAt Micros, e PollReply) {
-	until := grantUntil(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
-	if until <= f.now {
+	expiresAt := grantExpiry(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
+	if expiresAt <= f.now {
 		return
 	}
-	f.lease = f.lease.withGrant(Grant{Version: e.Version, ExpiresAt: until}, f.now)
+	f.lease = f.lease.withGrant(Grant{Version: e.Version, ExpiresAt: expiresAt}, f.now)
 	f.emit(SetLease{Lease: f.lease})
 }
--- a/sharedconfig/follower_voters.go
+++ b/sharedconfig/follower_voters.go
@@ -40,7 +40,7 @@
 	case bFailed && !aFailed:
 		return -1
 	case aFailed && bFailed:
-		return cmp.Or(cmp.Compare(f.failedAt[a.Addr], f.failedAt[b.Addr]), byHash)
+		return cmp.Or(cmp.Compare(f.voterFailedAt[a.Addr], f.voterFailedAt[b.Addr]), byHash)
 	}
 	return cmp.Or(byHash, cmp.Compare(a.Addr, b.Addr))
 }
@@ -49,17 +49,17 @@
 	return xxhash.Sum64String(f.settings.InstanceID + " " + voter.Addr)
 }
 
-func (f *Follower) markFailed(voter Member) { f.failedAt[voter.Addr] = f.now }
+func (f *Follower) markFailed(voter Member) { f.voterFailedAt[voter.Addr] = f.now }
 
 func (f *Follower) failedRecently(voter Member) bool {
-	failedAt, hasFailed := f.failedAt[voter.Addr]
+	failedAt, hasFailed := f.voterFailedAt[voter.Addr]
 	return hasFailed && f.now-failedAt < f.settings.StalenessBound
 }
 
 // clearFailures forgets the failure of a voter that has answered, and failures older than the staleness bound.
 func (f *Follower) clearFailures(voter Member) {
-	delete(f.failedAt, voter.Addr)
-	maps.DeleteFunc(f.failedAt, func(_ string, failedAt Micros) bool {
+	delete(f.voterFailedAt, voter.Addr)
+	maps.DeleteFunc(f.voterFailedAt, func(_ string, failedAt Micros) bool {
 		return f.now-failedAt >= f.settings.StalenessBound
 	})
 }
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -18,9 +18,9 @@
 	ExpiresAt Micros
 }
 
-// grantUntil returns the end of a grant of the given duration. It counts from the time of the request: however late the
+// grantExpiry returns the end of a grant of the given duration. It counts from the time of the request: however late the
 // response arrives, the version was active then or later.
-func grantUntil(requestedAt, duration Micros) Micros {
+func grantExpiry(requestedAt, duration Micros) Micros {
 	return requestedAt + duration - duration/clockDriftDivisor
 }
 
@@ -38,13 +38,13 @@
 
 // ExpiresAt returns the end of the latest grant that covers a version, or 0 if there is none.
 func (l Lease) ExpiresAt(version uint64) Micros {
-	until := Micros(0)
+	expiresAt := Micros(0)
 	for _, grant := range l.Grants {
 		if grant.Version <= version {
-			until = max(until, grant.ExpiresAt)
+			expiresAt = max(expiresAt, grant.ExpiresAt)
 		}
 	}
-	return until
+	return expiresAt
 }
 
 // Covers reports whether a grant covers a version at the time now.
--- a/sharedconfig/lease_test.go
+++ b/sharedconfig/lease_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestLeaseAllowsAndReason(t *testing.T) {
+func TestLeaseAllowsAndNotCoveredReason(t *testing.T) {
 	serving := Lease{ServeWhenStale: true}
 	assert.True(t, serving.Allows(1, 3))
 	assert.False(t, serving.Allows(1, 0), "no version is known yet")
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -7,44 +7,44 @@
 
 // membershipChange is a membership change in progress. There is one at a time.
 type membershipChange struct {
-	call     uint64
+	callID   uint64
 	member   Member
 	remove   bool
 	seq      uint64 // of its ChangeMembership; 0: it waits for the new member to catch up
 	deadline Micros
 }
 
-// handleAddRequested adds a member, at first without a vote until it has caught up with the log; or it changes the
+// handleAddMemberRequested adds a member, at first without a vote until it has caught up with the log; or it changes the
 // address of a member, which keeps its vote.
-func (c *Core) handleAddRequested(e AddMemberRequested) {
+func (c *Core) handleAddMemberRequested(e AddMemberRequested) {
 	member := e.Member
-	current, known := c.findMember(func(m Member) bool { return m.Name == member.Name })
-	occupant, occupied := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
+	current, isMember := c.findMember(func(m Member) bool { return m.Name == member.Name })
+	addressOwner, isAddressTaken := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
 	case !c.acceptMembershipRequest(e.CallID):
 	case c.state.IsRetired(member.InstanceID):
 		c.reject(e.CallID, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
-	case known && current.InstanceID != member.InstanceID:
+	case isMember && current.InstanceID != member.InstanceID:
 		c.reject(e.CallID, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
-	case occupied:
-		c.reject(e.CallID, "%s is the address of %s", member.Addr, occupant.Name)
-	case known && current.Addr == member.Addr && current.Voter:
+	case isAddressTaken:
+		c.reject(e.CallID, "%s is the address of %s", member.Addr, addressOwner.Name)
+	case isMember && current.Addr == member.Addr && current.Voter:
 		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is a member already"}})
 	default:
-		member.Voter = known && current.Voter
-		c.beginMembershipChange(membershipChange{call: e.CallID, member: member})
+		member.Voter = isMember && current.Voter
+		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member})
 		c.submitMembershipChange()
 	}
 }
 
-// handleRemoveRequested removes a member. Its instance ID is retired first, so that it cannot become a member again
+// handleRemoveMemberRequested removes a member. Its instance ID is retired first, so that it cannot become a member again
 // whatever the outcome of the removal itself is.
-func (c *Core) handleRemoveRequested(e RemoveMemberRequested) {
-	member, known := c.findMember(func(m Member) bool { return m.Name == e.Name })
+func (c *Core) handleRemoveMemberRequested(e RemoveMemberRequested) {
+	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
 	case !c.acceptMembershipRequest(e.CallID):
-	case !known:
+	case !isMember:
 		c.reject(e.CallID, "there is no instance %s", e.Name)
 	case member.Voter && remaining == 0:
 		c.reject(e.CallID, "%s is the last instance with a vote", member.Name)
@@ -52,28 +52,28 @@
 		c.reject(e.CallID, "without %s no majority would be reachable: %d of %d",
 			member.Name, c.reachableVoters(member.InstanceID), remaining)
 	default:
-		c.beginMembershipChange(membershipChange{call: e.CallID, member: member, remove: true})
+		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member, remove: true})
 		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.InstanceID}}})
 		c.submitMembershipChange()
 	}
 }
 
 // acceptMembershipRequest reports whether a membership change may begin. If not, it answers the call.
-func (c *Core) acceptMembershipRequest(call uint64) bool {
+func (c *Core) acceptMembershipRequest(callID uint64) bool {
 	switch {
-	case !c.leading || !c.ready:
-		c.emit(Reply{CallID: call, Outcome: Outcome{Reason: reasonNotLeader}})
+	case !c.leading || !c.leaderReady:
+		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotLeader}})
 		return false
 	case c.membershipChange != nil:
 		reason := "the change of " + c.membershipChange.member.Name + " is under way"
-		c.emit(Reply{CallID: call, Outcome: Outcome{Status: StatusBusy, Reason: reason}})
+		c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusBusy, Reason: reason}})
 		return false
 	}
 	return true
 }
 
-func (c *Core) reject(call uint64, format string, args ...any) {
-	c.emit(Reply{CallID: call, Outcome: Outcome{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}})
+func (c *Core) reject(callID uint64, format string, args ...any) {
+	c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}})
 }
 
 func (c *Core) beginMembershipChange(change membershipChange) {
@@ -88,7 +88,7 @@
 	c.emit(ChangeMembership{Seq: change.seq, Member: change.member, Remove: change.remove})
 }
 
-func (c *Core) handleMembershipChanged(e ChangeMembershipResult) {
+func (c *Core) handleChangeMembershipResult(e ChangeMembershipResult) {
 	change := c.membershipChange
 	if change == nil || change.seq != e.Seq {
 		return
@@ -107,7 +107,7 @@
 	if c.membershipChange == nil {
 		return
 	}
-	c.emit(Reply{CallID: c.membershipChange.call, Outcome: Outcome{Status: status, Reason: reason}})
+	c.emit(Reply{CallID: c.membershipChange.callID, Outcome: Outcome{Status: status, Reason: reason}})
 	c.membershipChange = nil
 }
 
@@ -152,7 +152,7 @@
 // handleCaughtUp gives a member a vote. If another membership change is in progress, the member is asked again later.
 func (c *Core) handleCaughtUp(e CaughtUp) {
 	member, isMember := c.findMember(func(m Member) bool { return m.InstanceID == e.InstanceID })
-	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
+	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
 		return
 	}
 	member.Voter = true
@@ -177,7 +177,7 @@
 		if !member.Voter || member.InstanceID == except {
 			continue
 		}
-		requestedAt, hasRequested := c.lastRequestFrom[member.InstanceID]
+		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.InstanceID]
 		isRecent := hasRequested && requestedAt+c.settings.ReachabilityTimeout > c.now
 		if member.InstanceID == c.settings.InstanceID || isRecent {
 			count++
--- a/sharedconfig/model_invariants_test.go
+++ b/sharedconfig/model_invariants_test.go
@@ -20,7 +20,7 @@
 // TestModel checks over random runs that the staleness bound holds, that a change has one outcome on all instances, and
 // that callers are answered with that outcome.
 func TestModel(t *testing.T) {
-	done, refused, unknown := 0, 0, 0
+	done, rejected, unknown := 0, 0, 0
 	longestStaleness := Micros(0)
 	for seed := range uint64(60) {
 		m := newModel(t, seed, 3+2*int(seed%2))
@@ -38,7 +38,7 @@
 			case StatusDone:
 				done++
 			case StatusRejected, StatusConflict:
-				refused++
+				rejected++
 			default:
 				t.Fatalf("seed %d: call %d was answered %v", seed, call, outcome)
 			}
@@ -50,9 +50,9 @@
 		}
 	}
 	t.Logf("done %d, refused %d, unknown %d; longest service under a replaced version %d ms of %d",
-		done, refused, unknown, longestStaleness/1000, modelStalenessBound/1000)
+		done, rejected, unknown, longestStaleness/1000, modelStalenessBound/1000)
 	require.Greater(t, done, 200)
-	require.Greater(t, refused, 50)
+	require.Greater(t, rejected, 50)
 	require.Greater(t, unknown, 50)
 	require.Greater(t, longestStaleness, modelStalenessBound/2, "the test came nowhere near the bound")
 }
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -185,7 +185,7 @@
 		n.events = append(n.events, EntriesApplied{State: state, Outcomes: []Outcome{outcome}}, MemberList{Members: m.members})
 		m.runNode(i, n)
 	}
-	if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.ready {
+	if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.leaderReady {
 		n.events = append(n.events, LeaderReady{Term: m.term})
 	}
 	if n.leading && m.leader != i && m.rng.IntN(20) == 0 { // learns that it no longer leads
@@ -214,14 +214,14 @@
 	case RequestLease:
 		m.sendLeaseRequest(i, a)
 	case LeaseReply:
-		m.sendLeaseAnswer(i, a)
+		m.sendLeaseReply(i, a)
 	case VerifyLeadership:
 		verified := VerifyLeadershipResult{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
 		m.send(i, 0, func(n *modelNode) { n.events = append(n.events, verified) })
 	case Activate:
 		n.version = a.Version.Number
 	case Reply:
-		if _, answered := m.replies[a.CallID]; answered {
+		if _, isAnswered := m.replies[a.CallID]; isAnswered {
 			m.t.Fatalf("call %d was answered twice", a.CallID)
 		}
 		m.replies[a.CallID] = a.Outcome
@@ -285,10 +285,10 @@
 	})
 }
 
-func (m *model) sendLeaseAnswer(i int, a LeaseReply) {
+func (m *model) sendLeaseReply(i int, a LeaseReply) {
 	to := int(a.CallID % 100)
-	granted := LeaseReplyReceived{Seq: m.leaseRequestSeqs[a.CallID], OK: a.OK, Version: a.Version, Removed: a.Removed}
-	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, granted) })
+	reply := LeaseReplyReceived{Seq: m.leaseRequestSeqs[a.CallID], OK: a.OK, Version: a.Version, Removed: a.Removed}
+	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, reply) })
 }
 
 // checkStaleness fails the test if an instance holds a lease for a version that was replaced longer ago than the
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -15,13 +15,13 @@
 
 // Bounds and defaults of Settings that DefaultSettings derives.
 const (
-	minLeaseInterval Micros = 20_000
-	maxLeaseInterval Micros = 500_000
-	minReachableFor  Micros = 200_000
+	minLeaseRenewalInterval Micros = 20_000
+	maxLeaseRenewalInterval Micros = 500_000
+	minReachabilityTimeout  Micros = 200_000
 
-	defaultCheckTimeout   Micros = 1_000_000
-	defaultCatchUpTimeout Micros = 10_000_000
-	defaultChangeTimeout  Micros = 5_000_000
+	defaultCheckTimeout            Micros = 1_000_000
+	defaultMembershipChangeTimeout Micros = 10_000_000
+	defaultChangeTimeout           Micros = 5_000_000
 )
 
 // DefaultSettings returns the settings of an instance for a staleness bound.
@@ -30,10 +30,10 @@
 		InstanceID:              instanceID,
 		StalenessBound:          stalenessBound,
 		ServeWhenStale:          serveWhenStale,
-		LeaseRenewalInterval:    min(max(stalenessBound/10, minLeaseInterval), maxLeaseInterval),
+		LeaseRenewalInterval:    min(max(stalenessBound/10, minLeaseRenewalInterval), maxLeaseRenewalInterval),
 		CheckTimeout:            defaultCheckTimeout,
-		MembershipChangeTimeout: defaultCatchUpTimeout,
-		ReachabilityTimeout:     max(2*stalenessBound/5, minReachableFor),
+		MembershipChangeTimeout: defaultMembershipChangeTimeout,
+		ReachabilityTimeout:     max(2*stalenessBound/5, minReachabilityTimeout),
 		ChangeTimeout:           defaultChangeTimeout,
 	}
 }
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -81,8 +81,8 @@
 }
 
 func (s State) propose(change Change) (State, Outcome) {
-	if known := s.Outcome(change.RequestID); known.Status != StatusUnknown {
-		return s, known
+	if recorded := s.Outcome(change.RequestID); recorded.Status != StatusUnknown {
+		return s, recorded
 	}
 	outcome := Outcome{RequestID: change.RequestID}
 	active := s.Active()
@@ -157,10 +157,10 @@
 
 // Recover returns the state of a new group that continues from this one without its other members, whose IDs are in
 // retired. A pending change is dropped, since the members that had to check it are gone.
-func (s State) Recover(group string, retired []string) State {
-	s.GroupID = group
+func (s State) Recover(groupID string, retiredIDs []string) State {
+	s.GroupID = groupID
 	s.PendingChange = nil
-	s.RetiredIDs = append(slices.Clip(s.RetiredIDs), retired...)
+	s.RetiredIDs = append(slices.Clip(s.RetiredIDs), retiredIDs...)
 	return s
 }
 
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -13,20 +13,20 @@
 // a request must be made once, a reported outcome must stay true, and copies of a state must stay as they were.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keep := rapid.IntRange(2, 5).Draw(t, "keep")
+		maxVersions := rapid.IntRange(2, 5).Draw(t, "keep")
 		first := Change{RequestID: "first", Text: "0", Digest: "0"}
-		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: keep, FirstChange: first}})
+		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: maxVersions, FirstChange: first}})
 		reported := map[string]Outcome{}
-		made := map[string]bool{"first": true}
+		activatedRequests := map[string]bool{"first": true}
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
 			entry := drawEntry(t, state)
 			before, versions := state, slices.Clone(state.Versions)
 			next, outcome := state.Apply(entry)
 			require.Equal(t, versions, before.Versions, "a copy was changed")
 			require.NoError(t, next.Validate())
-			require.LessOrEqual(t, len(next.Versions), keep)
+			require.LessOrEqual(t, len(next.Versions), maxVersions)
 			require.Equal(t, "g", next.GroupID)
-			requireValidActivation(t, state, next, entry, made)
+			requireValidActivation(t, state, next, entry, activatedRequests)
 			if outcome.Status == StatusDone || outcome.Status == StatusRejected || outcome.Status == StatusConflict {
 				if earlier, known := reported[outcome.RequestID]; known {
 					require.Equal(t, earlier, outcome)
@@ -55,15 +55,15 @@
 
 // requireValidActivation checks that an entry activates at most the next version, and only by committing a pending
 // change that was not made before. It records the change in made.
-func requireValidActivation(t *rapid.T, state, next State, entry Entry, made map[string]bool) {
+func requireValidActivation(t *rapid.T, state, next State, entry Entry, activatedRequests map[string]bool) {
 	active := next.Active()
 	switch active.Number {
 	case state.Active().Number:
 	case state.Active().Number + 1:
-		require.False(t, made[active.RequestID], "made twice")
+		require.False(t, activatedRequests[active.RequestID], "made twice")
 		committed := entry.Decide != nil && entry.Decide.Accept && state.PendingChange != nil && state.PendingChange.RequestID == active.RequestID
 		require.True(t, committed, "active without both entries")
-		made[active.RequestID] = true
+		activatedRequests[active.RequestID] = true
 	default:
 		t.Fatalf("version %d follows %d", active.Number, state.Active().Number)
 	}
