--- a/document/document.go
+++ b/document/document.go
@@ -3,8 +3,8 @@
 // its own configuration file; the instances of a group replicate them as one text. The package does no input or output
 // and reads no clock.
 //
-// Setting names in the text are the operators' (slices, cells, aim, worth); this package maps them to the terms of
-// package policy.
+// The text uses the setting names that operators know (slices, cells, aim, worth); this package maps them to the terms
+// of package policy.
 package document
 
 import (
@@ -15,7 +15,7 @@
 	"alderproxy/policy"
 )
 
-// Document is the parsed form of the shared sections.
+// Document holds the parsed shared sections.
 type Document struct {
 	Text    string // the text as it was read
 	Layout  Layout
@@ -33,49 +33,49 @@
 	ReplicationFactor int
 }
 
-// Limits bound what an instance holds and attempts.
+// Limits are the limits on an instance's open queries, on attempts and retries, and on the load of a store that starts.
 type Limits struct {
-	MaxOpen     int // queries and parts held at a time
-	MaxAttempts int // attempts of a part, the first included
+	MaxOpen     int // maximum number of open queries and parts
+	MaxAttempts int // maximum number of attempts of a part, including the first one
 
 	AllowHedging  bool
 	AllowCancel   bool
-	MaxRetryAfter time.Duration // longest Retry-After; 0: none is sent
+	MaxRetryAfter time.Duration // maximum Retry-After in responses; 0: none is sent
 
-	RetryBudgetRatio   float64       // retries for each accepted query and part; 0: the tenants' own ratios apply
-	RetryBudgetMinimum float64       // retries over RetryBudgetWindow beside that ratio
-	RetryBudgetWindow  time.Duration // span over which retries are budgeted
+	RetryBudgetRatio   float64       // retries per accepted query and part; 0: the tenants' ratios apply
+	RetryBudgetMinimum float64       // retries within RetryBudgetWindow in addition to that ratio
+	RetryBudgetWindow  time.Duration // time over which retries are limited
 
-	SlowStartDuration time.Duration // a store that started has warmed up by then; 0: no slow start
-	SlowStartFraction float64       // share of its capacity that a store is given at first
-	OverloadFactor    float64       // load above this multiple of the capacity overloads a store that warms up
-	OverloadDuration  time.Duration // how long it withstands such load
+	SlowStartDuration time.Duration // time until a store that starts has its full capacity; 0: no slow start
+	SlowStartFraction float64       // fraction of its capacity that a store has when it starts
+	OverloadFactor    float64       // load above this multiple of its capacity overloads a store during slow start
+	OverloadDuration  time.Duration // time for which such a store withstands the overload
 }
 
-// Tenant is a team's contract, apart from its classes.
+// Tenant is the quota and the retry ratio of a team.
 type Tenant struct {
 	Name             string
 	QueriesPerSecond float64 // quota of queries at full weight; 0: unlimited
-	RetryRatio       float64 // retries for each of its queries and parts; 0: only the limit on a part's attempts applies
+	RetryRatio       float64 // retries per query and part of the tenant; 0: only MaxAttempts applies
 }
 
 // Index is a searchable index.
 type Index struct {
 	Name   string
-	Class  string // name of the class of its queries
-	Shards []int  // the shards that hold its data
+	Class  string // name of the class of queries on the index
+	Shards []int  // shards that hold the index's data
 }
 
-// digestBytes is the length of the prefix of the SHA-256 sum that Digest returns.
+// digestBytes is the length in bytes of the prefix of the SHA-256 sum that Digest returns.
 const digestBytes = 8
 
-// Digest identifies a text by the first 16 hex digits of its SHA-256 sum.
+// Digest returns the first 16 hex digits of the SHA-256 sum of a text.
 func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// Class returns the class of the given name and reports whether the document defines it.
+// Class returns the class with the given name, and reports whether the document defines it.
 func (d *Document) Class(name string) (policy.Class, bool) {
 	for _, class := range d.Classes {
 		if class.Name == name {
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -45,6 +45,8 @@
 slices = 0-2
 `
 
+// TestSettings checks that the values of a document reach the settings of package policy, with units converted and defaults
+// for the keys that it lacks.
 func TestSettings(t *testing.T) {
 	d, err := Parse("doc", validText)
 	require.NoError(t, err)
@@ -89,21 +91,22 @@
 	assert.Equal(t, []Index{{Name: "catalogue", Class: "sales/lookup", Shards: []int{0, 1, 2}}}, d.Indices)
 }
 
+// TestFaults checks that a fault names the file, line, section and key, and says what is expected.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
-		{"reach = 2", "reach = 3", "doc:5: layout.reach: 3 cells hold a slice, but there are 2"},
+		{"reach = 2", "reach = 3", "doc:5: layout.reach: 3 is more than layout.cells (2): expected at most that"},
 		{"max_open = 150", "max_opn = 150", "doc:8: limits.max_opn: unknown key"},
-		{"give_up = 4s", "give_up = 1s", "doc:18: class sales/lookup.give_up: 1s is under the aim of 1.5s"},
-		{"[team sales]", "[team finance]", "doc:16: class sales/lookup: there is no [team sales]"},
-		{"window = 3s", "", "doc:21: class quote-save.window: a keyed class needs the time in which stores drop repeats"},
-		{"effect = keyed", "", "doc:25: class quote-save.window: only a keyed class has one"},
-		{"least = 0.5", "least = 0.95", "doc:28: class quote-save.least: 0.95 is over the need of 0.9"},
+		{"give_up = 4s", "give_up = 1s", "doc:18: class sales/lookup.give_up: 1s is less than aim (1.5s): expected at least that"},
+		{"[team sales]", "[team finance]", "doc:16: class sales/lookup: there is no section [team sales]: expected the name of a team before the /"},
+		{"window = 3s", "", "doc:21: class quote-save.window: required with effect = keyed: expected the time for which stores drop repeated requests, such as 3s"},
+		{"effect = keyed", "", "doc:25: class quote-save.window: expected only in a class with effect = keyed"},
+		{"least = 0.5", "least = 0.95", "doc:28: class quote-save.least: 0.95 is more than need (0.9): expected at most that"},
 		{"aim = 1s", "", "doc:21: class quote-save.aim: is missing"},
-		{"class = sales/lookup", "class = lookup", "doc:31: index catalogue.class: there is no [class lookup]"},
-		{"class = sales/lookup", "class = quote-save", "doc:31: index catalogue.class: a search is always safe to repeat, and so must be its class"},
+		{"class = sales/lookup", "class = lookup", "doc:31: index catalogue.class: there is no section [class lookup]: expected the name of a class"},
+		{"class = sales/lookup", "class = quote-save", "doc:31: index catalogue.class: expected a class with effect = safe, since searches can always be repeated safely"},
 		{"slices = 0-2", "slices = 0-4", "doc:32: index catalogue.slices: 4 is not below 4"},
-		{"[index catalogue]", "[index Catalogue]", "doc:30: index Catalogue: an index's name is made of small letters, digits, -, _ and . and begins with a letter or digit"},
-		{"[class quote-save]", "[class quote/save/x]", "doc:21: class quote/save/x: a class's name is made of letters, digits, - and _, with the team's name and / before it where it is a team's"},
+		{"[index catalogue]", "[index Catalogue]", "doc:30: index Catalogue: invalid name: expected up to 255 lower-case letters, digits, -, _ and ., the first a letter or digit"},
+		{"[class quote-save]", "[class quote/save/x]", "doc:21: class quote/save/x: invalid name: expected NAME or TEAM/NAME, each of up to 64 letters, digits, - and _, the first a letter or digit"},
 		{"# ours", "[instance]", "doc:1: instance: unknown section"},
 	} {
 		_, err := Parse("doc", strings.Replace(validText, c.old, c.replacement, 1))
@@ -113,7 +116,7 @@
 	}
 }
 
-// The shared text of an instance's file parses as a document of the same meaning.
+// TestSharedText checks that the shared sections of an instance's file parse as a document with the same settings.
 func TestSharedText(t *testing.T) {
 	f := inifile.Read("file", "[instance]\nid = n1\n"+validText+"[log]\nlevel = info\n")
 	require.NoError(t, f.Err())
@@ -125,11 +128,13 @@
 	original, err := Parse("doc", validText)
 	require.NoError(t, err)
 	assert.Equal(t, original.Settings(0, 1), extracted.Settings(0, 1))
-	assert.Equal(t, text, SharedText(inifile.Read("doc", text)), "extracting twice changes the text")
+	assert.Equal(t, text, SharedText(inifile.Read("doc", text)), "extracting the shared text from itself changes it")
 	assert.NotEqual(t, Digest(text), Digest(validText))
 	assert.Len(t, Digest(text), 16)
 }
 
+// TestOverlay checks that only the classes of the base settings are replaced, that the base settings are not modified, and
+// that a class with another idempotency is rejected.
 func TestOverlay(t *testing.T) {
 	d, err := Parse("doc", validText)
 	require.NoError(t, err)
@@ -148,11 +153,12 @@
 	assert.ErrorContains(t, err, "class quote-save.effect")
 }
 
+// FuzzParse checks that every document that parses has valid settings. Otherwise an accepted change could not be activated.
 func FuzzParse(f *testing.F) {
 	f.Add(validText)
 	f.Fuzz(func(t *testing.T, text string) {
 		if d, err := Parse("doc", text); err == nil && len(d.Classes) > 0 {
-			assert.NoError(t, d.Settings(0, 1).Validate(), "accepted, but its settings are invalid")
+			assert.NoError(t, d.Settings(0, 1).Validate(), "the document was accepted, but its settings are invalid")
 		}
 	})
 }
--- a/document/names.go
+++ b/document/names.go
@@ -1,6 +1,6 @@
 package document
 
-// Longest names, in bytes.
+// Maximum lengths of names in bytes.
 const (
 	maxNameLength      = 64
 	maxIndexNameLength = 255
@@ -13,14 +13,14 @@
 	return len(s) <= maxNameLength && consistsOf(s, isFirst, isInner)
 }
 
-// isIndexName reports whether s is a valid name of an index. Such a name needs no escaping in a URL's path.
+// isIndexName reports whether s is a valid name of an index. Valid names need no escaping in the path of a URL.
 func isIndexName(s string) bool {
 	isFirst := func(c byte) bool { return isLower(c) || isDigit(c) }
 	isInner := func(c byte) bool { return isFirst(c) || c == '-' || c == '_' || c == '.' }
 	return len(s) <= maxIndexNameLength && consistsOf(s, isFirst, isInner)
 }
 
-// consistsOf reports whether s is not empty, its first byte satisfies isFirst and all others satisfy isInner.
+// consistsOf reports whether s is not empty, its first byte satisfies isFirst and all other bytes satisfy isInner.
 func consistsOf(s string, isFirst, isInner func(byte) bool) bool {
 	if s == "" || !isFirst(s[0]) {
 		return false
--- a/document/parse.go
+++ b/document/parse.go
@@ -9,13 +9,13 @@
 	"alderproxy/policy"
 )
 
-// SectionKinds lists the kinds of shared sections. The value is true if sections of the kind have a name.
+// SectionKinds maps each kind of shared section to whether sections of that kind have a name.
 var SectionKinds = map[string]bool{"layout": false, "limits": false, "class": true, "team": true, "index": true}
 
-// MaxSize is the largest size of a document, in bytes. Every instance stores that much for each version it retains.
+// MaxSize is the maximum size of a document in bytes. Each instance stores up to that much for each version it retains.
 const MaxSize = 256 << 10
 
-// Bounds of a document's values. A larger value is taken for a mistake.
+// Upper limits on the values in a document. A larger value is rejected as a mistake.
 const (
 	maxClasses  = 256
 	maxTenants  = 256
@@ -24,18 +24,18 @@
 	maxDuration = time.Hour
 )
 
-// idempotencyByEffect maps the values of the setting "effect".
+// idempotencyByEffect maps the values of the setting effect.
 var idempotencyByEffect = map[string]policy.Idempotency{
 	"safe":   policy.Idempotent,
 	"keyed":  policy.IdempotentByKey,
 	"unsafe": policy.NonIdempotent,
 }
 
-// Parse reads a text that consists of shared sections only; name stands for the text in errors. An error is of the type
-// inifile.Faults.
+// Parse parses a text that consists of shared sections only. Errors are of the type inifile.Faults and refer to the
+// text by name.
 func Parse(name, text string) (*Document, error) {
 	if len(text) > MaxSize {
-		return nil, inifile.Faults{{File: name, Message: fmt.Sprintf("is over %d bytes", MaxSize)}}
+		return nil, inifile.Faults{{File: name, Message: fmt.Sprintf("is larger than %d bytes, the maximum size of a document", MaxSize)}}
 	}
 	file := inifile.Read(name, text)
 	if !file.Malformed() {
@@ -62,15 +62,15 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// FromFile parses the shared sections of a file. Errors are recorded in the file, see its Err method.
+// FromFile parses the shared sections of a file. It records faults in the file, whose method Err returns them.
 func FromFile(file *inifile.File) *Document {
 	d := &Document{Text: file.Text}
 	if file.Malformed() {
 		return d
 	}
-	// An instance's file may be longer than a document: only its shared sections count.
+	// The file of an instance may be larger than a document, since only its shared sections count.
 	if size := len(SharedText(file)); size > MaxSize {
-		file.Section("layout").Fault("", "the shared sections are over %d bytes", MaxSize)
+		file.Section("layout").Fault("", "the shared sections are larger than %d bytes, the maximum size of a document", MaxSize)
 	}
 	d.readLayout(file.Section("layout"))
 	d.readLimits(file.Section("limits"))
@@ -92,7 +92,7 @@
 func checkSectionCounts(file *inifile.File) {
 	for kind, limit := range map[string]int{"class": maxClasses, "team": maxTenants, "index": maxIndices} {
 		if sections := file.SectionsOf(kind); len(sections) > limit {
-			sections[limit].Fault("", "over %d sections of the kind %s", limit, kind)
+			sections[limit].Fault("", "expected at most %d sections of the kind %s", limit, kind)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		ReplicationFactor: s.Int("reach", 1, 1, maxShards),
 	}
 	if d.Layout.ReplicationFactor > d.Layout.RingSize {
-		s.Fault("reach", "%d cells hold a slice, but there are %d", d.Layout.ReplicationFactor, d.Layout.RingSize)
+		s.Fault("reach", "%d is more than layout.cells (%d): expected at most that", d.Layout.ReplicationFactor, d.Layout.RingSize)
 	}
 	s.CheckUnused()
 }
@@ -129,7 +129,7 @@
 
 func (d *Document) readTenant(s *inifile.Section) {
 	if !isName(s.Name) {
-		s.Fault("", "a team's name is made of letters, digits, - and _")
+		s.Fault("", "invalid name: expected up to %d letters, digits, - and _, the first a letter or digit", maxNameLength)
 	}
 	d.Tenants = append(d.Tenants, Tenant{
 		Name:             s.Name,
@@ -161,13 +161,13 @@
 	class.MinCoverage = s.Float("least", class.RequiredCoverage, 0.001, 1)
 	switch {
 	case timeout < objective:
-		s.Fault("give_up", "%v is under the aim of %v", timeout, objective)
+		s.Fault("give_up", "%v is less than aim (%v): expected at least that", timeout, objective)
 	case idempotency == policy.IdempotentByKey && window == 0:
-		s.Fault("window", "a keyed class needs the time in which stores drop repeats")
+		s.Fault("window", "required with effect = keyed: expected the time for which stores drop repeated requests, such as 3s")
 	case idempotency != policy.IdempotentByKey && window != 0:
-		s.Fault("window", "only a keyed class has one")
+		s.Fault("window", "expected only in a class with effect = keyed")
 	case class.MinCoverage > class.RequiredCoverage:
-		s.Fault("least", "%v is over the need of %v", class.MinCoverage, class.RequiredCoverage)
+		s.Fault("least", "%v is more than need (%v): expected at most that", class.MinCoverage, class.RequiredCoverage)
 	}
 	d.Classes = append(d.Classes, class)
 	s.CheckUnused()
@@ -177,15 +177,15 @@
 	first, second, hasTenant := strings.Cut(s.Name, "/")
 	switch {
 	case !isName(first) || hasTenant && !isName(second):
-		s.Fault("", "a class's name is made of letters, digits, - and _, with the team's name and / before it where it is a team's")
+		s.Fault("", "invalid name: expected NAME or TEAM/NAME, each of up to %d letters, digits, - and _, the first a letter or digit", maxNameLength)
 	case hasTenant && !tenants[first]:
-		s.Fault("", "there is no [team %s]", first)
+		s.Fault("", "there is no section [team %s]: expected the name of a team before the /", first)
 	}
 }
 
 func (d *Document) readIndex(s *inifile.Section) {
 	if !isIndexName(s.Name) {
-		s.Fault("", "an index's name is made of small letters, digits, -, _ and . and begins with a letter or digit")
+		s.Fault("", "invalid name: expected up to %d lower-case letters, digits, -, _ and ., the first a letter or digit", maxIndexNameLength)
 	}
 	index := Index{
 		Name:   s.Name,
@@ -194,11 +194,11 @@
 	}
 	class, found := d.Class(index.Class)
 	switch {
-	case !found && index.Class == "": // reported by Need
+	case !found && index.Class == "": // reported by Required
 	case !found:
-		s.Fault("class", "there is no [class %s]", index.Class)
+		s.Fault("class", "there is no section [class %s]: expected the name of a class", index.Class)
 	case class.Idempotency != policy.Idempotent:
-		s.Fault("class", "a search is always safe to repeat, and so must be its class")
+		s.Fault("class", "expected a class with effect = safe, since searches can always be repeated safely")
 	}
 	d.Indices = append(d.Indices, index)
 	s.CheckUnused()
--- a/document/settings.go
+++ b/document/settings.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	tickInterval = 5 * time.Millisecond // how often pending decisions are reviewed
-	answerSlack  = 4 * tickInterval     // how long before its deadline a query is answered
-	drainGrace   = 500 * time.Millisecond
-	maxBatchSize = 1 // parts in a call to a store
+	tickInterval = 5 * time.Millisecond   // time between two reviews of pending decisions
+	answerSlack  = 4 * tickInterval       // maximum time after its deadline at which a query is answered
+	drainGrace   = 500 * time.Millisecond // time for which attempts may still be sent to a store that drains
+	maxBatchSize = 1                      // maximum number of parts in a call to a store
 )
 
-// Settings returns the settings of the decisions for the instance with the given index among count instances that
+// Settings returns the settings of package policy for the instance with the given index among count instances that
 // share the load.
 func (d *Document) Settings(index, count int) policy.Settings {
 	limits := d.Limits
@@ -59,8 +59,8 @@
 	return tenants
 }
 
-// retryBudgetRatio returns the ratio of the one retry budget that the decisions keep: the limits' own, or else the mean
-// of the tenants' ratios, weighted by their quotas.
+// retryBudgetRatio returns the ratio of the one retry budget that package policy keeps: the limits' own ratio, or else
+// the mean of the tenants' ratios, weighted by their quotas.
 func (d *Document) retryBudgetRatio() float64 {
 	if d.Limits.RetryBudgetRatio > 0 {
 		return d.Limits.RetryBudgetRatio
@@ -77,8 +77,8 @@
 	return sum / weights
 }
 
-// Overlay returns base with its classes replaced by the document's classes of the same names. It fails with an
-// inifile.Fault if the document gives one of them another idempotency than base.
+// Overlay returns base with its classes replaced by the document's classes of the same names. FetchParts stays that of
+// base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
 func (d *Document) Overlay(base policy.Settings) (policy.Settings, error) {
 	classes := make([]policy.Class, len(base.Classes))
 	for i, class := range base.Classes {
@@ -91,7 +91,7 @@
 			return base, inifile.Fault{
 				File:     "agreed document",
 				Location: "class " + class.Name + ".effect",
-				Message:  "the platform's front runs this class with another effect",
+				Message:  "expected the effect configured for the platform's front",
 			}
 		}
 		own.FetchParts = class.FetchParts
