--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// runEventLoop passes the pushed events to a step function, at least loopsPerLeaseInterval times in a lease interval, and
+// runEventLoop passes the pushed events to a step function, at least loopsPerRenewalInterval times in a renewal interval, and
 // reports changes of the state of serving after each step.
 func (i *instance) runEventLoop(step func([]sharedconfig.Event)) {
 	ticker := time.NewTicker(microseconds(i.settings.LeaseRenewalInterval) / loopsPerRenewalInterval)
--- a/raftnode/membership_test.go
+++ b/raftnode/membership_test.go
@@ -26,7 +26,7 @@
 	add := addCommand(name, config.Address)
 	outcome := leader.Execute(add, 5*time.Second)
 	assert.Equal(t, sharedconfig.StatusRejected, outcome.Status)
-	assert.Contains(t, outcome.Reason, "another folder")
+	assert.Contains(t, outcome.Reason, "another data directory")
 	assert.Zero(t, node.Status().Term, "it was asked for its vote")
 
 	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
--- a/sharedconfig/actions.go
+++ b/sharedconfig/actions.go
@@ -1,13 +1,14 @@
 package sharedconfig
 
-// Action is an output of a Core or Follower: one of the types that implement it in this package. The caller carries out
-// actions in the order given.
+// Action is an output of a Core or Follower. Only types of this package implement it. The caller carries out actions in
+// the order in which they are returned.
 type Action interface{ action() }
 
-// AppendEntry appends an entry to the log. Its result is reported by EntriesApplied, or by AppendFailed with the same request.
+// AppendEntry appends an entry to the Raft log. EntriesApplied reports that the entry was applied, and AppendFailed
+// with the same request ID that appending failed.
 type AppendEntry struct {
 	Entry     Entry
-	RequestID string // empty: the core does not wait for the result
+	RequestID string // empty: failures are not reported
 }
 
 // CheckChange asks a member, which may be this instance, to check a change. It is answered by one CheckResult.
@@ -16,19 +17,20 @@
 	Change Change
 }
 
-// Reply answers a call of ChangeRequested, AddMemberRequested or RemoveMemberRequested.
+// Reply answers the call of a ChangeRequested, AddMemberRequested or RemoveMemberRequested event.
 type Reply struct {
 	CallID  uint64
 	Outcome Outcome
 }
 
-// RequestLease requests a lease from the leader. It is answered by one LeaseAnswerReceived or not at all.
+// RequestLease requests a lease from the leader. It is answered by at most one LeaseReplyReceived.
 type RequestLease struct{ Seq uint64 }
 
-// VerifyLeadership asks a majority whether this instance still leads. It is answered by one LeadershipVerified.
+// VerifyLeadership asks a majority of the voters to confirm that this instance is still the leader. It is answered by
+// one VerifyLeadershipResult.
 type VerifyLeadership struct{ Seq uint64 }
 
-// LeaseReply answers a LeaseRequested. It is sent as JSON to the member that asked.
+// LeaseReply answers a LeaseRequested event. It is sent as JSON to the member that requested the lease.
 type LeaseReply struct {
 	CallID  uint64 `json:"Call"`
 	OK      bool   `json:"OK"`
@@ -36,30 +38,31 @@
 	Removed bool   `json:"Removed"`
 }
 
-// ChangeMembership adds, updates or removes one member. It is answered by one MembershipChanged.
+// ChangeMembership adds, updates or removes one member in the Raft configuration. It is answered by one
+// ChangeMembershipResult.
 type ChangeMembership struct {
 	Seq    uint64
 	Member Member
 	Remove bool
 }
 
-// WaitForCatchUp asks a member without a vote to report when it has the whole log. It is answered by one CaughtUp or
-// not at all.
+// WaitForCatchUp waits until a member without a vote has applied all entries that are committed by now. It is answered
+// by at most one CaughtUp.
 type WaitForCatchUp struct{ Member Member }
 
-// Activate reports a new active version, by which this instance has to serve from now on.
+// Activate makes this instance serve a new active version.
 type Activate struct{ Version Version }
 
 // SetLease replaces this instance's lease.
 type SetLease struct{ Lease Lease }
 
-// LogMessage is a message for the operators.
+// LogMessage is a log line for operators.
 type LogMessage struct{ Text string }
 
-// PollVoter sends a poll to a voter. It is answered by one PollReply, one PollFailed or not at all.
+// PollVoter sends a poll to a voter. It is answered by one PollReply, by one PollFailed or not at all.
 type PollVoter struct {
 	Seq     uint64
-	Voter   Member // only the address is set if the voter is known from the settings alone
+	Voter   Member // only Addr is set if the voter is known from the settings alone
 	Request PollRequest
 }
 
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// changeInProgress is the change that the leader has proposed or is about to decide.
+// changeInProgress is the change that the leader is proposing, checking or deciding.
 type changeInProgress struct {
 	Change
 	callIDs         []uint64 // calls that wait for the outcome
-	callDeadline    Micros   // when the calls are answered at the latest; 0: no call waits
-	proposalApplied bool     // the entry that proposes it is applied
+	callDeadline    Micros   // time by which the calls are answered; 0: none
+	proposalApplied bool     // the entry that proposes the change is applied
 
-	outstandingChecks map[string]Member // members whose check is outstanding, by instance ID; nil: the check has not begun
+	outstandingChecks map[string]Member // members that have not replied, by instance ID; nil: the check has not begun
 	checkDeadline     Micros
-	acceptCount       int          // voters that accepted
-	firstRejection    *CheckResult // the first one; nil: none so far
-	rejectedBy        string       // name of its member
+	acceptCount       int          // number of voters that accepted
+	firstRejection    *CheckResult // nil: no member has rejected the change
+	rejectedBy        string       // name of the member of firstRejection
 
-	decisionSubmitted bool // the entry that decides it is sent to the log
-	decisionAccepts   bool // by that entry
+	decisionSubmitted bool // the entry that decides the change was sent to the log
+	decisionAccepts   bool // that entry commits the change
 }
 
-// handleChangeRequested queues a change. A request with a known outcome is answered at once, and one that repeats the
-// current change waits with it.
+// handleChangeRequested queues a change. A request whose outcome is recorded is answered at once, and a repeated
+// request for the current change waits with it.
 func (c *Core) handleChangeRequested(e ChangeRequested) {
 	recorded := c.state.Outcome(e.Change.RequestID)
 	isDecided := recorded.Status != StatusUnknown && recorded.Status != StatusPending
@@ -49,9 +49,9 @@
 	switch outcome.Status {
 	case StatusPending:
 		current.proposalApplied = true
-	case StatusBusy: // an earlier leader's change is pending, which is decided first
+	case StatusBusy: // a change of an earlier leader is pending and is decided first
 		c.requeueCurrentChange()
-	case StatusUnknown: // of an entry that decided nothing
+	case StatusUnknown: // the entry decided nothing
 	default:
 		c.replyAll(current.callIDs, outcome)
 		c.currentChange = nil
@@ -64,7 +64,7 @@
 	}
 }
 
-// abandonCurrentChange answers the current change's calls with an unknown outcome.
+// abandonCurrentChange drops the current change and answers its calls with an unknown outcome.
 func (c *Core) abandonCurrentChange(reason string) {
 	if c.currentChange == nil {
 		return
@@ -73,7 +73,7 @@
 	c.currentChange = nil
 }
 
-// requeueCurrentChange puts the current change in front of the queue, since another one is pending.
+// requeueCurrentChange moves the current change back to the front of the queue, since another change is pending.
 func (c *Core) requeueCurrentChange() {
 	current := c.currentChange
 	c.currentChange = nil
@@ -84,8 +84,8 @@
 	c.queuedChanges = append(queue, c.queuedChanges...)
 }
 
-// advanceCurrentChange makes the pending or else the next queued change the current one and has it checked once it is
-// proposed.
+// advanceCurrentChange takes up the pending change, or else the next queued one, if no change is in progress. It starts
+// the check of the current change once its proposal is applied.
 func (c *Core) advanceCurrentChange() {
 	if c.currentChange == nil {
 		c.resumePendingChange()
@@ -101,7 +101,7 @@
 	c.startCheck()
 }
 
-// resumePendingChange takes over a change that an earlier leader proposed and did not decide.
+// resumePendingChange takes over a change that an earlier leader proposed but did not decide.
 func (c *Core) resumePendingChange() {
 	if c.state.PendingChange == nil {
 		return
@@ -110,7 +110,8 @@
 	c.currentChange = &changeInProgress{Change: *c.state.PendingChange, proposalApplied: true}
 }
 
-// proposeNextChange proposes the first queued change that has no outcome yet.
+// proposeNextChange proposes the first queued change without a recorded outcome, and answers the requests queued before
+// it.
 func (c *Core) proposeNextChange() {
 	for len(c.queuedChanges) > 0 {
 		next := c.queuedChanges[0]
@@ -129,7 +130,7 @@
 	}
 }
 
-// attachQueuedCalls has queued calls for the current change wait with it.
+// attachQueuedCalls moves the calls of queued requests for the current change to its waiting calls.
 func (c *Core) attachQueuedCalls() {
 	current := c.currentChange
 	c.queuedChanges = slices.DeleteFunc(c.queuedChanges, func(queued ChangeRequested) bool {
@@ -141,7 +142,7 @@
 	})
 }
 
-// expireCurrentCalls answers the current change's calls after their deadline. The change itself goes on.
+// expireCurrentCalls answers the calls of the current change after their deadline. The change itself continues.
 func (c *Core) expireCurrentCalls() {
 	current := c.currentChange
 	if current.callDeadline == 0 || c.now < current.callDeadline {
@@ -152,7 +153,7 @@
 	current.callDeadline = 0
 }
 
-// startCheck asks all members to check the current change once it is proposed.
+// startCheck asks all members to check the current change once its proposal is applied.
 func (c *Core) startCheck() {
 	current := c.currentChange
 	if !current.proposalApplied || current.outstandingChecks != nil {
@@ -178,7 +179,7 @@
 	delete(current.outstandingChecks, e.InstanceID)
 	switch {
 	case e.NoReply:
-		c.logf("instance %s did not check change %s: %s", member.Name, e.RequestID, cmp.Or(e.Reason, "no answer"))
+		c.logf("member %s did not check change %s: %s", member.Name, e.RequestID, cmp.Or(e.Reason, "no reply"))
 	case !e.Accepted && current.firstRejection == nil:
 		current.firstRejection = &e
 		current.rejectedBy = member.Name
@@ -187,9 +188,9 @@
 	}
 }
 
-// decideCurrentChange commits or rejects the current change once its check is complete: when a member has rejected it,
-// all have answered, or the time is up. Without a majority of voters that accept it is rejected, since a leader that is
-// cut off from them would otherwise learn only later that it cannot commit it.
+// decideCurrentChange commits or rejects the current change once its check has ended: a member has rejected it, no
+// reply is outstanding, or the deadline has passed. A change that no majority of the voters accepted is rejected: a
+// leader that is cut off from the voters would otherwise learn only later that it cannot commit the change.
 func (c *Core) decideCurrentChange() {
 	current := c.currentChange
 	if current == nil || current.outstandingChecks == nil || current.decisionSubmitted {
@@ -203,7 +204,7 @@
 	case len(current.outstandingChecks) > 0 && c.now < current.checkDeadline:
 		return
 	case current.acceptCount <= c.voterCount()/2:
-		decision.Reason = fmt.Sprintf("only %d of %d instances could check it", current.acceptCount, c.voterCount())
+		decision.Reason = fmt.Sprintf("only %d of %d voters accepted the change; a majority is required", current.acceptCount, c.voterCount())
 	default:
 		decision.Accept = true
 	}
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Reasons in outcomes.
+// Reasons in replies to callers.
 const (
-	reasonNotLeader      = "this instance does not lead"
-	reasonLeadershipLost = "this instance no longer leads"
-	reasonAppendFailed   = "the log did not take it, or nobody knows whether it did"
-	reasonChangeTimedOut = "not decided in time"
-	reasonNotCommitted   = "not agreed on in time"
+	reasonNotLeader      = "this instance is not the leader"
+	reasonLeadershipLost = "this instance lost the leadership before the outcome was known"
+	reasonAppendFailed   = "cannot append an entry to the log, or the result is unknown"
+	reasonChangeTimedOut = "the change was not decided before the timeout"
+	reasonNotCommitted   = "the membership change was not committed before the timeout"
 )
 
-// Core makes the decisions of one member of the group. Calls of its methods must not overlap.
+// Core makes the decisions of one member of the group. Its methods must not be called concurrently.
 type Core struct {
 	stepState
 	settings Settings
@@ -19,31 +19,32 @@
 	members  []Member
 	lease    Lease
 
-	pendingLeaseRequests map[uint64]Micros // time of each request that may still be answered
-	lastLeaseRequestSeq  uint64            // sequence number
-	lastLeaseRequestAt   Micros
+	pendingLeaseRequests map[uint64]Micros // send times of the requests that may still be answered, by sequence number
+	lastLeaseRequestSeq  uint64            // sequence number of the latest request
+	lastLeaseRequestAt   Micros            // send time of that request
 
 	term        uint64
 	leading     bool
-	leaderReady bool // leading, and everything committed in earlier terms is applied
+	leaderReady bool // leading, and all entries committed in earlier terms are applied
 
-	// The fields below are in use only while this instance leads.
+	// The fields below are used only while this instance leads.
 
 	queuedChanges []ChangeRequested
 	currentChange *changeInProgress
 	lastSeq       uint64 // sequence number of the latest VerifyLeadership or ChangeMembership
 
-	queuedLeaseRequests    []LeaseRequested // for the next verification
-	verifyingLeaseRequests []LeaseRequested // for the verification in flight
-	verifyingVersion       uint64           // active version when the verification in flight began
-	verificationSeq        uint64           // 0: none is in flight
+	queuedLeaseRequests    []LeaseRequested // wait for the next verification of the leadership
+	verifyingLeaseRequests []LeaseRequested // wait for the result of the verification in progress
+	verifyingVersion       uint64           // active version at the start of the verification in progress
+	verificationSeq        uint64           // sequence number of the verification in progress; 0: none
 
-	membershipChange       *membershipChange // in progress
-	memberLeaseRequestedAt map[string]Micros // time of the last lease request by instance ID
-	catchUpRequestedAt     map[string]Micros // time of the last WaitForCatchUp by instance ID
+	membershipChange       *membershipChange // in progress; nil: none
+	memberLeaseRequestedAt map[string]Micros // time of each member's latest lease request, by instance ID
+	catchUpRequestedAt     map[string]Micros // time of the latest WaitForCatchUp for each member, by instance ID
 }
 
-// NewCore returns the core of an instance whose log has led to the given state. It knows no members and no leader yet.
+// NewCore returns the core of an instance whose log has produced the given state. It knows no members and no leader
+// yet.
 func NewCore(settings Settings, state State) *Core {
 	return &Core{
 		settings:               settings,
@@ -56,7 +57,7 @@
 	}
 }
 
-// State returns the state by the last EntriesApplied event.
+// State returns the state of the latest EntriesApplied event.
 func (c *Core) State() State { return c.state }
 
 // Lease returns this instance's lease.
@@ -119,8 +120,8 @@
 	}
 }
 
-// handleLeadershipChanged starts or ends this instance's leadership. A leader of a new term starts over: what it had in progress in
-// an earlier one has an unknown outcome.
+// handleLeadershipChanged starts or ends this instance's leadership. The leader of a new term starts afresh: the
+// outcome of whatever was in progress in an earlier term is unknown.
 func (c *Core) handleLeadershipChanged(e LeadershipChanged) {
 	unchanged := e.Leading == c.leading && (!e.Leading || e.Term == c.term)
 	if unchanged {
@@ -142,7 +143,7 @@
 	clear(c.catchUpRequestedAt)
 }
 
-// failPendingCalls answers all calls that wait for a leader that no longer leads.
+// failPendingCalls answers all calls that wait for this instance, which is no longer the leader.
 func (c *Core) failPendingCalls() {
 	c.abandonCurrentChange(reasonLeadershipLost)
 	for _, queued := range c.queuedChanges {
@@ -154,7 +155,7 @@
 	}
 }
 
-// stepLeader does what is due for a leader that is ready.
+// stepLeader performs the due tasks of a leader that is ready.
 func (c *Core) stepLeader() {
 	c.advanceCurrentChange()
 	c.decideCurrentChange()
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newLeader returns the core of f1, which leads in term 4, with three members of which f3 has no vote.
+// newLeader returns the core of f1, the ready leader of term 4. The group has three members, of which f3 has no vote.
 func newLeader() *Core {
 	first := Change{RequestID: "first", Text: "0"}
 	state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 9, FirstChange: first}})
@@ -36,6 +36,8 @@
 	return matching
 }
 
+// TestLeasesRequireVerification checks that an instance grants no lease unless a majority confirms that it still leads.
+// Otherwise a leader that was replaced could confirm a version that is no longer active.
 func TestLeasesRequireVerification(t *testing.T) {
 	for name, c := range map[string]struct {
 		verified   VerifyLeadershipResult
@@ -81,7 +83,7 @@
 }
 
 // TestLeaseRequestRetriesUntilGranted checks that a request that is not granted is soon repeated. If leaders fail one
-// after the other, there may be one for a short time only.
+// after the other, each may be available only for a short time.
 func TestLeaseRequestRetriesUntilGranted(t *testing.T) {
 	settings := DefaultSettings("f1", 5_000_000, false)
 	retryInterval := settings.LeaseRenewalInterval / 8
@@ -92,8 +94,8 @@
 	require.Len(t, requestsAt(0), 1)
 	assert.Empty(t, requestsAt(retryInterval-1))
 	requests := requestsAt(retryInterval)
-	require.Len(t, requests, 1, "not requested again")
+	require.Len(t, requests, 1, "the lease request was not repeated")
 	core.Step(retryInterval+1, []Event{LeaseReplyReceived{Seq: requests[0].Seq, OK: true, Version: 1}})
-	assert.Empty(t, requestsAt(settings.LeaseRenewalInterval), "granted, and requested again at once")
+	assert.Empty(t, requestsAt(settings.LeaseRenewalInterval), "the lease was granted and requested again at once")
 	assert.Len(t, requestsAt(retryInterval+settings.LeaseRenewalInterval), 1)
 }
--- a/sharedconfig/datadir.go
+++ b/sharedconfig/datadir.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DataDirectory describes the contents of an instance's data directory at its start.
+// DataDirectory describes the contents of an instance's data directory when the instance starts.
 type DataDirectory struct {
 	FirstIndex uint64         // index of the first entry of the log; 0: the log is empty
 	LastIndex  uint64         // index of the last entry; 0: the log is empty
@@ -16,8 +16,8 @@
 	Err       error  // why the snapshot cannot be read; nil: it is intact
 }
 
-// Validate returns an error if an instance must not start from the data directory. An older snapshot replaces a
-// corrupt one only if the log continues from it: with a gap, the instance would get a state that never existed.
+// Validate returns an error if the instance must not start from the data directory. An older snapshot can replace a
+// corrupt one only if the log continues from it: across a gap, the instance would reach a state that never existed.
 func (d DataDirectory) Validate() error {
 	var corrupt error
 	for _, snapshot := range d.Snapshots {
@@ -30,20 +30,20 @@
 		return corrupt
 	}
 	if d.FirstIndex > 1 {
-		return fmt.Errorf("the log begins at entry %d and there is no snapshot before it", d.FirstIndex)
+		return fmt.Errorf("the log begins at index %d, and no snapshot has the entries before it", d.FirstIndex)
 	}
 	return nil
 }
 
-// checkStart returns an error if an instance must not start from the newest intact snapshot. corrupt is the error
-// of the corrupt snapshot before it; nil: there is none.
+// checkStart returns an error if the instance must not start from snapshot, its newest intact one. corrupt is the error
+// of the corrupt snapshot that is newer, or nil if there is none.
 func (d DataDirectory) checkStart(snapshot SnapshotInfo, corrupt error) error {
 	hasGap := d.LastIndex > 0 && d.FirstIndex > snapshot.LastIndex+1
 	switch {
 	case hasGap && corrupt != nil:
-		return fmt.Errorf("%w; the one before it ends at entry %d and the log begins at %d", corrupt, snapshot.LastIndex, d.FirstIndex)
+		return fmt.Errorf("%w; the next older snapshot ends at index %d, but the log begins at index %d", corrupt, snapshot.LastIndex, d.FirstIndex)
 	case hasGap:
-		return fmt.Errorf("the log begins at entry %d and snapshot %s ends at %d", d.FirstIndex, snapshot.Name, snapshot.LastIndex)
+		return fmt.Errorf("the log begins at index %d, but snapshot %s ends at index %d", d.FirstIndex, snapshot.Name, snapshot.LastIndex)
 	case d.LastIndex == 0:
 		return corrupt
 	}
--- a/sharedconfig/datadir_test.go
+++ b/sharedconfig/datadir_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// TestDataDirectoryValidate checks that an instance does not start from a data directory with missing entries or a corrupt
+// snapshot, from which it would reach a state that never existed.
 func TestDataDirectoryValidate(t *testing.T) {
 	errChecksum := errors.New("bad")
 	intact9 := SnapshotInfo{Name: "a", LastIndex: 9}
@@ -28,29 +30,29 @@
 		"log follows the snapshot": {
 			directory: DataDirectory{FirstIndex: 10, LastIndex: 20, Snapshots: []SnapshotInfo{intact9}},
 		},
-		"gap": {
+		"gap between snapshot and log": {
 			directory: DataDirectory{FirstIndex: 11, LastIndex: 20, Snapshots: []SnapshotInfo{intact9}},
-			want:      "the log begins at entry 11 and snapshot a ends at 9",
+			want:      "the log begins at index 11, but snapshot a ends at index 9",
 		},
 		"log without a beginning": {
 			directory: DataDirectory{FirstIndex: 3, LastIndex: 20},
-			want:      "the log begins at entry 3 and there is no snapshot before it",
+			want:      "the log begins at index 3, and no snapshot has the entries before it",
 		},
-		"corrupt, older one fits": {
+		"corrupt snapshot, log continues the older one": {
 			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15, intact9}},
 		},
-		"corrupt, gap behind the older one": {
+		"corrupt snapshot, gap between the older one and the log": {
 			directory: DataDirectory{FirstIndex: 12, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15, intact9}},
-			want:      "snapshot b is corrupt: bad; the one before it ends at entry 9 and the log begins at 12",
+			want:      "snapshot b is corrupt: bad; the next older snapshot ends at index 9, but the log begins at index 12",
 		},
-		"corrupt, no log": {
+		"corrupt snapshot, no log": {
 			directory: DataDirectory{Snapshots: []SnapshotInfo{corrupt15, intact9}},
 			want:      "snapshot b is corrupt: bad",
 		},
-		"corrupt, complete log": {
+		"corrupt snapshot, complete log": {
 			directory: DataDirectory{FirstIndex: 1, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15}},
 		},
-		"corrupt, rest of a log": {
+		"corrupt snapshot, log without a beginning": {
 			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15}},
 			want:      "snapshot b is corrupt: bad",
 		},
--- a/sharedconfig/encoding_test.go
+++ b/sharedconfig/encoding_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEncodedNames checks the names in stored and sent data, which must not change with the names in the code.
+// TestEncodedNames checks the JSON names in the log, in snapshots and in messages. They must not change with the names
+// in the code, since instances of other releases read them.
 func TestEncodedNames(t *testing.T) {
 	change := Change{
 		RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, RestoredVersion: 6,
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Entry is an entry of the replicated log. Exactly one field is set.
+// Entry is the data of an entry of the Raft log. Exactly one field is set.
 type Entry struct {
 	Bootstrap *Bootstrap  `json:"found,omitempty"`
 	Propose   *Change     `json:"propose,omitempty"`
@@ -24,23 +24,23 @@
 type Decision struct {
 	RequestID  string `json:"request"`
 	Accept     bool   `json:"accept"`
-	RejectedBy string `json:"instance,omitempty"` // name of the instance that rejected it
-	Reason     string `json:"why,omitempty"`      // reason of a rejection
+	RejectedBy string `json:"instance,omitempty"` // name of the member that rejected the change; empty: none did
+	Reason     string `json:"why,omitempty"`      // why the change was rejected
 }
 
-// Retirement records the ID of a removed instance, which must never become a member again.
+// Retirement records the ID of a removed instance, which can never become a member again.
 type Retirement struct {
 	InstanceID string `json:"folder"`
 }
 
-// Encode returns the entry in its form in the log, which DecodeEntry reads.
+// Encode returns the entry as it is stored in the log. DecodeEntry is the inverse.
 func (e Entry) Encode() ([]byte, error) { return json.Marshal(e) }
 
-// DecodeEntry parses an entry of the log.
+// DecodeEntry parses an entry as it is stored in the log.
 func DecodeEntry(text []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(text, &e); err != nil {
-		return e, fmt.Errorf("entry of the log: %w", err)
+		return e, fmt.Errorf("cannot decode a log entry: %w", err)
 	}
 	return e, nil
 }
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -1,27 +1,28 @@
 package sharedconfig
 
-// Event is an input of a Core or Follower: one of the types that implement it in this package.
+// Event is an input of a Core or Follower. Only types of this package implement it.
 type Event interface{ event() }
 
-// EntriesApplied reports that entries of the log were applied at this instance. It carries the state after them and the
-// outcomes of the changes that they concern.
+// EntriesApplied reports that this instance has applied entries of the log. It carries the resulting state and the
+// outcomes of the changes that the entries concern.
 type EntriesApplied struct {
 	State    State
 	Outcomes []Outcome
 }
 
-// LeadershipChanged reports whether this instance leads, and in which term. A leader is not ready until LeaderReady reports the term.
+// LeadershipChanged reports whether this instance is the leader, and in which term. A new leader is not ready until
+// LeaderReady reports the same term.
 type LeadershipChanged struct {
 	Leading bool
 	Term    uint64
 }
 
-// LeaderReady reports that this instance has applied all entries that were committed before the term in which it leads. A
-// leader makes no decisions before that.
+// LeaderReady reports that this instance has applied all entries that were committed before the term in which it leads.
+// A leader makes no decisions before that.
 type LeaderReady struct{ Term uint64 }
 
-// MemberList carries the group's members by the latest configuration in the log, including this instance if it is a
-// member.
+// MemberList carries the group's members by the latest Raft configuration in the log, including this instance if it is
+// a member.
 type MemberList struct{ Members []Member }
 
 // ChangeRequested is a caller's request for a change. It is answered by one Reply.
@@ -30,32 +31,33 @@
 	Change Change
 }
 
-// AppendFailed reports that an entry was not appended to the log, or that its fate is unknown.
+// AppendFailed reports that an entry was not appended to the log, or that it is unknown whether it was.
 type AppendFailed struct{ RequestID string }
 
-// CheckResult is a member's answer to CheckChange.
+// CheckResult is the result of CheckChange: a member's reply, or the lack of one.
 type CheckResult struct {
 	RequestID  string
-	InstanceID string // instance ID of the member
+	InstanceID string // of the member
 	Accepted   bool
-	NoReply    bool   // the member did not answer; Accepted has no meaning then
-	Reason     string // of a rejection or of a missing answer
+	NoReply    bool   // the member did not reply; Accepted has no meaning
+	Reason     string // why the change was rejected or there is no reply
 }
 
-// LeaseRequested is a member's request for a lease. It is answered by one LeaseAnswer.
+// LeaseRequested is a member's request for a lease. It is answered by one LeaseReply.
 type LeaseRequested struct {
 	CallID     uint64
-	InstanceID string // instance ID of the member
+	InstanceID string // of the member
 }
 
-// VerifyLeadershipResult is the answer to VerifyLeadership: whether a majority still took this instance for the leader of the term.
+// VerifyLeadershipResult is the result of VerifyLeadership: whether a majority confirmed that this instance is the
+// leader of the term.
 type VerifyLeadershipResult struct {
 	Seq  uint64
 	OK   bool
 	Term uint64
 }
 
-// LeaseReplyReceived is the leader's answer to RequestLease. The other fields have no meaning if OK is false.
+// LeaseReplyReceived is the leader's reply to RequestLease. The other fields have no meaning if OK is false.
 type LeaseReplyReceived struct {
 	Seq     uint64
 	OK      bool
@@ -63,7 +65,8 @@
 	Removed bool   // this instance was removed from the group
 }
 
-// AddMemberRequested is a caller's request to add a member, or to change the address of one. It is answered by one Reply.
+// AddMemberRequested is a caller's request to add a member, or to change the address of a member. It is answered by one
+// Reply.
 type AddMemberRequested struct {
 	CallID uint64
 	Member Member
@@ -75,20 +78,22 @@
 	Name   string
 }
 
-// ChangeMembershipResult is the answer to ChangeMembership: whether the new configuration was committed.
+// ChangeMembershipResult is the result of ChangeMembership: whether the new Raft configuration was committed.
 type ChangeMembershipResult struct {
 	Seq    uint64
 	OK     bool
-	Reason string // why it was not committed, as far as known
+	Reason string // why it was not committed, if known
 }
 
-// CaughtUp reports that a member without a vote has the whole log as it was at the time of WaitForCatchUp.
+// CaughtUp reports that a member without a vote has applied all entries that were committed at the time of
+// WaitForCatchUp.
 type CaughtUp struct{ InstanceID string }
 
-// Tick reports only that time has passed.
+// Tick only reports that time has passed.
 type Tick struct{}
 
-// PollReply is a voter's answer to PollVoter. If OK is false, the voter has no lease itself and only Why is set.
+// PollReply is a voter's reply to PollVoter. If OK is false, no lease of the voter covers its active version, and only
+// Seq and Reason are set.
 type PollReply struct {
 	Seq            uint64   `json:"-"`
 	OK             bool     `json:"ok"`
@@ -96,11 +101,11 @@
 	GroupID        string   `json:"group,omitempty"`
 	Version        uint64   `json:"version,omitempty"` // active version, which the voter's lease covers
 	LeaseRemaining Micros   `json:"left,omitempty"`    // remaining duration of that lease on the voter's clock
-	Active         *Version `json:"active,omitempty"`  // nil: the poll named the same version
+	Active         *Version `json:"active,omitempty"`  // nil: the follower already has this version
 	Voters         []Member `json:"voters,omitempty"`
 }
 
-// PollFailed reports that a voter did not answer a poll, or that its answer was invalid.
+// PollFailed reports that a voter did not reply to a poll, or that its reply was invalid.
 type PollFailed struct{ Seq uint64 }
 
 func (EntriesApplied) event()         {}
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// pollRetryDivisor is how much more often a follower polls while a poll is unanswered or its lease has expired.
+// pollRetryDivisor divides the interval between two polls while a poll is unanswered or the lease does not cover the
+// active version.
 const pollRetryDivisor = 4
 
-// Follower makes the decisions of an instance without a vote, of which there may be hundreds. It polls the voters, one
-// at a time, for the active version and a lease. Its lease ends no later than the voter's: the remaining duration that
-// the voter reports counts from the time at which the poll was sent. So the staleness bound holds for followers too,
-// without load on the leader. Calls of its methods must not overlap.
+// Follower makes the decisions of an instance outside the Raft group, of which there may be hundreds. It polls one
+// voter at a time for the active version and a lease. Its lease ends no later than the voter's, since the remaining
+// duration that the voter reports counts from the time at which the poll was sent. The staleness bound therefore holds
+// for followers too, without load on the leader. Its methods must not be called concurrently.
 type Follower struct {
 	stepState
 	settings      Settings
-	seedVoters    []Member // from the settings, with addresses only
-	knownVoters   []Member // by the latest reply
+	seedVoters    []Member // from the settings; only Addr is set
+	knownVoters   []Member // from the latest reply that listed any
 	active        Version
-	groupID       string // ID of the group; empty before the first reply
-	loggedGroupID string // the latest other group that was logged
+	groupID       string // empty before the first reply
+	loggedGroupID string // ID of the other group that was logged last
 	lease         Lease
-	pendingPolls  map[uint64]pendingPoll
-	lastPollSeq   uint64 // sequence number
-	lastPollAt    Micros
-	voterFailedAt map[string]Micros // time of a voter's last failure by address
+	pendingPolls  map[uint64]pendingPoll // by sequence number
+	lastPollSeq   uint64                 // sequence number of the latest poll
+	lastPollAt    Micros                 // send time of the latest poll
+	voterFailedAt map[string]Micros      // time of each voter's latest failure, by address
 }
 
 // pendingPoll is a poll that may still be answered.
@@ -33,8 +34,8 @@
 	voter  Member
 }
 
-// NewFollower returns the decisions of an instance that knows the addresses of some voters. last is the version that it
-// served before its start, with the number 0 if there is none.
+// NewFollower returns a follower that knows the addresses of some voters. last is the version that the instance served
+// before it started; its number is 0 if there is none.
 func NewFollower(settings Settings, voters []string, last Version) *Follower {
 	f := &Follower{
 		settings:      settings,
@@ -74,7 +75,7 @@
 	return f.actions
 }
 
-// poll polls the preferred voter when a poll is due.
+// poll polls the most preferred voter when a poll is due.
 func (f *Follower) poll() {
 	if f.now < f.lastPollAt+f.pollInterval() {
 		return
@@ -98,8 +99,8 @@
 	return f.settings.LeaseRenewalInterval / pollRetryDivisor
 }
 
-// expirePolls marks voters as failed that have not answered within half a lease interval. A poll older than the
-// staleness bound is dropped, since a reply could grant no lease any more.
+// expirePolls marks voters as failed that have not replied within half a lease renewal interval. It drops polls older
+// than the staleness bound, since a reply could no longer extend the lease.
 func (f *Follower) expirePolls() {
 	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
 		pending := f.pendingPolls[seq]
@@ -113,8 +114,8 @@
 	}
 }
 
-// pollRequest names the version that this instance has. Before the first reply it names none, since the version may be
-// of a group that was bootstrapped again since.
+// pollRequest names the version that this instance has. Before the first reply it names none, since the stored version
+// may belong to a group that has been bootstrapped anew since.
 func (f *Follower) pollRequest() PollRequest {
 	if f.groupID == "" {
 		return PollRequest{}
@@ -133,7 +134,7 @@
 
 func (f *Follower) handlePollReply(e PollReply) {
 	pending, isPending := f.pendingPolls[e.Seq]
-	if !isPending { // a duplicate, or too late
+	if !isPending { // a duplicate or late reply
 		return
 	}
 	delete(f.pendingPolls, e.Seq)
@@ -158,19 +159,19 @@
 	f.extendLease(pending.sentAt, e)
 }
 
-// ignoreOtherGroup ignores a voter of another group and logs that once for each group.
-func (f *Follower) ignoreOtherGroup(voter Member, group string) {
+// ignoreOtherGroup marks a voter of another group as failed. It logs the group unless it is the one logged last.
+func (f *Follower) ignoreOtherGroup(voter Member, groupID string) {
 	f.markFailed(voter)
-	if f.loggedGroupID == group {
+	if f.loggedGroupID == groupID {
 		return
 	}
-	f.loggedGroupID = group
-	f.logf("ignoring the voter at %s: it belongs to group %s and not to %s; if the group was bootstrapped again, restart this instance",
-		voter.Addr, group, f.groupID)
+	f.loggedGroupID = groupID
+	f.logf("ignoring the voter at %s: it belongs to group %s, not to %s; if the group was bootstrapped again, restart this instance",
+		voter.Addr, groupID, f.groupID)
 }
 
-// replacesActive reports whether a version replaces the one that this instance has. Numbers only grow, except with the
-// first reply: the stored version may be of a group that was bootstrapped again since.
+// replacesActive reports whether a version replaces the one that this instance has. Version numbers only grow, except
+// with the first reply: the stored version may belong to a group that has been bootstrapped anew since.
 func (f *Follower) replacesActive(version Version, isFirstReply bool) bool {
 	if version.Number > f.active.Number {
 		return true
@@ -178,7 +179,7 @@
 	return isFirstReply && (version.Number != f.active.Number || version.Digest != f.active.Digest)
 }
 
-// extendLease adds the grant of a reply to a poll that was sent at the given time.
+// extendLease adds the grant of a reply to the lease. sentAt is the time at which the poll was sent.
 func (f *Follower) extendLease(sentAt Micros, e PollReply) {
 	expiresAt := grantExpiry(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
 	if expiresAt <= f.now {
--- a/sharedconfig/follower_voters.go
+++ b/sharedconfig/follower_voters.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// votersByPreference returns the voters in the order in which this instance polls them. The order is derived from the
-// instance ID, which spreads the instances over the voters. Voters that failed within the staleness bound come last,
-// the earliest failure first. Seed voters are included only if all known voters have failed.
+// votersByPreference returns the voters in the order in which this instance polls them. The order is derived from a
+// hash of the instance ID, which spreads the instances over the voters. Voters that failed within the staleness bound
+// come last, the earliest failure first. Seed voters are included only if all known voters have failed.
 func (f *Follower) votersByPreference() []Member {
 	voters := slices.Clone(f.knownVoters)
 	hasWorkingVoter := slices.ContainsFunc(voters, func(voter Member) bool { return !f.failedRecently(voter) })
@@ -56,7 +56,7 @@
 	return hasFailed && f.now-failedAt < f.settings.StalenessBound
 }
 
-// clearFailures forgets the failure of a voter that has answered, and failures older than the staleness bound.
+// clearFailures removes the failure of a voter that has replied, and all failures older than the staleness bound.
 func (f *Follower) clearFailures(voter Member) {
 	delete(f.voterFailedAt, voter.Addr)
 	maps.DeleteFunc(f.voterFailedAt, func(_ string, failedAt Micros) bool {
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-// clockDriftDivisor shortens a lease by one part in this many, in case the clocks of two instances run at different
-// speeds.
+// clockDriftDivisor sets the safety margin for clock drift: a lease is shortened by one part in this many, since the
+// clocks of two instances may run at different speeds.
 const clockDriftDivisor = 100
 
-// Grant confirms a version until a point in time. A grant for version v that was requested at time t states that v
-// was the active version at t or later. Any newer version became active after t, so v and all newer versions may be
-// served until t plus the staleness bound.
+// Grant confirms a version until a point in time. A grant for version v that was requested at time t states that v was
+// the active version at t or later. Any newer version became active after t, so v and all newer versions may be served
+// until t plus the staleness bound.
 type Grant struct {
 	Version   uint64 // lowest version that the grant covers
 	ExpiresAt Micros
 }
 
-// grantExpiry returns the end of a grant of the given duration. It counts from the time of the request: however late the
-// response arrives, the version was active then or later.
+// grantExpiry returns the time at which a grant of the given duration expires. The duration counts from the time of the
+// request: however late the reply arrives, the version was active at that time or later.
 func grantExpiry(requestedAt, duration Micros) Micros {
 	return requestedAt + duration - duration/clockDriftDivisor
 }
 
-// covers reports whether g allows everything that other allows.
+// covers reports whether g permits everything that other permits.
 func (g Grant) covers(other Grant) bool {
 	return g.Version <= other.Version && g.ExpiresAt >= other.ExpiresAt
 }
 
-// Lease is what an instance was granted: which versions it may serve and until when. A Lease is immutable.
+// Lease states which versions an instance may serve and until when. A Lease is immutable.
 type Lease struct {
-	Grants         []Grant // by ascending version; each ends later than those before it
-	ServeWhenStale bool    // serve without a valid grant too: availability is preferred to the staleness bound
+	Grants         []Grant // by ascending version; each expires later than those before it
+	ServeWhenStale bool    // serve even without a valid grant: availability is preferred to the staleness bound
 	Removed        bool    // the instance was removed from the group
 }
 
-// ExpiresAt returns the end of the latest grant that covers a version, or 0 if there is none.
+// ExpiresAt returns the latest time at which a grant that covers a version expires, or 0 if no grant covers it.
 func (l Lease) ExpiresAt(version uint64) Micros {
 	expiresAt := Micros(0)
 	for _, grant := range l.Grants {
@@ -47,7 +47,7 @@
 	return expiresAt
 }
 
-// Covers reports whether a grant covers a version at the time now.
+// Covers reports whether a valid grant covers a version at the time now.
 func (l Lease) Covers(now Micros, version uint64) bool {
 	return version > 0 && !l.Removed && now < l.ExpiresAt(version)
 }
@@ -57,7 +57,7 @@
 	return l.Covers(now, version) || l.ServeWhenStale && version > 0 && !l.Removed
 }
 
-// withGrant returns the lease with a grant added, without the grants that it covers or that have expired.
+// withGrant returns the lease with a grant added, and without the grants that it covers or that have expired.
 func (l Lease) withGrant(grant Grant, now Micros) Lease {
 	var grants []Grant
 	for _, other := range l.Grants {
@@ -73,8 +73,8 @@
 	return l
 }
 
-// NotCoveredReason returns, in words, why an instance does not serve a version or serves it without a valid grant. It is empty if
-// a grant covers the version.
+// NotCoveredReason returns the reason why no valid grant covers a version at the time now, or an empty string if one
+// does. A duration in the reason follows the first " for ", where callers cut it off to compare reasons.
 func (l Lease) NotCoveredReason(now Micros, version uint64) string {
 	switch {
 	case l.Removed:
@@ -84,8 +84,8 @@
 	case l.Covers(now, version):
 		return ""
 	case l.ExpiresAt(version) == 0:
-		return fmt.Sprintf("nobody has confirmed that version %d is still the active one", version)
+		return fmt.Sprintf("no leader or voter has confirmed that version %d is active", version)
 	}
-	return fmt.Sprintf("nobody has confirmed for %d ms beyond the bound that version %d is still the active one",
+	return fmt.Sprintf("the lease has been expired for %d ms: no leader or voter has confirmed since that version %d is active",
 		(now-l.ExpiresAt(version))/1000, version)
 }
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// leaseRetryDivisor is how much more often an instance requests a lease while its last request is not granted. The
-// group may have a leader only for a short time.
+// leaseRetryDivisor divides the interval between two lease requests while the latest one is not granted. The group may
+// have a leader only for a short time.
 const leaseRetryDivisor = 8
 
 // requestLease requests a lease when one is due. Requests are frequent enough that several in a row may be lost before
@@ -49,8 +49,8 @@
 	c.emit(SetLease{Lease: c.lease})
 }
 
-// handleLeaseRequested queues a lease request for the next verification. One in flight may have begun before the
-// request and would not count for it.
+// handleLeaseRequested queues a lease request for the next verification of the leadership. A verification in progress
+// does not count for it, since it may have begun before the request.
 func (c *Core) handleLeaseRequested(e LeaseRequested) {
 	if !c.leading || !c.leaderReady {
 		c.emit(LeaseReply{CallID: e.CallID})
@@ -60,8 +60,8 @@
 	c.queuedLeaseRequests = append(c.queuedLeaseRequests, e)
 }
 
-// startVerification verifies the leadership for the waiting lease requests. It waits while a newer version may be
-// active that is not applied here, since a grant must not confirm a replaced version.
+// startVerification verifies the leadership for the queued lease requests. It waits while a newer version may be active
+// that is not applied here, since a grant must not confirm a replaced version.
 func (c *Core) startVerification() {
 	if len(c.queuedLeaseRequests) == 0 || c.verificationSeq != 0 || c.mayBeCommitted() {
 		return
@@ -74,8 +74,8 @@
 	c.emit(VerifyLeadership{Seq: c.verificationSeq})
 }
 
-// handleVerifyLeadershipResult answers the lease requests that waited for the verification. It confirms the version that was active
-// when the verification began.
+// handleVerifyLeadershipResult answers the lease requests that waited for the verification. The replies confirm the
+// version that was active when the verification began.
 func (c *Core) handleVerifyLeadershipResult(e VerifyLeadershipResult) {
 	if e.Seq != c.verificationSeq {
 		return
--- a/sharedconfig/lease_test.go
+++ b/sharedconfig/lease_test.go
@@ -9,17 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestLeaseMatchesAllGrants compares a lease, which drops grants that no longer matter, with all grants.
+// TestLeaseMatchesAllGrants checks that a lease covers exactly what all of its grants together cover, although it drops
+// grants that no longer matter.
 func TestLeaseMatchesAllGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lease Lease
 		var all []Grant
 		now := Micros(1)
 		for range rapid.IntRange(1, 30).Draw(t, "grants") {
-			now += Micros(rapid.IntRange(0, 5).Draw(t, "passes"))
+			now += Micros(rapid.IntRange(0, 5).Draw(t, "elapsed"))
 			grant := Grant{
 				Version:   uint64(rapid.IntRange(1, 6).Draw(t, "version")),
-				ExpiresAt: now + Micros(rapid.IntRange(1, 10).Draw(t, "for")),
+				ExpiresAt: now + Micros(rapid.IntRange(1, 10).Draw(t, "duration")),
 			}
 			all = append(all, grant)
 			lease = lease.withGrant(grant, now)
@@ -27,12 +28,14 @@
 				want := slices.ContainsFunc(all, func(g Grant) bool {
 					return version > 0 && g.Version <= version && now < g.ExpiresAt
 				})
-				require.Equal(t, want, lease.Covers(now, version), "version %d at %d of %v by %v", version, now, all, lease.Grants)
+				require.Equal(t, want, lease.Covers(now, version), "version %d at time %d: grants %v, lease %v", version, now, all, lease.Grants)
 			}
 		}
 	})
 }
 
+// TestLeaseAllowsAndNotCoveredReason checks that ServeWhenStale permits serving neither without a version nor after the
+// removal of the instance, and that the reason for not serving is stated.
 func TestLeaseAllowsAndNotCoveredReason(t *testing.T) {
 	serving := Lease{ServeWhenStale: true}
 	assert.True(t, serving.Allows(1, 3))
@@ -45,8 +48,8 @@
 
 	for reason, lease := range map[string]Lease{
 		"": granted,
-		"this instance was removed from its group":                    {Removed: true},
-		"nobody has confirmed that version 2 is still the active one": {},
+		"this instance was removed from its group":                  {Removed: true},
+		"no leader or voter has confirmed that version 2 is active": {},
 	} {
 		assert.Equal(t, reason, lease.NotCoveredReason(9, 2))
 	}
--- a/sharedconfig/measure_test.go
+++ b/sharedconfig/measure_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestMeasureFollowers measures, with many followers of three voters under the voters' faults, how long replaced versions
-// are served and how evenly the followers spread over the voters.
+// TestMeasureFollowers measures, with many followers of three voters that are subject to faults, for how long replaced
+// versions are served and how evenly the followers spread over the voters.
 func TestMeasureFollowers(t *testing.T) {
 	const (
 		runs          = 10
@@ -29,7 +29,7 @@
 			followerSteps += f.servedSteps
 		}
 	}
-	t.Logf("%d runs of %d followers: longest service under a replaced version %d ms of %d; voters could serve at %.2f of all moments, followers at %.2f",
+	t.Logf("%d runs of %d followers: a replaced version was served for at most %d ms (bound: %d ms); voters could serve in %.2f of all steps, followers in %.2f",
 		runs, followerCount, longestStaleness/1000, modelStalenessBound/1000,
 		float64(voterSteps)/(runs*voterCount*modelSteps), float64(followerSteps)/(runs*followerCount*modelSteps))
 	assert.LessOrEqual(t, longestStaleness, modelStalenessBound)
@@ -41,7 +41,7 @@
 		f.knownVoters = m.members
 		preferred[f.votersByPreference()[0].Addr]++
 	}
-	t.Logf("shares of the voters: %v", preferred)
+	t.Logf("followers per voter: %v", preferred)
 	counts := []int{preferred["a0"], preferred["a1"], preferred["a2"]}
 	assert.Greater(t, slices.Min(counts), followerCount/5)
 }
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -10,12 +10,12 @@
 	callID   uint64
 	member   Member
 	remove   bool
-	seq      uint64 // of its ChangeMembership; 0: it waits for the new member to catch up
+	seq      uint64 // of its ChangeMembership; 0: the new member has yet to catch up
 	deadline Micros
 }
 
-// handleAddMemberRequested adds a member, at first without a vote until it has caught up with the log; or it changes the
-// address of a member, which keeps its vote.
+// handleAddMemberRequested adds a member, which gets a vote once it has caught up with the log, or changes the address
+// of a member, which keeps its vote.
 func (c *Core) handleAddMemberRequested(e AddMemberRequested) {
 	member := e.Member
 	current, isMember := c.findMember(func(m Member) bool { return m.Name == member.Name })
@@ -23,13 +23,13 @@
 	switch {
 	case !c.acceptMembershipRequest(e.CallID):
 	case c.state.IsRetired(member.InstanceID):
-		c.reject(e.CallID, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
+		c.reject(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
 	case isMember && current.InstanceID != member.InstanceID:
-		c.reject(e.CallID, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
+		c.reject(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
 	case isAddressTaken:
-		c.reject(e.CallID, "%s is the address of %s", member.Addr, addressOwner.Name)
+		c.reject(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
 	case isMember && current.Addr == member.Addr && current.Voter:
-		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is a member already"}})
+		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is already a member"}})
 	default:
 		member.Voter = isMember && current.Voter
 		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member})
@@ -37,19 +37,19 @@
 	}
 }
 
-// handleRemoveMemberRequested removes a member. Its instance ID is retired first, so that it cannot become a member again
-// whatever the outcome of the removal itself is.
+// handleRemoveMemberRequested removes a member. It retires the member's instance ID first, so that the instance cannot
+// become a member again even if the removal itself fails.
 func (c *Core) handleRemoveMemberRequested(e RemoveMemberRequested) {
 	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
 	case !c.acceptMembershipRequest(e.CallID):
 	case !isMember:
-		c.reject(e.CallID, "there is no instance %s", e.Name)
+		c.reject(e.CallID, "cannot remove %s: it is not a member", e.Name)
 	case member.Voter && remaining == 0:
-		c.reject(e.CallID, "%s is the last instance with a vote", member.Name)
+		c.reject(e.CallID, "cannot remove %s: it is the last voter", member.Name)
 	case member.Voter && c.reachableVoters(member.InstanceID) <= remaining/2:
-		c.reject(e.CallID, "without %s no majority would be reachable: %d of %d",
+		c.reject(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
 			member.Name, c.reachableVoters(member.InstanceID), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member, remove: true})
@@ -65,7 +65,7 @@
 		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotLeader}})
 		return false
 	case c.membershipChange != nil:
-		reason := "the change of " + c.membershipChange.member.Name + " is under way"
+		reason := "the membership change of " + c.membershipChange.member.Name + " is in progress"
 		c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusBusy, Reason: reason}})
 		return false
 	}
@@ -94,7 +94,7 @@
 		return
 	}
 	switch {
-	case !e.OK: // it may have been committed nevertheless
+	case !e.OK: // it may still have been committed
 		c.finishMembershipChange(StatusUnknown, e.Reason)
 	case change.remove || change.member.Voter:
 		c.finishMembershipChange(StatusDone, "")
@@ -111,8 +111,9 @@
 	c.membershipChange = nil
 }
 
-// advanceMembership completes removals and has members without a vote report when they have caught up, including those
-// that an earlier leader began with. It also ends a membership change after its deadline.
+// advanceMembership removes members whose instance ID is retired, and asks members without a vote to report when they
+// have caught up, including those of an earlier leader's changes. It also ends a membership change whose deadline has
+// passed.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
 		isRetired := c.state.IsRetired(member.InstanceID)
@@ -127,7 +128,8 @@
 	c.expireMembershipChange()
 }
 
-// requestCatchUp asks a member without a vote to report when it has caught up, again after each check timeout.
+// requestCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
+// timeout.
 func (c *Core) requestCatchUp(member Member) {
 	requestedAt, requested := c.catchUpRequestedAt[member.InstanceID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
@@ -144,12 +146,12 @@
 	}
 	reason := reasonNotCommitted
 	if change.seq == 0 {
-		reason = change.member.Name + " is a member and has no vote yet: it has not caught up in time and gets one as soon as it has"
+		reason = change.member.Name + " is a member without a vote: it did not catch up with the log before the timeout and becomes a voter once it has"
 	}
 	c.finishMembershipChange(StatusUnknown, reason)
 }
 
-// handleCaughtUp gives a member a vote. If another membership change is in progress, the member is asked again later.
+// handleCaughtUp makes a member a voter. If another membership change is in progress, the member is asked again later.
 func (c *Core) handleCaughtUp(e CaughtUp) {
 	member, isMember := c.findMember(func(m Member) bool { return m.InstanceID == e.InstanceID })
 	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
@@ -165,16 +167,16 @@
 	default:
 		return
 	}
-	c.logf("instance %s has caught up: giving it a vote", member.Name)
+	c.logf("member %s has caught up with the log: making it a voter", member.Name)
 	c.submitMembershipChange()
 }
 
-// reachableVoters returns the number of voters, apart from the one with the given instance ID, that are this instance
+// reachableVoters returns the number of voters, other than the one with the instance ID exceptID, that are this instance
 // or have recently requested a lease.
-func (c *Core) reachableVoters(except string) int {
+func (c *Core) reachableVoters(exceptID string) int {
 	count := 0
 	for _, member := range c.members {
-		if !member.Voter || member.InstanceID == except {
+		if !member.Voter || member.InstanceID == exceptID {
 			continue
 		}
 		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.InstanceID]
@@ -196,7 +198,7 @@
 	return count
 }
 
-// findMember returns the first member that matches.
+// findMember returns the first member that matches, and reports whether there is one.
 func (c *Core) findMember(matches func(Member) bool) (Member, bool) {
 	i := slices.IndexFunc(c.members, matches)
 	if i < 0 {
--- a/sharedconfig/membership_test.go
+++ b/sharedconfig/membership_test.go
@@ -13,6 +13,8 @@
 
 func removeRequest(name string) Event { return RemoveMemberRequested{CallID: 1, Name: name} }
 
+// TestMembershipRequests checks which requests to add or remove a member are rejected. Accepting one of those could let an
+// instance vote twice in a term, or leave the group without a majority. It also checks that there is one change at a time.
 func TestMembershipRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		request Event
@@ -24,32 +26,32 @@
 		"change the address": {
 			request: addRequest("n2", "f2", "a9"),
 		},
-		"a member already": {
+		"already a member": {
 			request: addRequest("n2", "f2", "a2"),
-			want:    "n2 is a member already",
+			want:    "n2 is already a member",
 		},
-		"data directory lost": {
+		"member with a new data directory": {
 			request: addRequest("n2", "f9", "a2"),
-			want:    "n2 is a member with another folder: remove it first, so that what it voted for is not forgotten",
+			want:    "cannot add n2: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there",
 		},
 		"address taken": {
 			request: addRequest("n4", "f4", "a2"),
-			want:    "a2 is the address of n2",
+			want:    "cannot use address a2: it belongs to member n2",
 		},
 		"retired": {
 			request: addRequest("n4", "f7", "a4"),
-			want:    "the folder of n4 was removed from this group for good: start it with an empty one",
+			want:    "cannot add n4: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory",
 		},
 		"remove": {
 			request: removeRequest("n3"),
 		},
 		"remove an unknown member": {
 			request: removeRequest("n9"),
-			want:    "there is no instance n9",
+			want:    "cannot remove n9: it is not a member",
 		},
 		"remove the only reachable voter": {
 			request: removeRequest("n1"),
-			want:    "without n1 no majority would be reachable: 0 of 1",
+			want:    "cannot remove n1: only 0 of the 1 remaining voters are reachable, which is no majority",
 		},
 	} {
 		core := newLeader()
@@ -70,8 +72,8 @@
 	}
 }
 
-// TestNewLeaderCompletesMembershipChanges checks that a leader completes a removal and gives a member its vote though
-// an earlier leader began with them.
+// TestNewLeaderCompletesMembershipChanges checks that a leader completes the removal of a member and gives a new member
+// its vote if an earlier leader began these changes and failed.
 func TestNewLeaderCompletesMembershipChanges(t *testing.T) {
 	core := newLeader()
 	state := core.State()
--- a/sharedconfig/model_faults_test.go
+++ b/sharedconfig/model_faults_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// injectFaults draws the faults and the requests of a step.
+// injectFaults draws and applies the faults and the requests of a step.
 func (m *model) injectFaults() {
 	i := m.rng.IntN(len(m.nodes))
 	n := m.nodes[i]
@@ -14,20 +14,20 @@
 		n.partitioned = true
 	case 9, 10, 11, 12, 13, 14:
 		n.partitioned = false
-	case 4: // paused: its clock goes on
+	case 4: // paused, while its clock continues
 		n.pausedUntil = m.now + Micros(m.rng.IntN(int(5*modelStalenessBound)))
 	case 15, 16, 17:
 		n.laggingUntil = m.now + Micros(m.rng.IntN(int(4*modelStalenessBound)))
 	case 5:
 		m.lossPercent = m.rng.IntN(60)
-	case 6: // restarted: it reads the log again
+	case 6: // restarted: it applies the log from the beginning
 		*n = *newModelNode(n.name, n.instanceID, n.clockOffset)
 		if m.leader == i {
 			m.leader = -1
 		}
 	case 7:
 		n.rejectsChanges = !n.rejectsChanges && m.rng.IntN(2) == 0
-	case 8, 18: // replaced as the leader without learning of it
+	case 8, 18: // the leader is replaced without learning of it
 		m.elect()
 	}
 	if m.leader < 0 || !m.reachesMajority(m.leader) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// newChange returns a change for the latest ID.
+// newChange returns a change whose request ID is derived from the latest ID.
 func (m *model) newChange(expectedVersion uint64) Change {
 	return Change{
 		RequestID:       fmt.Sprint("r", m.nextID),
--- a/sharedconfig/model_followers_test.go
+++ b/sharedconfig/model_followers_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// modelFollower is an instance without a vote.
+// modelFollower is an instance outside the Raft group.
 type modelFollower struct {
 	*Follower
 	clockOffset Micros
@@ -13,7 +13,7 @@
 	version     uint64
 	lease       Lease
 	pausedUntil Micros
-	servedSteps int // steps in which it could serve
+	servedSteps int // number of steps in which it could serve
 }
 
 func newModelFollower(instanceID string, voters []string, clockOffset Micros) *modelFollower {
@@ -23,7 +23,7 @@
 	}
 }
 
-// addFollowers adds instances that know only the first voter at first, and learn of the others from it.
+// addFollowers adds followers that know only the first voter and learn of the other voters from it.
 func (m *model) addFollowers(count int) {
 	for i := range count {
 		clockOffset := Micros(m.rng.IntN(maxClockOffset))
@@ -66,7 +66,7 @@
 	if i < 0 {
 		return
 	}
-	sender := f.Follower // a reply to an instance that was restarted since is lost
+	sender := f.Follower // a reply to an earlier run of the instance is lost
 	m.sendBetween(i, i, func(n *modelNode) {
 		if n.partitioned && m.rng.IntN(2) == 0 {
 			return
--- a/sharedconfig/model_invariants_test.go
+++ b/sharedconfig/model_invariants_test.go
@@ -17,8 +17,9 @@
 	}
 }
 
-// TestModel checks over random runs that the staleness bound holds, that a change has one outcome on all instances, and
-// that callers are answered with that outcome.
+// TestModel checks in random runs with faults that no instance serves a version for longer than the staleness bound
+// after it was replaced, that a change has one outcome on all instances, and that callers are answered with that
+// outcome.
 func TestModel(t *testing.T) {
 	done, rejected, unknown := 0, 0, 0
 	longestStaleness := Micros(0)
@@ -27,7 +28,7 @@
 		m.run(modelSteps)
 		final := m.stateAfter(len(m.log))
 		require.NoError(t, final.Validate())
-		require.Greater(t, m.servedSteps, 200, "seed %d: no instance ever served", seed)
+		require.Greater(t, m.servedSteps, 200, "seed %d: the instances could hardly ever serve", seed)
 		longestStaleness = max(longestStaleness, m.longestStaleness)
 		requireDistinctRequests(t, seed, final.Versions)
 		for call, outcome := range m.replies {
@@ -40,21 +41,21 @@
 			case StatusRejected, StatusConflict:
 				rejected++
 			default:
-				t.Fatalf("seed %d: call %d was answered %v", seed, call, outcome)
+				t.Fatalf("seed %d: call %d got an unexpected reply: %v", seed, call, outcome)
 			}
 			recorded := final.Outcome(m.calls[call].RequestID)
-			require.Equal(t, recorded, outcome, "seed %d: the answer to call %d was not true", seed, call)
+			require.Equal(t, recorded, outcome, "seed %d: the reply to call %d differs from the recorded outcome", seed, call)
 		}
 		for _, n := range m.nodes {
 			require.LessOrEqual(t, n.version, final.Active().Number)
 		}
 	}
-	t.Logf("done %d, refused %d, unknown %d; longest service under a replaced version %d ms of %d",
+	t.Logf("done %d, rejected %d, unknown %d; a replaced version was served for at most %d ms (bound: %d ms)",
 		done, rejected, unknown, longestStaleness/1000, modelStalenessBound/1000)
 	require.Greater(t, done, 200)
 	require.Greater(t, rejected, 50)
 	require.Greater(t, unknown, 50)
-	require.Greater(t, longestStaleness, modelStalenessBound/2, "the test came nowhere near the bound")
+	require.Greater(t, longestStaleness, modelStalenessBound/2, "no run came near the staleness bound")
 }
 
 func requireDistinctRequests(t *testing.T, seed uint64, versions []Version) {
@@ -62,12 +63,12 @@
 	count := map[string]int{}
 	for _, version := range versions {
 		count[version.RequestID]++
-		require.Equal(t, 1, count[version.RequestID], "seed %d: change %s was made twice", seed, version.RequestID)
+		require.Equal(t, 1, count[version.RequestID], "seed %d: change %s was committed twice", seed, version.RequestID)
 	}
 }
 
-// TestFollowerModel checks that followers keep the staleness bound under the voters' faults, and that they serve about
-// as much as the voters do.
+// TestFollowerModel checks that followers keep the staleness bound while the voters are subject to faults, and that
+// they can serve nearly as often as the voters.
 func TestFollowerModel(t *testing.T) {
 	const (
 		runs          = 8
@@ -91,10 +92,10 @@
 	for _, steps := range followerSteps {
 		total += steps
 	}
-	t.Logf("longest service under a replaced version %d ms of %d; voters could serve at %.2f of all moments, followers at %.2f, the worst one at %.2f",
+	t.Logf("a replaced version was served for at most %d ms (bound: %d ms); voters could serve in %.2f of all steps, followers in %.2f, the worst follower in %.2f",
 		longestStaleness/1000, modelStalenessBound/1000,
 		float64(voterSteps)/(runs*voterCount*modelSteps), float64(total)/(runs*followerCount*modelSteps),
 		float64(slices.Min(followerSteps))/modelSteps)
-	require.Greater(t, longestStaleness, modelStalenessBound/2, "the test came nowhere near the bound")
-	require.Greater(t, float64(total)/followerCount, 0.8*float64(voterSteps)/voterCount, "followers serve less than the voters do")
+	require.Greater(t, longestStaleness, modelStalenessBound/2, "no run came near the staleness bound")
+	require.Greater(t, float64(total)/followerCount, 0.8*float64(voterSteps)/voterCount, "followers could serve in less than 80 % of the steps in which voters could")
 }
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -12,16 +12,16 @@
 // maxClockOffset is the largest difference between an instance's clock and the model's.
 const maxClockOffset = 1 << 40
 
-// model simulates a group without sockets: a log that a majority replicates, instances that are paused, restarted and
-// partitioned, messages that are lost, delayed and duplicated, and leaders that learn late that they no longer lead.
+// model simulates a group without sockets: a log that a majority replicates; instances that are paused, restarted and
+// partitioned; messages that are lost, delayed and duplicated; and leaders that learn late that they no longer lead.
 type model struct {
 	t           *testing.T
 	rng         *rand.Rand
 	now         Micros
 	log         []Entry
-	committedAt []Micros // time of each entry of the log
+	committedAt []Micros // commit time of each entry of the log
 	term        uint64
-	leader      int // index of the node that really leads; -1: none
+	leader      int // index of the leader of the latest term, whether the node knows it or not; -1: none
 	nodes       []*modelNode
 	members     []Member
 	followers   []*modelFollower
@@ -30,10 +30,10 @@
 
 	calls            map[uint64]Change
 	replies          map[uint64]Outcome
-	leaseRequestSeqs map[uint64]uint64 // sequence numbers of lease requests by call
-	nextID           uint64            // the last one used for a call or request
+	leaseRequestSeqs map[uint64]uint64 // sequence numbers of lease requests by call ID
+	nextID           uint64            // the latest ID of a call or request
 
-	servedSteps      int    // sum over the nodes of the steps in which they could serve
+	servedSteps      int    // number of steps in which a node could serve, summed over all nodes
 	longestStaleness Micros // longest time for which a replaced version was served
 }
 
@@ -43,16 +43,16 @@
 	name           string
 	instanceID     string
 	clockOffset    Micros
-	applied        int // number of the log's entries
+	applied        int // number of log entries applied
 	events         []Event
 	version        uint64 // active version
-	pausedUntil    Micros // does not run
-	laggingUntil   Micros // applies no entries
+	pausedUntil    Micros // does not run before that time
+	laggingUntil   Micros // applies no entries before that time
 	partitioned    bool
 	rejectsChanges bool
 }
 
-// message is a message in flight to a node. With duplicates there are several for one message.
+// message is a message in flight to a node. A duplicated message is in flight several times.
 type message struct {
 	dueAt   Micros
 	to      int
@@ -93,7 +93,7 @@
 	m.committedAt = append(m.committedAt, m.now)
 }
 
-// stateAfter returns the state after the first entries of the log.
+// stateAfter returns the state after the given number of log entries.
 func (m *model) stateAfter(entries int) State {
 	var state State
 	for _, e := range m.log[:entries] {
@@ -115,7 +115,7 @@
 	return m.isConnected(m.nodes[i]) && connected > len(m.nodes)/2
 }
 
-// elect makes a random node that reaches a majority the leader of a new term.
+// elect makes a random node that reaches a majority the leader of a new term. Without one there is no leader.
 func (m *model) elect() {
 	m.leader = -1
 	for _, i := range m.rng.Perm(len(m.nodes)) {
@@ -195,7 +195,7 @@
 	m.runNode(i, n)
 }
 
-// runNode has a node handle its events and executes the resulting actions.
+// runNode passes a node its events and executes the resulting actions.
 func (m *model) runNode(i int, n *modelNode) {
 	events := n.events
 	n.events = nil
@@ -228,7 +228,7 @@
 	}
 }
 
-// appendEntry commits an entry if the node leads. A leader may fail after that, so that it does not learn of it.
+// appendEntry commits an entry if the node is the leader. The leader may fail afterwards without learning of the commit.
 func (m *model) appendEntry(i int, a AppendEntry) {
 	n := m.nodes[i]
 	leads := m.leader == i && m.reachesMajority(i) && n.term == m.term
@@ -264,10 +264,11 @@
 	}
 }
 
-// leaseCallBase separates the calls of lease requests from those of changes. The last two digits are the sender.
+// leaseCallBase is added to the call IDs of lease requests to separate them from those of changes. Their last two digits
+// are the index of the sender.
 const leaseCallBase = 1_000_000
 
-// sendLeaseRequest sends a lease request to the leader, or to another node if the sender's view is outdated.
+// sendLeaseRequest sends a lease request to the leader, or sometimes to a random node, as if the sender's view were outdated.
 func (m *model) sendLeaseRequest(i int, a RequestLease) {
 	if m.leader < 0 {
 		return
--- a/sharedconfig/poll.go
+++ b/sharedconfig/poll.go
@@ -2,14 +2,15 @@
 
 import "cmp"
 
-// PollRequest is what a Follower sends to a voter.
+// PollRequest is a follower's poll of a voter.
 type PollRequest struct {
-	Version uint64 `json:"have"`   // number of the version that the follower has; 0: none
+	Version uint64 `json:"have"`   // number of the follower's version; 0: none
 	Digest  string `json:"digest"` // of that version
 }
 
-// NewPollReply returns a voter's reply to a poll: the active version and the rest of the voter's lease, if that covers the
-// version. The caller must read the state before the lease: a grant for a newer version does not cover an older one.
+// NewPollReply returns a voter's reply to a poll: the active version and the remaining duration of the voter's lease,
+// if the lease covers that version. The caller must read the state before the lease: a grant for a newer version does
+// not cover an older one.
 func NewPollReply(state State, lease Lease, now Micros, members []Member, request PollRequest) PollReply {
 	active := state.Active()
 	if !lease.Covers(now, active.Number) {
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -2,18 +2,18 @@
 
 // Settings are the parameters of a Core or Follower.
 type Settings struct {
-	InstanceID              string // identifies the instance by its data directory, for as long as that exists
-	StalenessBound          Micros // how long a version may be served after it was replaced
-	ServeWhenStale          bool   // keep serving without a lease instead of rejecting queries
-	Removed                 bool   // the instance learned before that it was removed from the group
-	LeaseRenewalInterval    Micros // time between two lease requests
-	CheckTimeout            Micros // how long members have to check a change
-	MembershipChangeTimeout Micros // how long a membership change may take, including a new member's catching up with the log
-	ReachabilityTimeout     Micros // a member counts as reachable for this long after a lease request
-	ChangeTimeout           Micros // how long a caller waits for the decision on a change
+	InstanceID              string // identifies the instance by its data directory: with a new one it has another ID
+	StalenessBound          Micros // maximum time for which a version is served after it was replaced
+	ServeWhenStale          bool   // serve without a valid lease instead of rejecting queries
+	Removed                 bool   // an earlier run learned that this instance was removed from the group
+	LeaseRenewalInterval    Micros // time between two lease requests of a member, or two polls of a follower
+	CheckTimeout            Micros // time limit for the members to check a change
+	MembershipChangeTimeout Micros // time limit for a membership change, including the catch-up of a new member
+	ReachabilityTimeout     Micros // time after its last lease request during which a member counts as reachable
+	ChangeTimeout           Micros // time limit for a caller that waits for the decision on a change
 }
 
-// Bounds and defaults of Settings that DefaultSettings derives.
+// Default settings, and bounds on those that DefaultSettings derives from the staleness bound.
 const (
 	minLeaseRenewalInterval Micros = 20_000
 	maxLeaseRenewalInterval Micros = 500_000
@@ -24,7 +24,7 @@
 	defaultChangeTimeout           Micros = 5_000_000
 )
 
-// DefaultSettings returns the settings of an instance for a staleness bound.
+// DefaultSettings returns the settings of an instance with the given staleness bound.
 func DefaultSettings(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
 	return Settings{
 		InstanceID:              instanceID,
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -7,22 +7,22 @@
 	"slices"
 )
 
-// maxOutcomes is the number of decided changes whose outcomes are retained. A request that is repeated after its
-// outcome was dropped counts as a new change, which then conflicts with the active version.
+// maxOutcomes is the maximum number of outcomes that are retained. A request that is repeated after its outcome was
+// dropped counts as a new change, which then conflicts with the active version.
 const maxOutcomes = 1024
 
-// minRetainedVersions is the smallest length of the history: the active version and the one that it replaced.
+// minRetainedVersions is the minimum length of the history: the active version and the one that it replaced.
 const minRetainedVersions = 2
 
-// State is the result of the log's entries up to a point. Methods return new states and never modify what a state
-// refers to, so a copy stays valid.
+// State is the result of the log's entries up to an index. Methods return new states and never modify what a state
+// refers to, so that copies stay valid.
 type State struct {
-	GroupID       string    `json:"group"`    // ID of the group; empty before the bootstrap
-	MaxVersions   int       `json:"keep"`     // number of versions retained
-	Versions      []Version `json:"versions"` // by ascending number; the last one is active
-	PendingChange *Change   `json:"pending,omitempty"`
-	Outcomes      []Outcome `json:"outcomes"`          // of the latest changes, in the order of their decisions
-	RetiredIDs    []string  `json:"retired,omitempty"` // IDs of removed instances
+	GroupID       string    `json:"group"`             // empty before the bootstrap
+	MaxVersions   int       `json:"keep"`              // maximum number of versions retained
+	Versions      []Version `json:"versions"`          // by ascending number; the last one is active
+	PendingChange *Change   `json:"pending,omitempty"` // proposed but not decided; nil: none
+	Outcomes      []Outcome `json:"outcomes"`          // of the latest decided changes, in the order of their decisions
+	RetiredIDs    []string  `json:"retired,omitempty"` // instance IDs of removed members
 }
 
 // Active returns the active version. Its number is 0 before the bootstrap.
@@ -33,7 +33,7 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// Version returns a retained version by its number.
+// Version returns the retained version with the given number, and reports whether there is one.
 func (s State) Version(number uint64) (Version, bool) {
 	i, found := slices.BinarySearchFunc(s.Versions, number, func(v Version, number uint64) int {
 		return cmp.Compare(v.Number, number)
@@ -44,26 +44,27 @@
 	return s.Versions[i], true
 }
 
-// Outcome returns the outcome of a request. Its status is Unknown if the request is not known or no longer retained.
-func (s State) Outcome(request string) Outcome {
-	if s.PendingChange != nil && s.PendingChange.RequestID == request {
-		return Outcome{RequestID: request, Status: StatusPending}
+// Outcome returns the outcome of the change with the given request ID. Its status is StatusUnknown if the outcome is
+// not known or no longer retained.
+func (s State) Outcome(requestID string) Outcome {
+	if s.PendingChange != nil && s.PendingChange.RequestID == requestID {
+		return Outcome{RequestID: requestID, Status: StatusPending}
 	}
 	for _, outcome := range slices.Backward(s.Outcomes) {
-		if outcome.RequestID == request {
+		if outcome.RequestID == requestID {
 			return outcome
 		}
 	}
-	return Outcome{RequestID: request}
+	return Outcome{RequestID: requestID}
 }
 
-// IsRetired reports whether the instance of the given ID was removed from the group.
+// IsRetired reports whether the instance with the given ID was removed from the group.
 func (s State) IsRetired(instanceID string) bool { return slices.Contains(s.RetiredIDs, instanceID) }
 
-// Apply returns the state after an entry and the outcome of the change that the entry concerns, if any.
+// Apply returns the state after an entry, and the outcome of the change that the entry concerns, if any.
 //
 // The result depends on the state and the entry alone, since all replicas must get the same one. That includes the
-// wording of outcomes, which are stored: replicas that run different releases would diverge if it changed.
+// texts of outcomes, which are stored: replicas of different releases would diverge if a text changed.
 func (s State) Apply(e Entry) (State, Outcome) {
 	switch {
 	case e.Bootstrap != nil && len(s.Versions) == 0:
@@ -87,7 +88,7 @@
 	outcome := Outcome{RequestID: change.RequestID}
 	active := s.Active()
 	switch {
-	case s.PendingChange != nil: // not recorded, so that the request may be repeated
+	case s.PendingChange != nil: // not recorded, so that the request can be repeated
 		outcome.Status = StatusBusy
 		outcome.Reason = "change " + s.PendingChange.RequestID + " is under way"
 		return s, outcome
@@ -145,8 +146,8 @@
 	return s
 }
 
-// appendBounded returns a slice with item appended and only the last limit items left. It does not modify the items'
-// own array.
+// appendBounded returns items with item appended, reduced to the last limit items. It does not modify the array of
+// items.
 func appendBounded[T any](items []T, item T, limit int) []T {
 	items = append(slices.Clip(items), item)
 	if len(items) > limit {
@@ -155,8 +156,8 @@
 	return items
 }
 
-// Recover returns the state of a new group that continues from this one without its other members, whose IDs are in
-// retired. A pending change is dropped, since the members that had to check it are gone.
+// Recover returns the state of a new group that continues from this one without its other members, whose instance IDs
+// are retiredIDs. A pending change is dropped, since the members that had to check it are not in the new group.
 func (s State) Recover(groupID string, retiredIDs []string) State {
 	s.GroupID = groupID
 	s.PendingChange = nil
@@ -164,15 +165,15 @@
 	return s
 }
 
-// Validate reports whether a state that was read from storage is consistent.
+// Validate returns an error if a state that was read from storage is inconsistent.
 func (s State) Validate() error {
 	for i, v := range s.Versions {
 		if i > 0 && v.Number != s.Versions[i-1].Number+1 || v.Number == 0 {
-			return fmt.Errorf("version %d stands where another belongs", v.Number)
+			return fmt.Errorf("version numbers are not consecutive at version %d", v.Number)
 		}
 	}
 	if len(s.Versions) > 0 && (s.GroupID == "" || s.MaxVersions < minRetainedVersions) {
-		return errors.New("versions without a group")
+		return errors.New("state has versions, but no group ID or an invalid history length")
 	}
 	return nil
 }
--- a/sharedconfig/step.go
+++ b/sharedconfig/step.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// stepState is the clock reading and the collected actions of a Core's or Follower's current step.
+// stepState holds the clock reading and the collected actions of the current step of a Core or Follower.
 type stepState struct {
 	now     Micros
 	actions []Action
 }
 
-// begin starts a step. The clock never runs backwards, whatever the caller passes.
+// begin starts a step. Time never goes backwards, even if the caller passes an earlier time.
 func (s *stepState) begin(now Micros) {
 	s.now = max(now, s.now)
 	s.actions = nil
