--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -6,35 +6,35 @@
 	"slices"
 )
 
-// changeInProgress is the change that the leader has proposed or is about to decide.
+// changeInProgress is the change that the leader is proposing, checking or deciding.
 type changeInProgress struct {
 	Change
-	calls        []uint64 // calls that wait for the outcome
-	callDeadline Micros   // when the calls are answered at the latest; 0: no call waits
-	proposed     bool     // the entry that proposes it is applied
-
-	unanswered    map[string]Member // members whose check is outstanding, by instance ID; nil: the check has not begun
-	checkDeadline Micros
-	acceptCount   int          // voters that accepted
-	rejection     *CheckResult // the first one; nil: none so far
-	rejectedBy    string       // name of its member
-
-	decided  bool // the entry that decides it is sent to the log
-	accepted bool // by that entry
+	callIDs         []uint64 // calls that wait for the outcome
+	callDeadline    Micros   // time by which the calls are answered; 0: none
+	proposalApplied bool     // the entry that proposes the change is applied
+
+	outstandingChecks map[string]Member // members that have not replied, by instance ID; nil: the check has not begun
+	checkDeadline     Micros
+	acceptCount       int          // number of voters that accepted
+	firstRejection    *CheckResult // nil: no member has rejected the change
+	rejectedBy        string       // name of the member of firstRejection
+
+	decisionSubmitted bool // the entry that decides the change was sent to the log
+	decisionAccepts   bool // that entry commits the change
 }
 
-// handleChangeRequested queues a change. A request with a known outcome is answered at once, and one that repeats the
-// current change waits with it.
+// handleChangeRequested queues a change. A request whose outcome is recorded is answered at once, and a repeated
+// request for the current change waits with it.
 func (c *Core) handleChangeRequested(e ChangeRequested) {
-	known := c.state.Outcome(e.Change.Request)
-	isDecided := known.Status != Unknown && known.Status != Pending
+	recorded := c.state.Outcome(e.Change.RequestID)
+	isDecided := recorded.Status != StatusUnknown && recorded.Status != StatusPending
 	switch {
 	case !c.leading:
-		c.emit(Reply{Call: e.Call, Outcome: Outcome{Request: e.Change.Request, Reason: reasonNotLeader}})
-	case c.currentChange != nil && c.currentChange.Request == e.Change.Request:
-		c.currentChange.calls = append(c.currentChange.calls, e.Call)
-	case isDecided && c.ready:
-		c.emit(Reply{Call: e.Call, Outcome: known})
+		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{RequestID: e.Change.RequestID, Reason: reasonNotLeader}})
+	case c.currentChange != nil && c.currentChange.RequestID == e.Change.RequestID:
+		c.currentChange.callIDs = append(c.currentChange.callIDs, e.CallID)
+	case isDecided && c.leaderReady:
+		c.emit(Reply{CallID: e.CallID, Outcome: recorded})
 	default:
 		c.queuedChanges = append(c.queuedChanges, e)
 	}
@@ -43,50 +43,50 @@
 // handleOutcome advances the current change by the outcome of an applied entry.
 func (c *Core) handleOutcome(outcome Outcome) {
 	current := c.currentChange
-	if current == nil || current.Request != outcome.Request || outcome.Request == "" {
+	if current == nil || current.RequestID != outcome.RequestID || outcome.RequestID == "" {
 		return
 	}
 	switch outcome.Status {
-	case Pending:
-		current.proposed = true
-	case Busy: // an earlier leader's change is pending, which is decided first
+	case StatusPending:
+		current.proposalApplied = true
+	case StatusBusy: // a change of an earlier leader is pending and is decided first
 		c.requeueCurrentChange()
-	case Unknown: // of an entry that decided nothing
+	case StatusUnknown: // the entry decided nothing
 	default:
-		c.replyAll(current.calls, outcome)
+		c.replyAll(current.callIDs, outcome)
 		c.currentChange = nil
 	}
 }
 
 func (c *Core) handleAppendFailed(e AppendFailed) {
-	if c.currentChange != nil && c.currentChange.Request == e.Request {
+	if c.currentChange != nil && c.currentChange.RequestID == e.RequestID {
 		c.abandonCurrentChange(reasonAppendFailed)
 	}
 }
 
-// abandonCurrentChange answers the current change's calls with an unknown outcome.
+// abandonCurrentChange drops the current change and answers its calls with an unknown outcome.
 func (c *Core) abandonCurrentChange(reason string) {
 	if c.currentChange == nil {
 		return
 	}
-	c.replyAll(c.currentChange.calls, Outcome{Request: c.currentChange.Request, Reason: reason})
+	c.replyAll(c.currentChange.callIDs, Outcome{RequestID: c.currentChange.RequestID, Reason: reason})
 	c.currentChange = nil
 }
 
-// requeueCurrentChange puts the current change in front of the queue, since another one is pending.
+// requeueCurrentChange moves the current change back to the front of the queue, since another change is pending.
 func (c *Core) requeueCurrentChange() {
 	current := c.currentChange
 	c.currentChange = nil
-	queue := make([]ChangeRequested, 0, len(current.calls)+len(c.queuedChanges))
-	for _, call := range current.calls {
-		queue = append(queue, ChangeRequested{Call: call, Change: current.Change})
+	queue := make([]ChangeRequested, 0, len(current.callIDs)+len(c.queuedChanges))
+	for _, callID := range current.callIDs {
+		queue = append(queue, ChangeRequested{CallID: callID, Change: current.Change})
 	}
 	c.queuedChanges = append(queue, c.queuedChanges...)
 }
 
-// startNextChange makes the pending or else the next queued change the current one and has it checked once it is
-// proposed.
-func (c *Core) startNextChange() {
+// advanceCurrentChange takes up the pending change, or else the next queued one, if no change is in progress. It starts
+// the check of the current change once its proposal is applied.
+func (c *Core) advanceCurrentChange() {
 	if c.currentChange == nil {
 		c.resumePendingChange()
 	}
@@ -101,118 +101,119 @@
 	c.startCheck()
 }
 
-// resumePendingChange takes over a change that an earlier leader proposed and did not decide.
+// resumePendingChange takes over a change that an earlier leader proposed but did not decide.
 func (c *Core) resumePendingChange() {
-	if c.state.Pending == nil {
+	if c.state.PendingChange == nil {
 		return
 	}
-	c.logf("change %s is pending from an earlier term: checking it again", c.state.Pending.Request)
-	c.currentChange = &changeInProgress{Change: *c.state.Pending, proposed: true}
+	c.logf("change %s is pending from an earlier term: checking it again", c.state.PendingChange.RequestID)
+	c.currentChange = &changeInProgress{Change: *c.state.PendingChange, proposalApplied: true}
 }
 
-// proposeNextChange proposes the first queued change that has no outcome yet.
+// proposeNextChange proposes the first queued change without a recorded outcome, and answers the requests queued before
+// it.
 func (c *Core) proposeNextChange() {
 	for len(c.queuedChanges) > 0 {
 		next := c.queuedChanges[0]
 		c.queuedChanges = c.queuedChanges[1:]
-		if known := c.state.Outcome(next.Change.Request); known.Status != Unknown {
-			c.emit(Reply{Call: next.Call, Outcome: known})
+		if recorded := c.state.Outcome(next.Change.RequestID); recorded.Status != StatusUnknown {
+			c.emit(Reply{CallID: next.CallID, Outcome: recorded})
 			continue
 		}
 		c.currentChange = &changeInProgress{
 			Change:       next.Change,
-			calls:        []uint64{next.Call},
+			callIDs:      []uint64{next.CallID},
 			callDeadline: c.now + c.settings.ChangeTimeout,
 		}
-		c.emit(AppendEntry{Entry: Entry{Propose: &next.Change}, Request: next.Change.Request})
+		c.emit(AppendEntry{Entry: Entry{Propose: &next.Change}, RequestID: next.Change.RequestID})
 		return
 	}
 }
 
-// attachQueuedCalls has queued calls for the current change wait with it.
+// attachQueuedCalls moves the calls of queued requests for the current change to its waiting calls.
 func (c *Core) attachQueuedCalls() {
 	current := c.currentChange
 	c.queuedChanges = slices.DeleteFunc(c.queuedChanges, func(queued ChangeRequested) bool {
-		if queued.Change.Request != current.Request {
+		if queued.Change.RequestID != current.RequestID {
 			return false
 		}
-		current.calls = append(current.calls, queued.Call)
+		current.callIDs = append(current.callIDs, queued.CallID)
 		return true
 	})
 }
 
-// expireCurrentCalls answers the current change's calls after their deadline. The change itself goes on.
+// expireCurrentCalls answers the calls of the current change after their deadline. The change itself continues.
 func (c *Core) expireCurrentCalls() {
 	current := c.currentChange
 	if current.callDeadline == 0 || c.now < current.callDeadline {
 		return
 	}
-	c.replyAll(current.calls, Outcome{Request: current.Request, Reason: reasonChangeTimedOut})
-	current.calls = nil
+	c.replyAll(current.callIDs, Outcome{RequestID: current.RequestID, Reason: reasonChangeTimedOut})
+	current.callIDs = nil
 	current.callDeadline = 0
 }
 
-// startCheck asks all members to check the current change once it is proposed.
+// startCheck asks all members to check the current change once its proposal is applied.
 func (c *Core) startCheck() {
 	current := c.currentChange
-	if !current.proposed || current.unanswered != nil {
+	if !current.proposalApplied || current.outstandingChecks != nil {
 		return
 	}
 	current.checkDeadline = c.now + c.settings.CheckTimeout
-	current.unanswered = map[string]Member{}
+	current.outstandingChecks = map[string]Member{}
 	for _, member := range c.members {
-		current.unanswered[member.DataDirectoryID] = member
+		current.outstandingChecks[member.InstanceID] = member
 		c.emit(CheckChange{Member: member, Change: current.Change})
 	}
 }
 
 func (c *Core) handleCheckResult(e CheckResult) {
 	current := c.currentChange
-	if current == nil || current.Request != e.Request || current.decided {
+	if current == nil || current.RequestID != e.RequestID || current.decisionSubmitted {
 		return
 	}
-	member, outstanding := current.unanswered[e.InstanceID]
+	member, outstanding := current.outstandingChecks[e.InstanceID]
 	if !outstanding {
 		return
 	}
-	delete(current.unanswered, e.InstanceID)
+	delete(current.outstandingChecks, e.InstanceID)
 	switch {
-	case e.TimedOut:
-		c.logf("instance %s did not check change %s: %s", member.Name, e.Request, cmp.Or(e.Reason, "no answer"))
-	case !e.Accepted && current.rejection == nil:
-		current.rejection = &e
+	case e.NoReply:
+		c.logf("member %s did not check change %s: %s", member.Name, e.RequestID, cmp.Or(e.Reason, "no reply"))
+	case !e.Accepted && current.firstRejection == nil:
+		current.firstRejection = &e
 		current.rejectedBy = member.Name
 	case e.Accepted && member.Voter:
 		current.acceptCount++
 	}
 }
 
-// decideCurrentChange commits or rejects the current change once its check is complete: when a member has rejected it,
-// all have answered, or the time is up. Without a majority of voters that accept it is rejected, since a leader that is
-// cut off from them would otherwise learn only later that it cannot commit it.
+// decideCurrentChange commits or rejects the current change once its check has ended: a member has rejected it, no
+// reply is outstanding, or the deadline has passed. A change that no majority of the voters accepted is rejected: a
+// leader that is cut off from the voters would otherwise learn only later that it cannot commit the change.
 func (c *Core) decideCurrentChange() {
 	current := c.currentChange
-	if current == nil || current.unanswered == nil || current.decided {
+	if current == nil || current.outstandingChecks == nil || current.decisionSubmitted {
 		return
 	}
-	decision := Decision{Request: current.Request}
+	decision := Decision{RequestID: current.RequestID}
 	switch {
-	case current.rejection != nil:
-		decision.Instance = current.rejectedBy
-		decision.Reason = current.rejection.Reason
-	case len(current.unanswered) > 0 && c.now < current.checkDeadline:
+	case current.firstRejection != nil:
+		decision.RejectedBy = current.rejectedBy
+		decision.Reason = current.firstRejection.Reason
+	case len(current.outstandingChecks) > 0 && c.now < current.checkDeadline:
 		return
 	case current.acceptCount <= c.voterCount()/2:
-		decision.Reason = fmt.Sprintf("only %d of %d instances could check it", current.acceptCount, c.voterCount())
+		decision.Reason = fmt.Sprintf("only %d of %d voters accepted the change; a majority is required", current.acceptCount, c.voterCount())
 	default:
 		decision.Accept = true
 	}
-	current.decided = true
-	current.accepted = decision.Accept
-	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, Request: current.Request})
+	current.decisionSubmitted = true
+	current.decisionAccepts = decision.Accept
+	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, RequestID: current.RequestID})
 }
 
-// mayBeActivating reports whether the current change may already be committed although it is not applied here.
-func (c *Core) mayBeActivating() bool {
-	return c.currentChange != nil && c.currentChange.decided && c.currentChange.accepted
+// mayBeCommitted reports whether the current change may already be committed although it is not applied here.
+func (c *Core) mayBeCommitted() bool {
+	return c.currentChange != nil && c.currentChange.decisionSubmitted && c.currentChange.decisionAccepts
 }
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Reasons in outcomes.
+// Reasons in replies to callers.
 const (
-	reasonNotLeader      = "this instance does not lead"
-	reasonLeadershipLost = "this instance no longer leads"
-	reasonAppendFailed   = "the log did not take it, or nobody knows whether it did"
-	reasonChangeTimedOut = "not decided in time"
-	reasonNotCommitted   = "not agreed on in time"
+	reasonNotLeader      = "this instance is not the leader"
+	reasonLeadershipLost = "this instance lost the leadership before the outcome was known"
+	reasonAppendFailed   = "cannot append an entry to the log, or the result is unknown"
+	reasonChangeTimedOut = "the change was not decided before the timeout"
+	reasonNotCommitted   = "the membership change was not committed before the timeout"
 )
 
-// Core makes the decisions of one member of the group. Calls of its methods must not overlap.
+// Core makes the decisions of one member of the group. Its methods must not be called concurrently.
 type Core struct {
 	stepState
 	settings Settings
@@ -19,44 +19,45 @@
 	members  []Member
 	lease    Lease
 
-	leaseRequests    map[uint64]Micros // time of each request that may still be answered
-	lastLeaseRequest uint64            // sequence number
-	leaseRequestedAt Micros
+	pendingLeaseRequests map[uint64]Micros // send times of the requests that may still be answered, by sequence number
+	lastLeaseRequestSeq  uint64            // sequence number of the latest request
+	lastLeaseRequestAt   Micros            // send time of that request
 
-	term    uint64
-	leading bool
-	ready   bool // leading, and everything committed in earlier terms is applied
+	term        uint64
+	leading     bool
+	leaderReady bool // leading, and all entries committed in earlier terms are applied
 
-	// The fields below are in use only while this instance leads.
+	// The fields below are used only while this instance leads.
 
 	queuedChanges []ChangeRequested
 	currentChange *changeInProgress
 	lastSeq       uint64 // sequence number of the latest VerifyLeadership or ChangeMembership
 
-	waitingLeases    []LeaseRequested // for the next verification
-	verifyingLeases  []LeaseRequested // for the verification in flight
-	verifyingVersion uint64           // active version when the verification in flight began
-	verificationSeq  uint64           // 0: none is in flight
+	queuedLeaseRequests    []LeaseRequested // wait for the next verification of the leadership
+	verifyingLeaseRequests []LeaseRequested // wait for the result of the verification in progress
+	verifyingVersion       uint64           // active version at the start of the verification in progress
+	verificationSeq        uint64           // sequence number of the verification in progress; 0: none
 
-	membershipChange   *membershipChange // in progress
-	lastRequestFrom    map[string]Micros // time of the last lease request by instance ID
-	catchUpRequestedAt map[string]Micros // time of the last WaitForCatchUp by instance ID
+	membershipChange       *membershipChange // in progress; nil: none
+	memberLeaseRequestedAt map[string]Micros // time of each member's latest lease request, by instance ID
+	catchUpRequestedAt     map[string]Micros // time of the latest WaitForCatchUp for each member, by instance ID
 }
 
-// New returns the core of an instance whose log has led to the given state. It knows no members and no leader yet.
-func New(settings Settings, state State) *Core {
+// NewCore returns the core of an instance whose log has produced the given state. It knows no members and no leader
+// yet.
+func NewCore(settings Settings, state State) *Core {
 	return &Core{
-		settings:           settings,
-		state:              state,
-		lease:              Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
-		leaseRequests:      map[uint64]Micros{},
-		leaseRequestedAt:   -settings.LeaseInterval,
-		lastRequestFrom:    map[string]Micros{},
-		catchUpRequestedAt: map[string]Micros{},
+		settings:               settings,
+		state:                  state,
+		lease:                  Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
+		pendingLeaseRequests:   map[uint64]Micros{},
+		lastLeaseRequestAt:     -settings.LeaseRenewalInterval,
+		memberLeaseRequestedAt: map[string]Micros{},
+		catchUpRequestedAt:     map[string]Micros{},
 	}
 }
 
-// State returns the state by the last EntriesApplied event.
+// State returns the state of the latest EntriesApplied event.
 func (c *Core) State() State { return c.state }
 
 // Lease returns this instance's lease.
@@ -69,8 +70,8 @@
 		c.handleEvent(e)
 	}
 	c.requestLease()
-	if c.leading && c.ready {
-		c.advanceLeader()
+	if c.leading && c.leaderReady {
+		c.stepLeader()
 	}
 	return c.actions
 }
@@ -78,11 +79,11 @@
 func (c *Core) handleEvent(e Event) {
 	switch e := e.(type) {
 	case EntriesApplied:
-		c.handleApplied(e)
+		c.handleEntriesApplied(e)
 	case LeadershipChanged:
-		c.handleRole(e)
+		c.handleLeadershipChanged(e)
 	case LeaderReady:
-		c.ready = c.ready || c.leading && e.Term == c.term
+		c.leaderReady = c.leaderReady || c.leading && e.Term == c.term
 	case MemberList:
 		c.members = e.Members
 	case ChangeRequested:
@@ -93,22 +94,22 @@
 		c.handleCheckResult(e)
 	case LeaseRequested:
 		c.handleLeaseRequested(e)
-	case LeadershipVerified:
-		c.handleVerified(e)
-	case LeaseAnswerReceived:
-		c.handleLeaseGranted(e)
+	case VerifyLeadershipResult:
+		c.handleVerifyLeadershipResult(e)
+	case LeaseReplyReceived:
+		c.handleLeaseReply(e)
 	case AddMemberRequested:
-		c.handleAddRequested(e)
+		c.handleAddMemberRequested(e)
 	case RemoveMemberRequested:
-		c.handleRemoveRequested(e)
-	case MembershipChanged:
-		c.handleMembershipChanged(e)
+		c.handleRemoveMemberRequested(e)
+	case ChangeMembershipResult:
+		c.handleChangeMembershipResult(e)
 	case CaughtUp:
 		c.handleCaughtUp(e)
 	}
 }
 
-func (c *Core) handleApplied(e EntriesApplied) {
+func (c *Core) handleEntriesApplied(e EntriesApplied) {
 	previous := c.state.Active()
 	c.state = e.State
 	if active := c.state.Active(); active.Number != previous.Number {
@@ -119,9 +120,9 @@
 	}
 }
 
-// handleRole starts or ends this instance's leadership. A leader of a new term starts over: what it had in progress in
-// an earlier one has an unknown outcome.
-func (c *Core) handleRole(e LeadershipChanged) {
+// handleLeadershipChanged starts or ends this instance's leadership. The leader of a new term starts afresh: the
+// outcome of whatever was in progress in an earlier term is unknown.
+func (c *Core) handleLeadershipChanged(e LeadershipChanged) {
 	unchanged := e.Leading == c.leading && (!e.Leading || e.Term == c.term)
 	if unchanged {
 		c.term = max(c.term, e.Term)
@@ -132,38 +133,38 @@
 	}
 	c.leading = e.Leading
 	c.term = e.Term
-	c.ready = false
+	c.leaderReady = false
 	c.queuedChanges = nil
 	c.currentChange = nil
-	c.waitingLeases = nil
-	c.verifyingLeases = nil
+	c.queuedLeaseRequests = nil
+	c.verifyingLeaseRequests = nil
 	c.verificationSeq = 0
-	clear(c.lastRequestFrom)
+	clear(c.memberLeaseRequestedAt)
 	clear(c.catchUpRequestedAt)
 }
 
-// failPendingCalls answers all calls that wait for a leader that no longer leads.
+// failPendingCalls answers all calls that wait for this instance, which is no longer the leader.
 func (c *Core) failPendingCalls() {
 	c.abandonCurrentChange(reasonLeadershipLost)
 	for _, queued := range c.queuedChanges {
-		c.emit(Reply{Call: queued.Call, Outcome: Outcome{Request: queued.Change.Request, Reason: reasonLeadershipLost}})
+		c.emit(Reply{CallID: queued.CallID, Outcome: Outcome{RequestID: queued.Change.RequestID, Reason: reasonLeadershipLost}})
 	}
-	c.finishMembershipChange(Unknown, reasonLeadershipLost)
-	for _, request := range slices.Concat(c.waitingLeases, c.verifyingLeases) {
-		c.emit(LeaseAnswer{Call: request.Call})
+	c.finishMembershipChange(StatusUnknown, reasonLeadershipLost)
+	for _, request := range slices.Concat(c.queuedLeaseRequests, c.verifyingLeaseRequests) {
+		c.emit(LeaseReply{CallID: request.CallID})
 	}
 }
 
-// advanceLeader does what is due for a leader that is ready.
-func (c *Core) advanceLeader() {
-	c.startNextChange()
+// stepLeader performs the due tasks of a leader that is ready.
+func (c *Core) stepLeader() {
+	c.advanceCurrentChange()
 	c.decideCurrentChange()
 	c.startVerification()
 	c.advanceMembership()
 }
 
-func (c *Core) replyAll(calls []uint64, outcome Outcome) {
-	for _, call := range calls {
-		c.emit(Reply{Call: call, Outcome: outcome})
+func (c *Core) replyAll(callIDs []uint64, outcome Outcome) {
+	for _, callID := range callIDs {
+		c.emit(Reply{CallID: callID, Outcome: outcome})
 	}
 }
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// pollRetryDivisor is how much more often a follower polls while a poll is unanswered or its lease has expired.
+// pollRetryDivisor divides the interval between two polls while a poll is unanswered or the lease does not cover the
+// active version.
 const pollRetryDivisor = 4
 
-// Follower makes the decisions of an instance without a vote, of which there may be hundreds. It polls the voters, one
-// at a time, for the active version and a lease. Its lease ends no later than the voter's: the remaining duration that
-// the voter reports counts from the time at which the poll was sent. So the staleness bound holds for followers too,
-// without load on the leader. Calls of its methods must not overlap.
+// Follower makes the decisions of an instance outside the Raft group, of which there may be hundreds. It polls one
+// voter at a time for the active version and a lease. Its lease ends no later than the voter's, since the remaining
+// duration that the voter reports counts from the time at which the poll was sent. The staleness bound therefore holds
+// for followers too, without load on the leader. Its methods must not be called concurrently.
 type Follower struct {
 	stepState
-	settings     Settings
-	seedVoters   []Member // from the settings, with addresses only
-	knownVoters  []Member // by the latest reply
-	active       Version
-	group        string // ID of the group; empty before the first reply
-	loggedGroup  string // the latest other group that was logged
-	lease        Lease
-	pendingPolls map[uint64]pendingPoll
-	lastPoll     uint64 // sequence number
-	polledAt     Micros
-	failedAt     map[string]Micros // time of a voter's last failure by address
+	settings      Settings
+	seedVoters    []Member // from the settings; only Addr is set
+	knownVoters   []Member // from the latest reply that listed any
+	active        Version
+	groupID       string // empty before the first reply
+	loggedGroupID string // ID of the other group that was logged last
+	lease         Lease
+	pendingPolls  map[uint64]pendingPoll // by sequence number
+	lastPollSeq   uint64                 // sequence number of the latest poll
+	lastPollAt    Micros                 // send time of the latest poll
+	voterFailedAt map[string]Micros      // time of each voter's latest failure, by address
 }
 
 // pendingPoll is a poll that may still be answered.
@@ -33,16 +34,16 @@
 	voter  Member
 }
 
-// NewFollower returns the decisions of an instance that knows the addresses of some voters. last is the version that it
-// served before its start, with the number 0 if there is none.
+// NewFollower returns a follower that knows the addresses of some voters. last is the version that the instance served
+// before it started; its number is 0 if there is none.
 func NewFollower(settings Settings, voters []string, last Version) *Follower {
 	f := &Follower{
-		settings:     settings,
-		active:       last,
-		lease:        Lease{ServeWhenStale: settings.ServeWhenStale},
-		pendingPolls: map[uint64]pendingPoll{},
-		polledAt:     -settings.LeaseInterval,
-		failedAt:     map[string]Micros{},
+		settings:      settings,
+		active:        last,
+		lease:         Lease{ServeWhenStale: settings.ServeWhenStale},
+		pendingPolls:  map[uint64]pendingPoll{},
+		lastPollAt:    -settings.LeaseRenewalInterval,
+		voterFailedAt: map[string]Micros{},
 	}
 	for _, addr := range voters {
 		f.seedVoters = append(f.seedVoters, Member{Addr: addr, Voter: true})
@@ -53,8 +54,8 @@
 // Active returns the latest version that this instance knows.
 func (f *Follower) Active() Version { return f.active }
 
-// Group returns the ID of the group that this instance follows. It is empty before the first reply.
-func (f *Follower) Group() string { return f.group }
+// GroupID returns the ID of the group that this instance follows. It is empty before the first reply.
+func (f *Follower) GroupID() string { return f.groupID }
 
 // Voters returns the known voters in this instance's order of preference.
 func (f *Follower) Voters() []Member { return f.votersByPreference() }
@@ -65,18 +66,18 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case PollReply:
-			f.handleReply(e)
+			f.handlePollReply(e)
 		case PollFailed:
-			f.handleCallTimedOut(e)
+			f.handlePollFailed(e)
 		}
 	}
 	f.poll()
 	return f.actions
 }
 
-// poll polls the preferred voter when a poll is due.
+// poll polls the most preferred voter when a poll is due.
 func (f *Follower) poll() {
-	if f.now < f.polledAt+f.pollInterval() {
+	if f.now < f.lastPollAt+f.pollInterval() {
 		return
 	}
 	f.expirePolls()
@@ -84,27 +85,27 @@
 	if len(voters) == 0 {
 		return
 	}
-	f.lastPoll++
-	f.polledAt = f.now
-	f.pendingPolls[f.lastPoll] = pendingPoll{sentAt: f.now, voter: voters[0]}
-	f.emit(PollVoter{Seq: f.lastPoll, Voter: voters[0], Request: f.pollRequest()})
+	f.lastPollSeq++
+	f.lastPollAt = f.now
+	f.pendingPolls[f.lastPollSeq] = pendingPoll{sentAt: f.now, voter: voters[0]}
+	f.emit(PollVoter{Seq: f.lastPollSeq, Voter: voters[0], Request: f.pollRequest()})
 }
 
 func (f *Follower) pollInterval() Micros {
-	isCurrent := len(f.pendingPolls) == 0 && f.lastPoll > 0 && f.lease.Covers(f.now, f.active.Number)
+	isCurrent := len(f.pendingPolls) == 0 && f.lastPollSeq > 0 && f.lease.Covers(f.now, f.active.Number)
 	if isCurrent {
-		return f.settings.LeaseInterval
+		return f.settings.LeaseRenewalInterval
 	}
-	return f.settings.LeaseInterval / pollRetryDivisor
+	return f.settings.LeaseRenewalInterval / pollRetryDivisor
 }
 
-// expirePolls marks voters as failed that have not answered within half a lease interval. A poll older than the
-// staleness bound is dropped, since a reply could grant no lease any more.
+// expirePolls marks voters as failed that have not replied within half a lease renewal interval. It drops polls older
+// than the staleness bound, since a reply could no longer extend the lease.
 func (f *Follower) expirePolls() {
 	for _, seq := range slices.Sorted(maps.Keys(f.pendingPolls)) {
 		pending := f.pendingPolls[seq]
 		age := f.now - pending.sentAt
-		if age >= f.settings.LeaseInterval/2 {
+		if age >= f.settings.LeaseRenewalInterval/2 {
 			f.markFailed(pending.voter)
 		}
 		if age >= f.settings.StalenessBound {
@@ -113,16 +114,16 @@
 	}
 }
 
-// pollRequest names the version that this instance has. Before the first reply it names none, since the version may be
-// of a group that was bootstrapped again since.
+// pollRequest names the version that this instance has. Before the first reply it names none, since the stored version
+// may belong to a group that has been bootstrapped anew since.
 func (f *Follower) pollRequest() PollRequest {
-	if f.group == "" {
+	if f.groupID == "" {
 		return PollRequest{}
 	}
 	return PollRequest{Version: f.active.Number, Digest: f.active.Digest}
 }
 
-func (f *Follower) handleCallTimedOut(e PollFailed) {
+func (f *Follower) handlePollFailed(e PollFailed) {
 	pending, isPending := f.pendingPolls[e.Seq]
 	if !isPending {
 		return
@@ -131,9 +132,9 @@
 	f.markFailed(pending.voter)
 }
 
-func (f *Follower) handleReply(e PollReply) {
+func (f *Follower) handlePollReply(e PollReply) {
 	pending, isPending := f.pendingPolls[e.Seq]
-	if !isPending { // a duplicate, or too late
+	if !isPending { // a duplicate or late reply
 		return
 	}
 	delete(f.pendingPolls, e.Seq)
@@ -141,12 +142,12 @@
 		f.markFailed(pending.voter)
 		return
 	}
-	isFirstReply := f.group == ""
-	if !isFirstReply && e.Group != f.group {
-		f.rejectGroup(pending.voter, e.Group)
+	isFirstReply := f.groupID == ""
+	if !isFirstReply && e.GroupID != f.groupID {
+		f.ignoreOtherGroup(pending.voter, e.GroupID)
 		return
 	}
-	f.group = e.Group
+	f.groupID = e.GroupID
 	if len(e.Voters) > 0 {
 		f.knownVoters = e.Voters
 	}
@@ -158,19 +159,19 @@
 	f.extendLease(pending.sentAt, e)
 }
 
-// rejectGroup ignores a voter of another group and logs that once for each group.
-func (f *Follower) rejectGroup(voter Member, group string) {
+// ignoreOtherGroup marks a voter of another group as failed. It logs the group unless it is the one logged last.
+func (f *Follower) ignoreOtherGroup(voter Member, groupID string) {
 	f.markFailed(voter)
-	if f.loggedGroup == group {
+	if f.loggedGroupID == groupID {
 		return
 	}
-	f.loggedGroup = group
-	f.logf("ignoring the voter at %s: it belongs to group %s and not to %s; if the group was bootstrapped again, restart this instance",
-		voter.Addr, group, f.group)
+	f.loggedGroupID = groupID
+	f.logf("ignoring the voter at %s: it belongs to group %s, not to %s; if the group was bootstrapped again, restart this instance",
+		voter.Addr, groupID, f.groupID)
 }
 
-// replacesActive reports whether a version replaces the one that this instance has. Numbers only grow, except with the
-// first reply: the stored version may be of a group that was bootstrapped again since.
+// replacesActive reports whether a version replaces the one that this instance has. Version numbers only grow, except
+// with the first reply: the stored version may belong to a group that has been bootstrapped anew since.
 func (f *Follower) replacesActive(version Version, isFirstReply bool) bool {
 	if version.Number > f.active.Number {
 		return true
@@ -178,12 +179,12 @@
 	return isFirstReply && (version.Number != f.active.Number || version.Digest != f.active.Digest)
 }
 
-// extendLease adds the grant of a reply to a poll that was sent at the given time.
+// extendLease adds the grant of a reply to the lease. sentAt is the time at which the poll was sent.
 func (f *Follower) extendLease(sentAt Micros, e PollReply) {
-	until := grantUntil(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
-	if until <= f.now {
+	expiresAt := grantExpiry(sentAt, min(e.LeaseRemaining, f.settings.StalenessBound))
+	if expiresAt <= f.now {
 		return
 	}
-	f.lease = f.lease.withGrant(Grant{Version: e.Version, ExpiresAt: until}, f.now)
+	f.lease = f.lease.withGrant(Grant{Version: e.Version, ExpiresAt: expiresAt}, f.now)
 	f.emit(SetLease{Lease: f.lease})
 }
--- a/sharedconfig/follower_voters.go
+++ b/sharedconfig/follower_voters.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// votersByPreference returns the voters in the order in which this instance polls them. The order is derived from the
-// instance ID, which spreads the instances over the voters. Voters that failed within the staleness bound come last,
-// the earliest failure first. Seed voters are included only if all known voters have failed.
+// votersByPreference returns the voters in the order in which this instance polls them. The order is derived from a
+// hash of the instance ID, which spreads the instances over the voters. Voters that failed within the staleness bound
+// come last, the earliest failure first. Seed voters are included only if all known voters have failed.
 func (f *Follower) votersByPreference() []Member {
 	voters := slices.Clone(f.knownVoters)
 	hasWorkingVoter := slices.ContainsFunc(voters, func(voter Member) bool { return !f.failedRecently(voter) })
@@ -40,7 +40,7 @@
 	case bFailed && !aFailed:
 		return -1
 	case aFailed && bFailed:
-		return cmp.Or(cmp.Compare(f.failedAt[a.Addr], f.failedAt[b.Addr]), byHash)
+		return cmp.Or(cmp.Compare(f.voterFailedAt[a.Addr], f.voterFailedAt[b.Addr]), byHash)
 	}
 	return cmp.Or(byHash, cmp.Compare(a.Addr, b.Addr))
 }
@@ -49,17 +49,17 @@
 	return xxhash.Sum64String(f.settings.InstanceID + " " + voter.Addr)
 }
 
-func (f *Follower) markFailed(voter Member) { f.failedAt[voter.Addr] = f.now }
+func (f *Follower) markFailed(voter Member) { f.voterFailedAt[voter.Addr] = f.now }
 
 func (f *Follower) failedRecently(voter Member) bool {
-	failedAt, hasFailed := f.failedAt[voter.Addr]
+	failedAt, hasFailed := f.voterFailedAt[voter.Addr]
 	return hasFailed && f.now-failedAt < f.settings.StalenessBound
 }
 
-// clearFailures forgets the failure of a voter that has answered, and failures older than the staleness bound.
+// clearFailures removes the failure of a voter that has replied, and all failures older than the staleness bound.
 func (f *Follower) clearFailures(voter Member) {
-	delete(f.failedAt, voter.Addr)
-	maps.DeleteFunc(f.failedAt, func(_ string, failedAt Micros) bool {
+	delete(f.voterFailedAt, voter.Addr)
+	maps.DeleteFunc(f.voterFailedAt, func(_ string, failedAt Micros) bool {
 		return f.now-failedAt >= f.settings.StalenessBound
 	})
 }
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -7,77 +7,77 @@
 
 // membershipChange is a membership change in progress. There is one at a time.
 type membershipChange struct {
-	call     uint64
+	callID   uint64
 	member   Member
 	remove   bool
-	seq      uint64 // of its ChangeMembership; 0: it waits for the new member to catch up
+	seq      uint64 // of its ChangeMembership; 0: the new member has yet to catch up
 	deadline Micros
 }
 
-// handleAddRequested adds a member, at first without a vote until it has caught up with the log; or it changes the
-// address of a member, which keeps its vote.
-func (c *Core) handleAddRequested(e AddMemberRequested) {
+// handleAddMemberRequested adds a member, which gets a vote once it has caught up with the log, or changes the address
+// of a member, which keeps its vote.
+func (c *Core) handleAddMemberRequested(e AddMemberRequested) {
 	member := e.Member
-	current, known := c.findMember(func(m Member) bool { return m.Name == member.Name })
-	occupant, occupied := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
+	current, isMember := c.findMember(func(m Member) bool { return m.Name == member.Name })
+	addressOwner, isAddressTaken := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
-	case !c.acceptMembershipRequest(e.Call):
-	case c.state.IsRetired(member.DataDirectoryID):
-		c.reject(e.Call, "the folder of %s was removed from this group for good: start it with an empty one", member.Name)
-	case known && current.DataDirectoryID != member.DataDirectoryID:
-		c.reject(e.Call, "%s is a member with another folder: remove it first, so that what it voted for is not forgotten", member.Name)
-	case occupied:
-		c.reject(e.Call, "%s is the address of %s", member.Addr, occupant.Name)
-	case known && current.Addr == member.Addr && current.Voter:
-		c.emit(Reply{Call: e.Call, Outcome: Outcome{Status: Done, Reason: member.Name + " is a member already"}})
+	case !c.acceptMembershipRequest(e.CallID):
+	case c.state.IsRetired(member.InstanceID):
+		c.reject(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
+	case isMember && current.InstanceID != member.InstanceID:
+		c.reject(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
+	case isAddressTaken:
+		c.reject(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
+	case isMember && current.Addr == member.Addr && current.Voter:
+		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is already a member"}})
 	default:
-		member.Voter = known && current.Voter
-		c.beginMembershipChange(membershipChange{call: e.Call, member: member})
+		member.Voter = isMember && current.Voter
+		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member})
 		c.submitMembershipChange()
 	}
 }
 
-// handleRemoveRequested removes a member. Its instance ID is retired first, so that it cannot become a member again
-// whatever the outcome of the removal itself is.
-func (c *Core) handleRemoveRequested(e RemoveMemberRequested) {
-	member, known := c.findMember(func(m Member) bool { return m.Name == e.Name })
+// handleRemoveMemberRequested removes a member. It retires the member's instance ID first, so that the instance cannot
+// become a member again even if the removal itself fails.
+func (c *Core) handleRemoveMemberRequested(e RemoveMemberRequested) {
+	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
-	case !c.acceptMembershipRequest(e.Call):
-	case !known:
-		c.reject(e.Call, "there is no instance %s", e.Name)
+	case !c.acceptMembershipRequest(e.CallID):
+	case !isMember:
+		c.reject(e.CallID, "cannot remove %s: it is not a member", e.Name)
 	case member.Voter && remaining == 0:
-		c.reject(e.Call, "%s is the last instance with a vote", member.Name)
-	case member.Voter && c.reachableVoters(member.DataDirectoryID) <= remaining/2:
-		c.reject(e.Call, "without %s no majority would be reachable: %d of %d",
-			member.Name, c.reachableVoters(member.DataDirectoryID), remaining)
+		c.reject(e.CallID, "cannot remove %s: it is the last voter", member.Name)
+	case member.Voter && c.reachableVoters(member.InstanceID) <= remaining/2:
+		c.reject(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
+			member.Name, c.reachableVoters(member.InstanceID), remaining)
 	default:
-		c.beginMembershipChange(membershipChange{call: e.Call, member: member, remove: true})
-		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.DataDirectoryID}}})
+		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member, remove: true})
+		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.InstanceID}}})
 		c.submitMembershipChange()
 	}
 }
 
 // acceptMembershipRequest reports whether a membership change may begin. If not, it answers the call.
-func (c *Core) acceptMembershipRequest(call uint64) bool {
+func (c *Core) acceptMembershipRequest(callID uint64) bool {
 	switch {
-	case !c.leading || !c.ready:
-		c.emit(Reply{Call: call, Outcome: Outcome{Reason: reasonNotLeader}})
+	case !c.leading || !c.leaderReady:
+		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotLeader}})
 		return false
 	case c.membershipChange != nil:
-		reason := "the change of " + c.membershipChange.member.Name + " is under way"
-		c.emit(Reply{Call: call, Outcome: Outcome{Status: Busy, Reason: reason}})
+		reason := "the membership change of " + c.membershipChange.member.Name + " is in progress"
+		c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusBusy, Reason: reason}})
 		return false
 	}
 	return true
 }
 
-func (c *Core) reject(call uint64, format string, args ...any) {
-	c.emit(Reply{Call: call, Outcome: Outcome{Status: Rejected, Reason: fmt.Sprintf(format, args...)}})
+func (c *Core) reject(callID uint64, format string, args ...any) {
+	c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}})
 }
 
 func (c *Core) beginMembershipChange(change membershipChange) {
-	change.deadline = c.now + c.settings.CatchUpTimeout
+	change.deadline = c.now + c.settings.MembershipChangeTimeout
 	c.membershipChange = &change
 }
 
@@ -88,16 +88,16 @@
 	c.emit(ChangeMembership{Seq: change.seq, Member: change.member, Remove: change.remove})
 }
 
-func (c *Core) handleMembershipChanged(e MembershipChanged) {
+func (c *Core) handleChangeMembershipResult(e ChangeMembershipResult) {
 	change := c.membershipChange
 	if change == nil || change.seq != e.Seq {
 		return
 	}
 	switch {
-	case !e.OK: // it may have been committed nevertheless
-		c.finishMembershipChange(Unknown, e.Reason)
+	case !e.OK: // it may still have been committed
+		c.finishMembershipChange(StatusUnknown, e.Reason)
 	case change.remove || change.member.Voter:
-		c.finishMembershipChange(Done, "")
+		c.finishMembershipChange(StatusDone, "")
 	default: // the new member has yet to catch up
 		change.seq = 0
 	}
@@ -107,15 +107,16 @@
 	if c.membershipChange == nil {
 		return
 	}
-	c.emit(Reply{Call: c.membershipChange.call, Outcome: Outcome{Status: status, Reason: reason}})
+	c.emit(Reply{CallID: c.membershipChange.callID, Outcome: Outcome{Status: status, Reason: reason}})
 	c.membershipChange = nil
 }
 
-// advanceMembership completes removals and has members without a vote report when they have caught up, including those
-// that an earlier leader began with. It also ends a membership change after its deadline.
+// advanceMembership removes members whose instance ID is retired, and asks members without a vote to report when they
+// have caught up, including those of an earlier leader's changes. It also ends a membership change whose deadline has
+// passed.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
-		isRetired := c.state.IsRetired(member.DataDirectoryID)
+		isRetired := c.state.IsRetired(member.InstanceID)
 		if isRetired && c.membershipChange == nil {
 			c.beginMembershipChange(membershipChange{member: member, remove: true})
 			c.submitMembershipChange()
@@ -127,13 +128,14 @@
 	c.expireMembershipChange()
 }
 
-// requestCatchUp asks a member without a vote to report when it has caught up, again after each check timeout.
+// requestCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
+// timeout.
 func (c *Core) requestCatchUp(member Member) {
-	requestedAt, requested := c.catchUpRequestedAt[member.DataDirectoryID]
+	requestedAt, requested := c.catchUpRequestedAt[member.InstanceID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
 		return
 	}
-	c.catchUpRequestedAt[member.DataDirectoryID] = c.now
+	c.catchUpRequestedAt[member.InstanceID] = c.now
 	c.emit(WaitForCatchUp{Member: member})
 }
 
@@ -144,15 +146,15 @@
 	}
 	reason := reasonNotCommitted
 	if change.seq == 0 {
-		reason = change.member.Name + " is a member and has no vote yet: it has not caught up in time and gets one as soon as it has"
+		reason = change.member.Name + " is a member without a vote: it did not catch up with the log before the timeout and becomes a voter once it has"
 	}
-	c.finishMembershipChange(Unknown, reason)
+	c.finishMembershipChange(StatusUnknown, reason)
 }
 
-// handleCaughtUp gives a member a vote. If another membership change is in progress, the member is asked again later.
+// handleCaughtUp makes a member a voter. If another membership change is in progress, the member is asked again later.
 func (c *Core) handleCaughtUp(e CaughtUp) {
-	member, isMember := c.findMember(func(m Member) bool { return m.DataDirectoryID == e.InstanceID })
-	if !c.leading || !c.ready || !isMember || member.Voter || c.state.IsRetired(member.DataDirectoryID) {
+	member, isMember := c.findMember(func(m Member) bool { return m.InstanceID == e.InstanceID })
+	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
 		return
 	}
 	member.Voter = true
@@ -160,26 +162,26 @@
 	switch {
 	case change == nil: // an earlier leader added it
 		c.beginMembershipChange(membershipChange{member: member})
-	case change.seq == 0 && change.member.DataDirectoryID == member.DataDirectoryID:
+	case change.seq == 0 && change.member.InstanceID == member.InstanceID:
 		change.member = member
 	default:
 		return
 	}
-	c.logf("instance %s has caught up: giving it a vote", member.Name)
+	c.logf("member %s has caught up with the log: making it a voter", member.Name)
 	c.submitMembershipChange()
 }
 
-// reachableVoters returns the number of voters, apart from the one with the given instance ID, that are this instance
+// reachableVoters returns the number of voters, other than the one with the instance ID exceptID, that are this instance
 // or have recently requested a lease.
-func (c *Core) reachableVoters(except string) int {
+func (c *Core) reachableVoters(exceptID string) int {
 	count := 0
 	for _, member := range c.members {
-		if !member.Voter || member.DataDirectoryID == except {
+		if !member.Voter || member.InstanceID == exceptID {
 			continue
 		}
-		requestedAt, hasRequested := c.lastRequestFrom[member.DataDirectoryID]
-		isRecent := hasRequested && requestedAt+c.settings.ReachableFor > c.now
-		if member.DataDirectoryID == c.settings.InstanceID || isRecent {
+		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.InstanceID]
+		isRecent := hasRequested && requestedAt+c.settings.ReachabilityTimeout > c.now
+		if member.InstanceID == c.settings.InstanceID || isRecent {
 			count++
 		}
 	}
@@ -196,7 +198,7 @@
 	return count
 }
 
-// findMember returns the first member that matches.
+// findMember returns the first member that matches, and reports whether there is one.
 func (c *Core) findMember(matches func(Member) bool) (Member, bool) {
 	i := slices.IndexFunc(c.members, matches)
 	if i < 0 {
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -12,16 +12,16 @@
 // maxClockOffset is the largest difference between an instance's clock and the model's.
 const maxClockOffset = 1 << 40
 
-// model simulates a group without sockets: a log that a majority replicates, instances that are paused, restarted and
-// partitioned, messages that are lost, delayed and duplicated, and leaders that learn late that they no longer lead.
+// model simulates a group without sockets: a log that a majority replicates; instances that are paused, restarted and
+// partitioned; messages that are lost, delayed and duplicated; and leaders that learn late that they no longer lead.
 type model struct {
 	t           *testing.T
 	rng         *rand.Rand
 	now         Micros
 	log         []Entry
-	committedAt []Micros // time of each entry of the log
+	committedAt []Micros // commit time of each entry of the log
 	term        uint64
-	leader      int // index of the node that really leads; -1: none
+	leader      int // index of the leader of the latest term, whether the node knows it or not; -1: none
 	nodes       []*modelNode
 	members     []Member
 	followers   []*modelFollower
@@ -30,10 +30,10 @@
 
 	calls            map[uint64]Change
 	replies          map[uint64]Outcome
-	leaseRequestSeqs map[uint64]uint64 // sequence numbers of lease requests by call
-	nextID           uint64            // the last one used for a call or request
+	leaseRequestSeqs map[uint64]uint64 // sequence numbers of lease requests by call ID
+	nextID           uint64            // the latest ID of a call or request
 
-	servedSteps      int    // sum over the nodes of the steps in which they could serve
+	servedSteps      int    // number of steps in which a node could serve, summed over all nodes
 	longestStaleness Micros // longest time for which a replaced version was served
 }
 
@@ -43,16 +43,16 @@
 	name           string
 	instanceID     string
 	clockOffset    Micros
-	applied        int // number of the log's entries
+	applied        int // number of log entries applied
 	events         []Event
 	version        uint64 // active version
-	pausedUntil    Micros // does not run
-	laggingUntil   Micros // applies no entries
+	pausedUntil    Micros // does not run before that time
+	laggingUntil   Micros // applies no entries before that time
 	partitioned    bool
 	rejectsChanges bool
 }
 
-// message is a message in flight to a node. With duplicates there are several for one message.
+// message is a message in flight to a node. A duplicated message is in flight several times.
 type message struct {
 	dueAt   Micros
 	to      int
@@ -69,11 +69,11 @@
 		replies:          map[uint64]Outcome{},
 		leaseRequestSeqs: map[uint64]uint64{},
 	}
-	m.commit(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 50, First: Change{Request: "first", Text: "0", Digest: "0"}}})
+	m.commit(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 50, FirstChange: Change{RequestID: "first", Text: "0", Digest: "0"}}})
 	for i := range nodeCount {
 		name := fmt.Sprint("n", i)
 		instanceID := fmt.Sprint("f", i)
-		m.members = append(m.members, Member{Name: name, DataDirectoryID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
+		m.members = append(m.members, Member{Name: name, InstanceID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
 		m.nodes = append(m.nodes, newModelNode(name, instanceID, Micros(m.rng.IntN(maxClockOffset))))
 	}
 	return m
@@ -81,7 +81,7 @@
 
 func newModelNode(name, instanceID string, clockOffset Micros) *modelNode {
 	return &modelNode{
-		Core:        New(DefaultSettings(instanceID, modelStalenessBound, false), State{}),
+		Core:        NewCore(DefaultSettings(instanceID, modelStalenessBound, false), State{}),
 		name:        name,
 		instanceID:  instanceID,
 		clockOffset: clockOffset,
@@ -93,7 +93,7 @@
 	m.committedAt = append(m.committedAt, m.now)
 }
 
-// stateAfter returns the state after the first entries of the log.
+// stateAfter returns the state after the given number of log entries.
 func (m *model) stateAfter(entries int) State {
 	var state State
 	for _, e := range m.log[:entries] {
@@ -115,7 +115,7 @@
 	return m.isConnected(m.nodes[i]) && connected > len(m.nodes)/2
 }
 
-// elect makes a random node that reaches a majority the leader of a new term.
+// elect makes a random node that reaches a majority the leader of a new term. Without one there is no leader.
 func (m *model) elect() {
 	m.leader = -1
 	for _, i := range m.rng.Perm(len(m.nodes)) {
@@ -185,7 +185,7 @@
 		n.events = append(n.events, EntriesApplied{State: state, Outcomes: []Outcome{outcome}}, MemberList{Members: m.members})
 		m.runNode(i, n)
 	}
-	if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.ready {
+	if m.leader == i && n.leading && n.term == m.term && n.applied == len(m.log) && !n.leaderReady {
 		n.events = append(n.events, LeaderReady{Term: m.term})
 	}
 	if n.leading && m.leader != i && m.rng.IntN(20) == 0 { // learns that it no longer leads
@@ -195,7 +195,7 @@
 	m.runNode(i, n)
 }
 
-// runNode has a node handle its events and executes the resulting actions.
+// runNode passes a node its events and executes the resulting actions.
 func (m *model) runNode(i int, n *modelNode) {
 	events := n.events
 	n.events = nil
@@ -213,22 +213,22 @@
 		m.sendCheck(i, a)
 	case RequestLease:
 		m.sendLeaseRequest(i, a)
-	case LeaseAnswer:
-		m.sendLeaseAnswer(i, a)
+	case LeaseReply:
+		m.sendLeaseReply(i, a)
 	case VerifyLeadership:
-		verified := LeadershipVerified{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
+		verified := VerifyLeadershipResult{Seq: a.Seq, OK: m.leader == i && m.reachesMajority(i), Term: m.term}
 		m.send(i, 0, func(n *modelNode) { n.events = append(n.events, verified) })
 	case Activate:
 		n.version = a.Version.Number
 	case Reply:
-		if _, answered := m.replies[a.Call]; answered {
-			m.t.Fatalf("call %d was answered twice", a.Call)
+		if _, isAnswered := m.replies[a.CallID]; isAnswered {
+			m.t.Fatalf("call %d was answered twice", a.CallID)
 		}
-		m.replies[a.Call] = a.Outcome
+		m.replies[a.CallID] = a.Outcome
 	}
 }
 
-// appendEntry commits an entry if the node leads. A leader may fail after that, so that it does not learn of it.
+// appendEntry commits an entry if the node is the leader. The leader may fail afterwards without learning of the commit.
 func (m *model) appendEntry(i int, a AppendEntry) {
 	n := m.nodes[i]
 	leads := m.leader == i && m.reachesMajority(i) && n.term == m.term
@@ -240,7 +240,7 @@
 		return
 	}
 	m.send(i, 0, func(n *modelNode) {
-		n.events = append(n.events, AppendFailed{Request: a.Request}, LeadershipChanged{Leading: false, Term: m.term})
+		n.events = append(n.events, AppendFailed{RequestID: a.RequestID}, LeadershipChanged{Leading: false, Term: m.term})
 	})
 	if leads {
 		m.elect()
@@ -249,12 +249,12 @@
 
 func (m *model) sendCheck(i int, a CheckChange) {
 	for j, n := range m.nodes {
-		if n.instanceID != a.Member.DataDirectoryID {
+		if n.instanceID != a.Member.InstanceID {
 			continue
 		}
 		m.sendBetween(i, j, func(n *modelNode) {
 			result := CheckResult{
-				Request:    a.Change.Request,
+				RequestID:  a.Change.RequestID,
 				InstanceID: n.instanceID,
 				Accepted:   !n.rejectsChanges,
 				Reason:     "no",
@@ -264,10 +264,11 @@
 	}
 }
 
-// leaseCallBase separates the calls of lease requests from those of changes. The last two digits are the sender.
+// leaseCallBase is added to the call IDs of lease requests to separate them from those of changes. Their last two digits
+// are the index of the sender.
 const leaseCallBase = 1_000_000
 
-// sendLeaseRequest sends a lease request to the leader, or to another node if the sender's view is outdated.
+// sendLeaseRequest sends a lease request to the leader, or sometimes to a random node, as if the sender's view were outdated.
 func (m *model) sendLeaseRequest(i int, a RequestLease) {
 	if m.leader < 0 {
 		return
@@ -281,14 +282,14 @@
 	m.leaseRequestSeqs[call] = a.Seq
 	sender := m.nodes[i]
 	m.sendBetween(i, to, func(n *modelNode) {
-		n.events = append(n.events, LeaseRequested{Call: call, InstanceID: sender.instanceID})
+		n.events = append(n.events, LeaseRequested{CallID: call, InstanceID: sender.instanceID})
 	})
 }
 
-func (m *model) sendLeaseAnswer(i int, a LeaseAnswer) {
-	to := int(a.Call % 100)
-	granted := LeaseAnswerReceived{Seq: m.leaseRequestSeqs[a.Call], OK: a.OK, Version: a.Version, Removed: a.Removed}
-	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, granted) })
+func (m *model) sendLeaseReply(i int, a LeaseReply) {
+	to := int(a.CallID % 100)
+	reply := LeaseReplyReceived{Seq: m.leaseRequestSeqs[a.CallID], OK: a.OK, Version: a.Version, Removed: a.Removed}
+	m.sendBetween(i, to, func(n *modelNode) { n.events = append(n.events, reply) })
 }
 
 // checkStaleness fails the test if an instance holds a lease for a version that was replaced longer ago than the
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -9,30 +9,31 @@
 	"pgregory.net/rapid"
 )
 
-// TestStateInvariants applies random entries in random order, with repetitions. Versions must be numbered without a gap,
-// a request must be made once, a reported outcome must stay true, and copies of a state must stay as they were.
+// TestStateInvariants applies random entries in random order, with repetitions. Version numbers must have no gap, a
+// request must take effect at most once, a reported outcome must not change, and copies of a state must not be
+// modified.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keep := rapid.IntRange(2, 5).Draw(t, "keep")
-		first := Change{Request: "first", Text: "0", Digest: "0"}
-		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: keep, First: first}})
+		maxVersions := rapid.IntRange(2, 5).Draw(t, "max versions")
+		first := Change{RequestID: "first", Text: "0", Digest: "0"}
+		state, _ := State{}.Apply(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: maxVersions, FirstChange: first}})
 		reported := map[string]Outcome{}
-		made := map[string]bool{"first": true}
+		activatedRequests := map[string]bool{"first": true}
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
 			entry := drawEntry(t, state)
 			before, versions := state, slices.Clone(state.Versions)
 			next, outcome := state.Apply(entry)
-			require.Equal(t, versions, before.Versions, "a copy was changed")
+			require.Equal(t, versions, before.Versions, "applying an entry modified a copy of the state")
 			require.NoError(t, next.Validate())
-			require.LessOrEqual(t, len(next.Versions), keep)
+			require.LessOrEqual(t, len(next.Versions), maxVersions)
 			require.Equal(t, "g", next.GroupID)
-			requireValidActivation(t, state, next, entry, made)
-			if outcome.Status == Done || outcome.Status == Rejected || outcome.Status == Conflict {
-				if earlier, known := reported[outcome.Request]; known {
+			requireValidActivation(t, state, next, entry, activatedRequests)
+			if outcome.Status == StatusDone || outcome.Status == StatusRejected || outcome.Status == StatusConflict {
+				if earlier, known := reported[outcome.RequestID]; known {
 					require.Equal(t, earlier, outcome)
 				}
-				reported[outcome.Request] = outcome
-				require.Equal(t, outcome, next.Outcome(outcome.Request))
+				reported[outcome.RequestID] = outcome
+				require.Equal(t, outcome, next.Outcome(outcome.RequestID))
 			}
 			state = next
 		}
@@ -45,25 +46,25 @@
 	case 0, 1:
 		text := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "text"))
 		expect := state.Active().Number - uint64(rapid.IntRange(0, 1).Draw(t, "behind"))
-		return Entry{Propose: &Change{Request: request, Text: text, Digest: text, ExpectedVersion: expect}}
+		return Entry{Propose: &Change{RequestID: request, Text: text, Digest: text, ExpectedVersion: expect}}
 	case 2:
-		return Entry{Decide: &Decision{Request: request, Accept: rapid.Bool().Draw(t, "accept"), Reason: "no"}}
+		return Entry{Decide: &Decision{RequestID: request, Accept: rapid.Bool().Draw(t, "accept"), Reason: "no"}}
 	default:
 		return Entry{Bootstrap: &Bootstrap{GroupID: "other"}}
 	}
 }
 
 // requireValidActivation checks that an entry activates at most the next version, and only by committing a pending
-// change that was not made before. It records the change in made.
-func requireValidActivation(t *rapid.T, state, next State, entry Entry, made map[string]bool) {
+// change that was not committed before. It records the request ID of the change in activatedRequests.
+func requireValidActivation(t *rapid.T, state, next State, entry Entry, activatedRequests map[string]bool) {
 	active := next.Active()
 	switch active.Number {
 	case state.Active().Number:
 	case state.Active().Number + 1:
-		require.False(t, made[active.Request], "made twice")
-		committed := entry.Decide != nil && entry.Decide.Accept && state.Pending != nil && state.Pending.Request == active.Request
-		require.True(t, committed, "active without both entries")
-		made[active.Request] = true
+		require.False(t, activatedRequests[active.RequestID], "the change was committed twice")
+		committed := entry.Decide != nil && entry.Decide.Accept && state.PendingChange != nil && state.PendingChange.RequestID == active.RequestID
+		require.True(t, committed, "a version is active without a proposal and its decision")
+		activatedRequests[active.RequestID] = true
 	default:
 		t.Fatalf("version %d follows %d", active.Number, state.Active().Number)
 	}
