--- a/broker/admission.go
+++ b/broker/admission.go
@@ -34,12 +34,12 @@
 	b.queriesBySubmission[submitted] = q
 	b.openItems += 1 + len(submitted.Parts)
 	b.emit(policy.Query{
-		ID:       q.id,
-		Number:   q.id,
-		Class:    submitted.Class,
-		Deadline: b.policyTime(submitted.Deadline),
-		Parts:    len(submitted.Parts),
-		Retry:    submitted.Retry,
+		ID:        q.id,
+		Number:    q.id,
+		Class:     submitted.Class,
+		Deadline:  b.policyTime(submitted.Deadline),
+		PartCount: len(submitted.Parts),
+		Retry:     submitted.Retry,
 	})
 	for _, spec := range submitted.Parts {
 		b.openPart(q, spec)
--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -25,10 +25,10 @@
 		if a == nil {
 			continue
 		}
-		if len(attemptsByServer[send.Server]) == 0 {
-			servers = append(servers, send.Server)
+		if len(attemptsByServer[send.ServerID]) == 0 {
+			servers = append(servers, send.ServerID)
 		}
-		attemptsByServer[send.Server] = append(attemptsByServer[send.Server], a)
+		attemptsByServer[send.ServerID] = append(attemptsByServer[send.ServerID], a)
 	}
 	for _, server := range servers {
 		for call := range slices.Chunk(attemptsByServer[server], max(1, b.settings.MaxBatchSize)) {
@@ -41,21 +41,21 @@
 func (b *Broker) executeAction(action policy.Action, now time.Time) {
 	switch action := action.(type) {
 	case policy.CancelAttempt:
-		if p := b.partsByID[action.Part]; p != nil && action.Attempt >= 0 && action.Attempt < len(p.attempts) {
-			b.cancelAttempt(p.attempts[action.Attempt], policy.Canceled, now)
+		if p := b.partsByID[action.PartID]; p != nil && action.AttemptIndex >= 0 && action.AttemptIndex < len(p.attempts) {
+			b.cancelAttempt(p.attempts[action.AttemptIndex], policy.Canceled, now)
 		}
 	case policy.Answer:
-		b.respond(action.Query, Response{Status: Served, Complete: action.Complete}, now)
+		b.respond(action.QueryID, Response{Status: Served, Complete: action.Complete}, now)
 	case policy.Reject:
-		b.respond(action.Query, Response{Status: Rejected, RetryAfter: duration(action.RetryAfter)}, now)
+		b.respond(action.QueryID, Response{Status: Rejected, RetryAfter: duration(action.RetryAfter)}, now)
 	case policy.Fail:
-		b.respond(action.Query, Response{Status: Failed}, now)
+		b.respond(action.QueryID, Response{Status: Failed}, now)
 	case policy.CloseIdleConnections:
-		b.transport.CloseIdleConnections(action.Server)
+		b.transport.CloseIdleConnections(action.ServerID)
 	case policy.HealthCheck:
-		b.checkHealth(action.Server, now)
+		b.checkHealth(action.ServerID, now)
 	case policy.SetTimer:
-		b.timers.add(now.Add(duration(action.After)), func(time.Time) { b.emit(policy.TimerFired{}) })
+		b.timers.add(now.Add(duration(action.Delay)), func(time.Time) { b.emit(policy.TimerFired{}) })
 	case policy.Log:
 		b.log.Info(action.Text)
 	}
@@ -64,9 +64,9 @@
 // newAttempt records an attempt that the decisions ordered. It returns nil for one that must not be sent, which the
 // decisions then see as withdrawn.
 func (b *Broker) newAttempt(order policy.SendAttempt, now time.Time) *Attempt {
-	p := b.partsByID[order.Part]
+	p := b.partsByID[order.PartID]
 	if p == nil {
-		b.log.WithField("part", order.Part).Error("decisions sent an attempt of an unknown part")
+		b.log.WithField("part", order.PartID).Error("decisions sent an attempt of an unknown part")
 		return nil
 	}
 	deadline := now.Add(duration(order.Timeout))
@@ -76,7 +76,7 @@
 	a := &Attempt{
 		Query:         p.query.Query,
 		Shard:         p.spec.Shard,
-		Server:        order.Server,
+		Server:        order.ServerID,
 		Deadline:      deadline,
 		RetryDeadline: p.retryDeadline(),
 		broker:        b,
@@ -132,12 +132,12 @@
 		p.body = result.Body
 	}
 	b.emit(policy.AttemptResult{
-		Part:    p.id,
-		Attempt: a.number,
-		Server:  a.Server,
-		Status:  result.Status,
-		Elapsed: now.Sub(a.sentAt).Microseconds(),
-		Report:  result.Report,
+		PartID:       p.id,
+		AttemptIndex: a.number,
+		ServerID:     a.Server,
+		Status:       result.Status,
+		Elapsed:      now.Sub(a.sentAt).Microseconds(),
+		Report:       result.Report,
 	})
 	b.releasePart(p)
 }
--- a/broker/eventloop.go
+++ b/broker/eventloop.go
@@ -112,7 +112,7 @@
 
 func (m queryCanceled) handle(b *Broker, now time.Time) {
 	if q := b.queriesBySubmission[m.query]; q != nil {
-		b.emit(policy.ClientCanceled{Query: q.id})
+		b.emit(policy.ClientCanceled{QueryID: q.id})
 		b.remove(q, now)
 	}
 }
@@ -121,10 +121,10 @@
 
 func (m healthCheckFinished) handle(b *Broker, now time.Time) {
 	b.emit(policy.HealthCheckResult{
-		Server:  m.server,
-		Status:  m.result.Status,
-		Elapsed: now.Sub(m.startedAt).Microseconds(),
-		Report:  m.result.Report,
+		ServerID: m.server,
+		Status:   m.result.Status,
+		Elapsed:  now.Sub(m.startedAt).Microseconds(),
+		Report:   m.result.Report,
 	})
 }
 
--- a/broker/lifecycle.go
+++ b/broker/lifecycle.go
@@ -71,7 +71,7 @@
 			"more":    suppressed,
 		}).Warn("query ended at its deadline")
 	}
-	b.emit(policy.ClientCanceled{Query: q.id})
+	b.emit(policy.ClientCanceled{QueryID: q.id})
 	b.remove(q, now)
 	q.Responder.Respond(Response{Status: status, DeadlineExceeded: true, Version: q.termsVersion})
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -19,7 +19,7 @@
 	return b
 }
 
-var oneQuery = []any{policy.Query{ID: 10, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 11, QueryNumber: 1, Weight: 1}}
+var oneQuery = []any{policy.Query{ID: 10, Number: 1, Deadline: 3_000_000, PartCount: 1}, policy.Part{ID: 11, QueryNumber: 1, Weight: 1}}
 
 // TestRestartWithinOneBatch: events before Stop are dropped, what comes after Start counts.
 func TestRestartWithinOneBatch(t *testing.T) {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	events := append(append([]any{}, oneQuery...), simcodec.Stop{}, start, list,
-		policy.Query{ID: 20, Number: 1, Deadline: 3_000_000, Parts: 1}, policy.Part{ID: 21, QueryNumber: 1, Weight: 1})
+		policy.Query{ID: 20, Number: 1, Deadline: 3_000_000, PartCount: 1}, policy.Part{ID: 21, QueryNumber: 1, Weight: 1})
 	actions, err := h.step(batch(events...))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	for _, a := range actions {
 		if s, ok := a.Value.(policy.SendAttempt); ok {
 			sent++
-			if s.Part != 21 || s.Server != 5 {
+			if s.PartID != 21 || s.ServerID != 5 {
 				t.Fatalf("sent %+v, which the new instance was never given", s)
 			}
 		}
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -62,7 +62,7 @@
 			"query", "10 c4913a5dbb660100 0100 0200 640ad2557c3bf091 da05840000000000 00000000 00005643 000080bf 00008040 0200", nil,
 			policy.Query{
 				ID: 0x166bb5d3a91c4, Number: 0x43560000, Class: 1, Tenant: 2, RequestKey: 0x91f03b7c55d20a64,
-				Deadline: 0x8405da, Parts: 4, Retry: true,
+				Deadline: 0x8405da, PartCount: 4, Retry: true,
 			},
 		},
 		{
@@ -70,17 +70,17 @@
 			policy.Part{ID: 0x166bb5d3a91c4, QueryNumber: 0x43560000, AffinityKey: 0x91f03b7c55d20a64, Weight: 0.125, CostHint: 12_000},
 		},
 		{"timer", "15 4d000000", nil, policy.TimerFired{}},
-		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{Query: 0x35a0f0e6f2b19}},
+		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{QueryID: 0x35a0f0e6f2b19}},
 		{
 			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
 			AttemptResult{AttemptResult: policy.AttemptResult{
-				Part: 0x166bb5d3a91c4, Attempt: 1, Server: 0x03124a07, Status: policy.ConnectFailed,
+				PartID: 0x166bb5d3a91c4, AttemptIndex: 1, ServerID: 0x03124a07, Status: policy.ConnectFailed,
 				Elapsed: 0x4844,
 			}, LoadValues: []float32{1, 2}, Final: true},
 		},
 		{
 			"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
-			HealthCheckResult{HealthCheckResult: policy.HealthCheckResult{Server: 0x2c9011f2, Elapsed: 0x578}, LoadValues: []float32{14.5, 7, 140}},
+			HealthCheckResult{HealthCheckResult: policy.HealthCheckResult{ServerID: 0x2c9011f2, Elapsed: 0x578}, LoadValues: []float32{14.5, 7, 140}},
 		},
 		{
 			"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
@@ -182,20 +182,20 @@
 		what any
 		want string
 	}{
-		{policy.SendAttempt{Part: id, Server: 0x03124a07, Timeout: 80000}, "10 c4913a5dbb660100 074a1203 80380100"},
-		{policy.Reject{Query: id, RetryAfter: 250000}, "11 c4913a5dbb660100 90d00300"},
-		{policy.Fail{Query: id}, "12 c4913a5dbb660100"},
-		{policy.CancelAttempt{Part: id, Attempt: 1}, "13 c4913a5dbb660100 0100"},
-		{policy.SetTimer{After: 500000}, "14 20a10700"},
-		{policy.HealthCheck{Server: 0x2c9011f2}, "15 f211902c"},
-		{policy.CloseIdleConnections{Server: 0x2c9011f2}, "16 f211902c"},
+		{policy.SendAttempt{PartID: id, ServerID: 0x03124a07, Timeout: 80000}, "10 c4913a5dbb660100 074a1203 80380100"},
+		{policy.Reject{QueryID: id, RetryAfter: 250000}, "11 c4913a5dbb660100 90d00300"},
+		{policy.Fail{QueryID: id}, "12 c4913a5dbb660100"},
+		{policy.CancelAttempt{PartID: id, AttemptIndex: 1}, "13 c4913a5dbb660100 0100"},
+		{policy.SetTimer{Delay: 500000}, "14 20a10700"},
+		{policy.HealthCheck{ServerID: 0x2c9011f2}, "15 f211902c"},
+		{policy.CloseIdleConnections{ServerID: 0x2c9011f2}, "16 f211902c"},
 		{SendMessage{0xffff, []byte("hi")}, "17 ffff 00000000 02000000"},
 		{policy.Log{Text: "ok"}, "18 00000000 02000000"},
 		{Crash{"no"}, "19 00000000 02000000"},
 		{policy.PollEndpoints{}, "1a 01"},
 		{Unsubscribe{}, "1a 00"},
 		{RequestList{}, "1b"},
-		{policy.Answer{Query: id, Complete: true}, "1c c4913a5dbb660100 01"},
+		{policy.Answer{QueryID: id, Complete: true}, "1c c4913a5dbb660100 01"},
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
--- a/internal/simcodec/decode.go
+++ b/internal/simcodec/decode.go
@@ -112,7 +112,7 @@
 	case eventStreaming:
 		return Streaming{Part: rec.u64(1), Attempt: int(rec.u16(13)), Server: rec.u32(15)}, nil
 	case eventClientCanceled:
-		return policy.ClientCanceled{Query: rec.u64(1)}, nil
+		return policy.ClientCanceled{QueryID: rec.u64(1)}, nil
 	case eventTimer:
 		return policy.TimerFired{}, nil
 	case eventHealthCheckResult:
@@ -163,7 +163,7 @@
 	}
 	return policy.Query{
 		ID: r.u64(1), Number: number, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
-		RequestKey: r.u64(13), Deadline: policy.Micros(r.u64(21)), Parts: parseCount(r.f32(41)),
+		RequestKey: r.u64(13), Deadline: policy.Micros(r.u64(21)), PartCount: parseCount(r.f32(41)),
 		Retry: r.u16(45)&flagRetry != 0,
 	}
 }
@@ -212,11 +212,11 @@
 	status, statusErr := decodeStatus(r[15])
 	values, err := r.loadValues(21)
 	result := policy.AttemptResult{
-		Part:    r.u64(1),
-		Attempt: int(r.u16(9)),
-		Server:  r.u32(11),
-		Status:  status,
-		Elapsed: policy.Micros(r.u32(16)),
+		PartID:       r.u64(1),
+		AttemptIndex: int(r.u16(9)),
+		ServerID:     r.u32(11),
+		Status:       status,
+		Elapsed:      policy.Micros(r.u32(16)),
 	}
 	return AttemptResult{AttemptResult: result, LoadValues: values, Final: r[20] != 0}, cmp.Or(err, statusErr)
 }
@@ -224,7 +224,7 @@
 func (r record) decodeHealthCheckResult() (HealthCheckResult, error) {
 	status, statusErr := decodeStatus(r[9])
 	values, err := r.loadValues(10)
-	result := policy.HealthCheckResult{Server: r.u32(5), Status: status, Elapsed: policy.Micros(r.u32(1))}
+	result := policy.HealthCheckResult{ServerID: r.u32(5), Status: status, Elapsed: policy.Micros(r.u32(1))}
 	return HealthCheckResult{HealthCheckResult: result, LoadValues: values}, cmp.Or(err, statusErr)
 }
 
--- a/internal/simcodec/encode.go
+++ b/internal/simcodec/encode.go
@@ -85,32 +85,32 @@
 	switch a := what.(type) {
 	case policy.SendAttempt:
 		e.begin(actionSendAttempt)
-		e.id(a.Part)
-		e.u32(9, a.Server)
+		e.id(a.PartID)
+		e.u32(9, a.ServerID)
 		e.u32(13, clampMicros(a.Timeout))
 	case policy.Reject:
 		e.begin(actionReject)
-		e.id(a.Query)
+		e.id(a.QueryID)
 		e.u32(9, clampMicros(a.RetryAfter))
 	case policy.Fail:
 		e.begin(actionFail)
-		e.id(a.Query)
+		e.id(a.QueryID)
 	case policy.CancelAttempt:
 		e.begin(actionCancelAttempt)
-		e.id(a.Part)
-		e.u16(9, uint16(a.Attempt))
+		e.id(a.PartID)
+		e.u16(9, uint16(a.AttemptIndex))
 	case policy.SetTimer:
 		e.begin(actionSetTimer)
-		e.u32(1, clampMicros(a.After))
+		e.u32(1, clampMicros(a.Delay))
 	case policy.HealthCheck:
 		e.begin(actionHealthCheck)
-		e.u32(1, a.Server)
+		e.u32(1, a.ServerID)
 	case policy.Log:
 		e.begin(actionLog)
 		e.data(1, a.Text)
 	case policy.Answer:
 		e.begin(actionAnswer)
-		e.id(a.Query)
+		e.id(a.QueryID)
 		e.flag(9, a.Complete)
 	case policy.PollEndpoints:
 		e.begin(actionSubscribe)
@@ -121,7 +121,7 @@
 		e.begin(actionRequestList)
 	case policy.CloseIdleConnections:
 		e.begin(actionCloseIdle)
-		e.u32(1, a.Server)
+		e.u32(1, a.ServerID)
 	case SendMessage:
 		e.begin(actionSendMessage)
 		e.u16(1, a.To)
--- a/internal/simnet/simfleet/aggregator.go
+++ b/internal/simnet/simfleet/aggregator.go
@@ -65,7 +65,7 @@
 	q.id = a.nextID()
 	a.openQueries[q.id] = q
 	events := []policy.Event{
-		policy.Query{ID: q.id, Number: q.id, Class: q.class, Deadline: q.deadline, Parts: len(q.parts)},
+		policy.Query{ID: q.id, Number: q.id, Class: q.class, Deadline: q.deadline, PartCount: len(q.parts)},
 	}
 	for _, p := range q.parts {
 		p.id = a.nextID()
@@ -99,21 +99,21 @@
 		a.startAttempt(action)
 	case policy.CancelAttempt:
 		a.fleet.result.Cancellations++
-		if p := a.parts[action.Part]; p != nil {
-			a.finishAttempt(p, action.Attempt, policy.Canceled, policy.NoLoadReport)
+		if p := a.parts[action.PartID]; p != nil {
+			a.finishAttempt(p, action.AttemptIndex, policy.Canceled, policy.NoLoadReport)
 		}
 	case policy.Answer:
-		a.finishQuery(a.openQueries[action.Query], served)
+		a.finishQuery(a.openQueries[action.QueryID], served)
 	case policy.Reject:
-		a.finishQuery(a.openQueries[action.Query], rejected)
+		a.finishQuery(a.openQueries[action.QueryID], rejected)
 	case policy.Fail:
-		a.finishQuery(a.openQueries[action.Query], failed)
+		a.finishQuery(a.openQueries[action.QueryID], failed)
 	case policy.HealthCheck:
-		a.checkHealth(action.Server)
+		a.checkHealth(action.ServerID)
 	case policy.CloseIdleConnections:
-		delete(a.connectionUsedAt, action.Server)
+		delete(a.connectionUsedAt, action.ServerID)
 	case policy.SetTimer:
-		a.fleet.Network.Schedule(a.node, action.After, func() { a.step(policy.TimerFired{}) })
+		a.fleet.Network.Schedule(a.node, action.Delay, func() { a.step(policy.TimerFired{}) })
 	}
 }
 
--- a/internal/simnet/simfleet/attempt.go
+++ b/internal/simnet/simfleet/attempt.go
@@ -11,9 +11,9 @@
 
 // startAttempt sends a part to a store with a timeout.
 func (a *Aggregator) startAttempt(action policy.SendAttempt) {
-	p := a.parts[action.Part]
+	p := a.parts[action.PartID]
 	number := len(p.attempts)
-	a.send(p, a.fleet.store(action.Server), func(status policy.Status, report policy.LoadReport) {
+	a.send(p, a.fleet.store(action.ServerID), func(status policy.Status, report policy.LoadReport) {
 		a.finishAttempt(p, number, status, report)
 	})
 	a.fleet.Network.Schedule(a.node, action.Timeout, func() {
@@ -30,12 +30,12 @@
 	finished.finished = true
 	a.dropFinishedPart(p)
 	a.stepLater(policy.AttemptResult{
-		Part:    p.id,
-		Attempt: number,
-		Server:  finished.store,
-		Status:  status,
-		Elapsed: a.fleet.Network.Now() - finished.startedAt,
-		Report:  report,
+		PartID:       p.id,
+		AttemptIndex: number,
+		ServerID:     finished.store,
+		Status:       status,
+		Elapsed:      a.fleet.Network.Now() - finished.startedAt,
+		Report:       report,
 	})
 }
 
@@ -67,7 +67,7 @@
 			return
 		}
 		finished = true
-		a.step(policy.HealthCheckResult{Server: id, Status: status, Elapsed: network.Now() - startedAt, Report: report})
+		a.step(policy.HealthCheckResult{ServerID: id, Status: status, Elapsed: network.Now() - startedAt, Report: report})
 	}
 	a.onConnection(store, func() {
 		store.checkHealth(func(report policy.LoadReport) {
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -5,29 +5,29 @@
 
 // SendAttempt sends a part to a server. An attempt without an answer within the timeout ends as TimedOut.
 type SendAttempt struct {
-	Part    uint64 // ID
-	Server  uint32 // ID
-	Timeout Micros
+	PartID   uint64 // ID
+	ServerID uint32 // ID
+	Timeout  Micros
 }
 
 // CancelAttempt cancels an attempt. Its AttemptResult still follows.
 type CancelAttempt struct {
-	Part uint64 // ID
+	PartID uint64 // ID
 
-	// Attempt counts a part's attempts from 0 in the order of their SendAttempt.
-	Attempt int
+	// AttemptIndex counts a part's attempts from 0 in the order of their SendAttempt.
+	AttemptIndex int
 }
 
 // Answer answers a query from its answered parts. In a class with FetchParts the first Answer starts the fetch
 // phase and the second one is final; otherwise the first one is.
 type Answer struct {
-	Query    uint64 // ID
+	QueryID  uint64 // ID
 	Complete bool
 }
 
 // Reject ends a query without an answer. Its parts did not run or may run again, so the client may retry it.
 type Reject struct {
-	Query uint64 // ID
+	QueryID uint64 // ID
 
 	// RetryAfter is how long the client should wait before it retries; 0 if unspecified.
 	RetryAfter Micros
@@ -35,21 +35,21 @@
 
 // Fail ends a query without an answer and without a statement about its effects.
 type Fail struct {
-	Query uint64 // ID
+	QueryID uint64 // ID
 }
 
 // CloseIdleConnections closes the idle connections to a server, so that the next SendAttempt opens a new one.
 type CloseIdleConnections struct {
-	Server uint32 // ID
+	ServerID uint32 // ID
 }
 
 // HealthCheck checks the health of a server.
 type HealthCheck struct {
-	Server uint32 // ID
+	ServerID uint32 // ID
 }
 
 // SetTimer asks for a Timer event after a time.
-type SetTimer struct{ After Micros }
+type SetTimer struct{ Delay Micros }
 
 // PollEndpoints polls the endpoint list. It applies to Settings.PollEndpoints.
 type PollEndpoints struct{}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -94,7 +94,7 @@
 	actions := h.step(0, events...)
 	assert.Empty(t, actionsOf[SendAttempt](actions))
 	assert.Equal(t, 1, h.finalActions(id))
-	assert.Equal(t, []Reject{{Query: id, RetryAfter: s.MaxRetryAfter}}, actionsOf[Reject](actions))
+	assert.Equal(t, []Reject{{QueryID: id, RetryAfter: s.MaxRetryAfter}}, actionsOf[Reject](actions))
 }
 
 // Queries that end because of overload reduce the admissions of their class, and answers in time raise them again.
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -120,7 +120,7 @@
 	case HealthCheckResult:
 		a.handleHealthCheckResult(event)
 	case ClientCanceled:
-		if q := a.queries[event.Query]; q != nil {
+		if q := a.queries[event.QueryID]; q != nil {
 			a.closeQuery(q)
 		}
 	}
@@ -131,7 +131,7 @@
 	if len(a.openQueries) == 0 || a.timerAt > a.now {
 		return
 	}
-	a.emit(SetTimer{After: reviewTicks * a.settings.Tick})
+	a.emit(SetTimer{Delay: reviewTicks * a.settings.Tick})
 	a.timerAt = a.now + reviewTicks*a.settings.Tick
 }
 
--- a/policy/aggregator_test.go
+++ b/policy/aggregator_test.go
@@ -21,7 +21,7 @@
 	}
 	a.Step(1_000_000, []Event{
 		EndpointList{servers},
-		Query{ID: 7, Number: 7, Deadline: 7_000_000, Parts: 1},
+		Query{ID: 7, Number: 7, Deadline: 7_000_000, PartCount: 1},
 		Part{ID: 8, QueryNumber: 7, Shard: 1, Weight: 1},
 	})
 	changed := settings
@@ -35,21 +35,21 @@
 		}
 	}
 	actions = a.Step(2_600_000, []Event{
-		AttemptResult{Part: 8, Server: 1, Status: OK, Report: NoLoadReport},
-		AttemptResult{Part: 8, Server: 2, Status: OK, Report: NoLoadReport},
+		AttemptResult{PartID: 8, ServerID: 1, Status: OK, Report: NoLoadReport},
+		AttemptResult{PartID: 8, ServerID: 2, Status: OK, Report: NoLoadReport},
 	})
-	assert.Contains(t, actions, Action(Answer{Query: 7, Complete: true}))
-	actions = a.Step(2_700_000, []Event{Query{ID: 9, Number: 9, Class: 1, Deadline: 9_000_000, Parts: 1}})
-	assert.Contains(t, actions, Action(Reject{Query: 9}), "the class is unknown now")
+	assert.Contains(t, actions, Action(Answer{QueryID: 7, Complete: true}))
+	actions = a.Step(2_700_000, []Event{Query{ID: 9, Number: 9, Class: 1, Deadline: 9_000_000, PartCount: 1}})
+	assert.Contains(t, actions, Action(Reject{QueryID: 9}), "the class is unknown now")
 }
 
 func TestInvalidInputIsIgnored(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.step(0,
-		AttemptResult{Part: 1, Server: 1},
-		AttemptResult{Server: 77},
-		HealthCheckResult{Server: 1},
-		HealthCheckResult{Server: 77},
+		AttemptResult{PartID: 1, ServerID: 1},
+		AttemptResult{ServerID: 77},
+		HealthCheckResult{ServerID: 1},
+		HealthCheckResult{ServerID: 77},
 		ClientCanceled{5},
 		Part{ID: 3, QueryNumber: 99},
 		EndpointListFailed{},
@@ -68,7 +68,7 @@
 	result.Report.RequestRate = math.Inf(1)
 	h.step(-50_000, result, result) // twice, and the time runs backwards
 	require.Equal(t, 1, h.finalActions(id))
-	actions := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, Parts: 1})
+	actions := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, PartCount: 1})
 	require.Len(t, actionsOf[Reject](actions), 1, "a query of an unknown class")
 	h.step(0, EndpointList{nil})
 	h.step(0, EndpointList{[]Endpoint{
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -7,11 +7,11 @@
 
 // handleAttemptResult ends an attempt and ignores results of attempts that are not in flight.
 func (a *Aggregator) handleAttemptResult(result AttemptResult) {
-	s := a.servers[result.Server]
+	s := a.servers[result.ServerID]
 	if s == nil {
 		return
 	}
-	isSame := func(t *attempt) bool { return t.part.ID == result.Part && t.index == result.Attempt }
+	isSame := func(t *attempt) bool { return t.part.ID == result.PartID && t.index == result.AttemptIndex }
 	index := slices.IndexFunc(s.inFlight, isSame)
 	if index < 0 {
 		return
--- a/policy/batching_test.go
+++ b/policy/batching_test.go
@@ -18,7 +18,7 @@
 		sent := h.sends(0, events...)
 		servers := map[uint32]bool{}
 		for _, s := range sent {
-			servers[s.Server] = true
+			servers[s.ServerID] = true
 		}
 		assert.Len(t, sent, 4, "overhead of %d us", overhead)
 		assert.Equal(t, overhead == 0, len(servers) == 4, "overhead of %d us: %d servers", overhead, len(servers))
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -59,7 +59,7 @@
 	s.Shards = servers
 	s.ReplicationFactor = 3
 	s.OverloadFactor = 2.5
-	s.LoadByHealthCheckOnly = true
+	s.LoadReportsOnHealthChecksOnly = true
 	var endpoints []Endpoint
 	for i := range servers {
 		endpoints = append(endpoints, Endpoint{ID: uint32(i + 1), State: Ready, RingPosition: i})
@@ -86,7 +86,7 @@
 		case SendAttempt:
 			l.addResult(resultOf(action, OK), latency)
 		case HealthCheck:
-			l.addResult(HealthCheckResult{Server: action.Server, Report: NoLoadReport}, l.settings.Tick)
+			l.addResult(HealthCheckResult{ServerID: action.ServerID, Report: NoLoadReport}, l.settings.Tick)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	id := l.nextID
 	l.nextID += uint64(parts) + 1
 	deadline := l.now + l.settings.Classes[idempotentClass].Timeout
-	events := []Event{Query{ID: id, Number: id, Deadline: deadline, Parts: parts}}
+	events := []Event{Query{ID: id, Number: id, Deadline: deadline, PartCount: parts}}
 	for i := range uint64(parts) {
 		shard := int(id*7+i*11) % l.settings.Shards
 		events = append(events, Part{ID: id + 1 + i, QueryNumber: id, Shard: shard, Weight: 1 / float64(parts)})
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -90,7 +90,7 @@
 // answerQuery answers a query from its answered parts, and closes it unless the fetch phase follows.
 func (a *Aggregator) answerQuery(q *query, complete bool) {
 	isComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
-	a.emit(Answer{Query: q.ID, Complete: isComplete})
+	a.emit(Answer{QueryID: q.ID, Complete: isComplete})
 	if q.phase == firstPhase {
 		waitRatio := float64(a.now-q.arrivedAt) / max(q.predictedWait, 1)
 		smooth(&q.class.waitRatio, waitRatio, waitRatioGain)
@@ -123,9 +123,9 @@
 func (a *Aggregator) rejectOrFail(q *query) {
 	hasEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
 	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, hasEffect) {
-		a.emit(Fail{Query: q.ID})
+		a.emit(Fail{QueryID: q.ID})
 	} else {
-		a.emit(Reject{Query: q.ID, RetryAfter: a.settings.MaxRetryAfter})
+		a.emit(Reject{QueryID: q.ID, RetryAfter: a.settings.MaxRetryAfter})
 	}
 	a.closeQuery(q)
 }
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -38,6 +38,6 @@
 			continue
 		}
 		require.Len(t, answers, 1, "%d of %d parts answered", answered, parts)
-		assert.Equal(t, Answer{Query: id, Complete: answered == parts}, answers[0])
+		assert.Equal(t, Answer{QueryID: id, Complete: answered == parts}, answers[0])
 	}
 }
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -99,7 +99,7 @@
 	if !a.needsFreshConnection(sent) {
 		return
 	}
-	a.emit(CloseIdleConnections{Server: s.ID})
+	a.emit(CloseIdleConnections{ServerID: s.ID})
 	sent.connectionIdle = 0
 	sent.freshConnection = true
 	s.connectionUsedAt = a.now
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -114,6 +114,6 @@
 	a.recordInBatch(s)
 	p.query.usedServers = append(p.query.usedServers, s.ID)
 	timeout := max(a.queryDeadline(p.query)-a.now, a.settings.Tick)
-	a.emit(SendAttempt{Part: p.ID, Server: s.ID, Timeout: timeout})
+	a.emit(SendAttempt{PartID: p.ID, ServerID: s.ID, Timeout: timeout})
 	return true
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -47,7 +47,7 @@
 	sent := actionsOf[SendAttempt](h.actions)
 	require.NotEmpty(t, sent)
 	for _, s := range sent {
-		require.Equal(t, uint32(1), s.Server)
+		require.Equal(t, uint32(1), s.ServerID)
 	}
 
 	// send must refuse such a server by itself, whoever calls it.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -93,7 +93,7 @@
 	longest := cmp.Or(a.settings.MaxPollInterval, math.MaxInt64)
 	wait := min(Micros(a.meanObjective*spread)<<a.polling.failures, longest)
 	a.polling.nextAt = a.now + wait
-	a.emit(SetTimer{After: wait})
+	a.emit(SetTimer{Delay: wait})
 }
 
 // applyEndpoints replaces the endpoint list. Servers that are no longer listed stay as Removed while attempts are
--- a/policy/events.go
+++ b/policy/events.go
@@ -81,8 +81,8 @@
 	// Deadline is when the client stops waiting for this try.
 	Deadline Micros
 
-	// Parts is the number of the parts that follow.
-	Parts int
+	// PartCount is the number of the parts that follow.
+	PartCount int
 
 	// Retry says that the client has tried the query before.
 	Retry bool
@@ -129,23 +129,23 @@
 
 // AttemptResult ends an attempt. There is exactly one for each SendAttempt.
 type AttemptResult struct {
-	Part uint64 // ID
+	PartID uint64 // ID
 
-	// Attempt counts a part's attempts from 0 in the order of their SendAttempt.
-	Attempt int
+	// AttemptIndex counts a part's attempts from 0 in the order of their SendAttempt.
+	AttemptIndex int
 
-	Server  uint32 // ID
-	Status  Status
-	Elapsed Micros // since SendAttempt
-	Report  LoadReport
+	ServerID uint32 // ID
+	Status   Status
+	Elapsed  Micros // since SendAttempt
+	Report   LoadReport
 }
 
 // HealthCheckResult ends a health check.
 type HealthCheckResult struct {
-	Server  uint32 // ID
-	Status  Status
-	Elapsed Micros // since HealthCheck
-	Report  LoadReport
+	ServerID uint32 // ID
+	Status   Status
+	Elapsed  Micros // since HealthCheck
+	Report   LoadReport
 }
 
 // TimerFired says that the time of a SetTimer has passed.
@@ -153,7 +153,7 @@
 
 // ClientCanceled says that the client of a query has left: the query is closed without an answer.
 type ClientCanceled struct {
-	Query uint64 // ID
+	QueryID uint64 // ID
 }
 
 func (EndpointList) event()       {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -35,7 +35,7 @@
 			{ID: 7, State: policy.Ready},
 			{ID: 8, State: policy.Ready, RingPosition: 1},
 		}},
-		policy.Query{ID: 1, Number: 1, Deadline: now + 3_000_000, Parts: 2},
+		policy.Query{ID: 1, Number: 1, Deadline: now + 3_000_000, PartCount: 2},
 		policy.Part{ID: 2, QueryNumber: 1, Shard: 0, Weight: 0.5},
 		policy.Part{ID: 3, QueryNumber: 1, Shard: 1, Weight: 0.5},
 	}
@@ -45,13 +45,13 @@
 		for _, action := range actions {
 			switch action := action.(type) {
 			case policy.SendAttempt:
-				fmt.Printf("part %d to server %d\n", action.Part, action.Server)
+				fmt.Printf("part %d to server %d\n", action.PartID, action.ServerID)
 				events = append(events, policy.AttemptResult{
-					Part: action.Part, Server: action.Server, Status: policy.OK,
+					PartID: action.PartID, ServerID: action.ServerID, Status: policy.OK,
 					Elapsed: 20_000, Report: policy.NoLoadReport,
 				})
 			case policy.Answer:
-				fmt.Printf("query %d answered, complete: %v\n", action.Query, action.Complete)
+				fmt.Printf("query %d answered, complete: %v\n", action.QueryID, action.Complete)
 			}
 		}
 		now += 20_000
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -134,7 +134,7 @@
 	h.lastID += 100
 	id := h.lastID
 	timeout := h.aggregator.settings.Classes[class].Timeout
-	events := []Event{Query{ID: id, Number: id, Class: class, Deadline: h.now + timeout, Parts: parts}}
+	events := []Event{Query{ID: id, Number: id, Class: class, Deadline: h.now + timeout, PartCount: parts}}
 	for i := range parts {
 		events = append(events, Part{
 			ID:          id + uint64(i) + 1,
@@ -164,11 +164,11 @@
 	for _, action := range h.actions {
 		switch action := action.(type) {
 		case Fail:
-			count += boolToInt(action.Query == query)
+			count += boolToInt(action.QueryID == query)
 		case Reject:
-			count += boolToInt(action.Query == query)
+			count += boolToInt(action.QueryID == query)
 		case Answer:
-			count += boolToInt(action.Query == query)
+			count += boolToInt(action.QueryID == query)
 		}
 	}
 	return count
@@ -176,13 +176,13 @@
 
 // resultOf ends the first attempt at a part.
 func resultOf(sent SendAttempt, status Status) AttemptResult {
-	return AttemptResult{Part: sent.Part, Server: sent.Server, Status: status, Report: NoLoadReport}
+	return AttemptResult{PartID: sent.PartID, ServerID: sent.ServerID, Status: status, Report: NoLoadReport}
 }
 
 // resultOfAttempt ends an attempt at a part by its index.
 func resultOfAttempt(sent SendAttempt, attempt int, status Status) AttemptResult {
 	result := resultOf(sent, status)
-	result.Attempt = attempt
+	result.AttemptIndex = attempt
 	return result
 }
 
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -42,7 +42,7 @@
 	s.healthCheckInFlight = true
 	s.healthCheckAt = a.now
 	a.healthCheckCredits--
-	a.emit(HealthCheck{Server: s.ID})
+	a.emit(HealthCheck{ServerID: s.ID})
 }
 
 // awaitsHealthChecks reports whether a part is held back for the health checks of its replicas. Where batches have
@@ -58,7 +58,7 @@
 
 // handleHealthCheckResult ends a health check and ignores results of health checks that are not in flight.
 func (a *Aggregator) handleHealthCheckResult(result HealthCheckResult) {
-	s := a.servers[result.Server]
+	s := a.servers[result.ServerID]
 	if s == nil || !s.healthCheckInFlight {
 		return
 	}
--- a/policy/healthchecks_test.go
+++ b/policy/healthchecks_test.go
@@ -11,7 +11,7 @@
 func healthCheckSettings() Settings {
 	s := singleRingSettings()
 	s.AllowHealthChecks = true
-	s.LoadByHealthCheckOnly = true
+	s.LoadReportsOnHealthChecksOnly = true
 	s.HealthCheckPrice = 0.001
 	return s
 }
@@ -28,7 +28,7 @@
 		var results []Event
 		for _, id := range []uint32{1, 2, 3} {
 			if id != slow {
-				results = append(results, HealthCheckResult{Server: id, Status: OK, Report: NoLoadReport})
+				results = append(results, HealthCheckResult{ServerID: id, Status: OK, Report: NoLoadReport})
 			}
 		}
 		h.step(testTick, results...)
@@ -41,7 +41,7 @@
 		sent := actionsOf[SendAttempt](h.actions)
 		assert.GreaterOrEqual(t, len(sent), 3, "slow server %d", slow)
 		for _, s := range sent {
-			assert.NotEqual(t, slow, s.Server, "sent %+v", sent)
+			assert.NotEqual(t, slow, s.ServerID, "sent %+v", sent)
 		}
 	}
 }
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -100,5 +100,5 @@
 		return
 	}
 	attempt.canceled = true
-	a.emit(CancelAttempt{Part: attempt.part.ID, Attempt: attempt.index})
+	a.emit(CancelAttempt{PartID: attempt.part.ID, AttemptIndex: attempt.index})
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -27,7 +27,7 @@
 		_, events := h.newQuery(idempotentClass, 5)
 		for i, sent := range h.sends(0, events...) {
 			// No attempt is late by its own prediction.
-			h.aggregator.parts[sent.Part].inFlight[0].predictedLatency = 900_000
+			h.aggregator.parts[sent.PartID].inFlight[0].predictedLatency = 900_000
 			if i < c.answered {
 				h.step(0, resultOf(sent, OK))
 			}
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if event.Class < 0 || event.Class >= len(a.classes) {
-		a.emit(Reject{Query: event.ID})
+		a.emit(Reject{QueryID: event.ID})
 		return
 	}
 	c := a.classes[event.Class]
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -13,7 +13,7 @@
 	server := h.aggregator.servers[2]
 	_, events := h.newQuery(idempotentClass, 3)
 	for _, sent := range h.sends(testTick, events...) {
-		if sent.Server == server.ID {
+		if sent.ServerID == server.ID {
 			h.step(1000, resultOf(sent, ServerError))
 		}
 	}
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -44,7 +44,7 @@
 	}
 	parts := map[uint32]int{}
 	for _, sent := range actionsOf[SendAttempt](h.actions) {
-		parts[sent.Server]++
+		parts[sent.ServerID]++
 	}
 	assert.LessOrEqual(t, 3*parts[busy.ID], parts[idle.ID], "parts by server: %v", parts)
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -39,17 +39,17 @@
 		healthChecks := actionsOf[HealthCheck](h.actions)
 		h.actions = nil
 		for _, check := range healthChecks {
-			result := HealthCheckResult{Server: check.Server, Status: OK, Report: NoLoadReport}
-			if check.Server == unresponsive {
+			result := HealthCheckResult{ServerID: check.ServerID, Status: OK, Report: NoLoadReport}
+			if check.ServerID == unresponsive {
 				result.Status = healthCheckStatus
 			}
 			h.step(0, result)
 		}
 		for ; len(queue) > 0; queue = queue[1:] { // retries join the queue
 			sent := queue[0]
-			attempt := h.aggregator.parts[sent.Part].attempts - 1
+			attempt := h.aggregator.parts[sent.PartID].attempts - 1
 			latency, status := Micros(100_000), OK
-			if sent.Server == unresponsive {
+			if sent.ServerID == unresponsive {
 				trials++
 				latency, status = 400_000, TimedOut
 			}
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -16,7 +16,7 @@
 		for range 3 {
 			var results []Event
 			for _, s := range sent {
-				attempt := h.aggregator.parts[s.Part].attempts - 1
+				attempt := h.aggregator.parts[s.PartID].attempts - 1
 				results = append(results, resultOfAttempt(s, attempt, ServerError))
 			}
 			sent = h.sends(testTick, results...)
@@ -25,8 +25,8 @@
 	attempts := map[uint64]int{}
 	retries := 0
 	for _, s := range actionsOf[SendAttempt](h.actions) {
-		retries += boolToInt(attempts[s.Part] > 0)
-		attempts[s.Part]++
+		retries += boolToInt(attempts[s.PartID] > 0)
+		attempts[s.PartID]++
 	}
 	settings := h.aggregator.settings
 	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -214,7 +214,7 @@
 		Class:      classIndex,
 		Tenant:     c.random.IntN(2),
 		Deadline:   query.deadline,
-		Parts:      parts,
+		PartCount:  parts,
 		Retry:      c.random.IntN(5) == 0,
 		RequestKey: uint64(c.random.IntN(4)),
 	})
@@ -250,7 +250,7 @@
 func (c *ruleChecker) step() {
 	c.endAttempts()
 	for _, server := range c.healthChecks {
-		c.add(HealthCheckResult{Server: server, Status: Status(c.random.IntN(2)), Report: NoLoadReport})
+		c.add(HealthCheckResult{ServerID: server, Status: Status(c.random.IntN(2)), Report: NoLoadReport})
 	}
 	c.healthChecks = nil
 	c.fireTimer()
@@ -287,12 +287,12 @@
 			report.InFlight = float64(c.random.IntN(6))
 		}
 		c.add(AttemptResult{
-			Part:    attempt.part,
-			Attempt: attempt.index,
-			Server:  attempt.server,
-			Status:  attempt.status,
-			Elapsed: c.now - attempt.sentAt,
-			Report:  report,
+			PartID:       attempt.part,
+			AttemptIndex: attempt.index,
+			ServerID:     attempt.server,
+			Status:       attempt.status,
+			Elapsed:      c.now - attempt.sentAt,
+			Report:       report,
 		})
 	}
 	c.inFlight = remaining
@@ -320,18 +320,18 @@
 	case Reject:
 		c.checkReject(action)
 	case Fail:
-		c.endQuery(action.Query)
+		c.endQuery(action.QueryID)
 	case HealthCheck:
-		c.healthChecks = append(c.healthChecks, action.Server)
+		c.healthChecks = append(c.healthChecks, action.ServerID)
 	case SetTimer:
-		c.timers = append(c.timers, c.now+action.After)
+		c.timers = append(c.timers, c.now+action.Delay)
 	}
 }
 
 func (c *ruleChecker) cancelAttempt(action CancelAttempt) {
 	for i := range c.inFlight {
 		attempt := &c.inFlight[i]
-		if attempt.part == action.Part && attempt.index == action.Attempt {
+		if attempt.part == action.PartID && attempt.index == action.AttemptIndex {
 			attempt.endsAt = c.now
 			attempt.status = Canceled
 		}
@@ -360,9 +360,9 @@
 		delay = timeout
 	}
 	c.inFlight = append(c.inFlight, checkedAttempt{
-		part:   action.Part,
+		part:   action.PartID,
 		index:  index,
-		server: action.Server,
+		server: action.ServerID,
 		sentAt: c.now,
 		endsAt: c.now + delay,
 		status: status,
--- a/policy/rulechecks_test.go
+++ b/policy/rulechecks_test.go
@@ -16,13 +16,13 @@
 }
 
 func (c *ruleChecker) checkReject(action Reject) {
-	query := c.queries[action.Query]
+	query := c.queries[action.QueryID]
 	for _, p := range query.parts {
 		if query.class.Idempotency == NonIdempotent && p.hasEffect() {
-			c.test.Fatalf("query %d rejected although a part of it may have run", action.Query)
+			c.test.Fatalf("query %d rejected although a part of it may have run", action.QueryID)
 		}
 	}
-	c.endQuery(action.Query)
+	c.endQuery(action.QueryID)
 }
 
 // hasEffect reports whether an attempt at the part may have run or may still run.
@@ -30,7 +30,7 @@
 
 func (c *ruleChecker) checkAnswer(action Answer) {
 	const tolerance = 1e-4
-	query := c.queries[action.Query]
+	query := c.queries[action.QueryID]
 	class := query.class
 	coverage := 0.0
 	answered := 0
@@ -45,33 +45,33 @@
 		required = 1
 	}
 	if coverage < class.MinCoverage-tolerance {
-		c.test.Fatalf("query %d answered at a coverage of %v, minimum %v", action.Query, coverage, class.MinCoverage)
+		c.test.Fatalf("query %d answered at a coverage of %v, minimum %v", action.QueryID, coverage, class.MinCoverage)
 	}
 	isIncomplete := coverage < required-tolerance || query.phase == fetchPhase && !query.firstPhaseComplete
 	if action.Complete && isIncomplete {
-		c.test.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.Query, coverage, query.phase)
+		c.test.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.QueryID, coverage, query.phase)
 	}
 	if query.phase == firstPhase && class.FetchParts > 0 {
 		query.phase = fetchPhase
 		query.firstPhaseComplete = action.Complete
-		number := c.aggregator.queries[action.Query].Number
+		number := c.aggregator.queries[action.QueryID].Number
 		c.addParts(query, number, min(answered, class.FetchParts))
 		return
 	}
-	c.endQuery(action.Query)
+	c.endQuery(action.QueryID)
 }
 
 // checkSend checks an attempt and draws its result.
 func (c *ruleChecker) checkSend(action SendAttempt) {
-	p := c.parts[action.Part]
+	p := c.parts[action.PartID]
 	if p.query.closed {
-		c.test.Fatalf("part %d sent after its query ended", action.Part)
+		c.test.Fatalf("part %d sent after its query ended", action.PartID)
 	}
 	c.checkServer(action, p)
-	c.checkSlowStart(action.Server, c.aggregator.parts[action.Part].query.class.referenceLatency)
+	c.checkSlowStart(action.ServerID, c.aggregator.parts[action.PartID].query.class.referenceLatency)
 	c.checkIdempotency(action, p)
 	if p.attempts >= c.settings.MaxAttempts {
-		c.test.Fatalf("part %d sent more than %d times", action.Part, c.settings.MaxAttempts)
+		c.test.Fatalf("part %d sent more than %d times", action.PartID, c.settings.MaxAttempts)
 	}
 	if p.attempts > 0 {
 		c.retries = append(c.retries, c.now)
@@ -87,27 +87,27 @@
 }
 
 func (c *ruleChecker) checkServer(action SendAttempt, p *checkedPart) {
-	if at, ok := c.drainedAt[action.Server]; ok && c.now > at+c.settings.DrainGrace {
-		c.test.Fatalf("part %d sent to server %d, which is draining or removed", action.Part, action.Server)
+	if at, ok := c.drainedAt[action.ServerID]; ok && c.now > at+c.settings.DrainGrace {
+		c.test.Fatalf("part %d sent to server %d, which is draining or removed", action.PartID, action.ServerID)
 	}
 	size := c.settings.RingSize
-	distance := (c.servers[action.Server].RingPosition - p.shard + 2*size) % size
+	distance := (c.servers[action.ServerID].RingPosition - p.shard + 2*size) % size
 	if distance >= c.settings.ReplicationFactor {
-		c.test.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.Part, p.shard, action.Server)
+		c.test.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.PartID, p.shard, action.ServerID)
 	}
 }
 
 func (c *ruleChecker) checkIdempotency(action SendAttempt, p *checkedPart) {
 	class := p.query.class
 	if len(p.inFlight) > 0 && !c.settings.AllowHedging {
-		c.test.Fatalf("part %d hedged although hedging is not allowed", action.Part)
+		c.test.Fatalf("part %d hedged although hedging is not allowed", action.PartID)
 	}
 	if class.Idempotency == NonIdempotent && p.hasEffect() {
-		c.test.Fatalf("non-idempotent part %d retried although it may have run", action.Part)
+		c.test.Fatalf("non-idempotent part %d retried although it may have run", action.PartID)
 	}
 	isTooLate := c.now > p.firstSentAt+class.DeduplicationWindow
 	if class.Idempotency == IdempotentByKey && p.hasEffect() && isTooLate {
-		c.test.Fatalf("part %d retried after its deduplication window", action.Part)
+		c.test.Fatalf("part %d retried after its deduplication window", action.PartID)
 	}
 }
 
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -34,7 +34,7 @@
 	_, events := h.newQuery(idempotentClass, 3)
 	servers := map[uint32]bool{}
 	for _, sent := range h.sends(0, events...) {
-		servers[sent.Server] = true
+		servers[sent.ServerID] = true
 	}
 	require.Len(t, servers, 3)
 	_, events = h.newQuery(idempotentClass, 5)
@@ -48,7 +48,7 @@
 	_, events := h.newQuery(idempotentClass, 1)
 	sent := h.sends(0, events...)[0]
 	for _, s := range h.aggregator.serversByID {
-		if s.ID != sent.Server {
+		if s.ID != sent.ServerID {
 			s.latencyRatio = 5
 			s.sampledAt = h.now
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -66,9 +66,9 @@
 // Settings is what an aggregator knows from the start; New checks it.
 //
 // The decisions do not use Tenants, OverQuotaWeight, Zone, ServersCacheKeys, MaxOpen, SendRetryAfter,
-// LoadByHealthCheckOnly, AnswerSlack, DrainGrace, PriceCrossZone and Class.PartialWeight: they are stricter than the
-// slack and the grace period, leave MaxOpen and SendRetryAfter to the owner, and take every replica at its measured
-// latency.
+// LoadReportsOnHealthChecksOnly, AnswerSlack, DrainGrace, PriceCrossZone and Class.PartialWeight: they are stricter
+// than the slack and the grace period, leave MaxOpen and SendRetryAfter to the owner, and take every replica at its
+// measured latency.
 type Settings struct {
 	// InstanceIndex is this aggregator's index among the InstanceCount ones that share the servers.
 	InstanceIndex int
@@ -119,14 +119,14 @@
 	// MaxRetryAfter is the longest such time that clients honor.
 	MaxRetryAfter Micros
 
-	// LoadByHealthCheckOnly says that servers send load reports only with the results of health checks.
-	LoadByHealthCheckOnly bool
+	// LoadReportsOnHealthChecksOnly says that servers send load reports only with the results of health checks.
+	LoadReportsOnHealthChecksOnly bool
 
 	// PollEndpoints says that the endpoint list arrives only after a PollEndpoints action.
 	PollEndpoints bool
 
-	// MaxPollInterval is the time since its last poll, failed ones included, after which an aggregator counts as knowing
-	// the endpoint list. It limits the backoff of polls; 0 if there is no limit.
+	// MaxPollInterval is the time since its last poll, failed ones included, after which an aggregator counts as
+	// knowing the endpoint list. It limits the backoff of polls; 0 if there is no limit.
 	MaxPollInterval Micros
 
 	// AnswerSlack is the time past a query's deadline that its final action may come at the latest.
