--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -46,22 +46,22 @@
 		q := events[0].(Query)
 		q.Deadline = h.now + timeout
 		events[0] = q
-		sent := len(h.sends(0, events...))
+		sent := len(h.stepSends(0, events...))
 		assert.Equal(t, timeout > latency, sent > 0, "timeout of %d us", timeout)
-		assert.Equal(t, 1-sent, h.finalActions(id), "timeout of %d us", timeout)
+		assert.Equal(t, 1-sent, h.finalActionCount(id), "timeout of %d us", timeout)
 	}
 }
 
 // The slowest of a query's parts takes longer than the mean part, which the wait ratio accounts for.
-func TestAdmissionAccountsForTheWaitRatio(t *testing.T) {
+func TestAdmissionAccountsForTheResponseTimeRatio(t *testing.T) {
 	s := singleRingSettings()
 	s.InstanceCount = manyInstances
 	h := newHarness(t, s)
 	h.answerQueries(idempotentClass, 30, 200_000)
-	h.aggregator.classes[idempotentClass].waitRatio = 20
+	h.aggregator.classes[idempotentClass].responseTimeRatio = 20
 	id, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
-	assert.Equal(t, 1, h.finalActions(id), "queries took 20 times their predicted wait")
+	assert.Equal(t, 1, h.finalActionCount(id), "queries took 20 times their predicted wait")
 }
 
 // A class that is rejected because of its statistics is admitted once in a mean latency objective, so that they are
@@ -75,11 +75,11 @@
 	s.InstanceCount = manyInstances
 	h := newHarness(t, s)
 	h.answerQueries(idempotentClass, 30, 200_000)
-	h.aggregator.classes[idempotentClass].waitRatio = 20
+	h.aggregator.classes[idempotentClass].responseTimeRatio = 20
 	h.actions = nil
 	for range objectives * queriesPerObjective {
 		_, events := h.newQuery(idempotentClass, 1)
-		h.step(Micros(h.aggregator.meanObjective)/queriesPerObjective, events...)
+		h.step(Micros(h.aggregator.meanLatencyObjective)/queriesPerObjective, events...)
 	}
 	admitted := len(actionsOf[SendAttempt](h.actions))
 	assert.GreaterOrEqual(t, admitted, 2)
@@ -93,7 +93,7 @@
 	id, events := h.newQuery(idempotentClass, 3)
 	actions := h.step(0, events...)
 	assert.Empty(t, actionsOf[SendAttempt](actions))
-	assert.Equal(t, 1, h.finalActions(id))
+	assert.Equal(t, 1, h.finalActionCount(id))
 	assert.Equal(t, []Reject{{QueryID: id, RetryAfter: s.MaxRetryAfter}}, actionsOf[Reject](actions))
 }
 
@@ -115,8 +115,8 @@
 		return rejected
 	}
 	require.Zero(t, rejectedOf100(), "before any overload")
-	overloaded := &query{class: a.classes[idempotentClass], wasRejected: true}
-	a.queries[overloaded.ID] = overloaded
+	overloaded := &query{class: a.classes[idempotentClass], hadRejectedAttempt: true}
+	a.queriesByID[overloaded.ID] = overloaded
 	a.rejectOrFail(overloaded)
 	a.rejectOrFail(overloaded)
 	a.settings.InstanceCount = 11 // own capacity says nothing about the load
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// reviewTicks is the number of ticks between two timers while queries are open.
-	reviewTicks = 2
+	// timerIntervalTicks is the number of ticks between two timers while queries are open.
+	timerIntervalTicks = 2
 
 	// maxBackoffDoublings is the number of times that any backoff doubles at most.
 	maxBackoffDoublings = 3
@@ -22,30 +22,30 @@
 	timerAt   Micros // when the pending timer fires
 	actions   []Action
 
-	// meanObjective is the mean latency objective of the classes in microseconds: the unit of slow processes.
-	meanObjective float64
+	// meanLatencyObjective is the mean latency objective of the classes in microseconds: the unit of slow processes.
+	meanLatencyObjective float64
 
-	// lateRatio is the multiple of its predicted latency from which an attempt is late.
-	lateRatio float64
+	// lateThreshold is the multiple of its predicted latency from which an attempt is late.
+	lateThreshold float64
 
-	// The endpoints. Decisions iterate over serversByID, never over a map, so that they can be reproduced.
-	servers     map[uint32]*server // by ID
-	serversByID []*server          // in ascending order of ID
-	replicas    [][]*server        // by shard, each in ascending order of ID
-	polling     endpointPolling
+	// The endpoints. Decisions iterate over sortedServers, never over a map, so that they can be reproduced.
+	serversByID   map[uint32]*server // by ID
+	sortedServers []*server          // in ascending order of ID
+	replicas      [][]*server        // by shard, each in ascending order of ID
+	polling       endpointPolling
 
 	// The open queries.
 	classes         []*class
-	queries         map[uint64]*query // by ID
+	queriesByID     map[uint64]*query // by ID
 	queriesByNumber map[uint64]*query
-	parts           map[uint64]*part // by ID
+	partsByID       map[uint64]*part // by ID
 	openQueries     []*query         // in the order of dispatch
 	queuedParts     []float64        // by shard: parts that found no capacity in the last dispatch
-	shardArrivals   []historyEntry   // by shard: accepted parts, decaying over the slow start duration
+	shardArrivals   []timedAmount    // by shard: accepted parts, decaying over the slow start duration
 
 	fleet         fleetStats
-	budget        retryBudget
-	connections   connectionEvidence
+	retryBudget   retryBudget
+	connections   connectionStats
 	crashSuspects crashSuspects
 
 	// healthCheckCredits is the number of health checks that may be sent.
@@ -62,17 +62,17 @@
 		return nil, err
 	}
 	a := &Aggregator{
-		servers:         map[uint32]*server{},
-		queries:         map[uint64]*query{},
+		serversByID:     map[uint32]*server{},
+		queriesByID:     map[uint64]*query{},
 		queriesByNumber: map[uint64]*query{},
-		parts:           map[uint64]*part{},
+		partsByID:       map[uint64]*part{},
 		fleet: fleetStats{
-			sustainedRate:   initialSustainedRate,
-			meanUtilization: initialUtilization,
+			sustainedWorkRate: initialSustainedWorkRate,
+			meanUtilization:   initialUtilization,
 		},
-		connections: connectionEvidence{
-			freshSuccess:  initialConnectionSuccess,
-			idleLimitBase: math.MaxInt64,
+		connections: connectionStats{
+			freshSuccessRate: initialFreshSuccessRate,
+			idleLimitBase:    math.MaxInt64,
 		},
 	}
 	a.applySettings(settings)
@@ -92,7 +92,7 @@
 		if q.awaitsAdmission {
 			a.admit(q)
 		}
-		a.reviewQuery(q)
+		a.advanceQuery(q)
 	}
 	a.dispatch()
 	a.openQueries = slices.DeleteFunc(a.openQueries, func(q *query) bool { return q.closed })
@@ -105,7 +105,7 @@
 func (a *Aggregator) handleEvent(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
-		a.polling.failures = 0
+		a.polling.consecutiveFailures = 0
 		a.applyEndpoints(event.Endpoints)
 	case EndpointListFailed:
 		a.backOffPolling()
@@ -120,7 +120,7 @@
 	case HealthCheckResult:
 		a.handleHealthCheckResult(event)
 	case ClientCanceled:
-		if q := a.queries[event.QueryID]; q != nil {
+		if q := a.queriesByID[event.QueryID]; q != nil {
 			a.closeQuery(q)
 		}
 	}
@@ -131,8 +131,8 @@
 	if len(a.openQueries) == 0 || a.timerAt > a.now {
 		return
 	}
-	a.emit(SetTimer{Delay: reviewTicks * a.settings.Tick})
-	a.timerAt = a.now + reviewTicks*a.settings.Tick
+	a.emit(SetTimer{Delay: timerIntervalTicks * a.settings.Tick})
+	a.timerAt = a.now + timerIntervalTicks*a.settings.Tick
 }
 
 func (a *Aggregator) reconfigure(settings Settings) {
@@ -153,22 +153,22 @@
 	}
 	a.settings = settings
 	a.classes = nil
-	a.meanObjective = 0
+	a.meanLatencyObjective = 0
 	for _, c := range settings.Classes {
 		stats := cmp.Or(known[c.Name], &classStats{meanFanOut: initialFanOut})
-		if stats.answers == 0 {
+		if stats.answerCount == 0 {
 			stats.referenceLatency = float64(c.LatencyObjective)
 		}
 		a.classes = append(a.classes, &class{c, stats})
-		a.meanObjective += float64(c.LatencyObjective) / float64(len(settings.Classes))
+		a.meanLatencyObjective += float64(c.LatencyObjective) / float64(len(settings.Classes))
 	}
-	if a.fleet.answers == 0 {
-		a.fleet.meanLatency = a.meanObjective
-		a.fleet.baseLatency = a.meanObjective
+	if a.fleet.answerCount == 0 {
+		a.fleet.meanLatency = a.meanLatencyObjective
+		a.fleet.baseLatency = a.meanLatencyObjective
 	}
-	a.lateRatio = lateThreshold
+	a.lateThreshold = lateThreshold
 	if !settings.AllowHedging {
-		a.lateRatio *= replaceInPlaceFactor
+		a.lateThreshold *= noHedgingLateFactor
 	}
 	a.extendShards(settings.Shards)
 	a.rebuildReplicas()
@@ -180,6 +180,6 @@
 	for len(a.replicas) < shards {
 		a.replicas = append(a.replicas, nil)
 		a.queuedParts = append(a.queuedParts, 0)
-		a.shardArrivals = append(a.shardArrivals, historyEntry{})
+		a.shardArrivals = append(a.shardArrivals, timedAmount{})
 	}
 }
--- a/policy/aggregator_test.go
+++ b/policy/aggregator_test.go
@@ -63,11 +63,11 @@
 		Part{ID: 5, QueryNumber: id, Shard: 99},
 		Part{ID: 6, QueryNumber: id, Weight: math.NaN()},
 	)
-	result := resultOf(h.sends(0, events...)[0], OK)
+	result := resultOf(h.stepSends(0, events...)[0], OK)
 	result.Report.InFlight = math.NaN()
 	result.Report.RequestRate = math.Inf(1)
 	h.step(-50_000, result, result) // twice, and the time runs backwards
-	require.Equal(t, 1, h.finalActions(id))
+	require.Equal(t, 1, h.finalActionCount(id))
 	actions := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, PartCount: 1})
 	require.Len(t, actionsOf[Reject](actions), 1, "a query of an unknown class")
 	h.step(0, EndpointList{nil})
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -7,7 +7,7 @@
 
 // handleAttemptResult ends an attempt and ignores results of attempts that are not in flight.
 func (a *Aggregator) handleAttemptResult(result AttemptResult) {
-	s := a.servers[result.ServerID]
+	s := a.serversByID[result.ServerID]
 	if s == nil {
 		return
 	}
@@ -22,8 +22,8 @@
 	p.inFlight = slices.DeleteFunc(p.inFlight, isSame)
 	p.mayHaveRun = p.mayHaveRun || !result.Status.neverRan()
 	a.recordLoad(s, result.Report)
-	a.learnFromResult(ended, result.Status)
-	if p.query.closed || a.parts[p.ID] != p || p.state != partInFlight {
+	a.recordAttemptResult(ended, result.Status)
+	if p.query.closed || a.partsByID[p.ID] != p || p.state != partInFlight {
 		return
 	}
 	if result.Status == OK {
@@ -37,7 +37,7 @@
 		return
 	}
 	p.state = partUnavailable
-	if a.mayRetry(p) {
+	if a.mayAttempt(p) {
 		p.state = partQueued
 	}
 }
--- a/policy/batching_test.go
+++ b/policy/batching_test.go
@@ -15,7 +15,7 @@
 		h := newHarness(t, s, readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		h.answerQueries(idempotentClass, 60, 200_000)
 		_, events := h.newQuery(idempotentClass, 4)
-		sent := h.sends(0, events...)
+		sent := h.stepSends(0, events...)
 		servers := map[uint32]bool{}
 		for _, s := range sent {
 			servers[s.ServerID] = true
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -15,7 +15,7 @@
 // hasCapacity reports whether a server may receive another attempt. Parts that exceed its limit are queued in the
 // aggregator, where any replica may take them.
 func (a *Aggregator) hasCapacity(s *server) bool {
-	return float64(len(s.inFlight)) < a.concurrencyLimit() || a.joinsBatch(s)
+	return float64(len(s.inFlight)) < a.concurrencyLimit() || a.canJoinBatch(s)
 }
 
 // concurrencyLimit returns the number of own attempts that may be in flight at a server.
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -6,11 +6,11 @@
 	// coverageTolerance is the amount by which sums of weights may fall short because of rounding.
 	coverageTolerance = 5e-5
 
-	// deadlineTicks is the number of ticks before the client's deadline at which a query is ended.
-	deadlineTicks = 2
+	// deadlineMarginTicks is the number of ticks before the client's deadline at which a query is ended.
+	deadlineMarginTicks = 2
 
-	// partialAnswerTicks is the number of ticks before the latency objective at which a partial answer is sent.
-	partialAnswerTicks = 3
+	// partialAnswerMarginTicks is the number of ticks before the latency objective at which a partial answer is sent.
+	partialAnswerMarginTicks = 3
 
 	// fetchReserveRatio is the time reserved for the fetch phase, in reference latencies.
 	fetchReserveRatio = 2.0
@@ -18,16 +18,16 @@
 	// fetchReserveTicks is added to that time, in ticks.
 	fetchReserveTicks = 2
 
-	// waitRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted wait.
-	waitRatioGain = 0.15
+	// responseTimeRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted wait.
+	responseTimeRatioGain = 0.15
 )
 
-// reviewQuery ends a query if it can be answered or is hopeless; otherwise it replaces the query's late parts.
-func (a *Aggregator) reviewQuery(q *query) {
-	if q.closed || a.awaitsParts(q) {
+// advanceQuery ends a query if it can be answered or is hopeless; otherwise it replaces the query's late parts.
+func (a *Aggregator) advanceQuery(q *query) {
+	if q.closed || a.awaitsFetchParts(q) {
 		return
 	}
-	coverage, attainable := q.weights()
+	coverage, attainable := q.computeCoverage()
 	q.coverage = coverage
 	required := q.class.RequiredCoverage - coverageTolerance
 	if q.phase == fetchPhase {
@@ -36,7 +36,7 @@
 	minimum := q.class.MinCoverage - coverageTolerance
 	isHopeless := attainable < minimum || a.now >= a.queryDeadline(q)
 	isExhausted := attainable < required && coverage >= attainable-coverageTolerance
-	isPartialDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.answerDeadline(q)
+	isPartialDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.partialAnswerDeadline(q)
 	switch {
 	case coverage >= required:
 		a.answerQuery(q, true)
@@ -49,13 +49,13 @@
 	}
 }
 
-// awaitsParts reports whether parts of the fetch phase have yet to arrive.
-func (a *Aggregator) awaitsParts(q *query) bool {
-	return q.phase == fetchPhase && len(q.parts) < q.expectedParts && a.now < a.queryDeadline(q)
+// awaitsFetchParts reports whether parts of the fetch phase have yet to arrive.
+func (a *Aggregator) awaitsFetchParts(q *query) bool {
+	return q.phase == fetchPhase && len(q.parts) < q.expectedFetchParts && a.now < a.queryDeadline(q)
 }
 
-// weights returns the weight of a query's answered parts, and of those that are or may yet be answered.
-func (q *query) weights() (answered, attainable float64) {
+// computeCoverage returns the weight of a query's answered parts, and of those that are or may yet be answered.
+func (q *query) computeCoverage() (answered, attainable float64) {
 	for _, p := range q.parts {
 		if p.state == partAnswered {
 			answered += p.Weight
@@ -67,22 +67,22 @@
 	return answered, attainable
 }
 
-// answerDeadline returns when a query is answered in part if it can be: before the latency objective, with time for
+// partialAnswerDeadline returns when a query is answered in part if it can be: before the latency objective, with time for
 // a fetch phase that follows.
-func (a *Aggregator) answerDeadline(q *query) Micros {
+func (a *Aggregator) partialAnswerDeadline(q *query) Micros {
 	if q.class.FetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
-		return q.objectiveAt - fetchTime - fetchReserveTicks*a.settings.Tick
+		return q.objectiveDeadline - fetchTime - fetchReserveTicks*a.settings.Tick
 	}
-	return q.objectiveAt - partialAnswerTicks*a.settings.Tick
+	return q.objectiveDeadline - partialAnswerMarginTicks*a.settings.Tick
 }
 
 // queryDeadline returns when a query is ended at the latest: before the client's deadline, and at the latency
 // objective if later answers are worth nothing.
 func (a *Aggregator) queryDeadline(q *query) Micros {
-	deadline := q.Deadline - deadlineTicks*a.settings.Tick
+	deadline := q.Deadline - deadlineMarginTicks*a.settings.Tick
 	if q.class.LateWeight <= 0 {
-		deadline = min(deadline, q.objectiveAt)
+		deadline = min(deadline, q.objectiveDeadline)
 	}
 	return deadline
 }
@@ -92,8 +92,8 @@
 	isComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
 	a.emit(Answer{QueryID: q.ID, Complete: isComplete})
 	if q.phase == firstPhase {
-		waitRatio := float64(a.now-q.arrivedAt) / max(q.predictedWait, 1)
-		smooth(&q.class.waitRatio, waitRatio, waitRatioGain)
+		waitRatio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
+		smooth(&q.class.responseTimeRatio, waitRatio, responseTimeRatioGain)
 	}
 	if q.phase == fetchPhase || q.class.FetchParts == 0 {
 		a.closeQuery(q)
@@ -113,9 +113,9 @@
 	}
 	q.phase = fetchPhase
 	q.firstPhaseComplete = firstPhaseComplete
-	q.expectedParts = min(answered, q.class.FetchParts)
+	q.expectedFetchParts = min(answered, q.class.FetchParts)
 	q.parts = nil
-	q.usedServers = nil
+	q.usedServerIDs = nil
 }
 
 // rejectOrFail ends a query without an answer. It is rejected, so that the client may retry it, unless the first
@@ -133,21 +133,21 @@
 // closeQuery forgets a query and cancels its attempts in flight.
 func (a *Aggregator) closeQuery(q *query) {
 	q.closed = true
-	a.recordOverload(q)
+	a.updateOverloadCount(q)
 	a.dropParts(q)
-	delete(a.queries, q.ID)
+	delete(a.queriesByID, q.ID)
 	if a.queriesByNumber[q.Number] == q {
 		delete(a.queriesByNumber, q.Number)
 	}
 }
 
-// recordOverload counts a closed query for its class: answered in time, or late or unanswered after a rejection.
-func (a *Aggregator) recordOverload(q *query) {
-	isInTime := a.now <= q.objectiveAt && q.coverage >= q.class.MinCoverage-coverageTolerance
+// updateOverloadCount counts a closed query for its class: answered in time, or late or unanswered after a rejection.
+func (a *Aggregator) updateOverloadCount(q *query) {
+	isInTime := a.now <= q.objectiveDeadline && q.coverage >= q.class.MinCoverage-coverageTolerance
 	switch {
 	case isInTime:
 		q.class.overloadCount /= 2
-	case q.wasRejected:
+	case q.hadRejectedAttempt:
 		q.class.overloadCount++
 	}
 }
@@ -158,6 +158,6 @@
 		for _, attempt := range p.inFlight {
 			a.cancelAttempt(attempt)
 		}
-		delete(a.parts, p.ID)
+		delete(a.partsByID, p.ID)
 	}
 }
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -15,7 +15,7 @@
 		for end := h.now + settings.Timeout; h.now < end-testTick; {
 			h.step(testTick, TimerFired{})
 		}
-		assert.Equal(t, 1, h.finalActions(id), "class %s", settings.Name)
+		assert.Equal(t, 1, h.finalActionCount(id), "class %s", settings.Name)
 	}
 }
 
@@ -25,9 +25,9 @@
 	for _, answered := range []int{3, 4, 5} {
 		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		id, events := h.newQuery(fetchClass, parts)
-		sent := h.sends(0, events...)
+		sent := h.stepSends(0, events...)
 		for i := range answered { // some parts are sent only after quick answers
-			sent = append(sent, h.sends(1000, resultOf(sent[i], OK))...)
+			sent = append(sent, h.stepSends(1000, resultOf(sent[i], OK))...)
 		}
 		for range 360 {
 			h.step(testTick, TimerFired{})
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -14,12 +14,12 @@
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
-	longIdle := 2 * Micros(a.meanObjective)
+	longIdle := 2 * Micros(a.meanLatencyObjective)
 	for range 20 {
 		h.actions = nil
 		h.step(longIdle, TimerFired{})
 		_, events := h.newQuery(idempotentClass, 1)
-		sent := h.sends(0, events...)
+		sent := h.stepSends(0, events...)
 		require.Len(t, sent, 1)
 		status := TimedOut
 		if len(actionsOf[CloseIdleConnections](h.actions)) > 0 {
@@ -30,12 +30,12 @@
 			a.closeQuery(q)
 		}
 	}
-	for _, s := range a.serversByID {
-		s.suspect = false
+	for _, s := range a.sortedServers {
+		s.idleConnectionsSuspect = false
 	}
 	if freshStatus == ConnectFailed { // one failure to connect revokes any evidence against idle connections
-		a.connections.freshSuccess = 0.9
-		a.classifyConnection(&attempt{server: a.serversByID[0], freshConnection: true}, ConnectFailed)
+		a.connections.freshSuccessRate = 0.9
+		a.recordConnectionResult(&attempt{server: a.sortedServers[0], freshConnection: true}, ConnectFailed)
 	}
 	h.actions = nil
 	h.step(longIdle, TimerFired{})
@@ -62,13 +62,13 @@
 	closed := 0
 	for i := range 60 {
 		h.actions = nil
-		for _, s := range a.serversByID { // latencies stay those before the servers became busy
+		for _, s := range a.sortedServers { // latencies stay those before the servers became busy
 			s.latencyRatio = 1
 		}
 		a.classes[idempotentClass].referenceLatency = 100_000
-		h.step(Micros(a.meanObjective), TimerFired{})
+		h.step(Micros(a.meanLatencyObjective), TimerFired{})
 		_, events := h.newQuery(idempotentClass, 1)
-		for _, sent := range h.sends(0, events...) {
+		for _, sent := range h.stepSends(0, events...) {
 			latency := Micros(100_000)
 			if i%2 == 0 {
 				latency = 700_000
--- a/policy/crashsuspects_test.go
+++ b/policy/crashsuspects_test.go
@@ -11,10 +11,10 @@
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 20, 100_000)
 	id, events := h.newQuery(idempotentClass, 2)
-	for _, sent := range h.sends(testTick, events...) {
+	for _, sent := range h.stepSends(testTick, events...) {
 		h.step(1000, resultOf(sent, ConnectionBroken))
 	}
-	assert.Zero(t, h.finalActions(id), "the query has attempts left")
+	assert.Zero(t, h.finalActionCount(id), "the query has attempts left")
 }
 
 // sendQueryWithKey starts a query of three parts and returns its ID and the attempts sent at once.
@@ -23,7 +23,7 @@
 	q := events[0].(Query)
 	q.RequestKey = key
 	events[0] = q
-	return id, h.sends(testTick, events...)
+	return id, h.stepSends(testTick, events...)
 }
 
 // A query that breaks two servers' connections is ended at once. The next query with its key sends one part ahead
@@ -38,11 +38,11 @@
 	for _, s := range sent[:2] {
 		h.step(testTick, resultOf(s, ConnectionBroken))
 	}
-	require.Equal(t, 1, h.finalActions(id), "after two broken connections")
+	require.Equal(t, 1, h.finalActionCount(id), "after two broken connections")
 
 	_, sent = h.sendQueryWithKey(crashingKey)
 	require.Len(t, sent, 1, "ahead of the others")
-	assert.Len(t, h.sends(testTick, resultOf(sent[0], OK)), 2, "after the first answer")
+	assert.Len(t, h.stepSends(testTick, resultOf(sent[0], OK)), 2, "after the first answer")
 
 	_, sent = h.sendQueryWithKey(8)
 	assert.Len(t, sent, 3, "with another key")
@@ -52,7 +52,7 @@
 	for _, s := range sent[:2] {
 		h.step(testTick, resultOf(s, ConnectionBroken))
 	}
-	assert.Zero(t, h.finalActions(id), "resets that spared a part are no evidence")
+	assert.Zero(t, h.finalActionCount(id), "resets that spared a part are no evidence")
 
 	h.now += h.aggregator.settings.SlowStartDuration
 	_, sent = h.sendQueryWithKey(crashingKey)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -19,7 +19,7 @@
 
 // dispatchQuery sends the queued parts of a query if it is open and late or not as given.
 func (a *Aggregator) dispatchQuery(q *query, late bool) {
-	if isLate := q.objectiveAt <= a.now; q.closed || isLate != late {
+	if isLate := q.objectiveDeadline <= a.now; q.closed || isLate != late {
 		return
 	}
 	for _, p := range q.parts {
@@ -27,7 +27,7 @@
 			continue
 		}
 		if s := a.chooseReplica(p); s != nil {
-			a.send(p, s)
+			a.sendPart(p, s)
 		} else if !late {
 			a.queuedParts[p.Shard]++
 		}
@@ -40,10 +40,10 @@
 	if s.State != Ready || !a.holdsShard(s, p.Shard) {
 		return false
 	}
-	if p.query.closed || a.parts[p.ID] != p || p.state == partAnswered {
+	if p.query.closed || a.partsByID[p.ID] != p || p.state == partAnswered {
 		return false
 	}
-	if !a.mayRetry(p) || p.attempts > 0 && !a.withinRetryBudget() {
+	if !a.mayAttempt(p) || p.attemptCount > 0 && !a.withinRetryBudget() {
 		return false
 	}
 	if !a.slowStartAllows(s, p) || !a.hasCapacity(s) || a.now < s.backoffUntil {
@@ -58,9 +58,9 @@
 	return !a.isOutlier(s) || a.mayTryOutlier(s, p)
 }
 
-// mayRetry reports whether the part's idempotency and the limit on attempts allow another attempt. It holds for a
+// mayAttempt reports whether the part's idempotency and the limit on attempts allow another attempt. It holds for a
 // part without attempts as well.
-func (a *Aggregator) mayRetry(p *part) bool {
+func (a *Aggregator) mayAttempt(p *part) bool {
 	if a.attemptsExhausted(p) {
 		return false
 	}
@@ -81,26 +81,26 @@
 }
 
 func (a *Aggregator) attemptsExhausted(p *part) bool {
-	return a.settings.MaxAttempts > 0 && p.attempts >= a.settings.MaxAttempts
+	return a.settings.MaxAttempts > 0 && p.attemptCount >= a.settings.MaxAttempts
 }
 
-// send sends a part to a server and reports whether it did. All attempts are sent here, so the rules are checked
+// sendPart sends a part to a server and reports whether it did. All attempts are sent here, so the rules are checked
 // once more.
-func (a *Aggregator) send(p *part, s *server) bool {
+func (a *Aggregator) sendPart(p *part, s *server) bool {
 	if !a.maySend(s, p, false) {
 		return false
 	}
 	sent := &attempt{
 		part:             p,
 		server:           s,
-		index:            p.attempts,
+		index:            p.attemptCount,
 		sentAt:           a.now,
 		predictedLatency: a.predictLatency(s, p),
-		assumedLoad:      a.estimateLoad(s),
+		estimatedLoad:    a.estimateLoad(s),
 	}
 	a.prepareConnection(sent)
-	if p.attempts > 0 {
-		a.recordForBudget(&a.budget.retries)
+	if p.attemptCount > 0 {
+		a.recordForBudget(&a.retryBudget.retries)
 	}
 	if len(p.inFlight) == 0 && !p.mayHaveRun {
 		p.firstSentAt = a.now
@@ -108,11 +108,11 @@
 	a.recordSlowStartSend(s, p.query.class.referenceLatency)
 	s.inFlight = append(s.inFlight, sent)
 	p.inFlight = append(p.inFlight, sent)
-	p.attempts++
+	p.attemptCount++
 	p.state = partInFlight
-	p.lastServer = s.ID
-	a.recordInBatch(s)
-	p.query.usedServers = append(p.query.usedServers, s.ID)
+	p.lastServerID = s.ID
+	a.addToBatch(s)
+	p.query.usedServerIDs = append(p.query.usedServerIDs, s.ID)
 	timeout := max(a.queryDeadline(p.query)-a.now, a.settings.Tick)
 	a.emit(SendAttempt{PartID: p.ID, ServerID: s.ID, Timeout: timeout})
 	return true
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -27,8 +27,8 @@
 	} {
 		h := newHarness(t, singleRingSettings())
 		_, events := h.newQuery(c.class, 1)
-		sent := h.sends(0, events...)
-		retries := h.sends(c.after, resultOf(sent[0], c.status))
+		sent := h.stepSends(0, events...)
+		retries := h.stepSends(c.after, resultOf(sent[0], c.status))
 		assert.Equal(t, c.retried, len(retries) > 0, "class %d, status %d", c.class, c.status)
 		if c.class == nonIdempotentClass {
 			assert.Empty(t, actionsOf[Reject](h.actions), "class %d, status %d", c.class, c.status)
@@ -57,9 +57,9 @@
 	h.step(0, events...)
 	p := a.openQueries[0].parts[0]
 	p.state = partQueued
-	p.attempts = 0
+	p.attemptCount = 0
 	p.inFlight = nil
-	a.servers[3].inFlight = nil
-	assert.False(t, a.send(p, a.servers[2]), "draining")
-	assert.True(t, a.send(p, a.servers[3]), "ready")
+	a.serversByID[3].inFlight = nil
+	assert.False(t, a.sendPart(p, a.serversByID[2]), "draining")
+	assert.True(t, a.sendPart(p, a.serversByID[3]), "ready")
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// minPollSpread is the factor on the polling backoff of the first instance; the last one's is nearly 1 more.
-const minPollSpread = 0.5
+// minPollBackoffFactor is the factor on the polling backoff of the first instance; the last one's is nearly 1 more.
+const minPollBackoffFactor = 0.5
 
 // endpointPolling is the state of the polls of the endpoint list.
 type endpointPolling struct {
-	nextAt   Micros // when the next poll is due
-	failures int    // failed polls since the last list, up to maxBackoffDoublings
+	nextAt              Micros // when the next poll is due
+	consecutiveFailures int    // failed polls since the last list, up to maxBackoffDoublings
 }
 
 // server is the state of an endpoint.
@@ -25,8 +25,8 @@
 	// failureRate is the smoothed share of attempts, 0 to 1, that failed at the server once it was reached.
 	failureRate float64
 
-	// sustainedRate is the smoothed rate of work that it reports, in seconds per second.
-	sustainedRate float64
+	// sustainedWorkRate is the smoothed rate of work that it reports, in seconds per second.
+	sustainedWorkRate float64
 
 	sampledAt   Micros // when latencyRatio was last updated
 	respondedAt Micros // when it last answered an attempt or a health check
@@ -37,30 +37,30 @@
 
 	inFlight []*attempt
 
-	// sendHistory is the work sent to the server while it warms up.
-	sendHistory []historyEntry
+	// slowStartSends is the work sent to the server while it warms up.
+	slowStartSends []timedAmount
 
 	// deficits are the parts of each shard, by index, that the server is due by its share of utility.
 	deficits map[int]float64
 
-	// outlierLogged is whether the server was an outlier when that was last logged.
-	outlierLogged bool
+	// loggedAsOutlier is whether the server was an outlier when that was last logged.
+	loggedAsOutlier bool
 
-	// suspect is set if an attempt on an idle connection was late and nothing was answered on one since.
-	suspect bool
+	// idleConnectionsSuspect is set if an attempt on an idle connection was late and nothing was answered on one since.
+	idleConnectionsSuspect bool
 
 	// connectionUsedAt is when a connection was opened or last brought an answer.
 	connectionUsedAt Micros
 
 	healthCheckInFlight bool
-	healthCheckAt       Micros // when the latest health check was sent
+	healthCheckSentAt   Micros // when the latest health check was sent
 	healthCheckDelay    Micros // how long the latest health check took
 
-	batchAt   Micros // when the latest batch was sent
-	batchSize int    // parts in the latest batch
+	batchSentAt Micros // when the latest batch was sent
+	batchSize   int    // parts in the latest batch
 
-	backoffUntil Micros // until when no part is sent after a rejection
-	rejections   int    // attempts rejected since the last answer, up to maxBackoffDoublings
+	backoffUntil          Micros // until when no part is sent after a rejection
+	consecutiveRejections int    // attempts rejected since the last answer, up to maxBackoffDoublings
 }
 
 // reset forgets what is known of a server whose process was restarted. Attempts in flight stay.
@@ -68,10 +68,10 @@
 	s.latencyRatio = 1
 	s.failureRate = 0
 	s.loadReport = NoLoadReport
-	s.outlierLogged = false
-	s.sendHistory = nil
+	s.loggedAsOutlier = false
+	s.slowStartSends = nil
 	s.connectionUsedAt = now
-	s.suspect = false
+	s.idleConnectionsSuspect = false
 }
 
 // pollEndpoints asks for the endpoint list when a poll is due. The next poll follows a failed one.
@@ -88,10 +88,10 @@
 	if !a.settings.PollEndpoints {
 		return
 	}
-	a.polling.failures = min(a.polling.failures+1, maxBackoffDoublings)
-	spread := minPollSpread + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
+	a.polling.consecutiveFailures = min(a.polling.consecutiveFailures+1, maxBackoffDoublings)
+	spread := minPollBackoffFactor + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
 	longest := cmp.Or(a.settings.MaxPollInterval, math.MaxInt64)
-	wait := min(Micros(a.meanObjective*spread)<<a.polling.failures, longest)
+	wait := min(Micros(a.meanLatencyObjective*spread)<<a.polling.consecutiveFailures, longest)
 	a.polling.nextAt = a.now + wait
 	a.emit(SetTimer{Delay: wait})
 }
@@ -99,11 +99,11 @@
 // applyEndpoints replaces the endpoint list. Servers that are no longer listed stay as Removed while attempts are
 // in flight there.
 func (a *Aggregator) applyEndpoints(list []Endpoint) {
-	for _, s := range a.serversByID {
+	for _, s := range a.sortedServers {
 		s.State = Removed
 	}
 	for _, endpoint := range list {
-		s := a.servers[endpoint.ID]
+		s := a.serversByID[endpoint.ID]
 		if s == nil {
 			s = a.addServer(endpoint.ID)
 		} else if endpoint.StartedAt != s.StartedAt {
@@ -111,7 +111,7 @@
 		}
 		s.Endpoint = endpoint
 	}
-	slices.SortFunc(a.serversByID, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(a.sortedServers, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	a.rebuildReplicas()
 }
 
@@ -123,20 +123,20 @@
 		connectionUsedAt: a.now,
 		deficits:         map[int]float64{},
 	}
-	a.servers[id] = s
-	a.serversByID = append(a.serversByID, s)
+	a.serversByID[id] = s
+	a.sortedServers = append(a.sortedServers, s)
 	return s
 }
 
 // rebuildReplicas drops removed servers without attempts in flight and finds each shard's replicas.
 func (a *Aggregator) rebuildReplicas() {
-	a.serversByID = slices.DeleteFunc(a.serversByID, func(s *server) bool {
+	a.sortedServers = slices.DeleteFunc(a.sortedServers, func(s *server) bool {
 		return s.State == Removed && len(s.inFlight) == 0
 	})
-	clear(a.servers)
+	clear(a.serversByID)
 	clear(a.replicas)
-	for _, s := range a.serversByID {
-		a.servers[s.ID] = s
+	for _, s := range a.sortedServers {
+		a.serversByID[s.ID] = s
 		for shard := range a.replicas {
 			if s.State == Ready && a.holdsShard(s, shard) {
 				a.replicas[shard] = append(a.replicas[shard], s)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -36,11 +36,11 @@
 			waits = append(waits, h.waitForPoll(EndpointListFailed{}))
 		}
 		firstWaits[waits[0]] = true
-		assert.GreaterOrEqual(t, waits[0], Micros(h.aggregator.meanObjective)/2, "instance %d: %v", index, waits)
+		assert.GreaterOrEqual(t, waits[0], Micros(h.aggregator.meanLatencyObjective)/2, "instance %d: %v", index, waits)
 		assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "instance %d: %v", index, waits)
 		assert.LessOrEqual(t, waits[4], s.MaxPollInterval+2*testTick, "instance %d: %v", index, waits)
 		h.step(testTick, EndpointList{readyEndpoints(1, 2, 3)})
-		assert.Zero(t, h.aggregator.polling.failures, "instance %d", index)
+		assert.Zero(t, h.aggregator.polling.consecutiveFailures, "instance %d", index)
 	}
 	assert.Len(t, firstWaits, instances)
 }
--- a/policy/fleetstats.go
+++ b/policy/fleetstats.go
@@ -1,8 +1,8 @@
 package policy
 
 const (
-	// initialSustainedRate is the rate of work of a warm server, in seconds per second, before servers report more.
-	initialSustainedRate = 1.0
+	// initialSustainedWorkRate is the rate of work of a warm server, in seconds per second, before servers report more.
+	initialSustainedWorkRate = 1.0
 
 	// initialUtilization is the utilization of the servers' cores, 0 to 1, before they report it.
 	initialUtilization = 1.0
@@ -16,11 +16,11 @@
 	// baseLatency is the lowest meanLatency so far, in microseconds. It estimates the work of a part.
 	baseLatency float64
 
-	// answers is the number of answered attempts that meanLatency is based on.
-	answers float64
+	// answerCount is the number of answered attempts that meanLatency is based on.
+	answerCount float64
 
-	// sustainedRate is the highest smoothed rate of work that a warm server has reported, in seconds per second.
-	sustainedRate float64
+	// sustainedWorkRate is the highest smoothed rate of work that a warm server has reported, in seconds per second.
+	sustainedWorkRate float64
 
 	// meanUtilization is the smoothed utilization of the servers' cores, 0 to 1.
 	meanUtilization float64
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -124,8 +124,8 @@
 	return actions
 }
 
-// sends advances the time and returns the attempts that the events bring.
-func (h *harness) sends(after Micros, events ...Event) []SendAttempt {
+// stepSends advances the time and returns the attempts that the events bring.
+func (h *harness) stepSends(after Micros, events ...Event) []SendAttempt {
 	return actionsOf[SendAttempt](h.step(after, events...))
 }
 
@@ -150,7 +150,7 @@
 func (h *harness) answerQueries(class, queries int, latency Micros) {
 	for range queries {
 		_, events := h.newQuery(class, 1)
-		for _, sent := range h.sends(testTick, events...) {
+		for _, sent := range h.stepSends(testTick, events...) {
 			result := resultOf(sent, OK)
 			result.Elapsed = latency
 			h.step(latency, result)
@@ -158,8 +158,8 @@
 	}
 }
 
-// finalActions returns the number of actions that answered, rejected or failed a query.
-func (h *harness) finalActions(query uint64) int {
+// finalActionCount returns the number of actions that answered, rejected or failed a query.
+func (h *harness) finalActionCount(query uint64) int {
 	count := 0
 	for _, action := range h.actions {
 		switch action := action.(type) {
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -20,7 +20,7 @@
 // paid for it, and holds the part back while health checks are in flight there.
 func (a *Aggregator) requestHealthChecks(p *part) {
 	price := max(a.settings.HealthCheckPrice, healthCheckBudget/float64(a.settings.ReplicationFactor))
-	a.healthCheckCredits = min(a.healthCheckCredits+healthCheckBudget/price, float64(len(a.serversByID)))
+	a.healthCheckCredits = min(a.healthCheckCredits+healthCheckBudget/price, float64(len(a.sortedServers)))
 	for _, s := range a.replicas[p.Shard] {
 		if a.mayCheckHealth(s) {
 			a.sendHealthCheck(s)
@@ -35,12 +35,12 @@
 	if !a.settings.AllowHealthChecks || a.healthCheckCredits < 1 || s.healthCheckInFlight {
 		return false
 	}
-	return s.loadReportAt <= a.now-Micros(reportLifetime*a.meanObjective/2)
+	return s.loadReportAt <= a.now-Micros(loadReportLifetime*a.meanLatencyObjective/2)
 }
 
 func (a *Aggregator) sendHealthCheck(s *server) {
 	s.healthCheckInFlight = true
-	s.healthCheckAt = a.now
+	s.healthCheckSentAt = a.now
 	a.healthCheckCredits--
 	a.emit(HealthCheck{ServerID: s.ID})
 }
@@ -58,13 +58,13 @@
 
 // handleHealthCheckResult ends a health check and ignores results of health checks that are not in flight.
 func (a *Aggregator) handleHealthCheckResult(result HealthCheckResult) {
-	s := a.servers[result.ServerID]
+	s := a.serversByID[result.ServerID]
 	if s == nil || !s.healthCheckInFlight {
 		return
 	}
 	s.healthCheckInFlight = false
 	s.loadReportAt = a.now
-	s.healthCheckDelay = a.now - s.healthCheckAt
+	s.healthCheckDelay = a.now - s.healthCheckSentAt
 	if result.Status != OK {
 		s.loadReport = NoLoadReport
 		s.healthCheckDelay = max(s.healthCheckDelay, Micros(failedCheckDelayRatio*a.fleet.meanLatency))
@@ -81,9 +81,9 @@
 // flight counts by its age.
 func (a *Aggregator) backlog(s *server) Micros {
 	if s.healthCheckInFlight {
-		return a.now - s.healthCheckAt
+		return a.now - s.healthCheckSentAt
 	}
-	endedAt := s.healthCheckAt + s.healthCheckDelay
+	endedAt := s.healthCheckSentAt + s.healthCheckDelay
 	return max(0, endedAt+s.healthCheckDelay-a.now)
 }
 
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -4,12 +4,12 @@
 	// lateThreshold is the multiple of its predicted latency above which an attempt is late.
 	lateThreshold = 3.0
 
-	// spareLateThreshold is the same for requesting another part instead, which uses no retry budget.
-	spareLateThreshold = 2.0
+	// substituteLateThreshold is the same for requesting another part instead, which uses no retry budget.
+	substituteLateThreshold = 2.0
 
-	// replaceInPlaceFactor is the factor on lateThreshold where a retry replaces its attempt, as hedging is not
+	// noHedgingLateFactor is the factor on lateThreshold where a retry replaces its attempt, as hedging is not
 	// allowed.
-	replaceInPlaceFactor = 2.0
+	noHedgingLateFactor = 2.0
 
 	// stragglerCoverage is the share of the required coverage, 0 to 1, from which a query's other parts are
 	// stragglers. Below it, they are more likely late because of overload.
@@ -24,8 +24,8 @@
 func (a *Aggregator) replaceLateParts(q *query) {
 	a.requestParts(q)
 	for _, p := range q.parts {
-		if a.isLate(p, a.lateRatio) && !p.inFlight[0].canceled {
-			a.retryElsewhere(p)
+		if a.isLate(p, a.lateThreshold) && !p.inFlight[0].canceled {
+			a.hedgeOrRetry(p)
 		}
 	}
 }
@@ -49,19 +49,19 @@
 		return false
 	}
 	age := float64(a.now - p.latestAttempt().sentAt)
-	remaining := float64(p.query.objectiveAt - a.now)
+	remaining := float64(p.query.objectiveDeadline - a.now)
 	return p.query.coverage >= stragglerCoverage*c.RequiredCoverage &&
 		age > c.referenceLatency &&
 		remaining < multiple*c.referenceLatency
 }
 
-// retryElsewhere sends a late part to a better replica, if there is one: as a hedged request where allowed, else it
+// hedgeOrRetry sends a late part to a better replica, if there is one: as a hedged request where allowed, else it
 // cancels the attempt so that the part is retried. While requests queue at the servers it does neither, since all
 // parts are late then and hedged requests of many aggregators would keep the servers overloaded.
-func (a *Aggregator) retryElsewhere(p *part) {
+func (a *Aggregator) hedgeOrRetry(p *part) {
 	late := p.latestAttempt()
-	a.classifyConnection(late, TimedOut)
-	if !a.mayReplaceLate(p) {
+	a.recordConnectionResult(late, TimedOut)
+	if !a.mayHedgeOrRetry(p) {
 		return
 	}
 	for _, c := range a.rankReplicas(p) {
@@ -69,7 +69,7 @@
 			continue
 		}
 		if a.settings.AllowHedging && len(p.inFlight) == 1 {
-			a.send(p, c.server)
+			a.sendPart(p, c.server)
 		} else {
 			a.cancelAttempt(p.inFlight[0])
 		}
@@ -77,8 +77,8 @@
 	}
 }
 
-// mayReplaceLate reports whether the rules and limits permit another attempt at a late part.
-func (a *Aggregator) mayReplaceLate(p *part) bool {
+// mayHedgeOrRetry reports whether the rules and limits permit another attempt at a late part.
+func (a *Aggregator) mayHedgeOrRetry(p *part) bool {
 	return !a.attemptsExhausted(p) && a.withinRetryBudget() &&
 		p.isIdempotent() && a.fleet.queuedReportRate <= maxQueuedReportRate
 }
@@ -90,7 +90,7 @@
 		return false
 	}
 	q := late.part.query
-	isInTime := a.now+Micros(c.predictedLatency) <= q.objectiveAt || q.class.LateWeight > 0
+	isInTime := a.now+Micros(c.predictedLatency) <= q.objectiveDeadline || q.class.LateWeight > 0
 	return isInTime && c.predictedLatency <= float64(a.now-late.sentAt)
 }
 
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -25,14 +25,14 @@
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		h.answerQueries(idempotentClass, 40, 200_000)
 		_, events := h.newQuery(idempotentClass, 5)
-		for i, sent := range h.sends(0, events...) {
+		for i, sent := range h.stepSends(0, events...) {
 			// No attempt is late by its own prediction.
-			h.aggregator.parts[sent.PartID].inFlight[0].predictedLatency = 900_000
+			h.aggregator.partsByID[sent.PartID].inFlight[0].predictedLatency = 900_000
 			if i < c.answered {
 				h.step(0, resultOf(sent, OK))
 			}
 		}
-		for _, s := range h.aggregator.serversByID {
+		for _, s := range h.aggregator.sortedServers {
 			s.latencyRatio = 1
 			s.respondedAt = h.now + 10_000_000
 		}
@@ -54,7 +54,7 @@
 	h.answerQueries(partialClass, 30, 200_000)
 	h.actions = nil
 	_, events := h.newQuery(partialClass, 5)
-	require.Len(t, h.sends(0, events...), 3)
+	require.Len(t, h.stepSends(0, events...), 3)
 	h.step(900_000, TimerFired{})
 	assert.Len(t, actionsOf[SendAttempt](h.actions), 5)
 }
--- a/policy/history.go
+++ b/policy/history.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// historyEntry is an amount of work at a point in time.
-type historyEntry struct {
-	at   Micros
-	work float64 // microseconds of work, or a number of parts
+// timedAmount is an amount of work at a point in time.
+type timedAmount struct {
+	at     Micros
+	amount float64 // microseconds of work, or a number of parts
 }
 
-func (e historyEntry) compareTime(at Micros) int { return cmp.Compare(e.at, at) }
+func (e timedAmount) compareTime(at Micros) int { return cmp.Compare(e.at, at) }
 
 // dropBefore returns the entries from a point in time on. The entries must be in order of time.
-func dropBefore(entries []historyEntry, before Micros) []historyEntry {
-	first, _ := slices.BinarySearchFunc(entries, before, historyEntry.compareTime)
+func dropBefore(entries []timedAmount, before Micros) []timedAmount {
+	first, _ := slices.BinarySearchFunc(entries, before, timedAmount.compareTime)
 	return entries[first:]
 }
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -7,8 +7,8 @@
 
 // acceptQuery opens a query. It is admitted or rejected once all events of the step are handled.
 func (a *Aggregator) acceptQuery(event Query) {
-	a.recordForBudget(&a.budget.accepted)
-	if a.queries[event.ID] != nil {
+	a.recordForBudget(&a.retryBudget.accepted)
+	if a.queriesByID[event.ID] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(a.classes) {
@@ -17,36 +17,36 @@
 	}
 	c := a.classes[event.Class]
 	q := &query{
-		Query:           event,
-		class:           c,
-		arrivedAt:       a.now,
-		objectiveAt:     a.now + c.LatencyObjective,
-		phase:           firstPhase,
-		awaitsAdmission: true,
+		Query:             event,
+		class:             c,
+		arrivedAt:         a.now,
+		objectiveDeadline: a.now + c.LatencyObjective,
+		phase:             firstPhase,
+		awaitsAdmission:   true,
 	}
 	timeout := event.Deadline - a.now
 	if !event.Retry {
 		c.longestTimeout = max(c.longestTimeout, timeout)
 	} else if timeout < c.longestTimeout*fullTimeoutPercent/100 {
 		// The client's timeout runs over all its tries, so the deadline shows when the first one started.
-		q.objectiveAt = min(q.objectiveAt, event.Deadline-c.Timeout+c.LatencyObjective)
+		q.objectiveDeadline = min(q.objectiveDeadline, event.Deadline-c.Timeout+c.LatencyObjective)
 	}
-	a.queries[event.ID] = q
+	a.queriesByID[event.ID] = q
 	a.queriesByNumber[event.Number] = q
 	a.openQueries = append(a.openQueries, q)
 }
 
 // acceptPart adds a part to its query and ignores invalid ones.
 func (a *Aggregator) acceptPart(event Part) {
-	a.recordForBudget(&a.budget.accepted)
+	a.recordForBudget(&a.retryBudget.accepted)
 	q := a.queriesByNumber[event.QueryNumber]
 	if q == nil || q.closed || !a.isValidPart(event) {
 		return
 	}
-	p := &part{Part: event, query: q, relativeCost: q.class.relativeCost(event.CostHint)}
+	p := &part{Part: event, query: q, relativeCost: q.class.recordCostHint(event.CostHint)}
 	a.recordArrival(event.Shard)
 	q.parts = append(q.parts, p)
-	a.parts[event.ID] = p
+	a.partsByID[event.ID] = p
 	a.requestHealthChecks(p)
 	if q.phase == fetchPhase {
 		p.state = partQueued
@@ -54,19 +54,19 @@
 }
 
 func (a *Aggregator) isValidPart(event Part) bool {
-	isKnown := a.parts[event.ID] != nil
+	isKnown := a.partsByID[event.ID] != nil
 	hasShard := event.Shard >= 0 && event.Shard < a.settings.Shards
 	hasWeight := event.Weight >= 0 && !math.IsInf(event.Weight, 0)
 	return !isKnown && hasShard && hasWeight
 }
 
-// relativeCost returns the cost that a hint predicts as a multiple of the class's mean, and learns from the hint.
+// recordCostHint returns the cost that a hint predicts as a multiple of the class's mean, and learns from the hint.
 // Hints are rough: the square root keeps half of a hint's logarithm.
-func (c *class) relativeCost(hint Micros) float64 {
+func (c *class) recordCostHint(hint Micros) float64 {
 	if hint <= 0 {
 		return 1
 	}
-	c.costHints++
-	smooth(&c.meanCostHint, float64(hint), max(fleetGain, 1/c.costHints))
+	c.costHintCount++
+	smooth(&c.meanCostHint, float64(hint), max(fleetGain, 1/c.costHintCount))
 	return math.Sqrt(float64(hint) / c.meanCostHint)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -21,11 +21,11 @@
 	// objectivePriorWeight is the number of answers that the latency objective counts for as a first estimate.
 	objectivePriorWeight = 0.2
 
-	// maxSampleRatio is the latency ratio that a single sample counts for at most.
-	maxSampleRatio = 8.0
+	// maxSampleLatencyRatio is the latency ratio that a single sample counts for at most.
+	maxSampleLatencyRatio = 8.0
 
-	// rejectionRatio is the latency ratio that a rejection counts for at least.
-	rejectionRatio = 2.0
+	// rejectionLatencyRatio is the latency ratio that a rejection counts for at least.
+	rejectionLatencyRatio = 2.0
 
 	// failurePenalty is the latency ratio charged for a failed attempt: its time and that of the retry.
 	failurePenalty = 6.0
@@ -71,7 +71,7 @@
 // ageRatio returns the age of an attempt as a multiple of the latency expected of an average server.
 func (a *Aggregator) ageRatio(attempt *attempt) float64 {
 	p := attempt.part
-	expected := p.query.class.referenceLatency * p.relativeCost * loadFactor(attempt.assumedLoad)
+	expected := p.query.class.referenceLatency * p.relativeCost * loadFactor(attempt.estimatedLoad)
 	return float64(a.now-attempt.sentAt) / expected
 }
 
@@ -80,16 +80,16 @@
 
 // penaltyDecay returns the share, 0 to 1, of a server's past excess that still counts.
 func (a *Aggregator) penaltyDecay(s *server) float64 {
-	return math.Exp2(-float64(a.now-s.sampledAt) / (penaltyHalfLife * a.meanObjective))
+	return math.Exp2(-float64(a.now-s.sampledAt) / (penaltyHalfLife * a.meanLatencyObjective))
 }
 
-// learnFromResult updates the statistics of the server, the class and all servers with the result of an attempt.
-func (a *Aggregator) learnFromResult(attempt *attempt, status Status) {
+// recordAttemptResult updates the statistics of the server, the class and all servers with the result of an attempt.
+func (a *Aggregator) recordAttemptResult(attempt *attempt, status Status) {
 	s, c := attempt.server, attempt.part.query.class
 	if status != TimedOut && status != Canceled {
 		s.connectionUsedAt = a.now
 	}
-	a.classifyConnection(attempt, status)
+	a.recordConnectionResult(attempt, status)
 	latency := a.idleLatency(attempt)
 	switch status {
 	case OK:
@@ -97,9 +97,9 @@
 	case Canceled:
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, a.slowness(s)))
 	case Rejected:
-		attempt.part.query.wasRejected = true
+		attempt.part.query.hadRejectedAttempt = true
 		a.backOffFrom(s, c)
-		a.recordLatencyRatio(s, max(latency/c.referenceLatency, rejectionRatio))
+		a.recordLatencyRatio(s, max(latency/c.referenceLatency, rejectionLatencyRatio))
 	case ServerError, ConnectionBroken:
 		// The server could be reached: only the attempt is lost.
 		smooth(&s.failureRate, 1, failureGain)
@@ -115,32 +115,32 @@
 // an idle server.
 func (a *Aggregator) idleLatency(attempt *attempt) float64 {
 	c := attempt.part.query.class
-	latency := float64(a.now-attempt.sentAt) / loadFactor(attempt.assumedLoad) / attempt.part.relativeCost
-	return min(latency, maxSampleRatio*c.referenceLatency)
+	latency := float64(a.now-attempt.sentAt) / loadFactor(attempt.estimatedLoad) / attempt.part.relativeCost
+	return min(latency, maxSampleLatencyRatio*c.referenceLatency)
 }
 
 // recordAnswer adds the latency of an answer, in microseconds, to the statistics.
 func (a *Aggregator) recordAnswer(s *server, c *class, latency float64) {
-	c.answers++
-	a.fleet.answers++
-	smooth(&a.fleet.meanLatency, latency, max(fleetGain, 1/(a.fleet.answers+objectivePriorWeight)))
-	smooth(&c.referenceLatency, latency, max(fleetGain, 1/(c.answers+objectivePriorWeight)))
+	c.answerCount++
+	a.fleet.answerCount++
+	smooth(&a.fleet.meanLatency, latency, max(fleetGain, 1/(a.fleet.answerCount+objectivePriorWeight)))
+	smooth(&c.referenceLatency, latency, max(fleetGain, 1/(c.answerCount+objectivePriorWeight)))
 	a.fleet.baseLatency = min(a.fleet.baseLatency, a.fleet.meanLatency)
 	s.respondedAt = a.now
-	s.rejections = 0
+	s.consecutiveRejections = 0
 	smooth(&s.failureRate, 0, recoveryGain)
 	a.recordLatencyRatio(s, latency/c.referenceLatency)
 }
 
 // backOffFrom keeps parts from a server that rejected one, for longer after each rejection in a row.
 func (a *Aggregator) backOffFrom(s *server, c *class) {
-	s.rejections = min(s.rejections+1, maxBackoffDoublings)
-	s.backoffUntil = a.now + min(Micros(c.referenceLatency)<<s.rejections/2, c.LatencyObjective)
+	s.consecutiveRejections = min(s.consecutiveRejections+1, maxBackoffDoublings)
+	s.backoffUntil = a.now + min(Micros(c.referenceLatency)<<s.consecutiveRejections/2, c.LatencyObjective)
 }
 
 // recordLatencyRatio adds a sample to a server's latency ratio, which rises faster than it falls.
 func (a *Aggregator) recordLatencyRatio(s *server, ratio float64) {
-	ratio = min(ratio, maxSampleRatio)
+	ratio = min(ratio, maxSampleLatencyRatio)
 	gain := improvementGain
 	if ratio > s.latencyRatio {
 		gain = degradationGain
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -10,9 +10,9 @@
 func TestImmediateErrorsRaiseTheSlowness(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
-	server := h.aggregator.servers[2]
+	server := h.aggregator.serversByID[2]
 	_, events := h.newQuery(idempotentClass, 3)
-	for _, sent := range h.sends(testTick, events...) {
+	for _, sent := range h.stepSends(testTick, events...) {
 		if sent.ServerID == server.ID {
 			h.step(1000, resultOf(sent, ServerError))
 		}
@@ -30,11 +30,11 @@
 	h.answerQueries(idempotentClass, 20, objective/10)
 	for range 8 {
 		_, events := h.newQuery(idempotentClass, 1)
-		sent := h.sends(testTick, events...)
-		retries := h.sends(objective/100, resultOf(sent[0], ConnectionBroken))
+		sent := h.stepSends(testTick, events...)
+		retries := h.stepSends(objective/100, resultOf(sent[0], ConnectionBroken))
 		h.step(objective/10, resultOfAttempt(retries[0], 1, OK))
 	}
-	server := a.servers[1]
+	server := a.serversByID[1]
 	for range int(a.concurrencyLimit()) + 1 { // one more than the server has capacity for
 		_, events := h.newQuery(idempotentClass, 1)
 		rejected := actionsOf[Reject](h.step(0, events...))
@@ -49,13 +49,13 @@
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 40, 100_000)
 	_, events := h.newQuery(idempotentClass, 1)
-	sent := h.sends(0, events...)
+	sent := h.stepSends(0, events...)
 	var waits []Micros
 	for attempt := range 2 {
 		rejectedAt := h.now
-		sent = h.sends(testTick, resultOfAttempt(sent[0], attempt, Rejected))
+		sent = h.stepSends(testTick, resultOfAttempt(sent[0], attempt, Rejected))
 		for len(sent) == 0 && h.now < rejectedAt+longest {
-			sent = h.sends(testTick, TimerFired{})
+			sent = h.stepSends(testTick, TimerFired{})
 		}
 		require.NotEmpty(t, sent)
 		waits = append(waits, h.now-rejectedAt)
@@ -69,15 +69,15 @@
 	a := newHarness(t, singleRingSettings()).aggregator
 	c := a.classes[idempotentClass]
 	for i := range 300 {
-		c.relativeCost(Micros(50_000 << (i % 3)))
+		c.recordCostHint(Micros(50_000 << (i % 3)))
 	}
-	assert.InDelta(t, 2.0, c.relativeCost(200_000)/c.relativeCost(50_000), 0.1, "four times the hint")
-	assert.InDelta(t, 1.0, c.relativeCost(0), 0, "without a hint")
-	assert.InDelta(t, 1.0, c.relativeCost(-5), 0, "without a hint")
+	assert.InDelta(t, 2.0, c.recordCostHint(200_000)/c.recordCostHint(50_000), 0.1, "four times the hint")
+	assert.InDelta(t, 1.0, c.recordCostHint(0), 0, "without a hint")
+	assert.InDelta(t, 1.0, c.recordCostHint(-5), 0, "without a hint")
 
 	q := &query{class: c}
-	light := &part{query: q, relativeCost: c.relativeCost(50_000)}
-	heavy := &part{query: q, relativeCost: c.relativeCost(200_000)}
-	server := a.serversByID[0]
+	light := &part{query: q, relativeCost: c.recordCostHint(50_000)}
+	heavy := &part{query: q, relativeCost: c.recordCostHint(200_000)}
+	server := a.sortedServers[0]
 	assert.GreaterOrEqual(t, a.predictLatency(server, heavy), 1.5*a.predictLatency(server, light))
 }
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -1,11 +1,11 @@
 package policy
 
 const (
-	// reportLifetime is the age of a load report, in mean latency objectives, from which it no longer counts.
-	reportLifetime = 0.5
+	// loadReportLifetime is the age of a load report, in mean latency objectives, from which it no longer counts.
+	loadReportLifetime = 0.5
 
-	// sustainedRateGain is the gain, 0 to 1, of the rate of work that a server reports.
-	sustainedRateGain = 0.15
+	// sustainedWorkRateGain is the gain, 0 to 1, of the rate of work that a server reports.
+	sustainedWorkRateGain = 0.15
 
 	microsPerSecond = 1e6
 )
@@ -18,7 +18,7 @@
 	if reported < 0 {
 		return own
 	}
-	freshness := max(0, 1-float64(a.now-s.loadReportAt)/(reportLifetime*a.meanObjective))
+	freshness := max(0, 1-float64(a.now-s.loadReportAt)/(loadReportLifetime*a.meanLatencyObjective))
 	return max(own, freshness*(reported+own-float64(s.inFlightAtReport))+(1-freshness)*own)
 }
 
@@ -34,7 +34,7 @@
 		smooth(&a.fleet.queuedReportRate, min(report.Queued, 1), fleetGain)
 	}
 	if report.RequestRate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
-		smooth(&s.sustainedRate, report.RequestRate*a.fleet.meanLatency/microsPerSecond, sustainedRateGain)
-		a.fleet.sustainedRate = max(a.fleet.sustainedRate, s.sustainedRate)
+		smooth(&s.sustainedWorkRate, report.RequestRate*a.fleet.meanLatency/microsPerSecond, sustainedWorkRateGain)
+		a.fleet.sustainedWorkRate = max(a.fleet.sustainedWorkRate, s.sustainedWorkRate)
 	}
 }
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -10,7 +10,7 @@
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 200_000)
-	server := a.servers[2]
+	server := a.serversByID[2]
 	p := &part{query: &query{class: a.classes[idempotentClass]}, relativeCost: 1}
 	before := a.predictLatency(server, p)
 
@@ -30,7 +30,7 @@
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
-	busy, idle := a.serversByID[0], a.serversByID[1]
+	busy, idle := a.sortedServers[0], a.sortedServers[1]
 	report := NoLoadReport
 	report.Queued = 12
 	report.RequestRate = 40
@@ -38,7 +38,7 @@
 	h.actions = nil
 	for range 12 {
 		_, events := h.newQuery(idempotentClass, 1)
-		for _, sent := range h.sends(0, events...) {
+		for _, sent := range h.stepSends(0, events...) {
 			h.step(0, resultOf(sent, OK))
 		}
 	}
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -15,8 +15,8 @@
 // latency follows and none is an outlier. Changes are logged, at most one in a mean latency objective.
 func (a *Aggregator) isOutlier(s *server) bool {
 	isOutlier := a.slowness(s) > outlierThreshold
-	if isOutlier != s.outlierLogged && a.now-a.outlierLoggedAt > Micros(a.meanObjective) {
-		s.outlierLogged = isOutlier
+	if isOutlier != s.loggedAsOutlier && a.now-a.outlierLoggedAt > Micros(a.meanLatencyObjective) {
+		s.loggedAsOutlier = isOutlier
 		a.outlierLoggedAt = a.now
 		a.emit(Log{fmt.Sprintf("server %d outlier=%v slowness=%.1f", s.ID, isOutlier, a.slowness(s))})
 	}
@@ -25,6 +25,6 @@
 
 // mayTryOutlier reports whether a part may be sent to an outlier to find out whether the server has recovered.
 func (a *Aggregator) mayTryOutlier(s *server, p *part) bool {
-	hasRested := float64(a.now-s.sampledAt) > outlierTrialInterval*a.meanObjective && len(s.inFlight) == 0
-	return hasRested && p.isIdempotent() && p.attempts == 0
+	hasRested := float64(a.now-s.sampledAt) > outlierTrialInterval*a.meanLatencyObjective && len(s.inFlight) == 0
+	return hasRested && p.isIdempotent() && p.attemptCount == 0
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -12,7 +12,7 @@
 	_, events := h.newQuery(idempotentClass, 3)
 	h.step(testTick, events...)
 	h.step(900_000, TimerFired{})
-	server := h.aggregator.servers[1]
+	server := h.aggregator.serversByID[1]
 	assert.True(t, h.aggregator.isOutlier(server), "slowness %v", h.aggregator.slowness(server))
 }
 
@@ -20,7 +20,7 @@
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 60, 100_000)
 	h.answerQueries(idempotentClass, 60, 250_000)
-	for _, s := range h.aggregator.serversByID {
+	for _, s := range h.aggregator.sortedServers {
 		assert.False(t, h.aggregator.isOutlier(s), "server %d", s.ID)
 	}
 }
@@ -33,9 +33,9 @@
 	h := newHarness(t, s)
 	h.answerQueries(idempotentClass, 40, 100_000)
 	trials := 0
-	for end := h.now + 20*Micros(h.aggregator.meanObjective); h.now < end; {
+	for end := h.now + 20*Micros(h.aggregator.meanLatencyObjective); h.now < end; {
 		_, events := h.newQuery(idempotentClass, 1)
-		queue := h.sends(100_000, events...)
+		queue := h.stepSends(100_000, events...)
 		healthChecks := actionsOf[HealthCheck](h.actions)
 		h.actions = nil
 		for _, check := range healthChecks {
@@ -47,13 +47,13 @@
 		}
 		for ; len(queue) > 0; queue = queue[1:] { // retries join the queue
 			sent := queue[0]
-			attempt := h.aggregator.parts[sent.PartID].attempts - 1
+			attempt := h.aggregator.partsByID[sent.PartID].attemptCount - 1
 			latency, status := Micros(100_000), OK
 			if sent.ServerID == unresponsive {
 				trials++
 				latency, status = 400_000, TimedOut
 			}
-			queue = append(queue, h.sends(latency, resultOfAttempt(sent, attempt, status))...)
+			queue = append(queue, h.stepSends(latency, resultOfAttempt(sent, attempt, status))...)
 		}
 	}
 	return trials
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -10,7 +10,7 @@
 
 // Random valid events must break no rule, with and without hedging, cancellation, batching and reconfiguration, and
 // the same events must bring the same actions.
-func TestRulesHoldForRandomEvents(t *testing.T) {
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	const firstSeedWithReconfiguration = 16
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -18,7 +18,7 @@
 			settings := randomEventSettings(seed)
 			reconfigures := seed >= firstSeedWithReconfiguration
 			run := func() []Action {
-				checker := newRuleChecker(t, settings, seed)
+				checker := newInvariantChecker(t, settings, seed)
 				if !reconfigures {
 					checker.reconfigurations = -1
 				}
@@ -63,7 +63,7 @@
 		settings.AllowHedging = seed%2 == 0
 		settings.InstanceIndex = int(seed % 2)
 		run := func(repeatSettings bool) []Action {
-			checker := newRuleChecker(t, settings, seed)
+			checker := newInvariantChecker(t, settings, seed)
 			checker.reconfigurations = -1
 			checker.repeatSettings = repeatSettings
 			checker.run(600)
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -9,19 +9,19 @@
 	index  int
 	sentAt Micros
 
-	// predictedLatency is the latency in microseconds, and assumedLoad the number of requests at the server, that
+	// predictedLatency is the latency in microseconds, and estimatedLoad the number of requests at the server, that
 	// were estimated when the attempt was sent.
 	predictedLatency float64
-	assumedLoad      float64
+	estimatedLoad    float64
 
-	// connectionIdle is how long the server's connections had been unused when the attempt was sent; 0 if unknown.
-	connectionIdle Micros
+	// connectionIdleTime is how long the server's connections had been unused when the attempt was sent; 0 if unknown.
+	connectionIdleTime Micros
 
 	// freshConnection is set if idle connections were closed right before the attempt.
 	freshConnection bool
 
-	// classified is set once the attempt has counted as evidence on connections.
-	classified bool
+	// connectionResultRecorded is set once the attempt has counted as evidence on connections.
+	connectionResultRecorded bool
 
 	// canceled is set once a CancelAttempt was returned for it.
 	canceled bool
@@ -42,10 +42,10 @@
 type part struct {
 	Part
 
-	query    *query
-	state    partState
-	attempts int // attempts sent so far
-	inFlight []*attempt
+	query        *query
+	state        partState
+	attemptCount int // attempts sent so far
+	inFlight     []*attempt
 
 	// mayHaveRun is set once an attempt has ended that a server may have executed.
 	mayHaveRun bool
@@ -53,8 +53,8 @@
 	// firstSentAt is when the first attempt was sent that may have been executed.
 	firstSentAt Micros
 
-	// lastServer is the ID of the server that the latest attempt was sent to.
-	lastServer uint32
+	// lastServerID is the ID of the server that the latest attempt was sent to.
+	lastServerID uint32
 
 	// notBefore is until when the part is held back while its replicas' health checks are in flight.
 	notBefore Micros
@@ -82,22 +82,22 @@
 	class     *class
 	arrivedAt Micros
 
-	// objectiveAt is when the class's latency objective has passed.
-	objectiveAt Micros
+	// objectiveDeadline is when the class's latency objective has passed.
+	objectiveDeadline Micros
 
 	// dispatchAt orders open queries for dispatch: the arrival less a head start by priority.
 	dispatchAt Micros
 
-	// phase is firstPhase or fetchPhase; parts, expectedParts and usedServers belong to it.
-	phase         int
-	parts         []*part
-	expectedParts int // parts of the fetch phase that will arrive
+	// phase is firstPhase or fetchPhase; parts, expectedFetchParts and usedServerIDs belong to it.
+	phase              int
+	parts              []*part
+	expectedFetchParts int // parts of the fetch phase that will arrive
 
-	// usedServers are the IDs of the servers that parts of this phase were sent to.
-	usedServers []uint32
+	// usedServerIDs are the IDs of the servers that parts of this phase were sent to.
+	usedServerIDs []uint32
 
-	// brokenServers are the IDs of the servers that broke a connection under one of the query's attempts.
-	brokenServers []uint32
+	// disconnectedServerIDs are the IDs of the servers that broke a connection under one of the query's attempts.
+	disconnectedServerIDs []uint32
 
 	// lightPartCredits is the number of light parts that quick answers allow to be requested under load.
 	lightPartCredits int
@@ -105,8 +105,8 @@
 	// coverage is the sum of the answered parts' weights, as of the last review.
 	coverage float64
 
-	// predictedWait is the wait in microseconds that was predicted at admission for the slowest required part.
-	predictedWait float64
+	// predictedResponseTime is the wait in microseconds that was predicted at admission for the slowest required part.
+	predictedResponseTime float64
 
 	// firstPhaseComplete is set if the answer of the first phase was complete.
 	firstPhaseComplete bool
@@ -114,8 +114,8 @@
 	awaitsAdmission bool
 	closed          bool
 
-	// wasRejected is set once a server has rejected an attempt of the query.
-	wasRejected bool
+	// hadRejectedAttempt is set once a server has rejected an attempt of the query.
+	hadRejectedAttempt bool
 
 	// canaryFirst is set while one part is sent ahead of the others, since the query may crash the server.
 	canaryFirst bool
@@ -138,23 +138,23 @@
 	// referenceLatency is the smoothed latency of a part at an idle server, in microseconds.
 	referenceLatency float64
 
-	// answers is the number of answered attempts that referenceLatency is based on.
-	answers float64
+	// answerCount is the number of answered attempts that referenceLatency is based on.
+	answerCount float64
 
 	// meanFanOut is the smoothed number of a query's parts.
 	meanFanOut float64
 
-	// waitRatio is the smoothed ratio of a query's time to its answer and its predicted wait.
-	waitRatio float64
+	// responseTimeRatio is the smoothed ratio of a query's time to its answer and its predicted wait.
+	responseTimeRatio float64
 
 	// longestTimeout is the longest time, in microseconds, that a client gave the first try of a query.
 	longestTimeout Micros
 
 	lastAdmittedAt Micros
 
-	// meanCostHint is the smoothed cost hint in microseconds, and costHints the number of hints that it is based on.
-	meanCostHint float64
-	costHints    float64
+	// meanCostHint is the smoothed cost hint in microseconds, and costHintCount the number of hints that it is based on.
+	meanCostHint  float64
+	costHintCount float64
 
 	// overloadCount counts queries that were late or unanswered because servers rejected their attempts. An answer
 	// in time halves it.
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -53,14 +53,14 @@
 		switch {
 		case p.state == partDeferred:
 			deferred = append(deferred, p)
-		case p.state != partUnavailable && (partial || !a.isLate(p, spareLateThreshold)):
+		case p.state != partUnavailable && (partial || !a.isLate(p, substituteLateThreshold)):
 			requested += p.Weight
 		}
 	}
 	slices.SortStableFunc(deferred, func(x, y *part) int {
 		return cmp.Or(
 			cmp.Compare(y.Weight, x.Weight),
-			cmp.Compare(a.predictShardWait(x), a.predictShardWait(y)),
+			cmp.Compare(a.predictPartResponseTime(x), a.predictPartResponseTime(y)),
 		)
 	})
 	return deferred, requested
--- a/policy/requesting_test.go
+++ b/policy/requesting_test.go
@@ -26,8 +26,8 @@
 			p.Weight = weight
 			events[i+1] = p
 		}
-		sent := h.sends(testTick, events...)
+		sent := h.stepSends(testTick, events...)
 		require.Len(t, sent, c.first, "utilization %.1f", c.utilization)
-		assert.Len(t, h.sends(testTick, resultOf(sent[0], OK)), c.next, "utilization %.1f", c.utilization)
+		assert.Len(t, h.stepSends(testTick, resultOf(sent[0], OK)), c.next, "utilization %.1f", c.utilization)
 	}
 }
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -12,14 +12,14 @@
 	for range 40 {
 		_, events := h.newQuery(idempotentClass, 1)
 		accepted += len(events)
-		sent := h.sends(testTick, events...)
+		sent := h.stepSends(testTick, events...)
 		for range 3 {
 			var results []Event
 			for _, s := range sent {
-				attempt := h.aggregator.parts[s.PartID].attempts - 1
+				attempt := h.aggregator.partsByID[s.PartID].attemptCount - 1
 				results = append(results, resultOfAttempt(s, attempt, ServerError))
 			}
-			sent = h.sends(testTick, results...)
+			sent = h.stepSends(testTick, results...)
 		}
 	}
 	attempts := map[uint64]int{}
@@ -40,6 +40,6 @@
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
-	assert.Empty(t, h.aggregator.budget.accepted)
-	assert.Empty(t, h.aggregator.budget.retries)
+	assert.Empty(t, h.aggregator.retryBudget.accepted)
+	assert.Empty(t, h.aggregator.retryBudget.retries)
 }
--- a/policy/rulechecker_test.go
+++ b/policy/rulechecker_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ruleChecker reports random valid events to an aggregator and checks the rules on its actions (rulechecks_test.go).
+// invariantChecker reports random valid events to an aggregator and checks invariants of its actions (rulechecks_test.go).
 // It does not model servers: results and delays are drawn at random.
-type ruleChecker struct {
-	test       *testing.T
+type invariantChecker struct {
+	t          *testing.T
 	settings   Settings
 	random     *rand.Rand
 	now        Micros
@@ -29,8 +29,8 @@
 	nextID       uint64
 	lastNumber   uint64
 
-	accepted     []Micros // times of the accepted queries and parts
-	retries      []Micros // times of the retries
+	acceptedAt   []Micros // times of the accepted queries and parts
+	retriedAt    []Micros // times of the retries
 	warmingSends map[uint32][]warmingSend
 
 	endedQueries int
@@ -72,12 +72,12 @@
 	status Status
 }
 
-func newRuleChecker(t *testing.T, settings Settings, seed uint64) *ruleChecker {
+func newInvariantChecker(t *testing.T, settings Settings, seed uint64) *invariantChecker {
 	t.Helper()
 	aggregator, err := New(settings, seed)
 	require.NoError(t, err)
-	c := &ruleChecker{
-		test:         t,
+	c := &invariantChecker{
+		t:            t,
 		settings:     settings,
 		random:       rand.New(rand.NewPCG(seed, 1)),
 		now:          50_000_000,
@@ -97,15 +97,15 @@
 	return c
 }
 
-func (c *ruleChecker) add(event Event) { c.events = append(c.events, event) }
+func (c *invariantChecker) add(event Event) { c.events = append(c.events, event) }
 
-func (c *ruleChecker) newID() uint64 {
+func (c *invariantChecker) newID() uint64 {
 	c.nextID++
 	return c.nextID
 }
 
 // run makes steps with random events, then steps without new ones until all queries must have ended.
-func (c *ruleChecker) run(steps int) {
+func (c *invariantChecker) run(steps int) {
 	for range steps {
 		c.now += c.settings.Tick * Micros(1+c.random.IntN(3))
 		c.addRandomEvents()
@@ -117,12 +117,12 @@
 	}
 	for id, query := range c.queries {
 		if !query.closed {
-			c.test.Fatalf("query %d got no final action", id)
+			c.t.Fatalf("query %d got no final action", id)
 		}
 	}
 }
 
-func (c *ruleChecker) addRandomEvents() {
+func (c *invariantChecker) addRandomEvents() {
 	if c.random.IntN(4) == 0 {
 		c.startQuery()
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (c *ruleChecker) sendEndpointList() {
+func (c *invariantChecker) sendEndpointList() {
 	var endpoints []Endpoint
 	for id := uint32(1); id < 20; id++ {
 		if endpoint, ok := c.servers[id]; ok {
@@ -147,7 +147,7 @@
 	c.add(EndpointList{endpoints})
 }
 
-func (c *ruleChecker) changeServer() {
+func (c *invariantChecker) changeServer() {
 	id := uint32(c.random.IntN(8) + 1)
 	endpoint := c.servers[id]
 	switch c.random.IntN(6) {
@@ -169,7 +169,7 @@
 }
 
 // reconfigure draws other classes, in another order and with other times, and other limits.
-func (c *ruleChecker) reconfigure() {
+func (c *invariantChecker) reconfigure() {
 	c.reconfigurations++
 	settings := c.settings
 	settings.Classes = nil
@@ -196,7 +196,7 @@
 	c.settings = settings
 }
 
-func (c *ruleChecker) startQuery() {
+func (c *invariantChecker) startQuery() {
 	classIndex := c.random.IntN(len(c.settings.Classes))
 	class := c.settings.Classes[classIndex]
 	parts := c.random.IntN(5) + 1
@@ -218,11 +218,11 @@
 		Retry:      c.random.IntN(5) == 0,
 		RequestKey: uint64(c.random.IntN(4)),
 	})
-	c.accepted = append(c.accepted, c.now)
+	c.acceptedAt = append(c.acceptedAt, c.now)
 	c.addParts(query, c.lastNumber, parts)
 }
 
-func (c *ruleChecker) addParts(query *checkedQuery, number uint64, count int) {
+func (c *invariantChecker) addParts(query *checkedQuery, number uint64, count int) {
 	query.parts = nil
 	firstShard := c.random.IntN(c.settings.Shards)
 	for i := range count {
@@ -242,12 +242,12 @@
 			Weight:      p.weight,
 			CostHint:    Micros(c.random.IntN(3)-1) * 40_000,
 		})
-		c.accepted = append(c.accepted, c.now)
+		c.acceptedAt = append(c.acceptedAt, c.now)
 	}
 }
 
 // step reports the events that are due and checks the actions that they bring.
-func (c *ruleChecker) step() {
+func (c *invariantChecker) step() {
 	c.endAttempts()
 	for _, server := range c.healthChecks {
 		c.add(HealthCheckResult{ServerID: server, Status: Status(c.random.IntN(2)), Report: NoLoadReport})
@@ -267,7 +267,7 @@
 }
 
 // endAttempts reports the results of the attempts that end by now.
-func (c *ruleChecker) endAttempts() {
+func (c *invariantChecker) endAttempts() {
 	var remaining []checkedAttempt
 	for _, attempt := range c.inFlight {
 		if attempt.endsAt > c.now {
@@ -299,7 +299,7 @@
 }
 
 // fireTimer reports the first timer that is due.
-func (c *ruleChecker) fireTimer() {
+func (c *invariantChecker) fireTimer() {
 	for i, at := range c.timers {
 		if at <= c.now {
 			c.add(TimerFired{})
@@ -309,7 +309,7 @@
 	}
 }
 
-func (c *ruleChecker) check(action Action) {
+func (c *invariantChecker) check(action Action) {
 	switch action := action.(type) {
 	case SendAttempt:
 		c.checkSend(action)
@@ -328,7 +328,7 @@
 	}
 }
 
-func (c *ruleChecker) cancelAttempt(action CancelAttempt) {
+func (c *invariantChecker) cancelAttempt(action CancelAttempt) {
 	for i := range c.inFlight {
 		attempt := &c.inFlight[i]
 		if attempt.part == action.PartID && attempt.index == action.AttemptIndex {
@@ -338,16 +338,16 @@
 	}
 }
 
-func (c *ruleChecker) endQuery(id uint64) {
+func (c *invariantChecker) endQuery(id uint64) {
 	query := c.queries[id]
 	if query == nil || query.closed {
-		c.test.Fatalf("query %d got a second final action, or is unknown", id)
+		c.t.Fatalf("query %d got a second final action, or is unknown", id)
 	}
 	query.closed = true
 	c.endedQueries++
 }
 
-func (c *ruleChecker) startAttempt(action SendAttempt, index int) {
+func (c *invariantChecker) startAttempt(action SendAttempt, index int) {
 	status := OK
 	if c.random.IntN(3) == 0 {
 		status = Status(c.random.IntN(8))
--- a/policy/rulechecks_test.go
+++ b/policy/rulechecks_test.go
@@ -7,19 +7,19 @@
 	work            float64 // microseconds
 }
 
-func (c *ruleChecker) checkDeadlines() {
+func (c *invariantChecker) checkDeadlines() {
 	for id, query := range c.queries {
 		if !query.closed && c.now > query.deadline+c.settings.AnswerSlack {
-			c.test.Fatalf("query %d got no final action by its deadline", id)
+			c.t.Fatalf("query %d got no final action by its deadline", id)
 		}
 	}
 }
 
-func (c *ruleChecker) checkReject(action Reject) {
+func (c *invariantChecker) checkReject(action Reject) {
 	query := c.queries[action.QueryID]
 	for _, p := range query.parts {
 		if query.class.Idempotency == NonIdempotent && p.hasEffect() {
-			c.test.Fatalf("query %d rejected although a part of it may have run", action.QueryID)
+			c.t.Fatalf("query %d rejected although a part of it may have run", action.QueryID)
 		}
 	}
 	c.endQuery(action.QueryID)
@@ -28,7 +28,7 @@
 // hasEffect reports whether an attempt at the part may have run or may still run.
 func (p *checkedPart) hasEffect() bool { return p.mayHaveRun || len(p.inFlight) > 0 }
 
-func (c *ruleChecker) checkAnswer(action Answer) {
+func (c *invariantChecker) checkAnswer(action Answer) {
 	const tolerance = 1e-4
 	query := c.queries[action.QueryID]
 	class := query.class
@@ -45,16 +45,16 @@
 		required = 1
 	}
 	if coverage < class.MinCoverage-tolerance {
-		c.test.Fatalf("query %d answered at a coverage of %v, minimum %v", action.QueryID, coverage, class.MinCoverage)
+		c.t.Fatalf("query %d answered at a coverage of %v, minimum %v", action.QueryID, coverage, class.MinCoverage)
 	}
 	isIncomplete := coverage < required-tolerance || query.phase == fetchPhase && !query.firstPhaseComplete
 	if action.Complete && isIncomplete {
-		c.test.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.QueryID, coverage, query.phase)
+		c.t.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.QueryID, coverage, query.phase)
 	}
 	if query.phase == firstPhase && class.FetchParts > 0 {
 		query.phase = fetchPhase
 		query.firstPhaseComplete = action.Complete
-		number := c.aggregator.queries[action.QueryID].Number
+		number := c.aggregator.queriesByID[action.QueryID].Number
 		c.addParts(query, number, min(answered, class.FetchParts))
 		return
 	}
@@ -62,19 +62,19 @@
 }
 
 // checkSend checks an attempt and draws its result.
-func (c *ruleChecker) checkSend(action SendAttempt) {
+func (c *invariantChecker) checkSend(action SendAttempt) {
 	p := c.parts[action.PartID]
 	if p.query.closed {
-		c.test.Fatalf("part %d sent after its query ended", action.PartID)
+		c.t.Fatalf("part %d sent after its query ended", action.PartID)
 	}
 	c.checkServer(action, p)
-	c.checkSlowStart(action.ServerID, c.aggregator.parts[action.PartID].query.class.referenceLatency)
+	c.checkSlowStart(action.ServerID, c.aggregator.partsByID[action.PartID].query.class.referenceLatency)
 	c.checkIdempotency(action, p)
 	if p.attempts >= c.settings.MaxAttempts {
-		c.test.Fatalf("part %d sent more than %d times", action.PartID, c.settings.MaxAttempts)
+		c.t.Fatalf("part %d sent more than %d times", action.PartID, c.settings.MaxAttempts)
 	}
 	if p.attempts > 0 {
-		c.retries = append(c.retries, c.now)
+		c.retriedAt = append(c.retriedAt, c.now)
 		c.checkRetryBudget()
 	}
 	if !p.hasEffect() {
@@ -86,44 +86,44 @@
 	c.sentAttempts++
 }
 
-func (c *ruleChecker) checkServer(action SendAttempt, p *checkedPart) {
+func (c *invariantChecker) checkServer(action SendAttempt, p *checkedPart) {
 	if at, ok := c.drainedAt[action.ServerID]; ok && c.now > at+c.settings.DrainGrace {
-		c.test.Fatalf("part %d sent to server %d, which is draining or removed", action.PartID, action.ServerID)
+		c.t.Fatalf("part %d sent to server %d, which is draining or removed", action.PartID, action.ServerID)
 	}
 	size := c.settings.RingSize
 	distance := (c.servers[action.ServerID].RingPosition - p.shard + 2*size) % size
 	if distance >= c.settings.ReplicationFactor {
-		c.test.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.PartID, p.shard, action.ServerID)
+		c.t.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.PartID, p.shard, action.ServerID)
 	}
 }
 
-func (c *ruleChecker) checkIdempotency(action SendAttempt, p *checkedPart) {
+func (c *invariantChecker) checkIdempotency(action SendAttempt, p *checkedPart) {
 	class := p.query.class
 	if len(p.inFlight) > 0 && !c.settings.AllowHedging {
-		c.test.Fatalf("part %d hedged although hedging is not allowed", action.PartID)
+		c.t.Fatalf("part %d hedged although hedging is not allowed", action.PartID)
 	}
 	if class.Idempotency == NonIdempotent && p.hasEffect() {
-		c.test.Fatalf("non-idempotent part %d retried although it may have run", action.PartID)
+		c.t.Fatalf("non-idempotent part %d retried although it may have run", action.PartID)
 	}
 	isTooLate := c.now > p.firstSentAt+class.DeduplicationWindow
 	if class.Idempotency == IdempotentByKey && p.hasEffect() && isTooLate {
-		c.test.Fatalf("part %d retried after its deduplication window", action.PartID)
+		c.t.Fatalf("part %d retried after its deduplication window", action.PartID)
 	}
 }
 
-func (c *ruleChecker) checkRetryBudget() {
+func (c *invariantChecker) checkRetryBudget() {
 	windowStart := c.now - c.settings.RetryBudgetWindow
-	retries := countSince(c.retries, windowStart)
-	accepted := countSince(c.accepted, windowStart)
+	retries := countSince(c.retriedAt, windowStart)
+	accepted := countSince(c.acceptedAt, windowStart)
 	if float64(retries) > c.settings.RetryBudgetMinimum+c.settings.RetryBudgetRatio*float64(accepted) {
-		c.test.Fatalf("%d retries for %d accepted queries and parts", retries, accepted)
+		c.t.Fatalf("%d retries for %d accepted queries and parts", retries, accepted)
 	}
 }
 
 // checkSlowStart checks that the work sent to a warming server within the overload duration stays within this
 // aggregator's share. The work is that which the aggregator has learned. Where the share is less than a part, two
 // parts may fall within the duration; TestWarmingServersAreNotOverloaded checks the sum over all aggregators.
-func (c *ruleChecker) checkSlowStart(id uint32, work float64) {
+func (c *invariantChecker) checkSlowStart(id uint32, work float64) {
 	server := c.servers[id]
 	if server.StartedAt <= 0 || c.now >= server.StartedAt+c.settings.SlowStartDuration {
 		return
@@ -142,7 +142,7 @@
 	duration := float64(c.settings.OverloadDuration)
 	limit := c.settings.OverloadFactor * fraction * duration / float64(c.settings.InstanceCount)
 	if sum > limit*1.001 && parts > 2 {
-		c.test.Fatalf("warming server %d was sent %d parts of work %v, limit %v", id, parts, sum, limit)
+		c.t.Fatalf("warming server %d was sent %d parts of work %v, limit %v", id, parts, sum, limit)
 	}
 }
 
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -19,9 +19,9 @@
 	server           *server
 	predictedLatency float64 // of the part, in microseconds
 
-	// share is the replica's share of the shard's parts, 0 to 1, in proportion to its utility. Only
+	// trafficShare is the replica's share of the shard's parts, 0 to 1, in proportion to its utility. Only
 	// chooseReplica sets it.
-	share float64
+	trafficShare float64
 }
 
 // rankReplicas returns the replicas of a part's shard in descending order of utility.
@@ -44,36 +44,36 @@
 		return nil
 	}
 	ranked := a.rankReplicas(p)
-	assignShares(ranked)
+	assignTrafficShares(ranked)
 	hasHealthyReplica := slices.ContainsFunc(ranked, func(c candidate) bool {
 		return isAlternative(c, p, ranked) && !a.isOutlier(c.server) && !a.isBusy(c.server)
 	})
 	preferred := ranked[largestDeficit(ranked, p.Shard)]
-	if i := a.findSharedBatch(p, ranked, hasHealthyReplica); i >= 0 {
+	if i := a.findJoinableBatch(p, ranked, hasHealthyReplica); i >= 0 {
 		preferred = ranked[i]
-		p.query.usedServers = slices.DeleteFunc(p.query.usedServers, func(id uint32) bool {
+		p.query.usedServerIDs = slices.DeleteFunc(p.query.usedServerIDs, func(id uint32) bool {
 			return id == preferred.server.ID
 		})
 	}
-	chosen := a.firstSendable(p, preferred, ranked, hasHealthyReplica)
+	chosen := a.firstEligibleServer(p, preferred, ranked, hasHealthyReplica)
 	if chosen == nil {
 		return nil
 	}
 	for _, c := range ranked {
-		c.server.deficits[p.Shard] = c.server.deficits[p.Shard]*deficitDecay + c.share
+		c.server.deficits[p.Shard] = c.server.deficits[p.Shard]*deficitDecay + c.trafficShare
 	}
 	chosen.deficits[p.Shard]--
 	return chosen
 }
 
-// assignShares gives each candidate its share of the parts. The candidates must be in descending order of utility.
-func assignShares(ranked []candidate) {
+// assignTrafficShares gives each candidate its share of the parts. The candidates must be in descending order of utility.
+func assignTrafficShares(ranked []candidate) {
 	sum := 0.0
 	for _, c := range ranked {
 		sum += ranked[0].predictedLatency / c.predictedLatency
 	}
 	for i, c := range ranked {
-		ranked[i].share = ranked[0].predictedLatency / c.predictedLatency / sum
+		ranked[i].trafficShare = ranked[0].predictedLatency / c.predictedLatency / sum
 	}
 }
 
@@ -81,7 +81,7 @@
 func largestDeficit(ranked []candidate, shard int) int {
 	index, largest := 0, math.Inf(-1)
 	for i, c := range ranked {
-		deficit := c.server.deficits[shard] + c.share
+		deficit := c.server.deficits[shard] + c.trafficShare
 		if deficit > largest+deficitTolerance {
 			index, largest = i, deficit
 		}
@@ -92,14 +92,14 @@
 // isAlternative reports whether a candidate is another server than that of the part's latest attempt, or the only
 // candidate.
 func isAlternative(c candidate, p *part, ranked []candidate) bool {
-	return c.server.ID != p.lastServer || len(ranked) == 1
+	return c.server.ID != p.lastServerID || len(ranked) == 1
 }
 
-// firstSendable returns the first server that the part may be sent to: the preferred one, then the others by rank,
+// firstEligibleServer returns the first server that the part may be sent to: the preferred one, then the others by rank,
 // as far as the query has not used them; then any by rank. It returns nil if there is none.
-func (a *Aggregator) firstSendable(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
+func (a *Aggregator) firstEligibleServer(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
 	isUnused := func(c candidate) bool {
-		return !slices.Contains(p.query.usedServers, c.server.ID) && a.maySend(c.server, p, hasHealthyReplica)
+		return !slices.Contains(p.query.usedServerIDs, c.server.ID) && a.maySend(c.server, p, hasHealthyReplica)
 	}
 	isAllowed := func(c candidate) bool {
 		return isAlternative(c, p, ranked) && a.maySend(c.server, p, hasHealthyReplica)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -11,13 +11,13 @@
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
 	for id, ratio := range map[uint32]float64{1: 1, 2: 2, 3: 2} {
-		a.servers[id].latencyRatio = ratio
-		a.servers[id].sampledAt = h.now
+		a.serversByID[id].latencyRatio = ratio
+		a.serversByID[id].sampledAt = h.now
 	}
 	counts := map[uint32]int{}
 	for i := range 400 {
 		p := &part{query: &query{class: a.classes[idempotentClass]}, state: partQueued, relativeCost: 1}
-		a.parts[0] = p
+		a.partsByID[0] = p
 		chosen := a.chooseReplica(p)
 		if i == 0 {
 			assert.Equal(t, uint32(1), chosen.ID, "the first part goes to the best server")
@@ -33,12 +33,12 @@
 	h := newHarness(t, singleRingSettings())
 	_, events := h.newQuery(idempotentClass, 3)
 	servers := map[uint32]bool{}
-	for _, sent := range h.sends(0, events...) {
+	for _, sent := range h.stepSends(0, events...) {
 		servers[sent.ServerID] = true
 	}
 	require.Len(t, servers, 3)
 	_, events = h.newQuery(idempotentClass, 5)
-	assert.GreaterOrEqual(t, len(h.sends(0, events...)), 3, "more parts than servers")
+	assert.GreaterOrEqual(t, len(h.stepSends(0, events...)), 3, "more parts than servers")
 }
 
 // A part whose latest server is the only healthy one may be retried at the others.
@@ -46,12 +46,12 @@
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 40, 100_000)
 	_, events := h.newQuery(idempotentClass, 1)
-	sent := h.sends(0, events...)[0]
-	for _, s := range h.aggregator.serversByID {
+	sent := h.stepSends(0, events...)[0]
+	for _, s := range h.aggregator.sortedServers {
 		if s.ID != sent.ServerID {
 			s.latencyRatio = 5
 			s.sampledAt = h.now
 		}
 	}
-	assert.Len(t, h.sends(10_000, resultOf(sent, Rejected)), 1)
+	assert.Len(t, h.stepSends(10_000, resultOf(sent, Rejected)), 1)
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -190,15 +190,15 @@
 		return invalidSetting("InstanceIndex", "is %d at an InstanceCount of %d", s.InstanceIndex, s.InstanceCount)
 	}
 	for i, class := range s.Classes {
-		if err := class.check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+		if err := class.validate(fmt.Sprintf("Classes[%d].", i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// check returns an *InvalidSettingError whose field begins with the prefix.
-func (c Class) check(prefix string) error {
+// validate returns an *InvalidSettingError whose field begins with the prefix.
+func (c Class) validate(prefix string) error {
 	if c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective {
 		return invalidSetting(prefix+"LatencyObjective", "is %d at a Timeout of %d", c.LatencyObjective, c.Timeout)
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -20,7 +20,7 @@
 	overloadDuration := a.settings.OverloadDuration
 	progress := max(0, float64(a.now-overloadDuration-s.StartedAt)/float64(a.settings.SlowStartDuration))
 	fraction := min(1, a.settings.SlowStartFraction+(1-a.settings.SlowStartFraction)*progress)
-	fleetAllowance := a.settings.OverloadFactor * fraction * a.fleet.sustainedRate * float64(overloadDuration)
+	fleetAllowance := a.settings.OverloadFactor * fraction * a.fleet.sustainedWorkRate * float64(overloadDuration)
 	return fleetAllowance / float64(a.settings.InstanceCount)
 }
 
@@ -40,8 +40,8 @@
 		return a.now >= a.slowStartNextSend(s, allowance)
 	}
 	work := p.query.class.referenceLatency
-	for _, entry := range dropBefore(s.sendHistory, a.slowStartWindowStart()) {
-		work += entry.work
+	for _, entry := range dropBefore(s.slowStartSends, a.slowStartWindowStart()) {
+		work += entry.amount
 	}
 	return work <= allowance
 }
@@ -53,8 +53,8 @@
 func (a *Aggregator) slowStartNextSend(s *server, allowance float64) Micros {
 	interval := a.fleet.baseLatency / allowance / slowStartUtilization * float64(a.settings.OverloadDuration)
 	pause := Micros(interval - a.meanArrivalInterval(s))
-	if sent := len(s.sendHistory); sent > 0 {
-		return s.sendHistory[sent-1].at + max(pause, a.settings.OverloadDuration+a.settings.Tick)
+	if sent := len(s.slowStartSends); sent > 0 {
+		return s.slowStartSends[sent-1].at + max(pause, a.settings.OverloadDuration+a.settings.Tick)
 	}
 	instances := uint64(a.settings.InstanceCount)
 	slot := (uint64(a.settings.InstanceIndex) + uint64(s.ID)) % instances
@@ -78,23 +78,23 @@
 // recordArrival counts a part of a shard that was accepted.
 func (a *Aggregator) recordArrival(shard int) {
 	arrivals := a.decayedArrivals(shard, float64(max(a.settings.SlowStartDuration, 1)))
-	a.shardArrivals[shard] = historyEntry{a.now, 1 + arrivals}
+	a.shardArrivals[shard] = timedAmount{a.now, 1 + arrivals}
 }
 
 // decayedArrivals returns the number of a shard's accepted parts, decaying exponentially over a duration in
 // microseconds.
 func (a *Aggregator) decayedArrivals(shard int, duration float64) float64 {
 	newest := a.shardArrivals[shard]
-	return newest.work * math.Exp(-float64(a.now-newest.at)/duration)
+	return newest.amount * math.Exp(-float64(a.now-newest.at)/duration)
 }
 
 // recordSlowStartSend records work, in microseconds, that is sent to a server that warms up.
 func (a *Aggregator) recordSlowStartSend(s *server, work float64) {
 	if a.now >= a.slowStartEnd(s) {
-		s.sendHistory = nil
+		s.slowStartSends = nil
 		return
 	}
-	s.sendHistory = append(dropBefore(s.sendHistory, a.slowStartWindowStart()), historyEntry{a.now, work})
+	s.slowStartSends = append(dropBefore(s.slowStartSends, a.slowStartWindowStart()), timedAmount{a.now, work})
 }
 
 // slowStartWindowStart returns since when sent work counts toward the allowance, one tick to the careful side.
