--- a/policy/rulechecker_test.go
+++ b/policy/invariantchecker_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// invariantChecker reports random valid events to an aggregator and checks invariants of its actions (rulechecks_test.go).
+// invariantChecker reports random valid events to an aggregator and checks invariants of its actions (invariantchecks_test.go).
 // It does not model servers: results and delays are drawn at random.
 type invariantChecker struct {
 	t          *testing.T
