--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,60 +1,61 @@
 package policy
 
-// Action is something to do: one of the types of this file. Actions are carried out in the order given.
+// Action is an instruction to the owner: one of the types in this file that have an action method. The owner carries
+// out actions in the order in which Step returns them.
 type Action interface{ action() }
 
-// SendAttempt sends a part to a server. An attempt without an answer within the timeout ends as TimedOut.
+// SendAttempt sends a part to a server. If no answer arrives within Timeout, the attempt ends with the status TimedOut.
 type SendAttempt struct {
-	PartID   uint64 // ID
-	ServerID uint32 // ID
+	PartID   uint64
+	ServerID uint32
 	Timeout  Micros
 }
 
 // CancelAttempt cancels an attempt. Its AttemptResult still follows.
 type CancelAttempt struct {
-	PartID uint64 // ID
+	PartID uint64
 
-	// AttemptIndex counts a part's attempts from 0 in the order of their SendAttempt.
+	// AttemptIndex is the index of the attempt among the part's attempts, from 0 in the order of their SendAttempt.
 	AttemptIndex int
 }
 
-// Answer answers a query from its answered parts. In a class with FetchParts the first Answer starts the fetch
-// phase and the second one is final; otherwise the first one is.
+// Answer answers a query from the parts that are answered. If the query's class has a fetch phase, the first Answer
+// starts that phase and the second one is final; otherwise the first one is final.
 type Answer struct {
-	QueryID  uint64 // ID
+	QueryID  uint64
 	Complete bool
 }
 
-// Reject ends a query without an answer. Its parts did not run or may run again, so the client may retry it.
+// Reject ends a query without an answer. Its parts did not run or may be run again, so the client may retry it.
 type Reject struct {
-	QueryID uint64 // ID
+	QueryID uint64
 
-	// RetryAfter is how long the client should wait before it retries; 0 if unspecified.
+	// RetryAfter is the time that the client should wait before it retries; 0 if unspecified.
 	RetryAfter Micros
 }
 
-// Fail ends a query without an answer and without a statement about its effects.
+// Fail ends a query without an answer. Whether the query had an effect is not known.
 type Fail struct {
-	QueryID uint64 // ID
+	QueryID uint64
 }
 
 // CloseIdleConnections closes the idle connections to a server, so that the next SendAttempt opens a new one.
 type CloseIdleConnections struct {
-	ServerID uint32 // ID
+	ServerID uint32
 }
 
-// HealthCheck checks the health of a server.
+// HealthCheck sends a health check to a server. A HealthCheckResult follows.
 type HealthCheck struct {
-	ServerID uint32 // ID
+	ServerID uint32
 }
 
-// SetTimer asks for a Timer event after a time.
+// SetTimer requests a TimerFired event after a delay.
 type SetTimer struct{ Delay Micros }
 
-// PollEndpoints polls the endpoint list. It applies to Settings.PollEndpoints.
+// PollEndpoints requests the endpoint list. It is returned only if Settings.PollEndpoints is set.
 type PollEndpoints struct{}
 
-// Log is a line for the operators' log.
+// Log writes a line to the operators' log.
 type Log struct{ Text string }
 
 func (SendAttempt) action()          {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// fanOutGain is the gain of a class's mean fan-out, 0 to 1.
+	// fanOutGain is the gain, 0 to 1, of a class's mean fan-out.
 	fanOutGain = 0.1
 
-	// priorityHeadStartFraction is the share of its latency objective that a query of the highest priority is dispatched
-	// ahead of its arrival.
+	// priorityHeadStartFraction is the head start that a query of the highest priority gets in the order of dispatch, as
+	// a fraction of its latency objective. Other queries get a head start in proportion to their priority.
 	priorityHeadStartFraction = 0.2
 
-	// lowestPriorityTimeFraction is the share of the time to its objective that a query of the lowest priority may be
-	// predicted to wait. A query of the highest priority may wait all of it.
+	// lowestPriorityTimeFraction is the fraction of the time left until its latency objective that the predicted
+	// response time of a query of the lowest priority may take. For the highest priority it may take all of that time.
 	lowestPriorityTimeFraction = 0.4
 
-	// minAnswersForRejection is the number of answers before a class's statistics may reject its queries.
+	// minAnswersForRejection is the number of answers that the statistics of a class must be based on before queries
+	// are rejected because of them.
 	minAnswersForRejection = 10.0
 
-	// maxPredictedFailureRate is the failure rate, 0 to 1, that a predicted wait assumes at most.
+	// maxPredictedFailureRate limits the failure rate, 0 to 1, from which response times are predicted.
 	maxPredictedFailureRate = 0.8
 )
 
-// admit requests the parts of a new query, or rejects it if the replicas are saturated and an answer in time is
-// unlikely. Classes of low priority are rejected earlier. A class whose queries overload made late is paced: fewer
-// of its queries are admitted with each of them, until answers come in time again.
+// admit requests the parts of a new query, or rejects the query if its replicas are saturated and an answer in time is
+// unlikely. Queries of low priority are rejected earlier. Each query that is late because of overload reduces the
+// admissions of its class, and each answer in time raises them again.
 func (a *Aggregator) admit(q *query) {
 	q.awaitsAdmission = false
 	c := q.class
@@ -43,8 +44,8 @@
 	a.requestParts(q)
 }
 
-// shouldShed reports whether a query is unlikely to be answered in time because its replicas are saturated. Once
-// in a while it reports false for a class all the same, so that the class's statistics are renewed.
+// shouldShed reports whether a query should be rejected because its replicas are saturated and an answer in time is
+// unlikely. At intervals one query of each class is admitted regardless, so that the class's statistics are refreshed.
 func (a *Aggregator) shouldShed(q *query, priority float64) bool {
 	c := q.class
 	trialInterval := Micros(a.meanLatencyObjective) << min(c.overloadCount, maxBackoffDoublings)
@@ -52,18 +53,19 @@
 		return false
 	}
 	remaining := float64(min(q.objectiveDeadline, q.Deadline) - a.now)
-	acceptableWait := remaining * (lowestPriorityTimeFraction + (1-lowestPriorityTimeFraction)*priority)
-	isLate := q.predictedResponseTime > acceptableWait || q.predictedResponseTime*c.responseTimeRatio > remaining
+	acceptableTime := remaining * (lowestPriorityTimeFraction + (1-lowestPriorityTimeFraction)*priority)
+	isLate := q.predictedResponseTime > acceptableTime || q.predictedResponseTime*c.responseTimeRatio > remaining
 	return (isLate || c.overloadCount > 0) && a.mayBeSaturated(q)
 }
 
-// mayBeSaturated reports whether a part of the query finds no capacity, or own capacity says nothing about that.
+// mayBeSaturated reports whether no replica has capacity for one of the query's parts. It also reports true if the
+// aggregator's own attempts in flight say nothing about the servers' load.
 func (a *Aggregator) mayBeSaturated(q *query) bool {
 	hasNoCapacity := func(p *part) bool { return !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) }
 	return a.concurrencyIsOversubscribed() || slices.ContainsFunc(q.parts, hasNoCapacity)
 }
 
-// relativePriority returns a class's priority per unit of work, as a share of the highest one among the classes.
+// relativePriority returns a class's priority per unit of work relative to the highest one among the classes, 0 to 1.
 func (a *Aggregator) relativePriority(c *class) float64 {
 	highest := 0.0
 	for _, other := range a.classes {
@@ -76,23 +78,23 @@
 	return c.PriorityWeight / (c.referenceLatency * c.meanFanOut * c.RequiredCoverage)
 }
 
-// predictResponseTime returns the predicted wait, in microseconds, for the slowest of the parts that a complete answer
-// needs at least.
+// predictResponseTime returns the predicted time, in microseconds, until enough parts of a query are answered for a
+// complete answer.
 func (a *Aggregator) predictResponseTime(q *query) float64 {
-	waits := make([]float64, 0, len(q.parts))
+	times := make([]float64, 0, len(q.parts))
 	for _, p := range q.parts {
-		waits = append(waits, a.predictPartResponseTime(p))
+		times = append(times, a.predictPartResponseTime(p))
 	}
-	slices.Sort(waits)
-	required := int(math.Ceil(q.class.RequiredCoverage*float64(len(waits)) - coverageTolerance))
+	slices.Sort(times)
+	required := int(math.Ceil(q.class.RequiredCoverage*float64(len(times)) - coverageTolerance))
 	if required <= 0 {
 		return 0
 	}
-	return waits[required-1]
+	return times[required-1]
 }
 
-// predictPartResponseTime returns the time in microseconds that a part is predicted to take at its best replica, behind
-// the parts that are queued for its shard. It is infinite without a replica.
+// predictPartResponseTime returns the predicted time, in microseconds, until the best replica answers a part,
+// including the time in the queue of the part's shard. It is infinite if the shard has no replica.
 func (a *Aggregator) predictPartResponseTime(p *part) float64 {
 	best := math.Inf(1)
 	for _, s := range a.replicas[p.Shard] {
@@ -103,7 +105,7 @@
 }
 
 // predictLatencyWithRetries returns the predicted latency of a part, in microseconds, if it is retried until it
-// succeeds. In place of the penalty that failures cost in the ranking it counts the time of the retries.
+// succeeds. It replaces the penalty for failures, by which replicas are ranked, with the time that the retries take.
 func (a *Aggregator) predictLatencyWithRetries(s *server, p *part) float64 {
 	failureRate := min(a.decayedFailureRate(s), maxPredictedFailureRate)
 	return a.predictLatency(s, p) * a.currentLatencyRatio(s) / a.slowness(s) / (1 - failureRate)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// manyInstances is a number of aggregators at which own capacity says nothing about the load of a server.
+// manyInstances is a number of aggregators at which the attempts of a single one say nothing about a server's load.
 const manyInstances = 32
 
-// A new aggregator knows no latency but the latency objective, which must not make it reject queries.
+// A new aggregator has no latency estimate but the latency objective. It must not reject queries because of that.
 func TestNewAggregatorRejectsNothing(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	for range 10 {
@@ -20,7 +20,7 @@
 	assert.Empty(t, actionsOf[Reject](h.actions))
 }
 
-// The owner rejects queries at MaxOpen. If the aggregator did so too, the limit would be one query stricter.
+// The owner rejects queries beyond MaxOpen. If the aggregator did so too, the limit would be one query stricter.
 func TestMaxOpenIsLeftToTheOwner(t *testing.T) {
 	s := singleRingSettings()
 	s.MaxOpen = 12
@@ -33,7 +33,7 @@
 	assert.Empty(t, actionsOf[Reject](h.step(0, all...)))
 }
 
-// A query whose client leaves before the usual latency is rejected at once.
+// A query whose client stops waiting before the usual latency has passed is rejected at once.
 func TestQueryWithTooShortADeadlineIsRejected(t *testing.T) {
 	const latency = 200_000
 	for _, timeout := range []Micros{50_000, 1_500_000} {
@@ -47,12 +47,13 @@
 		q.Deadline = h.now + timeout
 		events[0] = q
 		sent := len(h.stepSends(0, events...))
-		assert.Equal(t, timeout > latency, sent > 0, "timeout of %d us", timeout)
-		assert.Equal(t, 1-sent, h.finalActionCount(id), "timeout of %d us", timeout)
+		assert.Equal(t, timeout > latency, sent > 0, "part sent, timeout of %d us", timeout)
+		assert.Equal(t, 1-sent, h.finalActionCount(id), "final actions, timeout of %d us", timeout)
 	}
 }
 
-// The slowest of a query's parts takes longer than the mean part, which the wait ratio accounts for.
+// A query waits for its slowest part, which takes longer than the mean part that predictions are based on. Admission
+// must scale the predicted response time by the observed ratio.
 func TestAdmissionAccountsForTheResponseTimeRatio(t *testing.T) {
 	s := singleRingSettings()
 	s.InstanceCount = manyInstances
@@ -61,11 +62,11 @@
 	h.aggregator.classes[idempotentClass].responseTimeRatio = 20
 	id, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
-	assert.Equal(t, 1, h.finalActionCount(id), "queries took 20 times their predicted wait")
+	assert.Equal(t, 1, h.finalActionCount(id), "queries took 20 times their predicted response time")
 }
 
-// A class that is rejected because of its statistics is admitted once in a mean latency objective, so that they are
-// renewed.
+// A class whose statistics cause rejections must be admitted once in each mean latency objective. Otherwise the
+// statistics would never be refreshed and the rejections never end.
 func TestRejectedClassIsAdmittedPeriodically(t *testing.T) {
 	const (
 		objectives          = 3
@@ -86,6 +87,7 @@
 	assert.LessOrEqual(t, admitted, 4)
 }
 
+// No coverage can be complete if a shard has no replica. The query must be rejected before any of its parts is sent.
 func TestQueryOfAShardWithoutReplicasIsRejected(t *testing.T) {
 	s := singleRingSettings()
 	s.ReplicationFactor = 1
@@ -97,7 +99,7 @@
 	assert.Equal(t, []Reject{{QueryID: id, RetryAfter: s.MaxRetryAfter}}, actionsOf[Reject](actions))
 }
 
-// Queries that end because of overload reduce the admissions of their class, and answers in time raise them again.
+// Queries that end because of overload must reduce the admissions of their class, and answers in time raise them again.
 func TestOverloadedClassIsPaced(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
@@ -119,7 +121,7 @@
 	a.queriesByID[overloaded.ID] = overloaded
 	a.rejectOrFail(overloaded)
 	a.rejectOrFail(overloaded)
-	a.settings.InstanceCount = 11 // own capacity says nothing about the load
+	a.settings.InstanceCount = 11 // own attempts in flight say nothing about the load
 	rejected := rejectedOf100()
 	assert.GreaterOrEqual(t, rejected, 10)
 	assert.LessOrEqual(t, rejected, 90)
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -10,53 +10,54 @@
 	// timerIntervalTicks is the number of ticks between two timers while queries are open.
 	timerIntervalTicks = 2
 
-	// maxBackoffDoublings is the number of times that any backoff doubles at most.
+	// maxBackoffDoublings is the maximum number of times that any backoff doubles.
 	maxBackoffDoublings = 3
 )
 
-// Aggregator makes the decisions of one aggregator. Its methods must not be called concurrently.
+// Aggregator is the decision logic of one aggregator. Its methods must not be called concurrently.
 type Aggregator struct {
 	settings  Settings
 	now       Micros
-	startedAt Micros // the first call of Step
-	timerAt   Micros // when the pending timer fires
-	actions   []Action
+	startedAt Micros   // time of the first call of Step
+	timerAt   Micros   // time at which the pending timer fires
+	actions   []Action // of the current step
 
-	// meanLatencyObjective is the mean latency objective of the classes in microseconds: the unit of slow processes.
+	// meanLatencyObjective is the mean latency objective of the classes in microseconds. It is the unit of the time
+	// constants of slow processes.
 	meanLatencyObjective float64
 
-	// lateThreshold is the multiple of its predicted latency from which an attempt is late.
+	// lateThreshold is the multiple of its predicted latency above which an attempt is late.
 	lateThreshold float64
 
-	// The endpoints. Decisions iterate over sortedServers, never over a map, so that they can be reproduced.
-	serversByID   map[uint32]*server // by ID
-	sortedServers []*server          // in ascending order of ID
-	replicas      [][]*server        // by shard, each in ascending order of ID
+	// The endpoints. Decisions iterate over sortedServers, never over a map, so that they are reproducible.
+	serversByID   map[uint32]*server
+	sortedServers []*server   // in ascending order of ID
+	replicas      [][]*server // by shard, each in ascending order of ID
 	polling       endpointPolling
 
 	// The open queries.
-	classes         []*class
-	queriesByID     map[uint64]*query // by ID
+	classes         []*class // by index, as in Settings.Classes
+	queriesByID     map[uint64]*query
 	queriesByNumber map[uint64]*query
-	partsByID       map[uint64]*part // by ID
-	openQueries     []*query         // in the order of dispatch
-	queuedParts     []float64        // by shard: parts that found no capacity in the last dispatch
-	shardArrivals   []timedAmount    // by shard: accepted parts, decaying over the slow start duration
+	partsByID       map[uint64]*part
+	openQueries     []*query      // in the order of dispatch
+	queuedParts     []float64     // by shard: number of parts that found no server in the last dispatch
+	shardArrivals   []timedAmount // by shard: number of accepted parts, decaying over the slow start duration
 
 	fleet         fleetStats
 	retryBudget   retryBudget
 	connections   connectionStats
 	crashSuspects crashSuspects
 
-	// healthCheckCredits is the number of health checks that may be sent.
+	// healthCheckCredits is the number of health checks that may be sent now.
 	healthCheckCredits float64
 
-	// outlierLoggedAt is when a change of an outlier was last logged.
+	// outlierLoggedAt is the time at which the log last reported that a server became an outlier or ceased to be one.
 	outlierLoggedAt Micros
 }
 
-// New returns an aggregator without endpoints or statistics. The decisions draw no random numbers; the seed is
-// ignored. The error is an *InvalidSettingError.
+// New returns an aggregator without endpoints or statistics. The seed is ignored, since decisions use no random
+// numbers. An error is an *InvalidSettingError.
 func New(settings Settings, _ uint64) (*Aggregator, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -79,7 +80,7 @@
 	return a, nil
 }
 
-// Step handles the events since the last call and returns what to do now, in order.
+// Step handles the events since the last call and returns the actions to carry out now, in order.
 func (a *Aggregator) Step(now Micros, events []Event) []Action {
 	a.now = max(now, a.now)
 	a.startedAt = cmp.Or(a.startedAt, a.now)
@@ -126,7 +127,7 @@
 	}
 }
 
-// setTimer keeps one timer pending while queries are open.
+// setTimer requests a timer if queries are open and none is pending.
 func (a *Aggregator) setTimer() {
 	if len(a.openQueries) == 0 || a.timerAt > a.now {
 		return
@@ -143,19 +144,19 @@
 	a.applySettings(settings)
 }
 
-// applySettings replaces the settings. Open queries keep the settings of their classes. The statistics of servers
-// and, by name, of classes stay, and so do attempts in flight: otherwise a change would send a burst to servers
-// that are warming up.
+// applySettings replaces the settings. Open queries keep the settings of their classes. It retains the statistics of
+// servers and, by name, of classes, and the attempts in flight: without them, a reconfiguration would send a burst of
+// parts to servers that are warming up.
 func (a *Aggregator) applySettings(settings Settings) {
-	known := map[string]*classStats{}
+	statsByName := map[string]*classStats{}
 	for _, c := range a.classes {
-		known[c.Name] = c.classStats
+		statsByName[c.Name] = c.classStats
 	}
 	a.settings = settings
 	a.classes = nil
 	a.meanLatencyObjective = 0
 	for _, c := range settings.Classes {
-		stats := cmp.Or(known[c.Name], &classStats{meanFanOut: initialFanOut})
+		stats := cmp.Or(statsByName[c.Name], &classStats{meanFanOut: initialFanOut})
 		if stats.answerCount == 0 {
 			stats.referenceLatency = float64(c.LatencyObjective)
 		}
@@ -174,8 +175,8 @@
 	a.rebuildReplicas()
 }
 
-// extendShards adds the state of new shards. It never removes any: open parts may belong to shards that no longer
-// exist.
+// extendShards adds the state of new shards. It never removes the state of a shard, since open parts may belong to
+// shards that no longer exist.
 func (a *Aggregator) extendShards(shards int) {
 	for len(a.replicas) < shards {
 		a.replicas = append(a.replicas, nil)
--- a/policy/aggregator_test.go
+++ b/policy/aggregator_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A reconfiguration shortens the latency objective of a class and removes another one, while a query of the removed
-// class is open.
+// A reconfiguration removes the class of an open query, whose index then belongs to another class. The query must keep
+// its settings and be answered.
 func TestOpenQueriesKeepTheirSettings(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = settings.Classes[:2]
@@ -40,9 +40,11 @@
 	})
 	assert.Contains(t, actions, Action(Answer{QueryID: 7, Complete: true}))
 	actions = a.Step(2_700_000, []Event{Query{ID: 9, Number: 9, Class: 1, Deadline: 9_000_000, PartCount: 1}})
-	assert.Contains(t, actions, Action(Reject{QueryID: 9}), "the class is unknown now")
+	assert.Contains(t, actions, Action(Reject{QueryID: 9}), "the class no longer exists")
 }
 
+// Unknown IDs, duplicates, invalid parts, numbers that are not finite, times that run backwards and endpoints off the
+// ring must cause no panic and leave valid queries unaffected.
 func TestInvalidInputIsIgnored(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.step(0,
@@ -66,7 +68,7 @@
 	result := resultOf(h.stepSends(0, events...)[0], OK)
 	result.Report.InFlight = math.NaN()
 	result.Report.RequestRate = math.Inf(1)
-	h.step(-50_000, result, result) // twice, and the time runs backwards
+	h.step(-50_000, result, result) // the same result twice, at a time before the last step
 	require.Equal(t, 1, h.finalActionCount(id))
 	actions := h.step(100_000, Query{ID: 9, Number: 9, Class: 44, PartCount: 1})
 	require.Len(t, actionsOf[Reject](actions), 1, "a query of an unknown class")
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -2,32 +2,33 @@
 
 import "slices"
 
-// quickAnswerRatio is the multiple of the base latency below which an answer is quick.
+// quickAnswerRatio is the multiple of the base latency below which an answer counts as quick.
 const quickAnswerRatio = 2.0
 
-// handleAttemptResult ends an attempt and ignores results of attempts that are not in flight.
+// handleAttemptResult ends an attempt and decides whether its part is retried. It ignores results of attempts that
+// are not in flight.
 func (a *Aggregator) handleAttemptResult(result AttemptResult) {
 	s := a.serversByID[result.ServerID]
 	if s == nil {
 		return
 	}
-	isSame := func(t *attempt) bool { return t.part.ID == result.PartID && t.index == result.AttemptIndex }
-	index := slices.IndexFunc(s.inFlight, isSame)
+	matches := func(t *attempt) bool { return t.part.ID == result.PartID && t.index == result.AttemptIndex }
+	index := slices.IndexFunc(s.inFlight, matches)
 	if index < 0 {
 		return
 	}
-	ended := s.inFlight[index]
-	p := ended.part
-	s.inFlight = slices.DeleteFunc(s.inFlight, isSame)
-	p.inFlight = slices.DeleteFunc(p.inFlight, isSame)
+	finished := s.inFlight[index]
+	p := finished.part
+	s.inFlight = slices.DeleteFunc(s.inFlight, matches)
+	p.inFlight = slices.DeleteFunc(p.inFlight, matches)
 	p.mayHaveRun = p.mayHaveRun || !result.Status.neverRan()
 	a.recordLoad(s, result.Report)
-	a.recordAttemptResult(ended, result.Status)
+	a.recordAttemptResult(finished, result.Status)
 	if p.query.closed || a.partsByID[p.ID] != p || p.state != partInFlight {
 		return
 	}
 	if result.Status == OK {
-		a.handleAnswer(ended)
+		a.handleAnswer(finished)
 		return
 	}
 	if result.Status == ConnectionBroken {
@@ -42,7 +43,7 @@
 	}
 }
 
-// handleAnswer marks a part as answered and cancels its other attempts.
+// handleAnswer marks the part of an attempt as answered and cancels the part's other attempts.
 func (a *Aggregator) handleAnswer(answered *attempt) {
 	p := answered.part
 	p.state = partAnswered
--- a/policy/batching_test.go
+++ b/policy/batching_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Parts of a query share a batch if batches have overhead, and go to distinct servers otherwise.
+// Parts of a query must share a batch if batches have overhead, and go to distinct servers otherwise.
 func TestBatchesAreSharedIfTheyHaveOverhead(t *testing.T) {
 	for _, overhead := range []Micros{0, 100_000} {
 		s := singleRingSettings()
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Each aggregator may have two attempts in flight at a server, and more if few aggregators share it.
+// An aggregator may have at least two attempts in flight at a server, and more if few aggregators share the server.
 func TestConcurrencyLimitDependsOnTheInstanceCount(t *testing.T) {
 	for instances, limit := range map[int]int{1: 6, 2: 3, 3: 2, 32: 2} {
 		s := singleRingSettings()
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	// coverageTolerance is the amount by which sums of weights may fall short because of rounding.
+	// coverageTolerance is the amount by which a sum of weights may fall short because of rounding.
 	coverageTolerance = 5e-5
 
 	// deadlineMarginTicks is the number of ticks before the client's deadline at which a query is ended.
@@ -12,17 +12,18 @@
 	// partialAnswerMarginTicks is the number of ticks before the latency objective at which a partial answer is sent.
 	partialAnswerMarginTicks = 3
 
-	// fetchReserveRatio is the time reserved for the fetch phase, in reference latencies.
+	// fetchReserveRatio is the time reserved for the fetch phase as a multiple of the class's reference latency.
 	fetchReserveRatio = 2.0
 
-	// fetchReserveTicks is added to that time, in ticks.
+	// fetchReserveTicks is the number of ticks added to that time.
 	fetchReserveTicks = 2
 
-	// responseTimeRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted wait.
+	// responseTimeRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted response time.
 	responseTimeRatioGain = 0.15
 )
 
-// advanceQuery ends a query if it can be answered or is hopeless; otherwise it replaces the query's late parts.
+// advanceQuery ends a query that can be answered or that has no prospect of a better answer. Otherwise it replaces the
+// query's late parts.
 func (a *Aggregator) advanceQuery(q *query) {
 	if q.closed || a.awaitsFetchParts(q) {
 		return
@@ -34,13 +35,13 @@
 		required = 1 - coverageTolerance
 	}
 	minimum := q.class.MinCoverage - coverageTolerance
-	isHopeless := attainable < minimum || a.now >= a.queryDeadline(q)
+	mustEnd := attainable < minimum || a.now >= a.queryDeadline(q)
 	isExhausted := attainable < required && coverage >= attainable-coverageTolerance
-	isPartialDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.partialAnswerDeadline(q)
+	isPartialAnswerDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.partialAnswerDeadline(q)
 	switch {
 	case coverage >= required:
 		a.answerQuery(q, true)
-	case !isHopeless && !isExhausted && !isPartialDue:
+	case !mustEnd && !isExhausted && !isPartialAnswerDue:
 		a.replaceLateParts(q)
 	case coverage >= minimum && coverage > 0:
 		a.answerQuery(q, false)
@@ -49,12 +50,13 @@
 	}
 }
 
-// awaitsFetchParts reports whether parts of the fetch phase have yet to arrive.
+// awaitsFetchParts reports whether parts of the fetch phase have yet to arrive as events.
 func (a *Aggregator) awaitsFetchParts(q *query) bool {
 	return q.phase == fetchPhase && len(q.parts) < q.expectedFetchParts && a.now < a.queryDeadline(q)
 }
 
-// computeCoverage returns the weight of a query's answered parts, and of those that are or may yet be answered.
+// computeCoverage returns the total weight of a query's answered parts, and that of all its parts that are answered or
+// may still be.
 func (q *query) computeCoverage() (answered, attainable float64) {
 	for _, p := range q.parts {
 		if p.state == partAnswered {
@@ -67,8 +69,8 @@
 	return answered, attainable
 }
 
-// partialAnswerDeadline returns when a query is answered in part if it can be: before the latency objective, with time for
-// a fetch phase that follows.
+// partialAnswerDeadline returns the time from which a query gets a partial answer if its coverage permits one. The time
+// lies before the latency objective and leaves room for a fetch phase that follows.
 func (a *Aggregator) partialAnswerDeadline(q *query) Micros {
 	if q.class.FetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
@@ -77,8 +79,8 @@
 	return q.objectiveDeadline - partialAnswerMarginTicks*a.settings.Tick
 }
 
-// queryDeadline returns when a query is ended at the latest: before the client's deadline, and at the latency
-// objective if later answers are worth nothing.
+// queryDeadline returns the time at which a query is ended at the latest: shortly before the client's deadline, and no
+// later than the latency objective if the class assigns no value to late answers.
 func (a *Aggregator) queryDeadline(q *query) Micros {
 	deadline := q.Deadline - deadlineMarginTicks*a.settings.Tick
 	if q.class.LateWeight <= 0 {
@@ -87,13 +89,13 @@
 	return deadline
 }
 
-// answerQuery answers a query from its answered parts, and closes it unless the fetch phase follows.
+// answerQuery answers a query from its answered parts. It closes the query unless a fetch phase follows.
 func (a *Aggregator) answerQuery(q *query, complete bool) {
 	isComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
 	a.emit(Answer{QueryID: q.ID, Complete: isComplete})
 	if q.phase == firstPhase {
-		waitRatio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
-		smooth(&q.class.responseTimeRatio, waitRatio, responseTimeRatioGain)
+		ratio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
+		smooth(&q.class.responseTimeRatio, ratio, responseTimeRatioGain)
 	}
 	if q.phase == fetchPhase || q.class.FetchParts == 0 {
 		a.closeQuery(q)
@@ -102,7 +104,7 @@
 	a.startFetchPhase(q, complete)
 }
 
-// startFetchPhase drops the parts of the first phase; those of the fetch phase arrive as events.
+// startFetchPhase removes the parts of the first phase. Those of the fetch phase arrive as events.
 func (a *Aggregator) startFetchPhase(q *query, firstPhaseComplete bool) {
 	a.dropParts(q)
 	answered := 0
@@ -118,11 +120,11 @@
 	q.usedServerIDs = nil
 }
 
-// rejectOrFail ends a query without an answer. It is rejected, so that the client may retry it, unless the first
-// phase was answered or a part that is not idempotent may have run.
+// rejectOrFail ends a query without an answer. The query is rejected, which allows the client to retry it, unless its
+// first phase was answered or a part that is not idempotent may have run.
 func (a *Aggregator) rejectOrFail(q *query) {
-	hasEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
-	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, hasEffect) {
+	mayHaveEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
+	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, mayHaveEffect) {
 		a.emit(Fail{QueryID: q.ID})
 	} else {
 		a.emit(Reject{QueryID: q.ID, RetryAfter: a.settings.MaxRetryAfter})
@@ -130,7 +132,7 @@
 	a.closeQuery(q)
 }
 
-// closeQuery forgets a query and cancels its attempts in flight.
+// closeQuery removes a query and cancels its attempts in flight.
 func (a *Aggregator) closeQuery(q *query) {
 	q.closed = true
 	a.updateOverloadCount(q)
@@ -141,7 +143,8 @@
 	}
 }
 
-// updateOverloadCount counts a closed query for its class: answered in time, or late or unanswered after a rejection.
+// updateOverloadCount updates the overload count of a closed query's class. An answer in time halves the count. A query
+// that is late or unanswered after a server rejected one of its attempts increments it.
 func (a *Aggregator) updateOverloadCount(q *query) {
 	isInTime := a.now <= q.objectiveDeadline && q.coverage >= q.class.MinCoverage-coverageTolerance
 	switch {
@@ -152,7 +155,7 @@
 	}
 }
 
-// dropParts cancels the attempts at a query's parts and forgets the parts.
+// dropParts removes a query's parts and cancels their attempts in flight.
 func (a *Aggregator) dropParts(q *query) {
 	for _, p := range q.parts {
 		for _, attempt := range p.inFlight {
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A query whose attempts never end must be ended by the timer before its client stops waiting, whatever its class.
 func TestEveryQueryEndsBeforeItsTimeout(t *testing.T) {
 	for class, settings := range testClasses() {
 		h := newHarness(t, singleRingSettings())
@@ -19,7 +20,7 @@
 	}
 }
 
-// The class requires a coverage of 1 for a complete answer and of 0.8 for any.
+// The class requires a coverage of 1 for a complete answer and of 0.8 for a partial one.
 func TestAnswersReportTheirCoverage(t *testing.T) {
 	const parts = 5
 	for _, answered := range []int{3, 4, 5} {
--- a/policy/crashsuspects.go
+++ b/policy/crashsuspects.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// minDisconnectedServers is the number of servers that must break a query's connections before it is ended.
+// minDisconnectedServers is the number of servers that must break a query's connections before the query is ended.
 const minDisconnectedServers = 2
 
-// crashSuspects describes queries that may crash servers: those with the key, and any retries.
+// crashSuspects identifies the queries that may crash servers: until expiresAt, those with the request key and all
+// retries.
 type crashSuspects struct {
 	requestKey uint64
 	expiresAt  Micros
 }
 
-// handleBrokenConnection ends a query that may crash servers: one whose connections two servers broke before
-// any part was answered. For the slow start duration, queries with the same key and retries then send one part
-// ahead of the others. Several connections that a single server breaks are no evidence, nor are resets that spare
-// some of the query's parts.
+// handleBrokenConnection ends a query that may crash servers: one whose connections two servers broke, or one server
+// while the query was sending a single part first, before any part was answered. For the slow start duration, queries
+// with the same request key and retries then send one part ahead of the others. Several connections broken by the same
+// server are no evidence, nor are broken connections after another part of the query was answered.
 func (a *Aggregator) handleBrokenConnection(q *query, s *server) {
 	if !slices.Contains(q.disconnectedServerIDs, s.ID) {
 		q.disconnectedServerIDs = append(q.disconnectedServerIDs, s.ID)
@@ -29,7 +30,7 @@
 	}
 }
 
-// mayCrashServers reports whether a new query may be one that has recently broken connections.
+// mayCrashServers reports whether a new query may be the one whose connections servers have recently broken.
 func (a *Aggregator) mayCrashServers(q *query) bool {
 	hasSuspectKey := q.RequestKey != 0 && q.RequestKey == a.crashSuspects.requestKey
 	return a.now < a.crashSuspects.expiresAt && (q.Retry || hasSuspectKey)
--- a/policy/crashsuspects_test.go
+++ b/policy/crashsuspects_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Several connections broken by the same server must not end a query: only breaks by distinct servers suggest that the
+// query crashes them.
 func TestServerThatBreaksSeveralConnectionsCountsOnce(t *testing.T) {
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 20, 100_000)
@@ -26,8 +28,8 @@
 	return id, h.stepSends(testTick, events...)
 }
 
-// A query that breaks two servers' connections is ended at once. The next query with its key sends one part ahead
-// of the others.
+// A query that crashes servers would crash one after the other if it were retried everywhere. It must be ended once two
+// servers have broken its connections, and the next query with its key must send one part ahead of the others.
 func TestQueriesThatCrashServersAreContained(t *testing.T) {
 	const crashingKey = 7
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
@@ -38,23 +40,23 @@
 	for _, s := range sent[:2] {
 		h.step(testTick, resultOf(s, ConnectionBroken))
 	}
-	require.Equal(t, 1, h.finalActionCount(id), "after two broken connections")
+	require.Equal(t, 1, h.finalActionCount(id), "final actions after two broken connections")
 
 	_, sent = h.sendQueryWithKey(crashingKey)
-	require.Len(t, sent, 1, "ahead of the others")
-	assert.Len(t, h.stepSends(testTick, resultOf(sent[0], OK)), 2, "after the first answer")
+	require.Len(t, sent, 1, "parts sent first, with the same key")
+	assert.Len(t, h.stepSends(testTick, resultOf(sent[0], OK)), 2, "parts sent after the first answer")
 
 	_, sent = h.sendQueryWithKey(8)
-	assert.Len(t, sent, 3, "with another key")
+	assert.Len(t, sent, 3, "parts sent first, with another key")
 
 	id, sent = h.sendQueryWithKey(9)
 	h.step(testTick, resultOf(sent[2], OK))
 	for _, s := range sent[:2] {
 		h.step(testTick, resultOf(s, ConnectionBroken))
 	}
-	assert.Zero(t, h.finalActionCount(id), "resets that spared a part are no evidence")
+	assert.Zero(t, h.finalActionCount(id), "broken connections are no evidence once a part is answered")
 
 	h.now += h.aggregator.settings.SlowStartDuration
 	_, sent = h.sendQueryWithKey(crashingKey)
-	assert.Len(t, sent, 3, "after the slow start duration")
+	assert.Len(t, sent, 3, "parts sent first, after the slow start duration")
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -10,16 +10,17 @@
 func (a *Aggregator) dispatch() {
 	clear(a.queuedParts)
 	slices.SortStableFunc(a.openQueries, func(x, y *query) int { return cmp.Compare(x.dispatchAt, y.dispatchAt) })
-	for _, late := range []bool{false, true} {
+	for _, pastObjective := range []bool{false, true} {
 		for _, q := range a.openQueries {
-			a.dispatchQuery(q, late)
+			a.dispatchQuery(q, pastObjective)
 		}
 	}
 }
 
-// dispatchQuery sends the queued parts of a query if it is open and late or not as given.
-func (a *Aggregator) dispatchQuery(q *query, late bool) {
-	if isLate := q.objectiveDeadline <= a.now; q.closed || isLate != late {
+// dispatchQuery sends the queued parts of a query. It does nothing if the query is closed, or if pastObjective differs
+// from whether the query is past its latency objective.
+func (a *Aggregator) dispatchQuery(q *query, pastObjective bool) {
+	if isPast := q.objectiveDeadline <= a.now; q.closed || isPast != pastObjective {
 		return
 	}
 	for _, p := range q.parts {
@@ -28,14 +29,14 @@
 		}
 		if s := a.chooseReplica(p); s != nil {
 			a.sendPart(p, s)
-		} else if !late {
+		} else if !pastObjective {
 			a.queuedParts[p.Shard]++
 		}
 	}
 }
 
-// maySend reports whether the rules and limits let a part go to a server now. If the shard has a healthy replica,
-// busy servers and outliers are excluded too.
+// maySend reports whether the constraints and limits permit sending a part to a server now. If the shard has a healthy
+// replica, busy servers and outliers are excluded as well.
 func (a *Aggregator) maySend(s *server, p *part, hasHealthyReplica bool) bool {
 	if s.State != Ready || !a.holdsShard(s, p.Shard) {
 		return false
@@ -58,8 +59,7 @@
 	return !a.isOutlier(s) || a.mayTryOutlier(s, p)
 }
 
-// mayAttempt reports whether the part's idempotency and the limit on attempts allow another attempt. It holds for a
-// part without attempts as well.
+// mayAttempt reports whether the part's idempotency and the limit on attempts permit a first or further attempt.
 func (a *Aggregator) mayAttempt(p *part) bool {
 	if a.attemptsExhausted(p) {
 		return false
@@ -73,8 +73,8 @@
 	case NonIdempotent:
 		return !p.mayHaveRun
 	case IdempotentByKey:
-		isFirst := !p.mayHaveRun && !isInFlight
-		return isFirst || a.now < p.firstSentAt+p.query.class.DeduplicationWindow
+		hasNotRun := !p.mayHaveRun && !isInFlight
+		return hasNotRun || a.now < p.firstSentAt+p.query.class.DeduplicationWindow
 	default:
 		return true
 	}
@@ -84,8 +84,8 @@
 	return a.settings.MaxAttempts > 0 && p.attemptCount >= a.settings.MaxAttempts
 }
 
-// sendPart sends a part to a server and reports whether it did. All attempts are sent here, so the rules are checked
-// once more.
+// sendPart sends a part to a server and reports whether it did. Every attempt is sent here, so the constraints are
+// checked once more.
 func (a *Aggregator) sendPart(p *part, s *server) bool {
 	if !a.maySend(s, p, false) {
 		return false
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A retry of a part that may have run would execute it twice. That is permitted for idempotent parts, and for parts
+// that are idempotent by key while the server still drops duplicates.
 func TestPartsThatMayHaveRunAreRetriedOnlyIfIdempotent(t *testing.T) {
 	for _, c := range []struct {
 		class   int
@@ -36,6 +38,7 @@
 	}
 }
 
+// A draining server, or one that is no longer listed, would drop the parts sent to it when it stops.
 func TestDrainingServersReceiveNoParts(t *testing.T) {
 	servers := readyEndpoints(1, 2, 3)
 	servers[1].State = Draining
@@ -50,7 +53,7 @@
 		require.Equal(t, uint32(1), s.ServerID)
 	}
 
-	// send must refuse such a server by itself, whoever calls it.
+	// sendPart must itself refuse a draining server, whatever its caller has checked.
 	h = newHarness(t, singleRingSettings(), servers...)
 	a := h.aggregator
 	_, events := h.newQuery(idempotentClass, 1)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -13,13 +13,13 @@
 const (
 	idempotentClass    = iota
 	partialClass       // accepts partial answers
-	nonIdempotentClass // earns something for late answers
+	nonIdempotentClass // late answers have a value
 	keyedClass         // idempotent by key
 	fetchClass         // has a fetch phase
 )
 
-// testSettings describes a small deployment with every kind of idempotency, a fetch phase, partial answers, a retry
-// budget and slow start.
+// testSettings returns the settings of a small deployment with every kind of idempotency, a fetch phase, partial
+// answers, a retry budget and slow start.
 func testSettings() Settings {
 	return Settings{
 		InstanceCount:      2,
@@ -75,15 +75,15 @@
 	}
 }
 
-// harness drives an aggregator event by event.
+// harness drives an aggregator event by event on a simulated clock.
 type harness struct {
 	aggregator *Aggregator
 	now        Micros
-	lastID     uint64
+	lastID     uint64   // ID of the newest query
 	actions    []Action // since the test last cleared them
 }
 
-// singleRingSettings describes a ring of three positions on which every server holds every shard.
+// singleRingSettings returns the settings of a ring of three positions on which every server holds every shard.
 func singleRingSettings() Settings {
 	s := testSettings()
 	s.RingSize = 3
@@ -95,7 +95,7 @@
 	return s
 }
 
-// newHarness returns an aggregator that knows the servers, or else three ready ones.
+// newHarness returns a harness whose aggregator knows the given servers, or three ready ones if none are given.
 func newHarness(t *testing.T, s Settings, servers ...Endpoint) *harness {
 	t.Helper()
 	aggregator, err := New(s, 1)
@@ -116,7 +116,7 @@
 	return endpoints
 }
 
-// step advances the time and returns the actions that the events bring.
+// step advances the time, reports the events and returns the resulting actions.
 func (h *harness) step(after Micros, events ...Event) []Action {
 	h.now += after
 	actions := h.aggregator.Step(h.now, events)
@@ -124,7 +124,7 @@
 	return actions
 }
 
-// stepSends advances the time and returns the attempts that the events bring.
+// stepSends does the same as step but returns only the attempts to send.
 func (h *harness) stepSends(after Micros, events ...Event) []SendAttempt {
 	return actionsOf[SendAttempt](h.step(after, events...))
 }
@@ -146,7 +146,7 @@
 	return id, events
 }
 
-// answerQueries runs queries of one part each, which are answered after the latency.
+// answerQueries runs queries of one part each, one after the other, and answers their attempts after the latency.
 func (h *harness) answerQueries(class, queries int, latency Micros) {
 	for range queries {
 		_, events := h.newQuery(class, 1)
@@ -174,19 +174,19 @@
 	return count
 }
 
-// resultOf ends the first attempt at a part.
+// resultOf returns the result of the first attempt at a part.
 func resultOf(sent SendAttempt, status Status) AttemptResult {
 	return AttemptResult{PartID: sent.PartID, ServerID: sent.ServerID, Status: status, Report: NoLoadReport}
 }
 
-// resultOfAttempt ends an attempt at a part by its index.
+// resultOfAttempt returns the result of the attempt with the given index at a part.
 func resultOfAttempt(sent SendAttempt, attempt int, status Status) AttemptResult {
 	result := resultOf(sent, status)
 	result.AttemptIndex = attempt
 	return result
 }
 
-// actionsOf returns the actions of a type.
+// actionsOf returns the actions of the type T.
 func actionsOf[T Action](actions []Action) []T {
 	var matching []T
 	for _, action := range actions {
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-// fullTimeoutPercent is the percentage of the longest known timeout from which a retry's timeout counts as uncut.
+// fullTimeoutPercent is the percentage of the longest known timeout from which the timeout of a retry does not count as
+// reduced by the time of earlier tries.
 const fullTimeoutPercent = 98
 
-// acceptQuery opens a query. It is admitted or rejected once all events of the step are handled.
+// acceptQuery opens a query, which is admitted or rejected once all events of the step are handled. A query of an
+// unknown class is rejected at once.
 func (a *Aggregator) acceptQuery(event Query) {
 	a.recordForBudget(&a.retryBudget.accepted)
 	if a.queriesByID[event.ID] != nil {
@@ -28,7 +30,7 @@
 	if !event.Retry {
 		c.longestTimeout = max(c.longestTimeout, timeout)
 	} else if timeout < c.longestTimeout*fullTimeoutPercent/100 {
-		// The client's timeout runs over all its tries, so the deadline shows when the first one started.
+		// The client's timeout covers all its tries, so the deadline shows when the first one started.
 		q.objectiveDeadline = min(q.objectiveDeadline, event.Deadline-c.Timeout+c.LatencyObjective)
 	}
 	a.queriesByID[event.ID] = q
@@ -36,7 +38,7 @@
 	a.openQueries = append(a.openQueries, q)
 }
 
-// acceptPart adds a part to its query and ignores invalid ones.
+// acceptPart adds a part to its query. Invalid parts are ignored.
 func (a *Aggregator) acceptPart(event Part) {
 	a.recordForBudget(&a.retryBudget.accepted)
 	q := a.queriesByNumber[event.QueryNumber]
@@ -60,8 +62,8 @@
 	return !isKnown && hasShard && hasWeight
 }
 
-// recordCostHint returns the cost that a hint predicts as a multiple of the class's mean, and learns from the hint.
-// Hints are rough: the square root keeps half of a hint's logarithm.
+// recordCostHint updates the class's mean cost hint with a hint, and returns the cost that the hint predicts as a
+// multiple of the class's mean cost. Hints are rough: the square root halves the logarithm of the ratio.
 func (c *class) recordCostHint(hint Micros) float64 {
 	if hint <= 0 {
 		return 1
--- a/policy/invariantchecker_test.go
+++ b/policy/invariantchecker_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// invariantChecker reports random valid events to an aggregator and checks invariants of its actions (invariantchecks_test.go).
-// It does not model servers: results and delays are drawn at random.
+// invariantChecker reports random valid events to an aggregator and checks invariants of its actions
+// (invariantchecks_test.go). It does not model servers: results and delays are drawn at random.
 type invariantChecker struct {
 	t          *testing.T
 	settings   Settings
@@ -20,26 +20,26 @@
 	actions []Action // of all steps
 
 	servers      map[uint32]Endpoint
-	drainedAt    map[uint32]Micros // when a server's Draining or Removed state was first reported
+	drainedAt    map[uint32]Micros // by server: when its state was first reported as Draining or Removed
 	queries      map[uint64]*checkedQuery
 	parts        map[uint64]*checkedPart
 	inFlight     []checkedAttempt
-	healthChecks []uint32 // servers whose health checks are in flight
-	timers       []Micros // when they fire
+	healthChecks []uint32 // IDs of the servers with a health check in flight
+	timers       []Micros // times at which timers fire
 	nextID       uint64
-	lastNumber   uint64
+	lastNumber   uint64 // Query.Number of the newest query
 
-	acceptedAt   []Micros // times of the accepted queries and parts
-	retriedAt    []Micros // times of the retries
+	acceptedAt   []Micros // times at which queries and parts were accepted
+	retriedAt    []Micros // times at which parts were retried
 	warmingSends map[uint32][]warmingSend
 
-	endedQueries int
-	sentAttempts int
+	endedQueryCount  int
+	sentAttemptCount int
 
-	// reconfigurations counts changes of the settings; none are made if it is negative.
+	// reconfigurations is the number of changes of the settings so far. If it is negative, none are made.
 	reconfigurations int
 
-	// repeatSettings repeats the unchanged settings in every step.
+	// repeatSettings makes every step reconfigure the aggregator with its unchanged settings.
 	repeatSettings bool
 }
 
@@ -53,23 +53,23 @@
 }
 
 type checkedPart struct {
-	query       *checkedQuery
-	shard       int
-	weight      float64
-	attempts    int
-	inFlight    map[int]bool // by index of the attempt
-	mayHaveRun  bool
-	firstSentAt Micros
-	answered    bool
+	query        *checkedQuery
+	shard        int
+	weight       float64
+	attemptCount int
+	inFlight     map[int]bool // by index of the attempt
+	mayHaveRun   bool
+	firstSentAt  Micros
+	answered     bool
 }
 
 type checkedAttempt struct {
-	part   uint64
-	index  int
-	server uint32
-	sentAt Micros
-	endsAt Micros
-	status Status
+	partID   uint64
+	index    int
+	serverID uint32
+	sentAt   Micros
+	endsAt   Micros
+	status   Status
 }
 
 func newInvariantChecker(t *testing.T, settings Settings, seed uint64) *invariantChecker {
@@ -104,7 +104,8 @@
 	return c.nextID
 }
 
-// run makes steps with random events, then steps without new ones until all queries must have ended.
+// run takes the given number of steps with random events, then steps without new ones until all queries must have
+// ended.
 func (c *invariantChecker) run(steps int) {
 	for range steps {
 		c.now += c.settings.Tick * Micros(1+c.random.IntN(3))
@@ -168,7 +169,7 @@
 	c.sendEndpointList()
 }
 
-// reconfigure draws other classes, in another order and with other times, and other limits.
+// reconfigure changes the settings at random: the choice, order and times of the classes, and the limits.
 func (c *invariantChecker) reconfigure() {
 	c.reconfigurations++
 	settings := c.settings
@@ -246,7 +247,7 @@
 	}
 }
 
-// step reports the events that are due and checks the actions that they bring.
+// step reports the events that are due and checks the resulting actions.
 func (c *invariantChecker) step() {
 	c.endAttempts()
 	for _, server := range c.healthChecks {
@@ -266,7 +267,7 @@
 	c.actions = append(c.actions, actions...)
 }
 
-// endAttempts reports the results of the attempts that end by now.
+// endAttempts reports the results of the attempts that are due to end.
 func (c *invariantChecker) endAttempts() {
 	var remaining []checkedAttempt
 	for _, attempt := range c.inFlight {
@@ -274,7 +275,7 @@
 			remaining = append(remaining, attempt)
 			continue
 		}
-		p := c.parts[attempt.part]
+		p := c.parts[attempt.partID]
 		delete(p.inFlight, attempt.index)
 		if attempt.status != Rejected && attempt.status != ConnectFailed && attempt.status != Withdrawn {
 			p.mayHaveRun = true
@@ -287,9 +288,9 @@
 			report.InFlight = float64(c.random.IntN(6))
 		}
 		c.add(AttemptResult{
-			PartID:       attempt.part,
+			PartID:       attempt.partID,
 			AttemptIndex: attempt.index,
-			ServerID:     attempt.server,
+			ServerID:     attempt.serverID,
 			Status:       attempt.status,
 			Elapsed:      c.now - attempt.sentAt,
 			Report:       report,
@@ -331,7 +332,7 @@
 func (c *invariantChecker) cancelAttempt(action CancelAttempt) {
 	for i := range c.inFlight {
 		attempt := &c.inFlight[i]
-		if attempt.part == action.PartID && attempt.index == action.AttemptIndex {
+		if attempt.partID == action.PartID && attempt.index == action.AttemptIndex {
 			attempt.endsAt = c.now
 			attempt.status = Canceled
 		}
@@ -344,7 +345,7 @@
 		c.t.Fatalf("query %d got a second final action, or is unknown", id)
 	}
 	query.closed = true
-	c.endedQueries++
+	c.endedQueryCount++
 }
 
 func (c *invariantChecker) startAttempt(action SendAttempt, index int) {
@@ -360,11 +361,11 @@
 		delay = timeout
 	}
 	c.inFlight = append(c.inFlight, checkedAttempt{
-		part:   action.PartID,
-		index:  index,
-		server: action.ServerID,
-		sentAt: c.now,
-		endsAt: c.now + delay,
-		status: status,
+		partID:   action.PartID,
+		index:    index,
+		serverID: action.ServerID,
+		sentAt:   c.now,
+		endsAt:   c.now + delay,
+		status:   status,
 	})
 }
--- a/policy/invariantchecks_test.go
+++ b/policy/invariantchecks_test.go
@@ -1,6 +1,6 @@
 package policy
 
-// warmingSend is work sent to a server during its slow start.
+// warmingSend records the work of a part that was sent to a server during its slow start.
 type warmingSend struct {
 	sentAt          Micros
 	serverStartedAt Micros
@@ -18,15 +18,15 @@
 func (c *invariantChecker) checkReject(action Reject) {
 	query := c.queries[action.QueryID]
 	for _, p := range query.parts {
-		if query.class.Idempotency == NonIdempotent && p.hasEffect() {
+		if query.class.Idempotency == NonIdempotent && p.mayHaveEffect() {
 			c.t.Fatalf("query %d rejected although a part of it may have run", action.QueryID)
 		}
 	}
 	c.endQuery(action.QueryID)
 }
 
-// hasEffect reports whether an attempt at the part may have run or may still run.
-func (p *checkedPart) hasEffect() bool { return p.mayHaveRun || len(p.inFlight) > 0 }
+// mayHaveEffect reports whether an attempt at the part may have run or may still run.
+func (p *checkedPart) mayHaveEffect() bool { return p.mayHaveRun || len(p.inFlight) > 0 }
 
 func (c *invariantChecker) checkAnswer(action Answer) {
 	const tolerance = 1e-4
@@ -61,7 +61,7 @@
 	c.endQuery(action.QueryID)
 }
 
-// checkSend checks an attempt and draws its result.
+// checkSend checks a SendAttempt and draws the result of the attempt.
 func (c *invariantChecker) checkSend(action SendAttempt) {
 	p := c.parts[action.PartID]
 	if p.query.closed {
@@ -70,20 +70,20 @@
 	c.checkServer(action, p)
 	c.checkSlowStart(action.ServerID, c.aggregator.partsByID[action.PartID].query.class.referenceLatency)
 	c.checkIdempotency(action, p)
-	if p.attempts >= c.settings.MaxAttempts {
+	if p.attemptCount >= c.settings.MaxAttempts {
 		c.t.Fatalf("part %d sent more than %d times", action.PartID, c.settings.MaxAttempts)
 	}
-	if p.attempts > 0 {
+	if p.attemptCount > 0 {
 		c.retriedAt = append(c.retriedAt, c.now)
 		c.checkRetryBudget()
 	}
-	if !p.hasEffect() {
+	if !p.mayHaveEffect() {
 		p.firstSentAt = c.now
 	}
-	p.inFlight[p.attempts] = true
-	c.startAttempt(action, p.attempts)
-	p.attempts++
-	c.sentAttempts++
+	p.inFlight[p.attemptCount] = true
+	c.startAttempt(action, p.attemptCount)
+	p.attemptCount++
+	c.sentAttemptCount++
 }
 
 func (c *invariantChecker) checkServer(action SendAttempt, p *checkedPart) {
@@ -93,7 +93,7 @@
 	size := c.settings.RingSize
 	distance := (c.servers[action.ServerID].RingPosition - p.shard + 2*size) % size
 	if distance >= c.settings.ReplicationFactor {
-		c.t.Fatalf("part %d of shard %d sent to server %d, which lacks it", action.PartID, p.shard, action.ServerID)
+		c.t.Fatalf("part %d of shard %d sent to server %d, which lacks the shard", action.PartID, p.shard, action.ServerID)
 	}
 }
 
@@ -102,12 +102,12 @@
 	if len(p.inFlight) > 0 && !c.settings.AllowHedging {
 		c.t.Fatalf("part %d hedged although hedging is not allowed", action.PartID)
 	}
-	if class.Idempotency == NonIdempotent && p.hasEffect() {
+	if class.Idempotency == NonIdempotent && p.mayHaveEffect() {
 		c.t.Fatalf("non-idempotent part %d retried although it may have run", action.PartID)
 	}
-	isTooLate := c.now > p.firstSentAt+class.DeduplicationWindow
-	if class.Idempotency == IdempotentByKey && p.hasEffect() && isTooLate {
-		c.t.Fatalf("part %d retried after its deduplication window", action.PartID)
+	isPastWindow := c.now > p.firstSentAt+class.DeduplicationWindow
+	if class.Idempotency == IdempotentByKey && p.mayHaveEffect() && isPastWindow {
+		c.t.Fatalf("part %d retried after the end of its deduplication window", action.PartID)
 	}
 }
 
@@ -116,13 +116,14 @@
 	retries := countSince(c.retriedAt, windowStart)
 	accepted := countSince(c.acceptedAt, windowStart)
 	if float64(retries) > c.settings.RetryBudgetMinimum+c.settings.RetryBudgetRatio*float64(accepted) {
-		c.t.Fatalf("%d retries for %d accepted queries and parts", retries, accepted)
+		c.t.Fatalf("%d retries for %d accepted queries and parts exceed the retry budget", retries, accepted)
 	}
 }
 
 // checkSlowStart checks that the work sent to a warming server within the overload duration stays within this
-// aggregator's share. The work is that which the aggregator has learned. Where the share is less than a part, two
-// parts may fall within the duration; TestWarmingServersAreNotOverloaded checks the sum over all aggregators.
+// aggregator's share of what the server can do. The work of a part is the aggregator's own estimate. If the share is
+// less than one part, two parts may fall within the duration; TestWarmingServersAreNotOverloaded checks the sum over
+// all aggregators.
 func (c *invariantChecker) checkSlowStart(id uint32, work float64) {
 	server := c.servers[id]
 	if server.StartedAt <= 0 || c.now >= server.StartedAt+c.settings.SlowStartDuration {
@@ -146,10 +147,11 @@
 	}
 }
 
-func countSince(times []Micros, from Micros) int {
+// countSince returns the number of times that are not before start.
+func countSince(times []Micros, start Micros) int {
 	count := 0
 	for _, at := range times {
-		if at >= from {
+		if at >= start {
 			count++
 		}
 	}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Random valid events must break no rule, with and without hedging, cancellation, batching and reconfiguration, and
-// the same events must bring the same actions.
+// Random valid events must violate no invariant, with and without hedging, cancellation, batching and reconfiguration,
+// and the same events must produce the same actions.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	const firstSeedWithReconfiguration = 16
 	for seed := range uint64(24) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			settings := randomEventSettings(seed)
 			reconfigures := seed >= firstSeedWithReconfiguration
@@ -23,16 +23,16 @@
 					checker.reconfigurations = -1
 				}
 				checker.run(2000)
-				// A run with fewer events would prove little.
+				// A run with fewer of these would hardly test the invariants.
 				if reconfigures {
 					require.GreaterOrEqual(t, checker.reconfigurations, 10)
 				}
-				require.GreaterOrEqual(t, checker.endedQueries, 100)
-				require.GreaterOrEqual(t, checker.sentAttempts, 150)
+				require.GreaterOrEqual(t, checker.endedQueryCount, 100)
+				require.GreaterOrEqual(t, checker.sentAttemptCount, 150)
 				return checker.actions
 			}
 			first := run()
-			require.Equal(t, first, run(), "the same events brought other actions")
+			require.Equal(t, first, run(), "the same events produced different actions")
 		})
 	}
 }
@@ -55,8 +55,8 @@
 	return s
 }
 
-// Settings that are repeated in every step must make no difference: statistics of latencies, outliers, slow starts
-// and budgets, and attempts in flight, must survive a reconfiguration.
+// Repeating unchanged settings in every step must make no difference: a reconfiguration must keep the statistics of
+// latencies, outliers, slow starts and budgets, and the attempts in flight.
 func TestUnchangedSettingsChangeNothing(t *testing.T) {
 	for seed := range uint64(4) {
 		settings := testSettings()
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -1,39 +1,41 @@
 package policy
 
-// attempt is one sending of a part to a server.
+// attempt is the state of an attempt to have a part executed by a server.
 type attempt struct {
 	part   *part
 	server *server
 
-	// index counts the part's attempts from 0 in the order in which they were sent.
+	// index is the attempt's index among the part's attempts, from 0 in the order in which they were sent.
 	index  int
 	sentAt Micros
 
-	// predictedLatency is the latency in microseconds, and estimatedLoad the number of requests at the server, that
-	// were estimated when the attempt was sent.
+	// predictedLatency is the latency in microseconds, and estimatedLoad the number of requests at the server, as
+	// estimated when the attempt was sent.
 	predictedLatency float64
 	estimatedLoad    float64
 
-	// connectionIdleTime is how long the server's connections had been unused when the attempt was sent; 0 if unknown.
+	// connectionIdleTime is the time for which the server's connections had been unused when the attempt was sent; 0 if
+	// unknown.
 	connectionIdleTime Micros
 
-	// freshConnection is set if idle connections were closed right before the attempt.
+	// freshConnection is set if idle connections were closed right before the attempt, so that it opened a new one.
 	freshConnection bool
 
-	// connectionResultRecorded is set once the attempt has counted as evidence on connections.
+	// connectionResultRecorded is set once the attempt has counted toward the connection statistics.
 	connectionResultRecorded bool
 
-	// canceled is set once a CancelAttempt was returned for it.
+	// canceled is set once a CancelAttempt was returned for the attempt.
 	canceled bool
 }
 
-// partState is the state of a part. The order matters: a part of a suspect query is raised to partQueued with max.
+// partState is the state of a part. The order matters: requestParts queues the first part of a query with max, which
+// leaves a part unchanged that is past partQueued.
 type partState uint8
 
 const (
 	partDeferred    partState = iota // not requested yet
 	partQueued                       // waits for capacity at a replica
-	partInFlight                     // sent
+	partInFlight                     // sent, no attempt answered yet
 	partAnswered                     // answered
 	partUnavailable                  // can't be answered any more
 )
@@ -50,20 +52,20 @@
 	// mayHaveRun is set once an attempt has ended that a server may have executed.
 	mayHaveRun bool
 
-	// firstSentAt is when the first attempt was sent that may have been executed.
+	// firstSentAt is the time at which the first attempt was sent that a server may have executed.
 	firstSentAt Micros
 
 	// lastServerID is the ID of the server that the latest attempt was sent to.
 	lastServerID uint32
 
-	// notBefore is until when the part is held back while its replicas' health checks are in flight.
+	// notBefore is the time before which the part is held back for the health checks of its replicas.
 	notBefore Micros
 
 	// relativeCost is the expected cost as a multiple of the class's mean cost; 1 without a cost hint.
 	relativeCost float64
 }
 
-// latestAttempt returns the newest attempt in flight, of which there must be one.
+// latestAttempt returns the newest attempt in flight. There must be at least one.
 func (p *part) latestAttempt() *attempt { return p.inFlight[len(p.inFlight)-1] }
 
 // isIdempotent reports whether the part may be executed any number of times.
@@ -82,30 +84,30 @@
 	class     *class
 	arrivedAt Micros
 
-	// objectiveDeadline is when the class's latency objective has passed.
+	// objectiveDeadline is the time at which the class's latency objective ends.
 	objectiveDeadline Micros
 
-	// dispatchAt orders open queries for dispatch: the arrival less a head start by priority.
+	// dispatchAt determines the order of dispatch: it is the time of arrival less a head start by priority.
 	dispatchAt Micros
 
-	// phase is firstPhase or fetchPhase; parts, expectedFetchParts and usedServerIDs belong to it.
+	// phase is firstPhase or fetchPhase; parts and usedServerIDs belong to it.
 	phase              int
 	parts              []*part
-	expectedFetchParts int // parts of the fetch phase that will arrive
+	expectedFetchParts int // number of parts in the fetch phase; 0 before it
 
 	// usedServerIDs are the IDs of the servers that parts of this phase were sent to.
 	usedServerIDs []uint32
 
-	// disconnectedServerIDs are the IDs of the servers that broke a connection under one of the query's attempts.
+	// disconnectedServerIDs are the IDs of the servers that broke the connection of one of the query's attempts.
 	disconnectedServerIDs []uint32
 
-	// lightPartCredits is the number of light parts that quick answers allow to be requested under load.
+	// lightPartCredits is the number of light parts that may be requested under load. Each quick answer adds one.
 	lightPartCredits int
 
-	// coverage is the sum of the answered parts' weights, as of the last review.
+	// coverage is the sum of the answered parts' weights as of the last call of advanceQuery.
 	coverage float64
 
-	// predictedResponseTime is the wait in microseconds that was predicted at admission for the slowest required part.
+	// predictedResponseTime is the time until a complete answer, in microseconds, that was predicted at admission.
 	predictedResponseTime float64
 
 	// firstPhaseComplete is set if the answer of the first phase was complete.
@@ -114,23 +116,24 @@
 	awaitsAdmission bool
 	closed          bool
 
-	// hadRejectedAttempt is set once a server has rejected an attempt of the query.
+	// hadRejectedAttempt is set once a server has rejected one of the query's attempts.
 	hadRejectedAttempt bool
 
-	// canaryFirst is set while one part is sent ahead of the others, since the query may crash the server.
+	// canaryFirst is set while a single part is sent ahead of the others, since the query may crash servers.
 	canaryFirst bool
 }
 
 // allowsPartialAnswer reports whether the query's class accepts an answer below the required coverage.
 func (q *query) allowsPartialAnswer() bool { return q.class.MinCoverage < q.class.RequiredCoverage }
 
-// class holds the settings under which a query was accepted and the statistics of its class, which outlive them.
+// class holds the settings under which queries of a class were accepted, and the statistics of the class. The
+// statistics are kept when the settings are replaced.
 type class struct {
 	Class
 	*classStats
 }
 
-// initialFanOut is the number of a query's parts before a class has had queries.
+// initialFanOut is the mean fan-out of a class that has had no queries.
 const initialFanOut = 1.0
 
 // classStats are the statistics of a class.
@@ -141,22 +144,22 @@
 	// answerCount is the number of answered attempts that referenceLatency is based on.
 	answerCount float64
 
-	// meanFanOut is the smoothed number of a query's parts.
+	// meanFanOut is the smoothed number of parts per query.
 	meanFanOut float64
 
-	// responseTimeRatio is the smoothed ratio of a query's time to its answer and its predicted wait.
+	// responseTimeRatio is the smoothed ratio of actual to predicted response time.
 	responseTimeRatio float64
 
-	// longestTimeout is the longest time, in microseconds, that a client gave the first try of a query.
+	// longestTimeout is the longest timeout, in microseconds, that a client has set for the first try of a query.
 	longestTimeout Micros
 
 	lastAdmittedAt Micros
 
-	// meanCostHint is the smoothed cost hint in microseconds, and costHintCount the number of hints that it is based on.
+	// meanCostHint is the smoothed cost hint in microseconds, and costHintCount the number of hints behind it.
 	meanCostHint  float64
 	costHintCount float64
 
-	// overloadCount counts queries that were late or unanswered because servers rejected their attempts. An answer
-	// in time halves it.
+	// overloadCount is the number of queries that were late or unanswered after a server rejected one of their
+	// attempts. Each answer in time halves it.
 	overloadCount int
 }
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -13,9 +13,10 @@
 	busyLatencyRatio = 3.0
 )
 
-// requestParts queues deferred parts until those requested suffice for a complete answer, the heaviest first and
-// among equals those with the shortest predicted wait. Where a partial answer is allowed and the servers are busy,
-// a light part beyond the minimum coverage is queued only for each quick answer.
+// requestParts queues deferred parts until the requested parts suffice for a complete answer. It queues parts in
+// descending order of weight, and those of equal weight in ascending order of predicted response time. If the class
+// accepts partial answers, the servers are busy and some parts are light, parts beyond the minimum coverage are queued
+// only one for each quick answer.
 func (a *Aggregator) requestParts(q *query) {
 	if q.canaryFirst {
 		q.parts[0].state = max(q.parts[0].state, partQueued)
@@ -25,7 +26,7 @@
 	if len(deferred) == 0 {
 		return
 	}
-	partial := q.allowsPartialAnswer()
+	allowsPartial := q.allowsPartialAnswer()
 	lightest := deferred[len(deferred)-1]
 	hasLightParts := lightest.Weight*float64(len(q.parts)) < 1-coverageTolerance
 	isBusy := a.serversAreBusy()
@@ -33,27 +34,27 @@
 		if requested >= q.class.RequiredCoverage-coverageTolerance {
 			return
 		}
-		suffices := partial && requested >= q.class.MinCoverage-coverageTolerance
-		if suffices && hasLightParts && isBusy && q.lightPartCredits <= 0 {
+		minimumReached := allowsPartial && requested >= q.class.MinCoverage-coverageTolerance
+		if minimumReached && hasLightParts && isBusy && q.lightPartCredits <= 0 {
 			return
 		}
 		p.state = partQueued
 		requested += p.Weight
-		if suffices {
+		if minimumReached {
 			q.lightPartCredits--
 		}
 	}
 }
 
-// deferredParts returns the deferred parts of a query in the order in which to request them, and the weight of
-// the parts requested before. Late parts don't count unless a partial answer is allowed.
+// deferredParts returns the deferred parts of a query in the order in which to request them, and the total weight of
+// the parts already requested. Late parts count toward that weight only if the class accepts partial answers.
 func (a *Aggregator) deferredParts(q *query) (deferred []*part, requested float64) {
-	partial := q.allowsPartialAnswer()
+	allowsPartial := q.allowsPartialAnswer()
 	for _, p := range q.parts {
 		switch {
 		case p.state == partDeferred:
 			deferred = append(deferred, p)
-		case p.state != partUnavailable && (partial || !a.isLate(p, substituteLateThreshold)):
+		case p.state != partUnavailable && (allowsPartial || !a.isLate(p, substituteLateThreshold)):
 			requested += p.Weight
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// deficitDecay is the factor on a server's deficit at each choice for the shard.
+	// deficitDecay is the factor by which a server's deficit decays with each choice of a replica for the shard.
 	deficitDecay = 0.9
 
 	// deficitTolerance is the difference, in parts, up to which deficits count as equal.
 	deficitTolerance = 1e-9
 )
 
-// candidate is a replica of a part's shard.
+// candidate is a replica that is considered for a part.
 type candidate struct {
 	server           *server
 	predictedLatency float64 // of the part, in microseconds
 
-	// trafficShare is the replica's share of the shard's parts, 0 to 1, in proportion to its utility. Only
-	// chooseReplica sets it.
+	// trafficShare is the share of the shard's parts, 0 to 1, that the replica should receive, in proportion to its
+	// utility. Only chooseReplica sets it.
 	trafficShare float64
 }
 
@@ -37,8 +37,8 @@
 }
 
 // chooseReplica returns the server to send a part to, or nil if the part must stay queued. The replicas of a shard
-// receive parts in proportion to their utility: the one with the largest deficit is preferred, then the others by
-// rank. Servers that the query has used come after those that it has not.
+// receive parts in proportion to their utility: the one with the largest deficit is preferred, then the others in
+// descending order of utility. Servers that the query already uses come last.
 func (a *Aggregator) chooseReplica(p *part) *server {
 	if !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) {
 		return nil
@@ -55,7 +55,7 @@
 			return id == preferred.server.ID
 		})
 	}
-	chosen := a.firstEligibleServer(p, preferred, ranked, hasHealthyReplica)
+	chosen := a.firstEligible(p, preferred, ranked, hasHealthyReplica)
 	if chosen == nil {
 		return nil
 	}
@@ -66,7 +66,7 @@
 	return chosen
 }
 
-// assignTrafficShares gives each candidate its share of the parts. The candidates must be in descending order of utility.
+// assignTrafficShares sets the traffic share of each candidate. The candidates must be in descending order of utility.
 func assignTrafficShares(ranked []candidate) {
 	sum := 0.0
 	for _, c := range ranked {
@@ -77,7 +77,7 @@
 	}
 }
 
-// largestDeficit returns the index of the candidate that is furthest below its share of a shard's parts.
+// largestDeficit returns the index of the candidate that is furthest below its share of the shard's parts.
 func largestDeficit(ranked []candidate, shard int) int {
 	index, largest := 0, math.Inf(-1)
 	for i, c := range ranked {
@@ -89,15 +89,16 @@
 	return index
 }
 
-// isAlternative reports whether a candidate is another server than that of the part's latest attempt, or the only
+// isAlternative reports whether a candidate differs from the server of the part's latest attempt, or is the only
 // candidate.
 func isAlternative(c candidate, p *part, ranked []candidate) bool {
 	return c.server.ID != p.lastServerID || len(ranked) == 1
 }
 
-// firstEligibleServer returns the first server that the part may be sent to: the preferred one, then the others by rank,
-// as far as the query has not used them; then any by rank. It returns nil if there is none.
-func (a *Aggregator) firstEligibleServer(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
+// firstEligible returns the first server that the part may be sent to, or nil if there is none. It considers the
+// servers that the query does not use yet, the preferred one before the others by rank, and then all alternatives to
+// the part's latest server by rank.
+func (a *Aggregator) firstEligible(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
 	isUnused := func(c candidate) bool {
 		return !slices.Contains(p.query.usedServerIDs, c.server.ID) && a.maySend(c.server, p, hasHealthyReplica)
 	}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A replica that received all parts because it is the best one would be overloaded.
 func TestPartsAreAssignedInProportionToUtility(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
@@ -29,6 +30,7 @@
 	}
 }
 
+// Parts of a query that share a server delay each other, so they must use distinct servers while there are enough.
 func TestPartsOfAQueryUseDistinctServers(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	_, events := h.newQuery(idempotentClass, 3)
@@ -38,10 +40,10 @@
 	}
 	require.Len(t, servers, 3)
 	_, events = h.newQuery(idempotentClass, 5)
-	assert.GreaterOrEqual(t, len(h.stepSends(0, events...)), 3, "more parts than servers")
+	assert.GreaterOrEqual(t, len(h.stepSends(0, events...)), 3, "parts sent, of more parts than servers")
 }
 
-// A part whose latest server is the only healthy one may be retried at the others.
+// A part that was rejected by the only healthy server must be retried at an outlier rather than wait for that server.
 func TestRetryDoesNotWaitForTheOnlyHealthyServer(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 40, 100_000)
