--- a/policy/completion.go
+++ b/policy/completion.go
@@ -3,44 +3,45 @@
 import "slices"
 
 const (
-	// coverageTolerance is the amount by which sums of weights may fall short because of rounding.
+	// coverageTolerance is the amount by which a sum of weights may fall short because of rounding.
 	coverageTolerance = 5e-5
 
-	// deadlineTicks is the number of ticks before the client's deadline at which a query is ended.
-	deadlineTicks = 2
+	// deadlineMarginTicks is the number of ticks before the client's deadline at which a query is ended.
+	deadlineMarginTicks = 2
 
-	// partialAnswerTicks is the number of ticks before the latency objective at which a partial answer is sent.
-	partialAnswerTicks = 3
+	// partialAnswerMarginTicks is the number of ticks before the latency objective at which a partial answer is sent.
+	partialAnswerMarginTicks = 3
 
-	// fetchReserveRatio is the time reserved for the fetch phase, in reference latencies.
+	// fetchReserveRatio is the time reserved for the fetch phase as a multiple of the class's reference latency.
 	fetchReserveRatio = 2.0
 
-	// fetchReserveTicks is added to that time, in ticks.
+	// fetchReserveTicks is the number of ticks added to that time.
 	fetchReserveTicks = 2
 
-	// waitRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted wait.
-	waitRatioGain = 0.15
+	// responseTimeRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted response time.
+	responseTimeRatioGain = 0.15
 )
 
-// reviewQuery ends a query if it can be answered or is hopeless; otherwise it replaces the query's late parts.
-func (a *Aggregator) reviewQuery(q *query) {
-	if q.closed || a.awaitsParts(q) {
+// advanceQuery ends a query that can be answered or that has no prospect of a better answer. Otherwise it replaces the
+// query's late parts.
+func (a *Aggregator) advanceQuery(q *query) {
+	if q.closed || a.awaitsFetchParts(q) {
 		return
 	}
-	coverage, attainable := q.weights()
+	coverage, attainable := q.computeCoverage()
 	q.coverage = coverage
 	required := q.class.RequiredCoverage - coverageTolerance
 	if q.phase == fetchPhase {
 		required = 1 - coverageTolerance
 	}
 	minimum := q.class.MinCoverage - coverageTolerance
-	isHopeless := attainable < minimum || a.now >= a.queryDeadline(q)
+	mustEnd := attainable < minimum || a.now >= a.queryDeadline(q)
 	isExhausted := attainable < required && coverage >= attainable-coverageTolerance
-	isPartialDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.answerDeadline(q)
+	isPartialAnswerDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.partialAnswerDeadline(q)
 	switch {
 	case coverage >= required:
 		a.answerQuery(q, true)
-	case !isHopeless && !isExhausted && !isPartialDue:
+	case !mustEnd && !isExhausted && !isPartialAnswerDue:
 		a.replaceLateParts(q)
 	case coverage >= minimum && coverage > 0:
 		a.answerQuery(q, false)
@@ -49,13 +50,14 @@
 	}
 }
 
-// awaitsParts reports whether parts of the fetch phase have yet to arrive.
-func (a *Aggregator) awaitsParts(q *query) bool {
-	return q.phase == fetchPhase && len(q.parts) < q.expectedParts && a.now < a.queryDeadline(q)
+// awaitsFetchParts reports whether parts of the fetch phase have yet to arrive as events.
+func (a *Aggregator) awaitsFetchParts(q *query) bool {
+	return q.phase == fetchPhase && len(q.parts) < q.expectedFetchParts && a.now < a.queryDeadline(q)
 }
 
-// weights returns the weight of a query's answered parts, and of those that are or may yet be answered.
-func (q *query) weights() (answered, attainable float64) {
+// computeCoverage returns the total weight of a query's answered parts, and that of all its parts that are answered or
+// may still be.
+func (q *query) computeCoverage() (answered, attainable float64) {
 	for _, p := range q.parts {
 		if p.state == partAnswered {
 			answered += p.Weight
@@ -67,33 +69,33 @@
 	return answered, attainable
 }
 
-// answerDeadline returns when a query is answered in part if it can be: before the latency objective, with time for
-// a fetch phase that follows.
-func (a *Aggregator) answerDeadline(q *query) Micros {
+// partialAnswerDeadline returns the time from which a query gets a partial answer if its coverage permits one. The time
+// lies before the latency objective and leaves room for a fetch phase that follows.
+func (a *Aggregator) partialAnswerDeadline(q *query) Micros {
 	if q.class.FetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
-		return q.objectiveAt - fetchTime - fetchReserveTicks*a.settings.Tick
+		return q.objectiveDeadline - fetchTime - fetchReserveTicks*a.settings.Tick
 	}
-	return q.objectiveAt - partialAnswerTicks*a.settings.Tick
+	return q.objectiveDeadline - partialAnswerMarginTicks*a.settings.Tick
 }
 
-// queryDeadline returns when a query is ended at the latest: before the client's deadline, and at the latency
-// objective if later answers are worth nothing.
+// queryDeadline returns the time at which a query is ended at the latest: shortly before the client's deadline, and no
+// later than the latency objective if the class assigns no value to late answers.
 func (a *Aggregator) queryDeadline(q *query) Micros {
-	deadline := q.Deadline - deadlineTicks*a.settings.Tick
+	deadline := q.Deadline - deadlineMarginTicks*a.settings.Tick
 	if q.class.LateWeight <= 0 {
-		deadline = min(deadline, q.objectiveAt)
+		deadline = min(deadline, q.objectiveDeadline)
 	}
 	return deadline
 }
 
-// answerQuery answers a query from its answered parts, and closes it unless the fetch phase follows.
+// answerQuery answers a query from its answered parts. It closes the query unless a fetch phase follows.
 func (a *Aggregator) answerQuery(q *query, complete bool) {
 	isComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
-	a.emit(Answer{Query: q.ID, Complete: isComplete})
+	a.emit(Answer{QueryID: q.ID, Complete: isComplete})
 	if q.phase == firstPhase {
-		waitRatio := float64(a.now-q.arrivedAt) / max(q.predictedWait, 1)
-		smooth(&q.class.waitRatio, waitRatio, waitRatioGain)
+		ratio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
+		smooth(&q.class.responseTimeRatio, ratio, responseTimeRatioGain)
 	}
 	if q.phase == fetchPhase || q.class.FetchParts == 0 {
 		a.closeQuery(q)
@@ -102,7 +104,7 @@
 	a.startFetchPhase(q, complete)
 }
 
-// startFetchPhase drops the parts of the first phase; those of the fetch phase arrive as events.
+// startFetchPhase removes the parts of the first phase. Those of the fetch phase arrive as events.
 func (a *Aggregator) startFetchPhase(q *query, firstPhaseComplete bool) {
 	a.dropParts(q)
 	answered := 0
@@ -113,51 +115,52 @@
 	}
 	q.phase = fetchPhase
 	q.firstPhaseComplete = firstPhaseComplete
-	q.expectedParts = min(answered, q.class.FetchParts)
+	q.expectedFetchParts = min(answered, q.class.FetchParts)
 	q.parts = nil
-	q.usedServers = nil
+	q.usedServerIDs = nil
 }
 
-// rejectOrFail ends a query without an answer. It is rejected, so that the client may retry it, unless the first
-// phase was answered or a part that is not idempotent may have run.
+// rejectOrFail ends a query without an answer. The query is rejected, which allows the client to retry it, unless its
+// first phase was answered or a part that is not idempotent may have run.
 func (a *Aggregator) rejectOrFail(q *query) {
-	hasEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
-	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, hasEffect) {
-		a.emit(Fail{Query: q.ID})
+	mayHaveEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
+	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, mayHaveEffect) {
+		a.emit(Fail{QueryID: q.ID})
 	} else {
-		a.emit(Reject{Query: q.ID, RetryAfter: a.settings.MaxRetryAfter})
+		a.emit(Reject{QueryID: q.ID, RetryAfter: a.settings.MaxRetryAfter})
 	}
 	a.closeQuery(q)
 }
 
-// closeQuery forgets a query and cancels its attempts in flight.
+// closeQuery removes a query and cancels its attempts in flight.
 func (a *Aggregator) closeQuery(q *query) {
 	q.closed = true
-	a.recordOverload(q)
+	a.updateOverloadCount(q)
 	a.dropParts(q)
-	delete(a.queries, q.ID)
+	delete(a.queriesByID, q.ID)
 	if a.queriesByNumber[q.Number] == q {
 		delete(a.queriesByNumber, q.Number)
 	}
 }
 
-// recordOverload counts a closed query for its class: answered in time, or late or unanswered after a rejection.
-func (a *Aggregator) recordOverload(q *query) {
-	isInTime := a.now <= q.objectiveAt && q.coverage >= q.class.MinCoverage-coverageTolerance
+// updateOverloadCount updates the overload count of a closed query's class. An answer in time halves the count. A query
+// that is late or unanswered after a server rejected one of its attempts increments it.
+func (a *Aggregator) updateOverloadCount(q *query) {
+	isInTime := a.now <= q.objectiveDeadline && q.coverage >= q.class.MinCoverage-coverageTolerance
 	switch {
 	case isInTime:
 		q.class.overloadCount /= 2
-	case q.wasRejected:
+	case q.hadRejectedAttempt:
 		q.class.overloadCount++
 	}
 }
 
-// dropParts cancels the attempts at a query's parts and forgets the parts.
+// dropParts removes a query's parts and cancels their attempts in flight.
 func (a *Aggregator) dropParts(q *query) {
 	for _, p := range q.parts {
 		for _, attempt := range p.inFlight {
 			a.cancelAttempt(attempt)
 		}
-		delete(a.parts, p.ID)
+		delete(a.partsByID, p.ID)
 	}
 }
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A query whose attempts never end must be ended by the timer before its client stops waiting, whatever its class.
 func TestEveryQueryEndsBeforeItsTimeout(t *testing.T) {
 	for class, settings := range testClasses() {
 		h := newHarness(t, singleRingSettings())
@@ -15,19 +16,19 @@
 		for end := h.now + settings.Timeout; h.now < end-testTick; {
 			h.step(testTick, TimerFired{})
 		}
-		assert.Equal(t, 1, h.finalActions(id), "class %s", settings.Name)
+		assert.Equal(t, 1, h.finalActionCount(id), "class %s", settings.Name)
 	}
 }
 
-// The class requires a coverage of 1 for a complete answer and of 0.8 for any.
+// The class requires a coverage of 1 for a complete answer and of 0.8 for a partial one.
 func TestAnswersReportTheirCoverage(t *testing.T) {
 	const parts = 5
 	for _, answered := range []int{3, 4, 5} {
 		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		id, events := h.newQuery(fetchClass, parts)
-		sent := h.sends(0, events...)
+		sent := h.stepSends(0, events...)
 		for i := range answered { // some parts are sent only after quick answers
-			sent = append(sent, h.sends(1000, resultOf(sent[i], OK))...)
+			sent = append(sent, h.stepSends(1000, resultOf(sent[i], OK))...)
 		}
 		for range 360 {
 			h.step(testTick, TimerFired{})
@@ -38,6 +39,6 @@
 			continue
 		}
 		require.Len(t, answers, 1, "%d of %d parts answered", answered, parts)
-		assert.Equal(t, Answer{Query: id, Complete: answered == parts}, answers[0])
+		assert.Equal(t, Answer{QueryID: id, Complete: answered == parts}, answers[0])
 	}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -10,16 +10,17 @@
 func (a *Aggregator) dispatch() {
 	clear(a.queuedParts)
 	slices.SortStableFunc(a.openQueries, func(x, y *query) int { return cmp.Compare(x.dispatchAt, y.dispatchAt) })
-	for _, late := range []bool{false, true} {
+	for _, pastObjective := range []bool{false, true} {
 		for _, q := range a.openQueries {
-			a.dispatchQuery(q, late)
+			a.dispatchQuery(q, pastObjective)
 		}
 	}
 }
 
-// dispatchQuery sends the queued parts of a query if it is open and late or not as given.
-func (a *Aggregator) dispatchQuery(q *query, late bool) {
-	if isLate := q.objectiveAt <= a.now; q.closed || isLate != late {
+// dispatchQuery sends the queued parts of a query. It does nothing if the query is closed, or if pastObjective differs
+// from whether the query is past its latency objective.
+func (a *Aggregator) dispatchQuery(q *query, pastObjective bool) {
+	if isPast := q.objectiveDeadline <= a.now; q.closed || isPast != pastObjective {
 		return
 	}
 	for _, p := range q.parts {
@@ -27,23 +28,23 @@
 			continue
 		}
 		if s := a.chooseReplica(p); s != nil {
-			a.send(p, s)
-		} else if !late {
+			a.sendPart(p, s)
+		} else if !pastObjective {
 			a.queuedParts[p.Shard]++
 		}
 	}
 }
 
-// maySend reports whether the rules and limits let a part go to a server now. If the shard has a healthy replica,
-// busy servers and outliers are excluded too.
+// maySend reports whether the constraints and limits permit sending a part to a server now. If the shard has a healthy
+// replica, busy servers and outliers are excluded as well.
 func (a *Aggregator) maySend(s *server, p *part, hasHealthyReplica bool) bool {
 	if s.State != Ready || !a.holdsShard(s, p.Shard) {
 		return false
 	}
-	if p.query.closed || a.parts[p.ID] != p || p.state == partAnswered {
+	if p.query.closed || a.partsByID[p.ID] != p || p.state == partAnswered {
 		return false
 	}
-	if !a.mayRetry(p) || p.attempts > 0 && !a.withinRetryBudget() {
+	if !a.mayAttempt(p) || p.attemptCount > 0 && !a.withinRetryBudget() {
 		return false
 	}
 	if !a.slowStartAllows(s, p) || !a.hasCapacity(s) || a.now < s.backoffUntil {
@@ -58,9 +59,8 @@
 	return !a.isOutlier(s) || a.mayTryOutlier(s, p)
 }
 
-// mayRetry reports whether the part's idempotency and the limit on attempts allow another attempt. It holds for a
-// part without attempts as well.
-func (a *Aggregator) mayRetry(p *part) bool {
+// mayAttempt reports whether the part's idempotency and the limit on attempts permit a first or further attempt.
+func (a *Aggregator) mayAttempt(p *part) bool {
 	if a.attemptsExhausted(p) {
 		return false
 	}
@@ -73,34 +73,34 @@
 	case NonIdempotent:
 		return !p.mayHaveRun
 	case IdempotentByKey:
-		isFirst := !p.mayHaveRun && !isInFlight
-		return isFirst || a.now < p.firstSentAt+p.query.class.DeduplicationWindow
+		hasNotRun := !p.mayHaveRun && !isInFlight
+		return hasNotRun || a.now < p.firstSentAt+p.query.class.DeduplicationWindow
 	default:
 		return true
 	}
 }
 
 func (a *Aggregator) attemptsExhausted(p *part) bool {
-	return a.settings.MaxAttempts > 0 && p.attempts >= a.settings.MaxAttempts
+	return a.settings.MaxAttempts > 0 && p.attemptCount >= a.settings.MaxAttempts
 }
 
-// send sends a part to a server and reports whether it did. All attempts are sent here, so the rules are checked
-// once more.
-func (a *Aggregator) send(p *part, s *server) bool {
+// sendPart sends a part to a server and reports whether it did. Every attempt is sent here, so the constraints are
+// checked once more.
+func (a *Aggregator) sendPart(p *part, s *server) bool {
 	if !a.maySend(s, p, false) {
 		return false
 	}
 	sent := &attempt{
 		part:             p,
 		server:           s,
-		index:            p.attempts,
+		index:            p.attemptCount,
 		sentAt:           a.now,
 		predictedLatency: a.predictLatency(s, p),
-		assumedLoad:      a.estimateLoad(s),
+		estimatedLoad:    a.estimateLoad(s),
 	}
 	a.prepareConnection(sent)
-	if p.attempts > 0 {
-		a.recordForBudget(&a.budget.retries)
+	if p.attemptCount > 0 {
+		a.recordForBudget(&a.retryBudget.retries)
 	}
 	if len(p.inFlight) == 0 && !p.mayHaveRun {
 		p.firstSentAt = a.now
@@ -108,12 +108,12 @@
 	a.recordSlowStartSend(s, p.query.class.referenceLatency)
 	s.inFlight = append(s.inFlight, sent)
 	p.inFlight = append(p.inFlight, sent)
-	p.attempts++
+	p.attemptCount++
 	p.state = partInFlight
-	p.lastServer = s.ID
-	a.recordInBatch(s)
-	p.query.usedServers = append(p.query.usedServers, s.ID)
+	p.lastServerID = s.ID
+	a.addToBatch(s)
+	p.query.usedServerIDs = append(p.query.usedServerIDs, s.ID)
 	timeout := max(a.queryDeadline(p.query)-a.now, a.settings.Tick)
-	a.emit(SendAttempt{Part: p.ID, Server: s.ID, Timeout: timeout})
+	a.emit(SendAttempt{PartID: p.ID, ServerID: s.ID, Timeout: timeout})
 	return true
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A retry of a part that may have run would execute it twice. That is permitted for idempotent parts, and for parts
+// that are idempotent by key while the server still drops duplicates.
 func TestPartsThatMayHaveRunAreRetriedOnlyIfIdempotent(t *testing.T) {
 	for _, c := range []struct {
 		class   int
@@ -27,8 +29,8 @@
 	} {
 		h := newHarness(t, singleRingSettings())
 		_, events := h.newQuery(c.class, 1)
-		sent := h.sends(0, events...)
-		retries := h.sends(c.after, resultOf(sent[0], c.status))
+		sent := h.stepSends(0, events...)
+		retries := h.stepSends(c.after, resultOf(sent[0], c.status))
 		assert.Equal(t, c.retried, len(retries) > 0, "class %d, status %d", c.class, c.status)
 		if c.class == nonIdempotentClass {
 			assert.Empty(t, actionsOf[Reject](h.actions), "class %d, status %d", c.class, c.status)
@@ -36,6 +38,7 @@
 	}
 }
 
+// A draining server, or one that is no longer listed, would drop the parts sent to it when it stops.
 func TestDrainingServersReceiveNoParts(t *testing.T) {
 	servers := readyEndpoints(1, 2, 3)
 	servers[1].State = Draining
@@ -47,19 +50,19 @@
 	sent := actionsOf[SendAttempt](h.actions)
 	require.NotEmpty(t, sent)
 	for _, s := range sent {
-		require.Equal(t, uint32(1), s.Server)
+		require.Equal(t, uint32(1), s.ServerID)
 	}
 
-	// send must refuse such a server by itself, whoever calls it.
+	// sendPart must itself refuse a draining server, whatever its caller has checked.
 	h = newHarness(t, singleRingSettings(), servers...)
 	a := h.aggregator
 	_, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
 	p := a.openQueries[0].parts[0]
 	p.state = partQueued
-	p.attempts = 0
+	p.attemptCount = 0
 	p.inFlight = nil
-	a.servers[3].inFlight = nil
-	assert.False(t, a.send(p, a.servers[2]), "draining")
-	assert.True(t, a.send(p, a.servers[3]), "ready")
+	a.serversByID[3].inFlight = nil
+	assert.False(t, a.sendPart(p, a.serversByID[2]), "draining")
+	assert.True(t, a.sendPart(p, a.serversByID[3]), "ready")
 }
--- a/policy/rulechecker_test.go
+++ b/policy/invariantchecker_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ruleChecker reports random valid events to an aggregator and checks the rules on its actions (rulechecks_test.go).
-// It does not model servers: results and delays are drawn at random.
-type ruleChecker struct {
-	test       *testing.T
+// invariantChecker reports random valid events to an aggregator and checks invariants of its actions
+// (invariantchecks_test.go). It does not model servers: results and delays are drawn at random.
+type invariantChecker struct {
+	t          *testing.T
 	settings   Settings
 	random     *rand.Rand
 	now        Micros
@@ -20,26 +20,26 @@
 	actions []Action // of all steps
 
 	servers      map[uint32]Endpoint
-	drainedAt    map[uint32]Micros // when a server's Draining or Removed state was first reported
+	drainedAt    map[uint32]Micros // by server: when its state was first reported as Draining or Removed
 	queries      map[uint64]*checkedQuery
 	parts        map[uint64]*checkedPart
 	inFlight     []checkedAttempt
-	healthChecks []uint32 // servers whose health checks are in flight
-	timers       []Micros // when they fire
+	healthChecks []uint32 // IDs of the servers with a health check in flight
+	timers       []Micros // times at which timers fire
 	nextID       uint64
-	lastNumber   uint64
+	lastNumber   uint64 // Query.Number of the newest query
 
-	accepted     []Micros // times of the accepted queries and parts
-	retries      []Micros // times of the retries
+	acceptedAt   []Micros // times at which queries and parts were accepted
+	retriedAt    []Micros // times at which parts were retried
 	warmingSends map[uint32][]warmingSend
 
-	endedQueries int
-	sentAttempts int
+	endedQueryCount  int
+	sentAttemptCount int
 
-	// reconfigurations counts changes of the settings; none are made if it is negative.
+	// reconfigurations is the number of changes of the settings so far. If it is negative, none are made.
 	reconfigurations int
 
-	// repeatSettings repeats the unchanged settings in every step.
+	// repeatSettings makes every step reconfigure the aggregator with its unchanged settings.
 	repeatSettings bool
 }
 
@@ -53,31 +53,31 @@
 }
 
 type checkedPart struct {
-	query       *checkedQuery
-	shard       int
-	weight      float64
-	attempts    int
-	inFlight    map[int]bool // by index of the attempt
-	mayHaveRun  bool
-	firstSentAt Micros
-	answered    bool
+	query        *checkedQuery
+	shard        int
+	weight       float64
+	attemptCount int
+	inFlight     map[int]bool // by index of the attempt
+	mayHaveRun   bool
+	firstSentAt  Micros
+	answered     bool
 }
 
 type checkedAttempt struct {
-	part   uint64
-	index  int
-	server uint32
-	sentAt Micros
-	endsAt Micros
-	status Status
+	partID   uint64
+	index    int
+	serverID uint32
+	sentAt   Micros
+	endsAt   Micros
+	status   Status
 }
 
-func newRuleChecker(t *testing.T, settings Settings, seed uint64) *ruleChecker {
+func newInvariantChecker(t *testing.T, settings Settings, seed uint64) *invariantChecker {
 	t.Helper()
 	aggregator, err := New(settings, seed)
 	require.NoError(t, err)
-	c := &ruleChecker{
-		test:         t,
+	c := &invariantChecker{
+		t:            t,
 		settings:     settings,
 		random:       rand.New(rand.NewPCG(seed, 1)),
 		now:          50_000_000,
@@ -97,15 +97,16 @@
 	return c
 }
 
-func (c *ruleChecker) add(event Event) { c.events = append(c.events, event) }
+func (c *invariantChecker) add(event Event) { c.events = append(c.events, event) }
 
-func (c *ruleChecker) newID() uint64 {
+func (c *invariantChecker) newID() uint64 {
 	c.nextID++
 	return c.nextID
 }
 
-// run makes steps with random events, then steps without new ones until all queries must have ended.
-func (c *ruleChecker) run(steps int) {
+// run takes the given number of steps with random events, then steps without new ones until all queries must have
+// ended.
+func (c *invariantChecker) run(steps int) {
 	for range steps {
 		c.now += c.settings.Tick * Micros(1+c.random.IntN(3))
 		c.addRandomEvents()
@@ -117,12 +118,12 @@
 	}
 	for id, query := range c.queries {
 		if !query.closed {
-			c.test.Fatalf("query %d got no final action", id)
+			c.t.Fatalf("query %d got no final action", id)
 		}
 	}
 }
 
-func (c *ruleChecker) addRandomEvents() {
+func (c *invariantChecker) addRandomEvents() {
 	if c.random.IntN(4) == 0 {
 		c.startQuery()
 	}
@@ -137,7 +138,7 @@
 	}
 }
 
-func (c *ruleChecker) sendEndpointList() {
+func (c *invariantChecker) sendEndpointList() {
 	var endpoints []Endpoint
 	for id := uint32(1); id < 20; id++ {
 		if endpoint, ok := c.servers[id]; ok {
@@ -147,7 +148,7 @@
 	c.add(EndpointList{endpoints})
 }
 
-func (c *ruleChecker) changeServer() {
+func (c *invariantChecker) changeServer() {
 	id := uint32(c.random.IntN(8) + 1)
 	endpoint := c.servers[id]
 	switch c.random.IntN(6) {
@@ -168,8 +169,8 @@
 	c.sendEndpointList()
 }
 
-// reconfigure draws other classes, in another order and with other times, and other limits.
-func (c *ruleChecker) reconfigure() {
+// reconfigure changes the settings at random: the choice, order and times of the classes, and the limits.
+func (c *invariantChecker) reconfigure() {
 	c.reconfigurations++
 	settings := c.settings
 	settings.Classes = nil
@@ -196,7 +197,7 @@
 	c.settings = settings
 }
 
-func (c *ruleChecker) startQuery() {
+func (c *invariantChecker) startQuery() {
 	classIndex := c.random.IntN(len(c.settings.Classes))
 	class := c.settings.Classes[classIndex]
 	parts := c.random.IntN(5) + 1
@@ -214,15 +215,15 @@
 		Class:      classIndex,
 		Tenant:     c.random.IntN(2),
 		Deadline:   query.deadline,
-		Parts:      parts,
+		PartCount:  parts,
 		Retry:      c.random.IntN(5) == 0,
 		RequestKey: uint64(c.random.IntN(4)),
 	})
-	c.accepted = append(c.accepted, c.now)
+	c.acceptedAt = append(c.acceptedAt, c.now)
 	c.addParts(query, c.lastNumber, parts)
 }
 
-func (c *ruleChecker) addParts(query *checkedQuery, number uint64, count int) {
+func (c *invariantChecker) addParts(query *checkedQuery, number uint64, count int) {
 	query.parts = nil
 	firstShard := c.random.IntN(c.settings.Shards)
 	for i := range count {
@@ -242,15 +243,15 @@
 			Weight:      p.weight,
 			CostHint:    Micros(c.random.IntN(3)-1) * 40_000,
 		})
-		c.accepted = append(c.accepted, c.now)
+		c.acceptedAt = append(c.acceptedAt, c.now)
 	}
 }
 
-// step reports the events that are due and checks the actions that they bring.
-func (c *ruleChecker) step() {
+// step reports the events that are due and checks the resulting actions.
+func (c *invariantChecker) step() {
 	c.endAttempts()
 	for _, server := range c.healthChecks {
-		c.add(HealthCheckResult{Server: server, Status: Status(c.random.IntN(2)), Report: NoLoadReport})
+		c.add(HealthCheckResult{ServerID: server, Status: Status(c.random.IntN(2)), Report: NoLoadReport})
 	}
 	c.healthChecks = nil
 	c.fireTimer()
@@ -266,15 +267,15 @@
 	c.actions = append(c.actions, actions...)
 }
 
-// endAttempts reports the results of the attempts that end by now.
-func (c *ruleChecker) endAttempts() {
+// endAttempts reports the results of the attempts that are due to end.
+func (c *invariantChecker) endAttempts() {
 	var remaining []checkedAttempt
 	for _, attempt := range c.inFlight {
 		if attempt.endsAt > c.now {
 			remaining = append(remaining, attempt)
 			continue
 		}
-		p := c.parts[attempt.part]
+		p := c.parts[attempt.partID]
 		delete(p.inFlight, attempt.index)
 		if attempt.status != Rejected && attempt.status != ConnectFailed && attempt.status != Withdrawn {
 			p.mayHaveRun = true
@@ -287,19 +288,19 @@
 			report.InFlight = float64(c.random.IntN(6))
 		}
 		c.add(AttemptResult{
-			Part:    attempt.part,
-			Attempt: attempt.index,
-			Server:  attempt.server,
-			Status:  attempt.status,
-			Elapsed: c.now - attempt.sentAt,
-			Report:  report,
+			PartID:       attempt.partID,
+			AttemptIndex: attempt.index,
+			ServerID:     attempt.serverID,
+			Status:       attempt.status,
+			Elapsed:      c.now - attempt.sentAt,
+			Report:       report,
 		})
 	}
 	c.inFlight = remaining
 }
 
 // fireTimer reports the first timer that is due.
-func (c *ruleChecker) fireTimer() {
+func (c *invariantChecker) fireTimer() {
 	for i, at := range c.timers {
 		if at <= c.now {
 			c.add(TimerFired{})
@@ -309,7 +310,7 @@
 	}
 }
 
-func (c *ruleChecker) check(action Action) {
+func (c *invariantChecker) check(action Action) {
 	switch action := action.(type) {
 	case SendAttempt:
 		c.checkSend(action)
@@ -320,34 +321,34 @@
 	case Reject:
 		c.checkReject(action)
 	case Fail:
-		c.endQuery(action.Query)
+		c.endQuery(action.QueryID)
 	case HealthCheck:
-		c.healthChecks = append(c.healthChecks, action.Server)
+		c.healthChecks = append(c.healthChecks, action.ServerID)
 	case SetTimer:
-		c.timers = append(c.timers, c.now+action.After)
+		c.timers = append(c.timers, c.now+action.Delay)
 	}
 }
 
-func (c *ruleChecker) cancelAttempt(action CancelAttempt) {
+func (c *invariantChecker) cancelAttempt(action CancelAttempt) {
 	for i := range c.inFlight {
 		attempt := &c.inFlight[i]
-		if attempt.part == action.Part && attempt.index == action.Attempt {
+		if attempt.partID == action.PartID && attempt.index == action.AttemptIndex {
 			attempt.endsAt = c.now
 			attempt.status = Canceled
 		}
 	}
 }
 
-func (c *ruleChecker) endQuery(id uint64) {
+func (c *invariantChecker) endQuery(id uint64) {
 	query := c.queries[id]
 	if query == nil || query.closed {
-		c.test.Fatalf("query %d got a second final action, or is unknown", id)
+		c.t.Fatalf("query %d got a second final action, or is unknown", id)
 	}
 	query.closed = true
-	c.endedQueries++
+	c.endedQueryCount++
 }
 
-func (c *ruleChecker) startAttempt(action SendAttempt, index int) {
+func (c *invariantChecker) startAttempt(action SendAttempt, index int) {
 	status := OK
 	if c.random.IntN(3) == 0 {
 		status = Status(c.random.IntN(8))
@@ -360,11 +361,11 @@
 		delay = timeout
 	}
 	c.inFlight = append(c.inFlight, checkedAttempt{
-		part:   action.Part,
-		index:  index,
-		server: action.Server,
-		sentAt: c.now,
-		endsAt: c.now + delay,
-		status: status,
+		partID:   action.PartID,
+		index:    index,
+		serverID: action.ServerID,
+		sentAt:   c.now,
+		endsAt:   c.now + delay,
+		status:   status,
 	})
 }
--- a/policy/requesting_test.go
+++ b/policy/requesting_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While servers are busy, the light parts of a query that may be answered in part are sent one for each quick answer.
+// While the servers are busy, the light parts of a query that accepts a partial answer must not add to the load unless
+// answers are quick: each quick answer releases one of them.
 func TestLightPartsAreDeferredUnderLoad(t *testing.T) {
 	for _, c := range []struct {
 		utilization float64
@@ -26,8 +27,8 @@
 			p.Weight = weight
 			events[i+1] = p
 		}
-		sent := h.sends(testTick, events...)
+		sent := h.stepSends(testTick, events...)
 		require.Len(t, sent, c.first, "utilization %.1f", c.utilization)
-		assert.Len(t, h.sends(testTick, resultOf(sent[0], OK)), c.next, "utilization %.1f", c.utilization)
+		assert.Len(t, h.stepSends(testTick, resultOf(sent[0], OK)), c.next, "utilization %.1f", c.utilization)
 	}
 }
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -12,21 +12,21 @@
 	for range 40 {
 		_, events := h.newQuery(idempotentClass, 1)
 		accepted += len(events)
-		sent := h.sends(testTick, events...)
+		sent := h.stepSends(testTick, events...)
 		for range 3 {
 			var results []Event
 			for _, s := range sent {
-				attempt := h.aggregator.parts[s.Part].attempts - 1
+				attempt := h.aggregator.partsByID[s.PartID].attemptCount - 1
 				results = append(results, resultOfAttempt(s, attempt, ServerError))
 			}
-			sent = h.sends(testTick, results...)
+			sent = h.stepSends(testTick, results...)
 		}
 	}
 	attempts := map[uint64]int{}
 	retries := 0
 	for _, s := range actionsOf[SendAttempt](h.actions) {
-		retries += boolToInt(attempts[s.Part] > 0)
-		attempts[s.Part]++
+		retries += boolToInt(attempts[s.PartID] > 0)
+		attempts[s.PartID]++
 	}
 	settings := h.aggregator.settings
 	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
@@ -40,6 +40,6 @@
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
-	assert.Empty(t, h.aggregator.budget.accepted)
-	assert.Empty(t, h.aggregator.budget.retries)
+	assert.Empty(t, h.aggregator.retryBudget.accepted)
+	assert.Empty(t, h.aggregator.retryBudget.retries)
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// deficitDecay is the factor on a server's deficit at each choice for the shard.
+	// deficitDecay is the factor by which a server's deficit decays with each choice of a replica for the shard.
 	deficitDecay = 0.9
 
 	// deficitTolerance is the difference, in parts, up to which deficits count as equal.
 	deficitTolerance = 1e-9
 )
 
-// candidate is a replica of a part's shard.
+// candidate is a replica that is considered for a part.
 type candidate struct {
 	server           *server
 	predictedLatency float64 // of the part, in microseconds
 
-	// share is the replica's share of the shard's parts, 0 to 1, in proportion to its utility. Only
-	// chooseReplica sets it.
-	share float64
+	// trafficShare is the share of the shard's parts, 0 to 1, that the replica should receive, in proportion to its
+	// utility. Only chooseReplica sets it.
+	trafficShare float64
 }
 
 // rankReplicas returns the replicas of a part's shard in descending order of utility.
@@ -37,51 +37,51 @@
 }
 
 // chooseReplica returns the server to send a part to, or nil if the part must stay queued. The replicas of a shard
-// receive parts in proportion to their utility: the one with the largest deficit is preferred, then the others by
-// rank. Servers that the query has used come after those that it has not.
+// receive parts in proportion to their utility: the one with the largest deficit is preferred, then the others in
+// descending order of utility. Servers that the query already uses come last.
 func (a *Aggregator) chooseReplica(p *part) *server {
 	if !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) {
 		return nil
 	}
 	ranked := a.rankReplicas(p)
-	assignShares(ranked)
+	assignTrafficShares(ranked)
 	hasHealthyReplica := slices.ContainsFunc(ranked, func(c candidate) bool {
 		return isAlternative(c, p, ranked) && !a.isOutlier(c.server) && !a.isBusy(c.server)
 	})
 	preferred := ranked[largestDeficit(ranked, p.Shard)]
-	if i := a.findSharedBatch(p, ranked, hasHealthyReplica); i >= 0 {
+	if i := a.findJoinableBatch(p, ranked, hasHealthyReplica); i >= 0 {
 		preferred = ranked[i]
-		p.query.usedServers = slices.DeleteFunc(p.query.usedServers, func(id uint32) bool {
+		p.query.usedServerIDs = slices.DeleteFunc(p.query.usedServerIDs, func(id uint32) bool {
 			return id == preferred.server.ID
 		})
 	}
-	chosen := a.firstSendable(p, preferred, ranked, hasHealthyReplica)
+	chosen := a.firstEligible(p, preferred, ranked, hasHealthyReplica)
 	if chosen == nil {
 		return nil
 	}
 	for _, c := range ranked {
-		c.server.deficits[p.Shard] = c.server.deficits[p.Shard]*deficitDecay + c.share
+		c.server.deficits[p.Shard] = c.server.deficits[p.Shard]*deficitDecay + c.trafficShare
 	}
 	chosen.deficits[p.Shard]--
 	return chosen
 }
 
-// assignShares gives each candidate its share of the parts. The candidates must be in descending order of utility.
-func assignShares(ranked []candidate) {
+// assignTrafficShares sets the traffic share of each candidate. The candidates must be in descending order of utility.
+func assignTrafficShares(ranked []candidate) {
 	sum := 0.0
 	for _, c := range ranked {
 		sum += ranked[0].predictedLatency / c.predictedLatency
 	}
 	for i, c := range ranked {
-		ranked[i].share = ranked[0].predictedLatency / c.predictedLatency / sum
+		ranked[i].trafficShare = ranked[0].predictedLatency / c.predictedLatency / sum
 	}
 }
 
-// largestDeficit returns the index of the candidate that is furthest below its share of a shard's parts.
+// largestDeficit returns the index of the candidate that is furthest below its share of the shard's parts.
 func largestDeficit(ranked []candidate, shard int) int {
 	index, largest := 0, math.Inf(-1)
 	for i, c := range ranked {
-		deficit := c.server.deficits[shard] + c.share
+		deficit := c.server.deficits[shard] + c.trafficShare
 		if deficit > largest+deficitTolerance {
 			index, largest = i, deficit
 		}
@@ -89,17 +89,18 @@
 	return index
 }
 
-// isAlternative reports whether a candidate is another server than that of the part's latest attempt, or the only
+// isAlternative reports whether a candidate differs from the server of the part's latest attempt, or is the only
 // candidate.
 func isAlternative(c candidate, p *part, ranked []candidate) bool {
-	return c.server.ID != p.lastServer || len(ranked) == 1
+	return c.server.ID != p.lastServerID || len(ranked) == 1
 }
 
-// firstSendable returns the first server that the part may be sent to: the preferred one, then the others by rank,
-// as far as the query has not used them; then any by rank. It returns nil if there is none.
-func (a *Aggregator) firstSendable(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
+// firstEligible returns the first server that the part may be sent to, or nil if there is none. It considers the
+// servers that the query does not use yet, the preferred one before the others by rank, and then all alternatives to
+// the part's latest server by rank.
+func (a *Aggregator) firstEligible(p *part, preferred candidate, ranked []candidate, hasHealthyReplica bool) *server {
 	isUnused := func(c candidate) bool {
-		return !slices.Contains(p.query.usedServers, c.server.ID) && a.maySend(c.server, p, hasHealthyReplica)
+		return !slices.Contains(p.query.usedServerIDs, c.server.ID) && a.maySend(c.server, p, hasHealthyReplica)
 	}
 	isAllowed := func(c candidate) bool {
 		return isAlternative(c, p, ranked) && a.maySend(c.server, p, hasHealthyReplica)
