--- a/maintenance/drain.go
+++ b/maintenance/drain.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// InFlightReport is the latest report of an instance on its requests to the stores of a machine.
-type InFlightReport struct {
+// MemberDrainStatus is the latest report of an instance on its requests to the stores of a machine.
+type MemberDrainStatus struct {
 	// DrainAcknowledged is true if the instance knows of the drain and starts no new requests.
 	DrainAcknowledged bool
 	// RequestsInFlight is the number of its requests in flight to the stores.
@@ -27,7 +27,7 @@
 // time is the start of the drain, so no such request is left once Rules.UnreachableMemberTimeout has passed since then.
 // A request that was written completely before a pause has ended by then; one that was not is withdrawn after the pause
 // because its deadline has passed.
-func (s State) DrainComplete(permit Permit, now Micros, members map[string]InFlightReport, viewTrusted bool) (complete bool, waitReason string) {
+func (s State) DrainComplete(permit Permit, now Micros, members map[string]MemberDrainStatus, viewTrusted bool) (complete bool, waitReason string) {
 	unreachableDeadline := permit.DrainStartedAt + s.Rules.UnreachableMemberTimeout
 	timedOut := now > unreachableDeadline
 	if !viewTrusted && !timedOut {
--- a/maintenance/entry.go
+++ b/maintenance/entry.go
@@ -31,11 +31,11 @@
 // Transition moves a permit to another step. It has no effect if the permit is not at step From, so duplicate and late
 // transitions are harmless.
 type Transition struct {
-	Request string `json:"request"`
-	Machine string `json:"machine"`
-	From    Step   `json:"from"`
-	To      Step   `json:"to"`
-	Reason  string `json:"why,omitempty"`
+	RequestName string `json:"request"`
+	Machine     string `json:"machine"`
+	From        Step   `json:"from"`
+	To          Step   `json:"to"`
+	Reason      string `json:"why,omitempty"`
 	// OverrideReason is the reason for which an operator starts the drain regardless of the rules; empty if the rules
 	// apply.
 	OverrideReason string `json:"override,omitempty"`
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -352,8 +352,8 @@
 // checkTransition checks a transition that was applied. It does not check the drain of a machine that was unavailable
 // before, as that makes no violation worse.
 func checkTransition(before, after State, transition Transition) error {
-	permit := after.Permits[after.permitIndex(transition.Request, transition.Machine)]
-	previous := before.Permits[before.permitIndex(transition.Request, transition.Machine)]
+	permit := after.Permits[after.permitIndex(transition.RequestName, transition.Machine)]
+	previous := before.Permits[before.permitIndex(transition.RequestName, transition.Machine)]
 	if permit.Step == Draining && previous.Step == Requested && !unavailableMachines(before)[permit.Machine] {
 		if err := checkDrain(after, permit.Machine); err != nil {
 			return err
@@ -368,7 +368,7 @@
 // checkStaysInMaintenance checks that a machine in maintenance stays unavailable until it is reported as returning.
 func (s *schedule) checkStaysInMaintenance() error {
 	for _, permit := range s.state.Permits {
-		key := permit.Request + permit.Machine
+		key := permit.RequestName + permit.Machine
 		if s.lastSteps[key] == InMaintenance && permit.Step != InMaintenance && permit.Step != Returning {
 			return fmt.Errorf("%s went from maintenance to step %s", permit.Machine, permit.Step)
 		}
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -36,8 +36,8 @@
 
 // Permit is the maintenance of one machine, from its request to its end.
 type Permit struct {
-	// Request is the name of the request. Together with Machine, it identifies the permit.
-	Request     string `json:"request"`
+	// RequestName is the name of the request. Together with Machine, it identifies the permit.
+	RequestName string `json:"request"`
 	Machine     string `json:"machine"`
 	RequestedBy string `json:"by"`
 	Reason      string `json:"reason"`
@@ -74,5 +74,5 @@
 
 // transition returns a transition of the permit from its current step.
 func (p Permit) transition(to Step, reason string) Transition {
-	return Transition{Request: p.Request, Machine: p.Machine, From: p.Step, To: to, Reason: reason}
+	return Transition{RequestName: p.RequestName, Machine: p.Machine, From: p.Step, To: to, Reason: reason}
 }
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -12,8 +12,8 @@
 
 // PlannedDrain is the predicted drain and return of one machine.
 type PlannedDrain struct {
-	Request string `json:"request"`
-	Machine string `json:"machine"`
+	RequestName string `json:"request"`
+	Machine     string `json:"machine"`
 	// Wave is the number, from 1, of the group of drains that start at the same time; 0 if the machine is already
 	// unavailable.
 	Wave     int    `json:"wave"`
@@ -22,10 +22,10 @@
 	AvailableAt Micros `json:"back"`
 }
 
-// Undrainable is a machine whose maintenance was requested but that the plan cannot drain.
-type Undrainable struct {
-	Request string `json:"request"`
-	Machine string `json:"machine"`
+// UndrainableMachine is a machine whose maintenance was requested but that the plan cannot drain.
+type UndrainableMachine struct {
+	RequestName string `json:"request"`
+	Machine     string `json:"machine"`
 	RuleViolation
 	// Remedy is the smallest change that would allow the drain.
 	Remedy string `json:"nearest"`
@@ -34,8 +34,8 @@
 // Plan is the predicted order of the drains.
 type Plan struct {
 	// Drains are sorted by StartsAt.
-	Drains      []PlannedDrain `json:"turns"`
-	Undrainable []Undrainable  `json:"never,omitempty"`
+	Drains      []PlannedDrain       `json:"turns"`
+	Undrainable []UndrainableMachine `json:"never,omitempty"`
 	// End is the time at which the last machine counts as available again.
 	End Micros `json:"end"`
 }
@@ -79,7 +79,7 @@
 		switch {
 		case permit.Step.isUnavailable():
 			p.addDrain(machine, PlannedDrain{
-				Request:     permit.Request,
+				RequestName: permit.RequestName,
 				Machine:     permit.Machine,
 				StartsAt:    permit.DrainStartedAt,
 				AvailableAt: s.Now + s.remainingUnavailableDuration(permit),
@@ -126,7 +126,7 @@
 		p.wave = wave
 		p.outages.startDrain(machine, p.now)
 		p.addDrain(machine, PlannedDrain{
-			Request:     permit.Request,
+			RequestName: permit.RequestName,
 			Machine:     permit.Machine,
 			Wave:        wave,
 			StartsAt:    p.now,
@@ -178,8 +178,8 @@
 }
 
 func (p *planner) addUndrainable(permit Permit, violation RuleViolation, remedy string) {
-	p.plan.Undrainable = append(p.plan.Undrainable, Undrainable{
-		Request:       permit.Request,
+	p.plan.Undrainable = append(p.plan.Undrainable, UndrainableMachine{
+		RequestName:   permit.RequestName,
 		Machine:       permit.Machine,
 		RuleViolation: violation,
 		Remedy:        remedy,
@@ -208,8 +208,8 @@
 }
 
 // undrainable returns why a machine cannot be drained even while all others are available, or nil if it can.
-func (s State) undrainable(permit Permit, machine *Machine) *Undrainable {
-	result := &Undrainable{Request: permit.Request, Machine: permit.Machine}
+func (s State) undrainable(permit Permit, machine *Machine) *UndrainableMachine {
+	result := &UndrainableMachine{RequestName: permit.RequestName, Machine: permit.Machine}
 	if machine == nil {
 		result.RuleViolation = RuleViolation{Reason: "the machine is not in the layout"}
 		result.Remedy = "add the machine to the layout"
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -90,13 +90,13 @@
 // permitIndex returns the index of the permit for a machine in a request, or -1 if there is none.
 func (s State) permitIndex(request, machine string) int {
 	return slices.IndexFunc(s.Permits, func(permit Permit) bool {
-		return permit.Request == request && permit.Machine == machine
+		return permit.RequestName == request && permit.Machine == machine
 	})
 }
 
 // applyRequest adds a permit for each machine of a request. A repeated request has no effect.
 func (s State) applyRequest(request Request) (State, Outcome) {
-	repeated := slices.ContainsFunc(s.Permits, func(permit Permit) bool { return permit.Request == request.Name })
+	repeated := slices.ContainsFunc(s.Permits, func(permit Permit) bool { return permit.RequestName == request.Name })
 	if repeated {
 		return s, applied()
 	}
@@ -104,7 +104,7 @@
 	openPermits := 0
 	for _, permit := range s.Permits {
 		if !permit.Step.isFinal() {
-			openRequestByMachine[permit.Machine] = permit.Request
+			openRequestByMachine[permit.Machine] = permit.RequestName
 			openPermits++
 		}
 	}
@@ -145,7 +145,7 @@
 // newPermit returns a new permit for a machine of the request.
 func (r Request) newPermit(machine string, now Micros) Permit {
 	return Permit{
-		Request:       r.Name,
+		RequestName:   r.Name,
 		Machine:       machine,
 		RequestedBy:   r.RequestedBy,
 		Reason:        r.Reason,
@@ -162,9 +162,9 @@
 // applyTransition moves a permit to another step. A transition to Draining must keep the rules unless it overrides
 // them.
 func (s State) applyTransition(transition Transition) (State, Outcome) {
-	i := s.permitIndex(transition.Request, transition.Machine)
+	i := s.permitIndex(transition.RequestName, transition.Machine)
 	if i < 0 {
-		return s, rejectedf("there is no permit for machine %s in request %s", transition.Machine, transition.Request)
+		return s, rejectedf("there is no permit for machine %s in request %s", transition.Machine, transition.RequestName)
 	}
 	permit := s.Permits[i]
 	if permit.Step == transition.To {
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -28,14 +28,14 @@
 
 // drain applies the start of the drain of a machine.
 func drain(s State, machine string) (State, Outcome) {
-	return s.Apply(Entry{At: s.Now, Transition: &Transition{Request: "r", Machine: machine, From: Requested, To: Draining}})
+	return s.Apply(Entry{At: s.Now, Transition: &Transition{RequestName: "r", Machine: machine, From: Requested, To: Draining}})
 }
 
 // applySteps moves the permit of a machine from the first of some steps to the last.
 func applySteps(t *testing.T, s State, machine string, steps ...Step) State {
 	t.Helper()
 	for i := range len(steps) - 1 {
-		transition := Transition{Request: "r", Machine: machine, From: steps[i], To: steps[i+1]}
+		transition := Transition{RequestName: "r", Machine: machine, From: steps[i], To: steps[i+1]}
 		s = mustApply(t, s, Entry{At: s.Now, Transition: &transition})
 	}
 	return s
@@ -55,9 +55,9 @@
 	crashed := mustApply(t, draining, Entry{HealthChange: &HealthChange{Machine: test.second, Reason: "crashed"}})
 	transitions := crashed.NextTransitions(crashed.Now, "")
 	require.Len(t, transitions, 2, "the drain is recalled because the other replica is lost, and the lost machine is drained instead")
-	recall := Transition{Request: "r", Machine: test.first, From: Draining, To: Requested, Reason: "replicas: " + violation}
+	recall := Transition{RequestName: "r", Machine: test.first, From: Draining, To: Requested, Reason: "replicas: " + violation}
 	assert.Equal(t, recall, transitions[0])
-	assert.Equal(t, Transition{Request: "r", Machine: test.second, From: Requested, To: Draining}, transitions[1])
+	assert.Equal(t, Transition{RequestName: "r", Machine: test.second, From: Requested, To: Draining}, transitions[1])
 
 	inMaintenance := applySteps(t, draining, test.first, Draining, Drained, InMaintenance)
 	inMaintenance.Now += 30 * day
@@ -70,7 +70,7 @@
 	unhealthy.Now += hour
 	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "no transition is proposed while a machine is unhealthy after its maintenance")
 	healthy := mustApply(t, unhealthy, Entry{HealthChange: &HealthChange{Machine: test.first, Healthy: true}})
-	completion := Transition{Request: "r", Machine: test.first, From: WarmingUp, To: Completed}
+	completion := Transition{RequestName: "r", Machine: test.first, From: WarmingUp, To: Completed}
 	assert.Equal(t, []Transition{completion}, healthy.NextTransitions(healthy.Now, ""))
 
 	tightened := mustApply(t, draining, Entry{Rules: &Rules{MinAvailableReplicas: 2}})
@@ -80,7 +80,7 @@
 	assert.Empty(t, frozen.NextTransitions(frozen.Now, ""))
 	_, outcome = drain(frozen, test.first)
 	assert.Equal(t, RuleFreeze, outcome.Rule)
-	override := Transition{Request: "r", Machine: test.first, From: Requested, To: Draining, OverrideReason: "disk failure"}
+	override := Transition{RequestName: "r", Machine: test.first, From: Requested, To: Draining, OverrideReason: "disk failure"}
 	overridden := mustApply(t, frozen, Entry{Transition: &override})
 	assert.Equal(t, "disk failure", overridden.Permits[0].OverrideReason)
 }
@@ -90,20 +90,20 @@
 func TestDrainComplete(t *testing.T) {
 	s := State{Rules: Rules{UnreachableMemberTimeout: 10 * second}}
 	permit := Permit{Step: Draining, DrainStartedAt: hour}
-	idle := InFlightReport{DrainAcknowledged: true}
+	idle := MemberDrainStatus{DrainAcknowledged: true}
 	for name, testCase := range map[string]struct {
-		members  map[string]InFlightReport
+		members  map[string]MemberDrainStatus
 		trusted  bool
 		elapsed  Micros
 		complete bool
 	}{
-		"all reported no request":           {map[string]InFlightReport{"a": idle, "b": idle}, true, second, true},
-		"one has not acknowledged":          {map[string]InFlightReport{"a": {}, "b": idle}, true, hour, false},
-		"one has a request in flight":       {map[string]InFlightReport{"a": {DrainAcknowledged: true, RequestsInFlight: 1}}, true, hour, false},
-		"one is unreachable":                {map[string]InFlightReport{"a": {UnreachableSince: hour}, "b": idle}, true, 9 * second, false},
-		"one is unreachable, but timed out": {map[string]InFlightReport{"a": {RequestsInFlight: 3, UnreachableSince: hour}, "b": idle}, true, 11 * second, true},
-		"untrusted view":                    {map[string]InFlightReport{"a": idle}, false, second, false},
-		"untrusted view, but timed out":     {map[string]InFlightReport{"a": idle}, false, 11 * second, true},
+		"all reported no request":           {map[string]MemberDrainStatus{"a": idle, "b": idle}, true, second, true},
+		"one has not acknowledged":          {map[string]MemberDrainStatus{"a": {}, "b": idle}, true, hour, false},
+		"one has a request in flight":       {map[string]MemberDrainStatus{"a": {DrainAcknowledged: true, RequestsInFlight: 1}}, true, hour, false},
+		"one is unreachable":                {map[string]MemberDrainStatus{"a": {UnreachableSince: hour}, "b": idle}, true, 9 * second, false},
+		"one is unreachable, but timed out": {map[string]MemberDrainStatus{"a": {RequestsInFlight: 3, UnreachableSince: hour}, "b": idle}, true, 11 * second, true},
+		"untrusted view":                    {map[string]MemberDrainStatus{"a": idle}, false, second, false},
+		"untrusted view, but timed out":     {map[string]MemberDrainStatus{"a": idle}, false, 11 * second, true},
 	} {
 		complete, waitReason := s.DrainComplete(permit, permit.DrainStartedAt+testCase.elapsed, testCase.members, testCase.trusted)
 		assert.Equal(t, testCase.complete, complete, name)
@@ -127,8 +127,8 @@
 		{Request: &Request{Machines: []string{"m-0001"}, WorkDuration: 1}},
 		{Request: &Request{Name: "x", WorkDuration: 1}},
 		{Request: &Request{Name: "x", Machines: []string{"m-0001"}, WorkDuration: 1, NotBefore: 9 * day, NotAfter: day}},
-		{Transition: &Transition{Request: "r", Machine: "m-0001", From: Requested, To: Draining}},
-		{Transition: &Transition{Request: "r", Machine: "m-0000", From: Requested, To: InMaintenance}},
+		{Transition: &Transition{RequestName: "r", Machine: "m-0001", From: Requested, To: Draining}},
+		{Transition: &Transition{RequestName: "r", Machine: "m-0000", From: Requested, To: InMaintenance}},
 		{Rules: &Rules{MaxUnavailableStoreFraction: 2}},
 		{Rules: &Rules{MinAvailableReplicas: -1}},
 		{Rules: &Rules{DrainSpacing: -1}},
