--- a/maintenance/drain.go
+++ b/maintenance/drain.go
@@ -34,10 +34,10 @@
 		return false, "the membership view is not trusted"
 	}
 	for _, name := range slices.Sorted(maps.Keys(members)) {
-		report := members[name]
-		reachable := report.UnreachableSince == 0
-		if reachable && (!report.DrainAcknowledged || report.RequestsInFlight > 0) {
-			return false, fmt.Sprintf("member %s has not acknowledged the drain or still has requests in flight (%d reported)", name, report.RequestsInFlight)
+		status := members[name]
+		reachable := status.UnreachableSince == 0
+		if reachable && (!status.DrainAcknowledged || status.RequestsInFlight > 0) {
+			return false, fmt.Sprintf("member %s has not acknowledged the drain or still has requests in flight (%d reported)", name, status.RequestsInFlight)
 		}
 		if !reachable && !timedOut {
 			return false, fmt.Sprintf("member %s is unreachable and may send requests for another %d s", name, (unreachableDeadline-now)/microsPerSecond)
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unavailableMachines returns the unavailable machines. It does not use the type outageCounts, which it serves to
+// unavailableMachines returns the unavailable machines. It does not use the type availabilityTracker, which it serves to
 // check.
 func unavailableMachines(s State) map[string]bool {
 	unavailable := map[string]bool{}
@@ -28,7 +28,7 @@
 }
 
 // checkDrain returns an error if the start of the drain of a machine has violated a rule. It does not use the type
-// outageCounts, which it serves to check.
+// availabilityTracker, which it serves to check.
 func checkDrain(s State, name string) error {
 	unavailable := unavailableMachines(s)
 	if err := checkReplicas(s, name, unavailable); err != nil {
@@ -159,8 +159,8 @@
 }
 
 const (
-	// scheduleSteps is the number of steps of each schedule.
-	scheduleSteps = 40
+	// eventsPerSchedule is the number of steps of each schedule.
+	eventsPerSchedule = 40
 	// maxRecentStates is the number of latest states on which leaders base their proposals.
 	maxRecentStates = 8
 )
@@ -197,9 +197,9 @@
 			return err
 		}
 	}
-	for step := len(initial); step < scheduleSteps; step++ {
+	for event := len(initial); event < eventsPerSchedule; event++ {
 		s.advanceTime()
-		if err := s.runStep(step); err != nil {
+		if err := s.runEvent(event); err != nil {
 			return err
 		}
 	}
@@ -208,10 +208,10 @@
 
 func (s *schedule) advanceTime() { s.now += Micros(s.rng.IntN(90)) * second }
 
-// runStep proposes entries, some of which are lost or applied again in a later step, and may apply an earlier entry
+// runEvent proposes entries, some of which are lost or applied again in a later step, and may apply an earlier entry
 // again.
-func (s *schedule) runStep(step int) error {
-	for _, entry := range s.propose(step) {
+func (s *schedule) runEvent(event int) error {
+	for _, entry := range s.propose(event) {
 		entry.At = s.now - Micros(s.rng.IntN(200))*second // the clocks of leaders differ
 		delivery := s.rng.IntN(10)
 		if delivery == 0 {
@@ -236,12 +236,12 @@
 }
 
 // propose returns the entries of a random event. Some of them are based on an outdated state.
-func (s *schedule) propose(step int) []Entry {
+func (s *schedule) propose(event int) []Entry {
 	observed := s.recentStates[s.rng.IntN(len(s.recentStates))]
 	machine := s.randomMachine()
 	switch s.rng.IntN(12) {
 	case 0, 1:
-		return []Entry{{Request: s.randomRequest(fmt.Sprint("r", step), machine)}}
+		return []Entry{{Request: s.randomRequest(fmt.Sprint("r", event), machine)}}
 	case 2:
 		return []Entry{{HealthChange: &HealthChange{Machine: machine, Healthy: s.rng.IntN(2) == 0, Reason: "crashed"}}}
 	case 3:
@@ -301,7 +301,7 @@
 func (s *schedule) apply(entry Entry) error {
 	before := s.state
 	next, outcome := before.Apply(entry)
-	if err := checkDeterminism(before, next, outcome, entry); err != nil {
+	if err := checkDeterminismAndRepetition(before, next, outcome, entry); err != nil {
 		return err
 	}
 	s.state = next
@@ -320,9 +320,9 @@
 	return nil
 }
 
-// checkDeterminism checks that an entry always has the same result when it is applied to the same state, and that a
+// checkDeterminismAndRepetition checks that an entry always has the same result when it is applied to the same state, and that a
 // repeated transition or request has no effect.
-func checkDeterminism(before, next State, outcome Outcome, entry Entry) error {
+func checkDeterminismAndRepetition(before, next State, outcome Outcome, entry Entry) error {
 	again, outcomeAgain := before.Apply(entry)
 	encoded, err := json.Marshal(next)
 	if err != nil {
--- a/maintenance/next.go
+++ b/maintenance/next.go
@@ -10,7 +10,7 @@
 	if s.Layout == nil {
 		return nil
 	}
-	transitions := s.transitionsOfOpenPermits(fault)
+	transitions := s.dueTransitions(fault)
 	if fault != "" || s.Freeze != nil || s.anyReturnedUnhealthy() {
 		return transitions
 	}
@@ -25,10 +25,10 @@
 	})
 }
 
-// transitionsOfOpenPermits returns the expirations, recalls and completions that are due.
-func (s State) transitionsOfOpenPermits(fault string) []Transition {
+// dueTransitions returns the expirations, recalls and completions that are due.
+func (s State) dueTransitions(fault string) []Transition {
 	var transitions []Transition
-	outages := s.outageCounts()
+	tracker := s.availability()
 	for _, permit := range s.Permits {
 		switch permit.Step {
 		case Requested:
@@ -36,7 +36,7 @@
 				transitions = append(transitions, permit.transition(Expired, "its window passed"))
 			}
 		case Draining:
-			if reason := s.recallReason(outages, permit, fault); reason != "" {
+			if reason := s.checkRecall(tracker, permit, fault); reason != "" {
 				transitions = append(transitions, permit.transition(Requested, reason))
 			}
 		case WarmingUp:
@@ -50,20 +50,20 @@
 	return transitions
 }
 
-// recallReason returns the reason to recall a drain, or an empty string if the drain continues. A drain is recalled
+// checkRecall returns the reason to recall a drain, or an empty string if the drain continues. A drain is recalled
 // during a fault, or when the rules no longer permit it because another machine became unavailable or the rules were
 // tightened; a drain that overrides the rules is recalled only during a fault. If the rules are the reason,
-// recallReason records the machine as available in outages, so that the remaining drains are checked without it.
-func (s State) recallReason(outages *outageCounts, permit Permit, fault string) string {
+// checkRecall records the machine as available in tracker, so that the remaining drains are checked without it.
+func (s State) checkRecall(tracker *availabilityTracker, permit Permit, fault string) string {
 	machine := s.Layout.Machine(permit.Machine)
 	if fault != "" || permit.OverrideReason != "" || machine == nil {
 		return fault
 	}
-	outages.setUnavailable(machine, false)
-	if violation := outages.violationIfUnavailable(machine); violation != nil {
+	tracker.setUnavailable(machine, false)
+	if violation := tracker.violationIfUnavailable(machine); violation != nil {
 		return violation.String()
 	}
-	outages.setUnavailable(machine, true)
+	tracker.setUnavailable(machine, true)
 	return ""
 }
 
@@ -77,13 +77,13 @@
 	})
 	s.sortByPriority(waiting)
 	var transitions []Transition
-	outages := s.outageCounts()
+	tracker := s.availability()
 	for _, permit := range waiting {
 		machine := s.Layout.Machine(permit.Machine)
-		if start, _ := outages.earliestDrainStart(machine, s.Now); start != s.Now || outages.violationIfUnavailable(machine) != nil {
+		if start, _ := tracker.earliestDrainStart(machine, s.Now); start != s.Now || tracker.violationIfUnavailable(machine) != nil {
 			continue
 		}
-		outages.startDrain(machine, s.Now)
+		tracker.startDrain(machine, s.Now)
 		transitions = append(transitions, permit.transition(Draining, ""))
 	}
 	return transitions
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -62,7 +62,7 @@
 // planner simulates the drains of a plan.
 type planner struct {
 	state   State
-	outages *outageCounts
+	tracker *availabilityTracker
 	returns returnQueue
 	waiting []Permit // by priority
 	now     Micros
@@ -73,7 +73,7 @@
 }
 
 func newPlanner(s State) *planner {
-	p := &planner{state: s, outages: s.outageCounts(), now: s.Now, nextTime: noTime}
+	p := &planner{state: s, tracker: s.availability(), now: s.Now, nextTime: noTime}
 	for _, permit := range s.Permits {
 		machine := s.Layout.Machine(permit.Machine)
 		switch {
@@ -85,7 +85,7 @@
 				AvailableAt: s.Now + s.remainingUnavailableDuration(permit),
 			})
 		case permit.Step == Requested:
-			if undrainable := s.undrainable(permit, machine); undrainable != nil {
+			if undrainable := s.checkDrainable(permit, machine); undrainable != nil {
 				p.plan.Undrainable = append(p.plan.Undrainable, *undrainable)
 			} else {
 				p.waiting = append(p.waiting, permit)
@@ -124,7 +124,7 @@
 			return false
 		}
 		p.wave = wave
-		p.outages.startDrain(machine, p.now)
+		p.tracker.startDrain(machine, p.now)
 		p.addDrain(machine, PlannedDrain{
 			RequestName: permit.RequestName,
 			Machine:     permit.Machine,
@@ -146,11 +146,11 @@
 		p.lowerNextTime(permit.NotBefore)
 		return false
 	}
-	if start, _ := p.outages.earliestDrainStart(machine, p.now); start != p.now {
+	if start, _ := p.tracker.earliestDrainStart(machine, p.now); start != p.now {
 		p.lowerNextTime(start)
 		return false
 	}
-	return p.outages.violationIfUnavailable(machine) == nil
+	return p.tracker.violationIfUnavailable(machine) == nil
 }
 
 // advanceTime sets the time to nextTime and records the machines that return by then as available, except unhealthy
@@ -160,7 +160,7 @@
 	for len(p.returns) > 0 && p.returns[0].at <= p.now {
 		returned := heap.Pop(&p.returns).(machineReturn)
 		if returned.machine != nil && p.state.Unhealthy[returned.machine.Name] == "" {
-			p.outages.setUnavailable(returned.machine, false)
+			p.tracker.setUnavailable(returned.machine, false)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 func (p *planner) markWaitingUndrainable() {
 	for _, permit := range p.waiting {
 		violation := RuleViolation{}
-		if v := p.outages.violationIfUnavailable(p.state.Layout.Machine(permit.Machine)); v != nil {
+		if v := p.tracker.violationIfUnavailable(p.state.Layout.Machine(permit.Machine)); v != nil {
 			violation = *v
 		}
 		p.addUndrainable(permit, violation, "return the unavailable machines to service")
@@ -207,33 +207,33 @@
 	}
 }
 
-// undrainable returns why a machine cannot be drained even while all others are available, or nil if it can.
-func (s State) undrainable(permit Permit, machine *Machine) *UndrainableMachine {
+// checkDrainable returns why a machine cannot be drained even while all others are available, or nil if it can.
+func (s State) checkDrainable(permit Permit, machine *Machine) *UndrainableMachine {
 	result := &UndrainableMachine{RequestName: permit.RequestName, Machine: permit.Machine}
 	if machine == nil {
 		result.RuleViolation = RuleViolation{Reason: "the machine is not in the layout"}
 		result.Remedy = "add the machine to the layout"
 		return result
 	}
-	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
-	violation := outages.violationIfUnavailable(machine)
+	tracker := newAvailabilityTracker(s.Layout, s.Rules, s.Load)
+	violation := tracker.violationIfUnavailable(machine)
 	if violation == nil {
 		return nil
 	}
 	result.RuleViolation = *violation
-	outages.setUnavailable(machine, true)
-	result.Remedy = outages.remedy(violation.Rule, machine)
+	tracker.setUnavailable(machine, true)
+	result.Remedy = tracker.remedy(violation.Rule, machine)
 	return result
 }
 
 // remedy returns the smallest change after which a rule allows a machine to be unavailable. The machine must be the
 // only one that is recorded as unavailable.
-func (o *outageCounts) remedy(rule Rule, machine *Machine) string {
+func (t *availabilityTracker) remedy(rule Rule, machine *Machine) string {
 	switch rule {
 	case RuleReplicas:
-		fewest := noReplicaLimit
+		fewest := unlimitedReplicas
 		for _, store := range machine.Stores {
-			_, replicas := o.leastReplicatedShard(store.RingPosition)
+			_, replicas := t.leastReplicatedShard(store.RingPosition)
 			fewest = min(fewest, replicas)
 		}
 		if fewest < 1 {
@@ -241,7 +241,7 @@
 		}
 		return fmt.Sprintf("set keep_sound to %d, or add another replica of its shards", fewest)
 	case RuleLoad:
-		return fmt.Sprintf("set room to %.2f, or reduce the load", o.remainingLoad())
+		return fmt.Sprintf("set room to %.2f, or reduce the load", t.remainingLoad())
 	case RuleVoters:
 		return "add another voter"
 	default:
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -14,7 +14,7 @@
 func completeRequest(tb testing.TB, s State) (elapsed Micros, minReplicas int) {
 	tb.Helper()
 	startedAt := s.Now
-	minReplicas = noReplicaLimit
+	minReplicas = unlimitedReplicas
 	for now := s.Now; ; now += 10 * second {
 		for _, transition := range s.NextTransitions(now, "") {
 			s = mustApply(tb, s, Entry{At: now, Transition: &transition})
@@ -22,7 +22,7 @@
 		minReplicas = min(minReplicas, minAvailableReplicas(s))
 		openPermits := 0
 		for _, permit := range slices.Clone(s.Permits) {
-			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepReachedAt >= after {
+			if to, after := nextExternalStep(s, permit); to != "" && now-permit.StepReachedAt >= after {
 				transition := permit.transition(to, "")
 				s = mustApply(tb, s, Entry{At: now, Transition: &transition})
 			}
@@ -39,17 +39,17 @@
 
 // minAvailableReplicas returns the minimum number of available replicas of any shard.
 func minAvailableReplicas(s State) int {
-	outages := s.outageCounts()
-	fewest := noReplicaLimit
+	tracker := s.availability()
+	fewest := unlimitedReplicas
 	for shard := range s.Layout.Shards {
-		fewest = min(fewest, outages.availableReplicas(shard))
+		fewest = min(fewest, tracker.availableReplicas(shard))
 	}
 	return fewest
 }
 
-// operatorTransition returns the next step to which operators or instances move a permit, and the time after which they
+// nextExternalStep returns the next step to which operators or instances move a permit, and the time after which they
 // do. The step is empty if the next transition is a leader's.
-func operatorTransition(s State, permit Permit) (to Step, after Micros) {
+func nextExternalStep(s State, permit Permit) (to Step, after Micros) {
 	switch permit.Step {
 	case Draining:
 		return Drained, s.Rules.DrainDuration
--- a/maintenance/priority.go
+++ b/maintenance/priority.go
@@ -23,7 +23,7 @@
 			cmp.Compare(voterRank(machineA), voterRank(machineB)),
 			cmp.Compare(b.Urgency, a.Urgency),
 			cmp.Compare(latestStart(a), latestStart(b)),
-			cmp.Compare(s.replicasOnWaitingMachines(machineB, waitingStoresByPosition), s.replicasOnWaitingMachines(machineA, waitingStoresByPosition)),
+			cmp.Compare(s.waitingStoresNear(machineB, waitingStoresByPosition), s.waitingStoresNear(machineA, waitingStoresByPosition)),
 			cmp.Compare(a.RequestedAt, b.RequestedAt),
 			cmp.Compare(a.Machine, b.Machine),
 		)
@@ -45,9 +45,9 @@
 	return permit.NotAfter
 }
 
-// replicasOnWaitingMachines returns the number of stores on waiting machines that share shards with each store of a
+// waitingStoresNear returns the number of stores on waiting machines that share shards with each store of a
 // machine, summed over its stores. It includes the machine itself.
-func (s State) replicasOnWaitingMachines(machine *Machine, waitingStoresByPosition []int) int {
+func (s State) waitingStoresNear(machine *Machine, waitingStoresByPosition []int) int {
 	count := 0
 	for _, store := range machine.Stores {
 		for offset := 1 - s.Layout.ReplicationFactor; offset < s.Layout.ReplicationFactor; offset++ {
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -221,19 +221,19 @@
 	})
 }
 
-// outageCounts returns the counts of what is unavailable in this state.
-func (s State) outageCounts() *outageCounts {
-	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
+// availability returns the counts of what is unavailable in this state.
+func (s State) availability() *availabilityTracker {
+	tracker := newAvailabilityTracker(s.Layout, s.Rules, s.Load)
 	for _, permit := range s.Permits {
 		if permit.Step.isUnavailable() {
-			outages.setUnavailable(s.Layout.Machine(permit.Machine), true)
+			tracker.setUnavailable(s.Layout.Machine(permit.Machine), true)
 		}
 	}
 	for machine := range s.Unhealthy {
-		outages.setUnavailable(s.Layout.Machine(machine), true)
+		tracker.setUnavailable(s.Layout.Machine(machine), true)
 	}
-	maps.Copy(outages.lastDrainStartByType, s.LastDrainStartByType)
-	return outages
+	maps.Copy(tracker.lastDrainStartByType, s.LastDrainStartByType)
+	return tracker
 }
 
 // drainViolation returns the violation that forbids starting the drain of a permit now, or nil.
@@ -249,11 +249,11 @@
 	case permit.isExpiredAt(s.Now):
 		return violationf(RuleTimeWindow, "the time window of the request has passed")
 	}
-	outages := s.outageCounts()
-	if violation := outages.violationIfUnavailable(machine); violation != nil {
+	tracker := s.availability()
+	if violation := tracker.violationIfUnavailable(machine); violation != nil {
 		return violation
 	}
-	if start, rule := outages.earliestDrainStart(machine, s.Now); start != s.Now {
+	if start, rule := tracker.earliestDrainStart(machine, s.Now); start != s.Now {
 		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("the drain may not start for another %d s", (start-s.Now)/microsPerSecond)}
 	}
 	return nil
