--- a/maintenance/availability.go
+++ b/maintenance/availability.go
@@ -1,19 +1,21 @@
 package maintenance
 
 const (
-	// tolerance absorbs rounding errors in comparisons of fractions and weights.
+	// tolerance absorbs rounding errors in comparisons of fractions and weights, and avoids a division by zero in
+	// remainingLoad.
 	tolerance = 1e-9
-	// noShard and unlimitedReplicas stand for the shard and its number of replicas at a ring position that holds no shard.
+	// noShard and unlimitedReplicas are the results of leastReplicatedShard for a ring position that holds no shard.
 	noShard           = -1
 	unlimitedReplicas = 1 << 30
 )
 
-// availabilityTracker counts what is unavailable. The totals include all machines, available or not. Adding or removing a
-// machine takes time proportional to the number of its stores.
+// availabilityTracker counts what is unavailable, and checks the rules against these counts. The totals include all
+// machines, available or not. Recording a machine as unavailable or available takes time proportional to the number of
+// its stores.
 type availabilityTracker struct {
 	layout *Layout
 	rules  Rules
-	// load is the fraction of the total store weight that is in use; 0 if unknown.
+	// load is the load of all stores as a ratio of the total store weight; 0 if unknown.
 	load float64
 
 	totalStores       int
@@ -33,7 +35,7 @@
 	lastDrainStartByType        map[string]Micros
 }
 
-// newAvailabilityTracker returns the counts while everything is available.
+// newAvailabilityTracker returns a tracker in which all machines are available.
 func newAvailabilityTracker(layout *Layout, rules Rules, load float64) *availabilityTracker {
 	t := &availabilityTracker{
 		layout:                      layout,
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// storeViolation returns the violation of a rule on replicas or stores, or nil. The machine must be recorded as
-// unavailable.
+// storeViolation returns the violation of a rule on replicas, stores, store weight or zones, or nil. The machine must
+// be recorded as unavailable.
 func (t *availabilityTracker) storeViolation(machine *Machine) *RuleViolation {
 	if len(machine.Stores) == 0 {
 		return nil
--- a/maintenance/helpers_test.go
+++ b/maintenance/helpers_test.go
@@ -16,8 +16,8 @@
 	noon = 12 * hour
 )
 
-// uniformLayout returns a layout with one store per machine and as many machines per ring position as there are
-// replicas. Up to three replicas of a shard are in different zones.
+// uniformLayout returns a layout with the given number of machines at each ring position and one store on each machine.
+// The machines are spread over three zones, so that up to three replicas of a shard are in different zones.
 func uniformLayout(ringSize, replicas int) *Layout {
 	layout := &Layout{RingSize: ringSize, ReplicationFactor: 1, Shards: 2 * ringSize}
 	for position := range ringSize {
--- a/maintenance/layout.go
+++ b/maintenance/layout.go
@@ -34,14 +34,16 @@
 	Name string `json:"name"`
 	// RingPosition is the position of the store on the ring; see Layout.
 	RingPosition int `json:"cell"`
-	// Weight is the amount of work that the store does when it is available, in a unit common to all stores.
+	// Weight is the capacity of the store, in a unit common to all stores.
 	Weight float64 `json:"weight"`
 }
 
 // Layout describes all machines and the placement of the shards. Shard s is held by the stores at the ring positions
 // (s + i) mod RingSize, for i from 0 to ReplicationFactor - 1.
 type Layout struct {
-	RingSize          int `json:"cells"`
+	RingSize int `json:"cells"`
+	// ReplicationFactor is the number of ring positions that hold a shard. A position may have several stores, each of
+	// which holds a replica, or none.
 	ReplicationFactor int `json:"reach"`
 	Shards            int `json:"shards"`
 	// Machines are sorted by name.
@@ -56,15 +58,15 @@
 	machineByStore := map[string]string{}
 	for i, machine := range l.Machines {
 		if machine.Name == "" || i > 0 && machine.Name <= l.Machines[i-1].Name {
-			return fmt.Errorf("layout: machine %q has no name, is listed twice or is not sorted by name", machine.Name)
+			return fmt.Errorf("layout: machines[%d]: name %q is empty, listed twice or not in ascending order", i, machine.Name)
 		}
 		for _, store := range machine.Stores {
 			if other, duplicate := machineByStore[store.Name]; duplicate {
-				return fmt.Errorf("layout: store %s is listed on both machine %s and machine %s", store.Name, other, machine.Name)
+				return fmt.Errorf("layout: store %s is listed twice, on machine %s and on machine %s", store.Name, other, machine.Name)
 			}
 			machineByStore[store.Name] = machine.Name
 			if !l.isValidStore(store) {
-				return fmt.Errorf("layout: store %s: cell %d or weight %v is out of range", store.Name, store.RingPosition, store.Weight)
+				return fmt.Errorf("layout: machine %s: store %s: cell %d must be from 0 to %d, and weight %v from 0 to %v", machine.Name, store.Name, store.RingPosition, l.RingSize-1, store.Weight, maxWeight)
 			}
 		}
 	}
--- a/maintenance/model_size_measure_test.go
+++ b/maintenance/model_size_measure_test.go
@@ -2,5 +2,5 @@
 
 package maintenance
 
-// schedules is the number of schedules of the long model check.
+// schedules is the number of schedules that TestNoScheduleViolatesRules runs with the build tag measure.
 const schedules = 200_000
--- a/maintenance/model_size_test.go
+++ b/maintenance/model_size_test.go
@@ -2,5 +2,6 @@
 
 package maintenance
 
-// schedules is the number of schedules of the model check in CI, which takes a few seconds under the race detector.
+// schedules is the number of schedules that TestNoScheduleViolatesRules runs in CI, which takes a few seconds under the
+// race detector.
 const schedules = 500
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unavailableMachines returns the unavailable machines. It does not use the type availabilityTracker, which it serves to
-// check.
+// unavailableMachines returns the unavailable machines. It is independent of availabilityTracker, which the schedules
+// test.
 func unavailableMachines(s State) map[string]bool {
 	unavailable := map[string]bool{}
 	for _, permit := range s.Permits {
@@ -27,8 +27,9 @@
 	return unavailable
 }
 
-// checkDrain returns an error if the start of the drain of a machine has violated a rule. It does not use the type
-// availabilityTracker, which it serves to check.
+// checkDrain returns an error if the start of the drain of a machine has violated a rule on replicas, stores, zones,
+// members, voters or exclusion groups, or a freeze. It does not check the rules on weight, load and time. It is
+// independent of availabilityTracker, which the schedules test.
 func checkDrain(s State, name string) error {
 	unavailable := unavailableMachines(s)
 	if err := checkReplicas(s, name, unavailable); err != nil {
@@ -159,14 +160,15 @@
 }
 
 const (
-	// eventsPerSchedule is the number of steps of each schedule.
+	// eventsPerSchedule is the number of events of each schedule, including the first entries for the layout, the rules
+	// and the load.
 	eventsPerSchedule = 40
 	// maxRecentStates is the number of latest states on which leaders base their proposals.
 	maxRecentStates = 8
 )
 
-// schedule is a random run of the model. Leaders propose on the basis of outdated states, and some proposals are lost,
-// duplicated or delayed. Machines crash and return, rules change, and operators freeze drains and cancel permits.
+// schedule is a random sequence of events. Leaders propose on the basis of outdated states, and some proposals are lost
+// or applied again later. Machines crash and return, rules change, and operators freeze drains and cancel permits.
 type schedule struct {
 	rng    *rand.Rand
 	layout *Layout
@@ -208,7 +210,7 @@
 
 func (s *schedule) advanceTime() { s.now += Micros(s.rng.IntN(90)) * second }
 
-// runEvent proposes entries, some of which are lost or applied again in a later step, and may apply an earlier entry
+// runEvent proposes entries, some of which are lost or applied again in a later event, and may apply an earlier entry
 // again.
 func (s *schedule) runEvent(event int) error {
 	for _, entry := range s.propose(event) {
@@ -230,7 +232,7 @@
 	entry := s.duplicates[0]
 	s.duplicates = s.duplicates[1:]
 	if entry.Rules != nil {
-		return nil
+		return nil // changed rules are not applied again
 	}
 	return s.apply(entry)
 }
@@ -320,8 +322,8 @@
 	return nil
 }
 
-// checkDeterminismAndRepetition checks that an entry always has the same result when it is applied to the same state, and that a
-// repeated transition or request has no effect.
+// checkDeterminismAndRepetition checks that an entry always has the same result when it is applied to the same state,
+// and that a repeated transition or request has no effect.
 func checkDeterminismAndRepetition(before, next State, outcome Outcome, entry Entry) error {
 	again, outcomeAgain := before.Apply(entry)
 	encoded, err := json.Marshal(next)
@@ -377,8 +379,8 @@
 	return nil
 }
 
-// Leaders with outdated states propose drains that are permitted one by one, but not together. The rules must hold in
-// each state nevertheless.
+// Leaders with outdated states propose drains that the rules permit one by one, but not together. No drain that is
+// applied may violate a rule that checkDrain covers.
 func TestNoScheduleViolatesRules(t *testing.T) {
 	for seed := range uint64(schedules) {
 		require.NoError(t, runSchedule(seed, false), "seed %d", seed)
--- a/maintenance/next.go
+++ b/maintenance/next.go
@@ -2,9 +2,14 @@
 
 import "slices"
 
-// NextTransitions returns the transitions that a leader proposes now: the start of drains, the recall of incomplete
-// drains that are no longer permitted, and the end of permits that expired or completed. The fault is a description for
-// operators, or empty if there is none. During a fault, all incomplete drains are recalled and no drain is started.
+// NextTransitions returns the transitions that a leader proposes now: the start of drains, the recall of drains that
+// are no longer permitted, and the end of permits that expired or completed. A recall moves a permit from Draining back
+// to Requested.
+//
+// The fault describes a condition outside this package during which no machine may be drained, for example an
+// unreachable zone; it is empty if there is none. During a fault, all permits at step Draining are recalled, with the
+// fault as the reason. No drain is started during a fault or a freeze, or while a machine is unhealthy after its
+// maintenance.
 func (s State) NextTransitions(now Micros, fault string) []Transition {
 	s.Now = max(s.Now, now)
 	if s.Layout == nil {
@@ -51,9 +56,10 @@
 }
 
 // checkRecall returns the reason to recall a drain, or an empty string if the drain continues. A drain is recalled
-// during a fault, or when the rules no longer permit it because another machine became unavailable or the rules were
-// tightened; a drain that overrides the rules is recalled only during a fault. If the rules are the reason,
-// checkRecall records the machine as available in tracker, so that the remaining drains are checked without it.
+// during a fault, or when the rules no longer permit it, for example because another machine became unavailable, the
+// load rose, or the rules or the layout changed. The rules on time are not checked. A drain that overrides the rules,
+// or whose machine is not in the layout, is recalled only during a fault. If the rules are the reason, checkRecall
+// records the machine as available in tracker, so that the remaining drains are checked without it.
 func (s State) checkRecall(tracker *availabilityTracker, permit Permit, fault string) string {
 	machine := s.Layout.Machine(permit.Machine)
 	if fault != "" || permit.OverrideReason != "" || machine == nil {
@@ -67,7 +73,8 @@
 	return ""
 }
 
-// drainsToStart returns the drains that the rules permit to start now, together, selected by priority.
+// drainsToStart returns the starts of the drains that the rules permit now, all together. Machines are considered in
+// the order of their priority.
 func (s State) drainsToStart() []Transition {
 	waiting := slices.DeleteFunc(slices.Clone(s.Permits), func(permit Permit) bool {
 		return permit.Step != Requested ||
--- a/maintenance/permit.go
+++ b/maintenance/permit.go
@@ -13,17 +13,17 @@
 	WarmingUp     Step = "warming"   // all stores are in service, at reduced load
 	Completed     Step = "done"
 	Cancelled     Step = "cancelled" // withdrawn before the work started
-	Expired       Step = "expired"   // the drain did not start before the end of the time window
+	Expired       Step = "expired"   // the time window ended while the machine waited to be drained
 )
 
-// allowedTransitions are the steps that may follow each step.
+// allowedTransitions maps each step to the steps that may follow it. No step follows a final one.
 var allowedTransitions = map[Step][]Step{
 	Requested:     {Draining, Cancelled, Expired},
 	Draining:      {Drained, Cancelled, Requested}, // Requested after a recall
 	Drained:       {InMaintenance, Cancelled},
 	InMaintenance: {Returning},
-	Returning:     {WarmingUp, InMaintenance},
-	WarmingUp:     {Completed, Returning},
+	Returning:     {WarmingUp, InMaintenance}, // InMaintenance if the work is resumed
+	WarmingUp:     {Completed, Returning},     // Returning if a store is out of service again
 }
 
 // isUnavailable reports whether the machine of a permit at this step counts as unavailable.
@@ -34,7 +34,7 @@
 // isFinal reports whether a permit at this step has ended.
 func (s Step) isFinal() bool { return s == Completed || s == Cancelled || s == Expired }
 
-// Permit is the maintenance of one machine, from its request to its end.
+// Permit records the maintenance of one machine, from its request to its end.
 type Permit struct {
 	// RequestName is the name of the request. Together with Machine, it identifies the permit.
 	RequestName string `json:"request"`
@@ -55,8 +55,8 @@
 	StepReachedAt Micros `json:"since"`
 	// DrainStartedAt is the time at which the latest drain started; 0 if none has.
 	DrainStartedAt Micros `json:"drained,omitempty"`
-	// OverrideReason is the reason for which an operator started the drain regardless of the rules; empty if the rules
-	// applied.
+	// OverrideReason is the reason for which an operator started the latest drain without any check of the rules, the
+	// freeze, the time window and the layout; empty if these were checked.
 	OverrideReason string `json:"override,omitempty"`
 	// StepReason explains the last transition; empty if that was the usual one.
 	StepReason string `json:"why,omitempty"`
@@ -65,8 +65,8 @@
 // dueAt returns the time at which the work on a machine in maintenance should be finished.
 func (p Permit) dueAt() Micros { return p.StepReachedAt + p.WorkDuration }
 
-// IsOverdue reports whether the work on a machine in maintenance takes longer than requested. The machine still counts
-// as unavailable; operators are alerted.
+// IsOverdue reports whether the work on a machine in maintenance takes longer than requested. It is meant for alerts to
+// operators: the machine still counts as unavailable, and the permit does not end by itself.
 func (p Permit) IsOverdue(now Micros) bool { return p.Step == InMaintenance && now > p.dueAt() }
 
 // isExpiredAt reports whether the latest time at which the drain may start has passed.
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// noTime represents the absence of a time.
+// noTime stands for a missing time where 0 is a valid time.
 const noTime Micros = -1
 
 // PlannedDrain is the predicted drain and return of one machine.
@@ -27,7 +27,7 @@
 	RequestName string `json:"request"`
 	Machine     string `json:"machine"`
 	RuleViolation
-	// Remedy is the smallest change that would allow the drain.
+	// Remedy tells an operator how to resolve the violation. Other rules may still forbid the drain.
 	Remedy string `json:"nearest"`
 }
 
@@ -40,8 +40,10 @@
 	End Micros `json:"end"`
 }
 
-// Plan predicts the drains of all open permits. They start in the order of sortByPriority, as early as the rules allow:
-// now, when another machine returns, or when a restriction on time ends.
+// Plan predicts the drains of all open permits. Each wave starts the drains that the rules allow at its time,
+// considered in the order of sortByPriority. The first wave is at State.Now, and the next ones are when another machine
+// returns or a restriction on time ends. The prediction ignores a freeze, and does not stop while a machine is
+// unhealthy after its maintenance. It assumes that the load stays the same and that unhealthy machines stay unhealthy.
 func (s State) Plan() Plan {
 	if s.Layout == nil {
 		return Plan{}
@@ -110,14 +112,15 @@
 	}
 }
 
-// startWave starts all drains that the rules allow now, and sets nextTime.
+// startWave moves expired permits to the undrainable ones, starts all drains that the rules allow now, and sets
+// nextTime.
 func (p *planner) startWave() {
 	p.nextTime = noTime
 	wave := p.wave + 1
 	p.waiting = slices.DeleteFunc(p.waiting, func(permit Permit) bool {
 		machine := p.state.Layout.Machine(permit.Machine)
 		if permit.isExpiredAt(p.now) {
-			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "the drain could start only after the end of its time window"}, "extend the time window, or raise the urgency")
+			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "the drain could start only after the end of its time window"}, "cancel the permit and request the machine under a new request name, with a later end of the time window or a higher urgency")
 			return true
 		}
 		if !p.mayDrain(permit, machine) {
@@ -192,7 +195,8 @@
 	return s.Rules.DrainDuration + permit.WorkDuration + s.Rules.WarmUpDuration
 }
 
-// remainingUnavailableDuration returns the time after which an unavailable machine is expected to be available.
+// remainingUnavailableDuration returns the time after which an unavailable machine is expected to be available. For a
+// machine at step Drained, too, DrainDuration counts from the time at which it reached its step.
 func (s State) remainingUnavailableDuration(permit Permit) Micros {
 	elapsed := s.Now - permit.StepReachedAt
 	switch permit.Step {
@@ -202,7 +206,7 @@
 		return max(0, permit.WorkDuration-elapsed) + s.Rules.WarmUpDuration
 	case WarmingUp:
 		return max(0, s.Rules.WarmUpDuration-elapsed)
-	default:
+	default: // Returning
 		return s.Rules.WarmUpDuration
 	}
 }
@@ -226,8 +230,8 @@
 	return result
 }
 
-// remedy returns the smallest change after which a rule allows a machine to be unavailable. The machine must be the
-// only one that is recorded as unavailable.
+// remedy returns a change after which a rule allows a machine to be unavailable. The machine must be the only one that
+// is recorded as unavailable.
 func (t *availabilityTracker) remedy(rule Rule, machine *Machine) string {
 	switch rule {
 	case RuleReplicas:
@@ -241,7 +245,7 @@
 		}
 		return fmt.Sprintf("set keep_sound to %d, or add another replica of its shards", fewest)
 	case RuleLoad:
-		return fmt.Sprintf("set room to %.2f, or reduce the load", t.remainingLoad())
+		return fmt.Sprintf("set room above %.2f (maximum 1), or reduce the load", t.remainingLoad())
 	case RuleVoters:
 		return "add another voter"
 	default:
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -81,6 +81,7 @@
 	elapsed, minReplicas := completeRequest(t, s)
 	perMachine := rules.DrainDuration + rules.WarmUpDuration + 5*minute
 	lowerBound := Micros((stores+maxUnavailable-1)/maxUnavailable) * perMachine
+	// The drains take 1.17 times the lower bound, and the plan predicts 7% less; the limits leave a margin.
 	assert.Less(t, float64(elapsed), 1.3*float64(lowerBound))
 	predicted := plan.End - s.Now
 	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "duration predicted by the plan")
@@ -101,7 +102,7 @@
 	}{
 		"no second replica":            {Rules{}, 0, uniformLayout(2, 1), RuleReplicas, "add another replica of its shards"},
 		"one of two required replicas": {Rules{MinAvailableReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "set keep_sound to 1, or add another replica of its shards"},
-		"overload":                     {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "set room to 0.80, or reduce the load"},
+		"overload":                     {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "set room above 0.80 (maximum 1), or reduce the load"},
 		"only voter":                   {Rules{}, 0, onlyVoter, RuleVoters, "add another voter"},
 	} {
 		s := requestedState(t, testCase.layout, testCase.rules, testCase.load)
--- a/maintenance/priority.go
+++ b/maintenance/priority.go
@@ -7,8 +7,9 @@
 )
 
 // sortByPriority sorts waiting permits in the order in which they are drained: voters last, then the highest urgency
-// first, then the earliest end of the time window, then the most replicas on other waiting machines, as such a machine
-// fits into the fewest waves, then the oldest request, then the name of the machine.
+// first, then the earliest end of the time window, then the most waiting stores nearby (see waitingStoresNear), as such
+// a machine fits into the fewest waves, then the oldest request, then the name of the machine. All machines must be in
+// the layout.
 func (s State) sortByPriority(waiting []Permit) {
 	waitingStoresByPosition := make([]int, s.Layout.RingSize)
 	for _, permit := range waiting {
@@ -45,8 +46,10 @@
 	return permit.NotAfter
 }
 
-// waitingStoresNear returns the number of stores on waiting machines that share shards with each store of a
-// machine, summed over its stores. It includes the machine itself.
+// waitingStoresNear returns the number of stores on waiting machines that may share a shard with a store of the given
+// machine, which are those at most ReplicationFactor - 1 ring positions away. The number is an estimate for
+// comparisons: it is summed over the stores of the machine, includes these stores themselves, and counts a position
+// twice if the ring has fewer than 2*ReplicationFactor - 1 positions.
 func (s State) waitingStoresNear(machine *Machine, waitingStoresByPosition []int) int {
 	count := 0
 	for _, store := range machine.Stores {
--- a/maintenance/rules.go
+++ b/maintenance/rules.go
@@ -11,9 +11,10 @@
 // maxDuration is the maximum of all configured and requested durations.
 const maxDuration = 30 * day
 
-// Rules are the limits that drains must keep. A zero value disables a rule, except for MinAvailableReplicas, which is
-// at least 1. Fractions are from 0 to 1. A fraction of stores or instances always allows one of them to be unavailable,
-// and a fraction of the weight always allows one machine.
+// Rules are the limits that drains must keep. A zero value disables a limit, except that MinAvailableReplicas is at
+// least 1. The rules on voters and exclusion groups have no setting and always apply. Fractions are from 0 to 1. A
+// fraction of stores or instances always allows one of them to be unavailable, and a fraction of the weight always
+// allows one machine.
 type Rules struct {
 	// MinAvailableReplicas is the minimum number of available replicas of each shard.
 	MinAvailableReplicas int `json:"keep_sound"`
@@ -35,9 +36,9 @@
 	WarmUpDuration Micros `json:"warm,omitempty"`
 	// DrainDuration is the expected duration of a drain. It is used for predictions only.
 	DrainDuration Micros `json:"drain,omitempty"`
-	// UnreachableMemberTimeout is the time after the announcement of a drain during which an instance that has not
-	// reported may still send requests to the machine: the time in which it may start a request, plus the longest
-	// deadline of a request. See State.DrainComplete.
+	// UnreachableMemberTimeout is the time after the start of a drain during which an unreachable instance may still
+	// send requests to the machine: the time in which it may start a request, plus the longest deadline of a request.
+	// If it is 0, drains do not wait for unreachable instances. See State.DrainComplete.
 	UnreachableMemberTimeout Micros `json:"unheard,omitempty"`
 }
 
@@ -87,7 +88,7 @@
 		{"unheard", r.UnreachableMemberTimeout},
 	} {
 		if duration.value < 0 || duration.value > maxDuration {
-			return fmt.Errorf("rules: %s = %d us is negative or exceeds the maximum of 30 days", duration.name, duration.value)
+			return fmt.Errorf("rules: %s = %d us must be from 0 to %d us (30 days)", duration.name, duration.value, maxDuration)
 		}
 	}
 	if r.MinAvailableReplicas < 0 {
@@ -104,18 +105,20 @@
 	return nil
 }
 
-// requiredReplicas returns the minimum number of available replicas of each shard.
+// requiredReplicas returns MinAvailableReplicas, or 1 if that is lower.
 func (r Rules) requiredReplicas() int { return max(1, r.MinAvailableReplicas) }
 
 // nextOpenTime returns the first time, at or after the given one, that is in no closed window. It returns false if
 // there is none.
 func (r Rules) nextOpenTime(at Micros) (Micros, bool) {
+	// Each iteration advances to the end of a window. If there are more iterations than windows, one of the ends is
+	// reached for the second time, at least a day later: the windows cover the whole day.
 	for range 2*len(r.ClosedWindows) + 2 {
 		i := slices.IndexFunc(r.ClosedWindows, func(window DailyWindow) bool { return window.contains(at) })
 		if i < 0 {
 			return at, true
 		}
-		at += ((r.ClosedWindows[i].End-at%day)+day-1)%day + 1
+		at += ((r.ClosedWindows[i].End-at%day)+day-1)%day + 1 // by more than 0 and at most a day
 	}
 	return 0, false
 }
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -12,7 +12,7 @@
 	maxFinishedPermits = 200 * 52
 	// maxOpenPermits is the maximum number of unfinished permits. A request that exceeds it is assumed to be a mistake.
 	maxOpenPermits = 10_000
-	// maxReportedLoad is the maximum load that an entry may report.
+	// maxReportedLoad is the maximum load that an entry may report, as a ratio of the total store weight.
 	maxReportedLoad = 100
 
 	microsPerSecond = 1_000_000
@@ -25,7 +25,7 @@
 	Now    Micros  `json:"now"`
 	Layout *Layout `json:"layout,omitempty"`
 	Rules  Rules   `json:"rules"`
-	// Load is the fraction of the total store weight that is in use; 0 if unknown.
+	// Load is the load of all stores as a ratio of the total store weight; 0 if unknown. It exceeds 1 under overload.
 	Load float64 `json:"load"`
 	// Permits are in the order of their requests. The oldest finished ones beyond maxFinishedPermits are dropped.
 	Permits []Permit `json:"permits"`
@@ -34,7 +34,7 @@
 	Unhealthy map[string]string `json:"unsound,omitempty"`
 	// Freeze is the active freeze; nil if there is none.
 	Freeze *Freeze `json:"held,omitempty"`
-	// LastDrainStartByType is the time at which the latest drain of a machine of each type started.
+	// LastDrainStartByType maps each type of machine to the time at which the latest drain of such a machine started.
 	LastDrainStartByType map[string]Micros `json:"began,omitempty"`
 }
 
@@ -57,7 +57,7 @@
 		load := *entry.Load
 		inRange := load >= 0 && load <= maxReportedLoad // false if the load is NaN
 		if !inRange {
-			return s, rejectedf("load %v is not a number from 0 to 100", load)
+			return s, rejectedf("load %v is out of range: it must be from 0 to %d, where 1 is the total store weight", load, maxReportedLoad)
 		}
 		s.Load = load
 	case entry.Request != nil:
@@ -94,7 +94,8 @@
 	})
 }
 
-// applyRequest adds a permit for each machine of a request. A repeated request has no effect.
+// applyRequest adds a permit for each machine of a request. A request whose name is that of an existing permit is taken
+// for a repetition: it has no effect and counts as applied, even if it differs from the first one.
 func (s State) applyRequest(request Request) (State, Outcome) {
 	repeated := slices.ContainsFunc(s.Permits, func(permit Permit) bool { return permit.RequestName == request.Name })
 	if repeated {
@@ -110,23 +111,23 @@
 	}
 	switch {
 	case s.Layout == nil:
-		return s, rejectedf("cannot accept a request before the layout is known")
+		return s, rejectedf("cannot accept request %s: the layout is not known yet", request.Name)
 	case request.Name == "" || len(request.Machines) == 0:
-		return s, rejectedf("request has no name or no machines")
+		return s, rejectedf("request %q for %d machines must have a name and at least one machine", request.Name, len(request.Machines))
 	case request.WorkDuration <= 0 || request.WorkDuration > maxDuration:
-		return s, rejectedf("work duration of %d us is not positive or exceeds the maximum of 30 days", request.WorkDuration)
+		return s, rejectedf("request %s: work duration of %d us must be from 1 us to %d us (30 days)", request.Name, request.WorkDuration, maxDuration)
 	case !request.hasValidWindow(s.Now):
-		return s, rejectedf("time window of the request is negative, ends before it starts or has passed")
+		return s, rejectedf("request %s: time window from %d to %d us has a negative limit, ends before it starts, or has passed at %d us", request.Name, request.NotBefore, request.NotAfter, s.Now)
 	case openPermits+len(request.Machines) > maxOpenPermits:
-		return s, rejectedf("cannot accept more machines: %d permits are open already", openPermits)
+		return s, rejectedf("request %s: %d open permits and %d requested machines exceed the maximum of %d open permits", request.Name, openPermits, len(request.Machines), maxOpenPermits)
 	}
 	permits := slices.Clone(s.Permits)
 	for _, machine := range request.Machines {
 		if s.Layout.Machine(machine) == nil {
-			return s, rejectedf("machine %s is not in the layout", machine)
+			return s, rejectedf("request %s: machine %s is not in the layout", request.Name, machine)
 		}
 		if openRequestByMachine[machine] != "" {
-			return s, rejectedf("machine %s is already part of request %s", machine, openRequestByMachine[machine])
+			return s, rejectedf("request %s: machine %s is already part of open request %s", request.Name, machine, openRequestByMachine[machine])
 		}
 		openRequestByMachine[machine] = request.Name
 		permits = append(permits, request.newPermit(machine, s.Now))
@@ -164,14 +165,14 @@
 func (s State) applyTransition(transition Transition) (State, Outcome) {
 	i := s.permitIndex(transition.RequestName, transition.Machine)
 	if i < 0 {
-		return s, rejectedf("there is no permit for machine %s in request %s", transition.Machine, transition.RequestName)
+		return s, rejectedf("cannot move machine %s of request %s: there is no such permit", transition.Machine, transition.RequestName)
 	}
 	permit := s.Permits[i]
 	if permit.Step == transition.To {
 		return s, applied() // the transition is repeated
 	}
 	if permit.Step != transition.From || !slices.Contains(allowedTransitions[permit.Step], transition.To) {
-		return s, rejectedf("machine %s is at step %s: cannot move it from step %s to %s", permit.Machine, permit.Step, transition.From, transition.To)
+		return s, rejectedf("cannot move machine %s of request %s from step %s to %s: it is at step %s, which may be followed by %v", permit.Machine, permit.RequestName, transition.From, transition.To, permit.Step, allowedTransitions[permit.Step])
 	}
 	if transition.To == Draining {
 		if transition.OverrideReason == "" {
@@ -204,7 +205,8 @@
 	return lastDrainStarts
 }
 
-// dropOldestFinishedPermits drops the oldest finished permits beyond maxFinishedPermits.
+// dropOldestFinishedPermits drops the oldest finished permits beyond maxFinishedPermits. It modifies Permits in place,
+// so the caller must have cloned them.
 func (s *State) dropOldestFinishedPermits() {
 	finished := 0
 	for _, permit := range s.Permits {
@@ -221,7 +223,7 @@
 	})
 }
 
-// availability returns the counts of what is unavailable in this state.
+// availability returns a tracker that records what is unavailable in this state.
 func (s State) availability() *availabilityTracker {
 	tracker := newAvailabilityTracker(s.Layout, s.Rules, s.Load)
 	for _, permit := range s.Permits {
@@ -254,7 +256,7 @@
 		return violation
 	}
 	if start, rule := tracker.earliestDrainStart(machine, s.Now); start != s.Now {
-		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("the drain may not start for another %d s", (start-s.Now)/microsPerSecond)}
+		return &RuleViolation{Rule: rule, Reason: fmt.Sprintf("the drain of machine %s cannot start for at least %d s", permit.Machine, (start-s.Now)/microsPerSecond)}
 	}
 	return nil
 }
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -41,8 +41,8 @@
 	return s
 }
 
-// Concurrent proposals, crashes, tightened rules and freezes must neither make both replicas unavailable nor interrupt
-// work that has started.
+// Concurrent proposals, crashes, tightened rules and freezes must neither lead to a drain that makes the last replica
+// unavailable nor interrupt work that has started.
 func TestPermitTransitionsUnderFaults(t *testing.T) {
 	const violation = "shard 0 would have 0 available replicas, but needs 1"
 	test := newPermitTest(t)
@@ -68,7 +68,7 @@
 	warm := applySteps(t, inMaintenance, test.first, InMaintenance, Returning, WarmingUp)
 	unhealthy := mustApply(t, warm, Entry{HealthChange: &HealthChange{Machine: test.first, Reason: "slow"}})
 	unhealthy.Now += hour
-	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "no transition is proposed while a machine is unhealthy after its maintenance")
+	assert.Empty(t, unhealthy.NextTransitions(unhealthy.Now, ""), "no drain starts and no permit completes while a machine is unhealthy after its maintenance")
 	healthy := mustApply(t, unhealthy, Entry{HealthChange: &HealthChange{Machine: test.first, Healthy: true}})
 	completion := Transition{RequestName: "r", Machine: test.first, From: WarmingUp, To: Completed}
 	assert.Equal(t, []Transition{completion}, healthy.NextTransitions(healthy.Now, ""))
@@ -85,8 +85,8 @@
 	assert.Equal(t, "disk failure", overridden.Permits[0].OverrideReason)
 }
 
-// Work that starts too early would interrupt requests of instances that are still in flight or are sent by an instance
-// that does not know of the drain.
+// Work that starts too early would interrupt requests that are still in flight, or that are sent by an instance that
+// has not acknowledged the drain.
 func TestDrainComplete(t *testing.T) {
 	s := State{Rules: Rules{UnreachableMemberTimeout: 10 * second}}
 	permit := Permit{Step: Draining, DrainStartedAt: hour}
@@ -97,7 +97,7 @@
 		elapsed  Micros
 		complete bool
 	}{
-		"all reported no request":           {map[string]MemberDrainStatus{"a": idle, "b": idle}, true, second, true},
+		"all acknowledged and idle":         {map[string]MemberDrainStatus{"a": idle, "b": idle}, true, second, true},
 		"one has not acknowledged":          {map[string]MemberDrainStatus{"a": {}, "b": idle}, true, hour, false},
 		"one has a request in flight":       {map[string]MemberDrainStatus{"a": {DrainAcknowledged: true, RequestsInFlight: 1}}, true, hour, false},
 		"one is unreachable":                {map[string]MemberDrainStatus{"a": {UnreachableSince: hour}, "b": idle}, true, 9 * second, false},
