--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unavailableMachines returns the unavailable machines. It does not use the type outageCounts, which it serves to
-// check.
+// unavailableMachines returns the unavailable machines. It is independent of availabilityTracker, which the schedules
+// test.
 func unavailableMachines(s State) map[string]bool {
 	unavailable := map[string]bool{}
 	for _, permit := range s.Permits {
@@ -27,8 +27,9 @@
 	return unavailable
 }
 
-// checkDrain returns an error if the start of the drain of a machine has violated a rule. It does not use the type
-// outageCounts, which it serves to check.
+// checkDrain returns an error if the start of the drain of a machine has violated a rule on replicas, stores, zones,
+// members, voters or exclusion groups, or a freeze. It does not check the rules on weight, load and time. It is
+// independent of availabilityTracker, which the schedules test.
 func checkDrain(s State, name string) error {
 	unavailable := unavailableMachines(s)
 	if err := checkReplicas(s, name, unavailable); err != nil {
@@ -159,14 +160,15 @@
 }
 
 const (
-	// scheduleSteps is the number of steps of each schedule.
-	scheduleSteps = 40
+	// eventsPerSchedule is the number of events of each schedule, including the first entries for the layout, the rules
+	// and the load.
+	eventsPerSchedule = 40
 	// maxRecentStates is the number of latest states on which leaders base their proposals.
 	maxRecentStates = 8
 )
 
-// schedule is a random run of the model. Leaders propose on the basis of outdated states, and some proposals are lost,
-// duplicated or delayed. Machines crash and return, rules change, and operators freeze drains and cancel permits.
+// schedule is a random sequence of events. Leaders propose on the basis of outdated states, and some proposals are lost
+// or applied again later. Machines crash and return, rules change, and operators freeze drains and cancel permits.
 type schedule struct {
 	rng    *rand.Rand
 	layout *Layout
@@ -197,9 +199,9 @@
 			return err
 		}
 	}
-	for step := len(initial); step < scheduleSteps; step++ {
+	for event := len(initial); event < eventsPerSchedule; event++ {
 		s.advanceTime()
-		if err := s.runStep(step); err != nil {
+		if err := s.runEvent(event); err != nil {
 			return err
 		}
 	}
@@ -208,10 +210,10 @@
 
 func (s *schedule) advanceTime() { s.now += Micros(s.rng.IntN(90)) * second }
 
-// runStep proposes entries, some of which are lost or applied again in a later step, and may apply an earlier entry
+// runEvent proposes entries, some of which are lost or applied again in a later event, and may apply an earlier entry
 // again.
-func (s *schedule) runStep(step int) error {
-	for _, entry := range s.propose(step) {
+func (s *schedule) runEvent(event int) error {
+	for _, entry := range s.propose(event) {
 		entry.At = s.now - Micros(s.rng.IntN(200))*second // the clocks of leaders differ
 		delivery := s.rng.IntN(10)
 		if delivery == 0 {
@@ -230,18 +232,18 @@
 	entry := s.duplicates[0]
 	s.duplicates = s.duplicates[1:]
 	if entry.Rules != nil {
-		return nil
+		return nil // changed rules are not applied again
 	}
 	return s.apply(entry)
 }
 
 // propose returns the entries of a random event. Some of them are based on an outdated state.
-func (s *schedule) propose(step int) []Entry {
+func (s *schedule) propose(event int) []Entry {
 	observed := s.recentStates[s.rng.IntN(len(s.recentStates))]
 	machine := s.randomMachine()
 	switch s.rng.IntN(12) {
 	case 0, 1:
-		return []Entry{{Request: s.randomRequest(fmt.Sprint("r", step), machine)}}
+		return []Entry{{Request: s.randomRequest(fmt.Sprint("r", event), machine)}}
 	case 2:
 		return []Entry{{HealthChange: &HealthChange{Machine: machine, Healthy: s.rng.IntN(2) == 0, Reason: "crashed"}}}
 	case 3:
@@ -301,7 +303,7 @@
 func (s *schedule) apply(entry Entry) error {
 	before := s.state
 	next, outcome := before.Apply(entry)
-	if err := checkDeterminism(before, next, outcome, entry); err != nil {
+	if err := checkDeterminismAndRepetition(before, next, outcome, entry); err != nil {
 		return err
 	}
 	s.state = next
@@ -320,9 +322,9 @@
 	return nil
 }
 
-// checkDeterminism checks that an entry always has the same result when it is applied to the same state, and that a
-// repeated transition or request has no effect.
-func checkDeterminism(before, next State, outcome Outcome, entry Entry) error {
+// checkDeterminismAndRepetition checks that an entry always has the same result when it is applied to the same state,
+// and that a repeated transition or request has no effect.
+func checkDeterminismAndRepetition(before, next State, outcome Outcome, entry Entry) error {
 	again, outcomeAgain := before.Apply(entry)
 	encoded, err := json.Marshal(next)
 	if err != nil {
@@ -352,8 +354,8 @@
 // checkTransition checks a transition that was applied. It does not check the drain of a machine that was unavailable
 // before, as that makes no violation worse.
 func checkTransition(before, after State, transition Transition) error {
-	permit := after.Permits[after.permitIndex(transition.Request, transition.Machine)]
-	previous := before.Permits[before.permitIndex(transition.Request, transition.Machine)]
+	permit := after.Permits[after.permitIndex(transition.RequestName, transition.Machine)]
+	previous := before.Permits[before.permitIndex(transition.RequestName, transition.Machine)]
 	if permit.Step == Draining && previous.Step == Requested && !unavailableMachines(before)[permit.Machine] {
 		if err := checkDrain(after, permit.Machine); err != nil {
 			return err
@@ -368,7 +370,7 @@
 // checkStaysInMaintenance checks that a machine in maintenance stays unavailable until it is reported as returning.
 func (s *schedule) checkStaysInMaintenance() error {
 	for _, permit := range s.state.Permits {
-		key := permit.Request + permit.Machine
+		key := permit.RequestName + permit.Machine
 		if s.lastSteps[key] == InMaintenance && permit.Step != InMaintenance && permit.Step != Returning {
 			return fmt.Errorf("%s went from maintenance to step %s", permit.Machine, permit.Step)
 		}
@@ -377,8 +379,8 @@
 	return nil
 }
 
-// Leaders with outdated states propose drains that are permitted one by one, but not together. The rules must hold in
-// each state nevertheless.
+// Leaders with outdated states propose drains that the rules permit one by one, but not together. No drain that is
+// applied may violate a rule that checkDrain covers.
 func TestNoScheduleViolatesRules(t *testing.T) {
 	for seed := range uint64(schedules) {
 		require.NoError(t, runSchedule(seed, false), "seed %d", seed)
--- a/maintenance/plan_test.go
+++ b/maintenance/plan_test.go
@@ -14,7 +14,7 @@
 func completeRequest(tb testing.TB, s State) (elapsed Micros, minReplicas int) {
 	tb.Helper()
 	startedAt := s.Now
-	minReplicas = noReplicaLimit
+	minReplicas = unlimitedReplicas
 	for now := s.Now; ; now += 10 * second {
 		for _, transition := range s.NextTransitions(now, "") {
 			s = mustApply(tb, s, Entry{At: now, Transition: &transition})
@@ -22,7 +22,7 @@
 		minReplicas = min(minReplicas, minAvailableReplicas(s))
 		openPermits := 0
 		for _, permit := range slices.Clone(s.Permits) {
-			if to, after := operatorTransition(s, permit); to != "" && now-permit.StepReachedAt >= after {
+			if to, after := nextExternalStep(s, permit); to != "" && now-permit.StepReachedAt >= after {
 				transition := permit.transition(to, "")
 				s = mustApply(tb, s, Entry{At: now, Transition: &transition})
 			}
@@ -39,17 +39,17 @@
 
 // minAvailableReplicas returns the minimum number of available replicas of any shard.
 func minAvailableReplicas(s State) int {
-	outages := s.outageCounts()
-	fewest := noReplicaLimit
+	tracker := s.availability()
+	fewest := unlimitedReplicas
 	for shard := range s.Layout.Shards {
-		fewest = min(fewest, outages.availableReplicas(shard))
+		fewest = min(fewest, tracker.availableReplicas(shard))
 	}
 	return fewest
 }
 
-// operatorTransition returns the next step to which operators or instances move a permit, and the time after which they
+// nextExternalStep returns the next step to which operators or instances move a permit, and the time after which they
 // do. The step is empty if the next transition is a leader's.
-func operatorTransition(s State, permit Permit) (to Step, after Micros) {
+func nextExternalStep(s State, permit Permit) (to Step, after Micros) {
 	switch permit.Step {
 	case Draining:
 		return Drained, s.Rules.DrainDuration
@@ -81,6 +81,7 @@
 	elapsed, minReplicas := completeRequest(t, s)
 	perMachine := rules.DrainDuration + rules.WarmUpDuration + 5*minute
 	lowerBound := Micros((stores+maxUnavailable-1)/maxUnavailable) * perMachine
+	// The drains take 1.17 times the lower bound, and the plan predicts 7% less; the limits leave a margin.
 	assert.Less(t, float64(elapsed), 1.3*float64(lowerBound))
 	predicted := plan.End - s.Now
 	assert.InDelta(t, float64(predicted), float64(elapsed), 0.15*float64(elapsed), "duration predicted by the plan")
@@ -101,7 +102,7 @@
 	}{
 		"no second replica":            {Rules{}, 0, uniformLayout(2, 1), RuleReplicas, "add another replica of its shards"},
 		"one of two required replicas": {Rules{MinAvailableReplicas: 2}, 0, uniformLayout(2, 2), RuleReplicas, "set keep_sound to 1, or add another replica of its shards"},
-		"overload":                     {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "set room to 0.80, or reduce the load"},
+		"overload":                     {Rules{MaxLoad: 0.5}, 0.6, uniformLayout(2, 2), RuleLoad, "set room above 0.80 (maximum 1), or reduce the load"},
 		"only voter":                   {Rules{}, 0, onlyVoter, RuleVoters, "add another voter"},
 	} {
 		s := requestedState(t, testCase.layout, testCase.rules, testCase.load)
