--- a/policy/connections.go
+++ b/policy/connections.go
@@ -7,42 +7,44 @@
 	// idle connections suspect.
 	suspectIdleTime = 0.4
 
-	// freshSuccessGain is the gain, 0 to 1, of the success of fresh connections.
+	// freshSuccessGain is the gain, 0 to 1, of freshSuccessRate.
 	freshSuccessGain = 0.40
 
-	// initialFreshSuccessRate is the success of fresh connections, 0 to 1, before any was seen.
+	// initialFreshSuccessRate is freshSuccessRate before there is any evidence.
 	initialFreshSuccessRate = 0.5
 
-	// probablyStaleThreshold is the success of fresh connections, 0 to 1, from which every suspect server gets a
-	// fresh connection. Below it, only one server gets one in a mean latency objective.
+	// probablyStaleThreshold is the freshSuccessRate from which every server with suspect idle connections gets a fresh
+	// connection. Below it, at most one server gets one per mean latency objective.
 	probablyStaleThreshold = 0.5
 
-	// provenStaleThreshold is the success of fresh connections, 0 to 1, above which connections that have been
-	// idle beyond the limit are closed before use.
+	// provenStaleThreshold is the freshSuccessRate above which all connections that have been idle beyond the idle
+	// limit are closed before use.
 	provenStaleThreshold = 0.7
 
-	// idleLimitDoublingTime is the time without evidence, in mean latency objectives, in which the idle limit doubles.
+	// idleLimitDoublingTime is the time without new evidence, in mean latency objectives, in which the idle limit
+	// doubles.
 	idleLimitDoublingTime = 4.0
 )
 
-// connectionStats is what is known of idle connections.
+// connectionStats is the evidence on whether idle connections become stale, which means that attempts on them stay
+// unanswered.
 type connectionStats struct {
-	// freshSuccessRate is the smoothed share, 0 to 1, of attempts that were answered on fresh connections after a silence
-	// on idle ones.
+	// freshSuccessRate is the smoothed success rate, 0 to 1, of attempts on fresh connections that replaced idle ones.
+	// An answer on a connection that was idle for long lowers it, and a failure to connect resets it to 0.
 	freshSuccessRate float64
 
-	// freshSentAt is when an attempt was last sent on a fresh connection.
+	// freshSentAt is the time at which an attempt was last sent on a fresh connection.
 	freshSentAt Micros
 
-	// idleLimitBase is the idle time from which connections were suspect at idleLimitChangedAt.
+	// idleLimitBase is the idle limit as of idleLimitChangedAt; see idleLimit.
 	idleLimitBase      Micros
 	idleLimitChangedAt Micros
 }
 
-// recordConnectionResult takes the end of an attempt, or its lateness as TimedOut, as evidence on idle connections. If
-// fresh connections mostly bring answers where idle ones were silent, idle connections are closed before use. Wrong
-// conclusions cost a handshake for each part, so an answer on an idle connection clears those that were idle for
-// less time.
+// recordConnectionResult records the result of an attempt, or TimedOut for a late attempt, as evidence on idle
+// connections. If fresh connections mostly bring answers where idle connections did not, idle connections are closed
+// before use. A wrong conclusion costs a handshake for each part, so an answer on a connection that was idle for at
+// least idleLimitBase raises idleLimitBase to twice that idle time.
 func (a *Aggregator) recordConnectionResult(attempt *attempt, status Status) {
 	if status == OK && !attempt.freshConnection {
 		a.recordIdleConnectionAnswer(attempt)
@@ -55,7 +57,7 @@
 	case attempt.freshConnection && status == OK:
 		smooth(&a.connections.freshSuccessRate, 1, freshSuccessGain)
 	case status == ConnectFailed:
-		// The server can't be reached at all, so idle connections are not to blame.
+		// The server cannot be reached at all, so idle connections are not the cause.
 		a.connections.freshSuccessRate = 0
 	}
 	if status == TimedOut && float64(attempt.connectionIdleTime) > suspectIdleTime*a.meanLatencyObjective {
@@ -63,7 +65,7 @@
 	}
 }
 
-// recordIdleConnectionAnswer counts an answer on a connection that was not fresh.
+// recordIdleConnectionAnswer records an answer on a connection that was not fresh.
 func (a *Aggregator) recordIdleConnectionAnswer(answered *attempt) {
 	answered.server.idleConnectionsSuspect = false
 	if answered.connectionIdleTime >= a.connections.idleLimitBase {
@@ -73,8 +75,8 @@
 	}
 }
 
-// recordIdleConnectionTimeout counts a late attempt on an idle connection. The limit falls to half of its idle time,
-// since the true limit lies below what was seen to fail.
+// recordIdleConnectionTimeout records a late attempt on an idle connection. If the connection was idle for less than
+// the idle limit, the limit falls to half of its idle time, since the true limit lies below the idle time that failed.
 func (a *Aggregator) recordIdleConnectionTimeout(late *attempt) {
 	late.server.idleConnectionsSuspect = true
 	if float64(late.connectionIdleTime) < a.idleLimit() {
@@ -83,17 +85,18 @@
 	a.connections.idleLimitChangedAt = a.now
 }
 
-// idleLimit returns the idle time, in microseconds, from which connections are suspect. It grows without evidence.
+// idleLimit returns the idle time, in microseconds, from which connections may be stale. It doubles with every
+// idleLimitDoublingTime without new evidence.
 func (a *Aggregator) idleLimit() float64 {
 	age := float64(a.now - a.connections.idleLimitChangedAt)
 	return float64(a.connections.idleLimitBase) * math.Exp2(age/(idleLimitDoublingTime*a.meanLatencyObjective))
 }
 
-// prepareConnection records how long an attempt's connection was idle, and closes idle connections first if they
-// are suspect.
+// prepareConnection records the idle time of the connection that an attempt will use, and closes the server's idle
+// connections first if they may be stale.
 func (a *Aggregator) prepareConnection(sent *attempt) {
 	s := sent.server
-	if len(s.inFlight) == 0 { // otherwise another connection than the idle one may be used
+	if len(s.inFlight) == 0 { // otherwise the attempt may use a connection that is not idle
 		sent.connectionIdleTime = a.now - s.connectionUsedAt
 	}
 	if !a.needsFreshConnection(sent) {
@@ -107,10 +110,11 @@
 	a.connections.freshSentAt = a.now
 }
 
+// needsFreshConnection reports whether idle connections are to be closed before an attempt is sent.
 func (a *Aggregator) needsFreshConnection(sent *attempt) bool {
-	mayTest := a.connections.freshSuccessRate >= probablyStaleThreshold ||
+	allowsFresh := a.connections.freshSuccessRate >= probablyStaleThreshold ||
 		a.now-a.connections.freshSentAt > Micros(a.meanLatencyObjective)
-	if sent.server.idleConnectionsSuspect && mayTest {
+	if sent.server.idleConnectionsSuspect && allowsFresh {
 		return true
 	}
 	return a.connections.freshSuccessRate > provenStaleThreshold && float64(sent.connectionIdleTime) >= a.idleLimit()
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// minPollBackoffFactor is the factor on the polling backoff of the first instance; the last one's is nearly 1 more.
+// minPollBackoffFactor is the factor on the polling backoff of the first instance. The factor grows with the instance
+// index, to almost 1 more for the last instance, so that the instances do not poll at the same time.
 const minPollBackoffFactor = 0.5
 
-// endpointPolling is the state of the polls of the endpoint list.
+// endpointPolling is the polling state of the endpoint list.
 type endpointPolling struct {
-	nextAt              Micros // when the next poll is due
+	nextAt              Micros // time of the next poll
 	consecutiveFailures int    // failed polls since the last list, up to maxBackoffDoublings
 }
 
@@ -19,51 +20,53 @@
 type server struct {
 	Endpoint
 
-	// latencyRatio is the smoothed latency as a multiple of the class's reference latency, load accounted for.
+	// latencyRatio is the smoothed latency as a multiple of the class's reference latency, corrected for load.
 	latencyRatio float64
 
-	// failureRate is the smoothed share of attempts, 0 to 1, that failed at the server once it was reached.
+	// failureRate is the smoothed share of attempts, 0 to 1, that reached the server and failed.
 	failureRate float64
 
-	// sustainedWorkRate is the smoothed rate of work that it reports, in seconds per second.
+	// sustainedWorkRate is the smoothed rate of work that the server reports, in seconds of work per second.
 	sustainedWorkRate float64
 
-	sampledAt   Micros // when latencyRatio was last updated
-	respondedAt Micros // when it last answered an attempt or a health check
+	sampledAt   Micros // time of the last update of latencyRatio
+	respondedAt Micros // time of the last answer to an attempt or a health check
 
 	loadReport       LoadReport
-	loadReportAt     Micros // when the load report arrived, or a health check ended without one
+	loadReportAt     Micros // arrival of the load report, or end of a health check without one
 	inFlightAtReport int    // own attempts in flight when the load report arrived
 
 	inFlight []*attempt
 
-	// slowStartSends is the work sent to the server while it warms up.
+	// slowStartSends are the amounts of work sent to the server during its slow start, in order of time.
 	slowStartSends []timedAmount
 
-	// deficits are the parts of each shard, by index, that the server is due by its share of utility.
+	// deficits maps the index of a shard to the number of its parts that the server has yet to receive for its share.
 	deficits map[int]float64
 
-	// loggedAsOutlier is whether the server was an outlier when that was last logged.
+	// loggedAsOutlier is the outlier status that was last logged.
 	loggedAsOutlier bool
 
-	// idleConnectionsSuspect is set if an attempt on an idle connection was late and nothing was answered on one since.
+	// idleConnectionsSuspect is set if an attempt on an idle connection was late, until one is answered on a connection
+	// that is not fresh or the idle connections are closed.
 	idleConnectionsSuspect bool
 
-	// connectionUsedAt is when a connection was opened or last brought an answer.
+	// connectionUsedAt is the time at which a fresh connection was last requested or an attempt last ended other than as
+	// TimedOut or Canceled.
 	connectionUsedAt Micros
 
 	healthCheckInFlight bool
-	healthCheckSentAt   Micros // when the latest health check was sent
-	healthCheckDelay    Micros // how long the latest health check took
+	healthCheckSentAt   Micros // time at which the latest health check was sent
+	healthCheckDelay    Micros // duration of the latest health check
 
-	batchSentAt Micros // when the latest batch was sent
+	batchSentAt Micros // time at which the latest batch was sent
 	batchSize   int    // parts in the latest batch
 
-	backoffUntil          Micros // until when no part is sent after a rejection
+	backoffUntil          Micros // end of the backoff after a rejection
 	consecutiveRejections int    // attempts rejected since the last answer, up to maxBackoffDoublings
 }
 
-// reset forgets what is known of a server whose process was restarted. Attempts in flight stay.
+// reset discards the statistics that are outdated once the server's process was restarted. Attempts in flight stay.
 func (s *server) reset(now Micros) {
 	s.latencyRatio = 1
 	s.failureRate = 0
@@ -74,7 +77,8 @@
 	s.idleConnectionsSuspect = false
 }
 
-// pollEndpoints asks for the endpoint list when a poll is due. The next poll follows a failed one.
+// pollEndpoints polls the endpoint list if a poll is due. It schedules no further poll: backOffPolling does, if this
+// one fails.
 func (a *Aggregator) pollEndpoints() {
 	if a.settings.PollEndpoints && a.now >= a.polling.nextAt {
 		a.emit(PollEndpoints{})
@@ -82,22 +86,22 @@
 	}
 }
 
-// backOffPolling schedules the next poll after a failed one. The instances spread their polls by index, since
-// polls of all at once could keep the discovery service from answering any.
+// backOffPolling schedules the next poll after a failed one. The delay depends on the instance index, since polls of
+// all instances at once could overload the discovery service so that it answers none.
 func (a *Aggregator) backOffPolling() {
 	if !a.settings.PollEndpoints {
 		return
 	}
 	a.polling.consecutiveFailures = min(a.polling.consecutiveFailures+1, maxBackoffDoublings)
-	spread := minPollBackoffFactor + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
-	longest := cmp.Or(a.settings.MaxPollInterval, math.MaxInt64)
-	wait := min(Micros(a.meanLatencyObjective*spread)<<a.polling.consecutiveFailures, longest)
+	factor := minPollBackoffFactor + float64(a.settings.InstanceIndex)/float64(a.settings.InstanceCount)
+	maxWait := cmp.Or(a.settings.MaxPollInterval, math.MaxInt64)
+	wait := min(Micros(a.meanLatencyObjective*factor)<<a.polling.consecutiveFailures, maxWait)
 	a.polling.nextAt = a.now + wait
 	a.emit(SetTimer{Delay: wait})
 }
 
-// applyEndpoints replaces the endpoint list. Servers that are no longer listed stay as Removed while attempts are
-// in flight there.
+// applyEndpoints replaces the endpoint list. Servers that are no longer listed are kept as Removed while they have
+// attempts in flight.
 func (a *Aggregator) applyEndpoints(list []Endpoint) {
 	for _, s := range a.sortedServers {
 		s.State = Removed
@@ -128,7 +132,7 @@
 	return s
 }
 
-// rebuildReplicas drops removed servers without attempts in flight and finds each shard's replicas.
+// rebuildReplicas deletes removed servers without attempts in flight and rebuilds the lists of each shard's replicas.
 func (a *Aggregator) rebuildReplicas() {
 	a.sortedServers = slices.DeleteFunc(a.sortedServers, func(s *server) bool {
 		return s.State == Removed && len(s.inFlight) == 0
@@ -145,12 +149,12 @@
 	}
 }
 
-// holdsShard reports whether a server's ring position is among the ReplicationFactor ones from the shard's on.
+// holdsShard reports whether a server's ring position is one of the ReplicationFactor positions that hold the shard.
 func (a *Aggregator) holdsShard(s *server, shard int) bool {
-	size := a.settings.RingSize
-	if s.RingPosition < 0 || s.RingPosition >= size {
+	ringSize := a.settings.RingSize
+	if s.RingPosition < 0 || s.RingPosition >= ringSize {
 		return false
 	}
-	distance := ((s.RingPosition-shard)%size + size) % size
+	distance := ((s.RingPosition-shard)%ringSize + ringSize) % ringSize
 	return distance < a.settings.ReplicationFactor
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,12 +1,12 @@
 package policy
 
-// Event is something that happened: one of the types of this file with an event method.
+// Event is an input to Aggregator.Step: one of the types of this file that have an event method.
 type Event interface{ event() }
 
-// EndpointState is the state of an endpoint on the list.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
-// The states of an endpoint. Endpoints missing from a list count as Removed.
+// The states of an endpoint. An endpoint that is missing from the list counts as Removed.
 const (
 	Removed EndpointState = iota
 	Ready
@@ -27,21 +27,21 @@
 	// Capacity is the capacity that the server has registered; 0 if unknown. The decisions do not use it.
 	Capacity float64
 
-	// StartedAt is when the server's process started; 0 if long ago.
+	// StartedAt is the time at which the server's process started; 0 if long ago.
 	StartedAt Micros
 }
 
-// LoadReport is a server's report of its own load. A negative field was not reported.
+// LoadReport is a server's report of its own load. A negative value means that the server did not report the field.
 type LoadReport struct {
 	InFlight    float64 // requests at the server
-	Queued      float64 // of these, the queued ones
+	Queued      float64 // the queued ones among these requests
 	Utilization float64 // of its cores, 0 to 1
 	Latency     Micros  // recent service time
 	RequestRate float64 // requests per second
 	ErrorRate   float64 // errors per second
 }
 
-// NoLoadReport is the load report of a server that reported nothing.
+// NoLoadReport is a load report without any values.
 var NoLoadReport = LoadReport{
 	InFlight:    -1,
 	Queued:      -1,
@@ -51,16 +51,15 @@
 	ErrorRate:   -1,
 }
 
-// EndpointList is the complete endpoint list; each replaces the one before.
+// EndpointList delivers the complete endpoint list, which replaces the previous one.
 type EndpointList struct{ Endpoints []Endpoint }
 
-// EndpointListFailed says that a poll of the endpoint list failed or its watch ended. It applies to
-// Settings.PollEndpoints.
+// EndpointListFailed reports that a poll of the endpoint list failed or that its watch ended. It applies if
+// Settings.PollEndpoints is set.
 type EndpointListFailed struct{}
 
 // Reconfigure replaces the settings. Open queries keep the settings of their classes. The statistics of servers and,
-// by name, of classes stay, and so do attempts in flight. Settings that fail Settings.Check change nothing and
-// return a Log.
+// by name, of classes stay, and so do attempts in flight. Invalid settings change nothing and produce a Log action.
 type Reconfigure struct{ Settings Settings }
 
 // Query is a new query. Its parts follow in the same step. A query of an unknown class is rejected at once; an
@@ -68,27 +67,27 @@
 type Query struct {
 	ID uint64
 
-	// Number is what Part.Number refers to.
+	// Number identifies the query in the QueryNumber of its parts.
 	Number uint64
 
 	// Class and Tenant are indices into Settings.Classes and Settings.Tenants.
 	Class  int
 	Tenant int
 
-	// RequestKey identifies what the query asks for, so that queries alike can be recognized; 0 if there is none.
+	// RequestKey identifies what the query asks for, so that similar queries can be recognized; 0 if there is none.
 	RequestKey uint64
 
-	// Deadline is when the client stops waiting for this try.
+	// Deadline is the time at which the client stops waiting for this try.
 	Deadline Micros
 
-	// PartCount is the number of the parts that follow.
+	// PartCount is the number of Part events that follow.
 	PartCount int
 
-	// Retry says that the client has tried the query before.
+	// Retry indicates that the client has tried the query before.
 	Retry bool
 }
 
-// Part is a part of a query: of the first phase, or, after the first Answer, of the fetch phase.
+// Part adds a part to a query: to the first phase or, after the first Answer, to the fetch phase.
 type Part struct {
 	ID uint64
 
@@ -97,29 +96,30 @@
 
 	Shard int
 
-	// AffinityKey is the part's affinity key; 0 if there is none. The decisions do not use it.
+	// AffinityKey is equal for parts that should use the same replica, which may have cached the key; 0 if there is
+	// none. The decisions do not use it.
 	AffinityKey uint64
 
 	// Weight is the part's share of the answer, 0 to 1. The weights of a phase's parts add up to 1.
 	Weight float64
 
-	// CostHint is the expected work, roughly; 0 or less if unknown.
+	// CostHint is a rough estimate of the part's work; 0 or less if unknown.
 	CostHint Micros
 }
 
-// Status says how an attempt or a health check ended.
+// Status is the outcome of an attempt or a health check.
 type Status uint8
 
-// The ways to end. After Rejected, ConnectFailed and Withdrawn it is certain that the part never ran.
+// The outcomes. After Rejected, ConnectFailed or Withdrawn it is certain that the part did not run.
 const (
 	OK               Status = iota
 	ServerError             // the server answered with an error
 	Rejected                // the server had no capacity
 	TimedOut                // no answer came within the timeout
-	ConnectFailed           // no connection could be made
+	ConnectFailed           // no connection could be opened
 	ConnectionBroken        // the connection ended before an answer
-	Canceled                // by CancelAttempt
-	Withdrawn               // before anything was sent
+	Canceled                // ended by CancelAttempt
+	Withdrawn               // ended before anything was sent
 )
 
 // neverRan reports whether it is certain that a server did not execute the part.
@@ -127,33 +127,33 @@
 	return s == Rejected || s == ConnectFailed || s == Withdrawn
 }
 
-// AttemptResult ends an attempt. There is exactly one for each SendAttempt.
+// AttemptResult reports the end of an attempt. Exactly one follows each SendAttempt.
 type AttemptResult struct {
-	PartID uint64 // ID
+	PartID uint64
 
-	// AttemptIndex counts a part's attempts from 0 in the order of their SendAttempt.
+	// AttemptIndex is the attempt's index among the part's attempts, from 0 in the order of their SendAttempt.
 	AttemptIndex int
 
-	ServerID uint32 // ID
+	ServerID uint32
 	Status   Status
 	Elapsed  Micros // since SendAttempt
 	Report   LoadReport
 }
 
-// HealthCheckResult ends a health check.
+// HealthCheckResult reports the end of a health check.
 type HealthCheckResult struct {
-	ServerID uint32 // ID
+	ServerID uint32
 	Status   Status
 	Elapsed  Micros // since HealthCheck
 	Report   LoadReport
 }
 
-// TimerFired says that the time of a SetTimer has passed.
+// TimerFired reports that the time of a SetTimer has passed.
 type TimerFired struct{}
 
-// ClientCanceled says that the client of a query has left: the query is closed without an answer.
+// ClientCanceled reports that the client no longer waits for a query, which is then closed without an answer.
 type ClientCanceled struct {
-	QueryID uint64 // ID
+	QueryID uint64
 }
 
 func (EndpointList) event()       {}
--- a/policy/fleetstats.go
+++ b/policy/fleetstats.go
@@ -1,10 +1,11 @@
 package policy
 
 const (
-	// initialSustainedWorkRate is the rate of work of a warm server, in seconds per second, before servers report more.
+	// initialSustainedWorkRate is the assumed work rate of a warm server, in seconds of work per second, until servers
+	// report a higher one.
 	initialSustainedWorkRate = 1.0
 
-	// initialUtilization is the utilization of the servers' cores, 0 to 1, before they report it.
+	// initialUtilization is the assumed utilization of the servers' cores, 0 to 1, until servers report theirs.
 	initialUtilization = 1.0
 )
 
@@ -19,12 +20,12 @@
 	// answerCount is the number of answered attempts that meanLatency is based on.
 	answerCount float64
 
-	// sustainedWorkRate is the highest smoothed rate of work that a warm server has reported, in seconds per second.
+	// sustainedWorkRate is the highest smoothed work rate of a warm server so far, in seconds of work per second.
 	sustainedWorkRate float64
 
 	// meanUtilization is the smoothed utilization of the servers' cores, 0 to 1.
 	meanUtilization float64
 
-	// queuedReportRate is the smoothed share of load reports, 0 to 1, that tell of queued requests.
+	// queuedReportRate is the smoothed share, 0 to 1, of load reports with queued requests.
 	queuedReportRate float64
 }
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -6,18 +6,18 @@
 	// healthCheckBudget is the share of a part's value, 0 to 1, that may be spent on health checks.
 	healthCheckBudget = 0.015
 
-	// healthCheckWaitTicks is the number of ticks that a part waits for health checks at most.
+	// healthCheckWaitTicks is the maximum number of ticks that a part waits for health checks.
 	healthCheckWaitTicks = 2
 
-	// busyBacklogTicks is the backlog in ticks from which a server is busy.
+	// busyBacklogTicks is the backlog, in ticks, from which a server is busy.
 	busyBacklogTicks = 2
 
-	// failedCheckDelayRatio is the delay that a failed health check counts for at least, in mean latencies.
+	// failedCheckDelayRatio is the minimum delay assumed for a failed health check, in mean latencies.
 	failedCheckDelayRatio = 3.0
 )
 
-// requestHealthChecks checks those of a part's replicas whose load is not known, as far as the parts so far have
-// paid for it, and holds the part back while health checks are in flight there.
+// requestHealthChecks adds a part's share of the health check budget and, within the budget, checks those of its
+// replicas whose load report is missing or old. It delays the part if health checks of its replicas are in flight.
 func (a *Aggregator) requestHealthChecks(p *part) {
 	price := max(a.settings.HealthCheckPrice, healthCheckBudget/float64(a.settings.ReplicationFactor))
 	a.healthCheckCredits = min(a.healthCheckCredits+healthCheckBudget/price, float64(len(a.sortedServers)))
@@ -31,6 +31,7 @@
 	}
 }
 
+// mayCheckHealth reports whether a health check of a server is allowed, within the budget and due.
 func (a *Aggregator) mayCheckHealth(s *server) bool {
 	if !a.settings.AllowHealthChecks || a.healthCheckCredits < 1 || s.healthCheckInFlight {
 		return false
@@ -45,8 +46,8 @@
 	a.emit(HealthCheck{ServerID: s.ID})
 }
 
-// awaitsHealthChecks reports whether a part is held back for the health checks of its replicas. Where batches have
-// overhead it is held back for the full time, so that the parts of a query leave in one step.
+// awaitsHealthChecks reports whether a part is delayed until the health checks of its replicas end. If batches have
+// overhead, the part is delayed for the full time, so that the parts of a query are sent in the same step.
 func (a *Aggregator) awaitsHealthChecks(p *part) bool {
 	if a.now >= p.notBefore {
 		return false
@@ -56,7 +57,7 @@
 	})
 }
 
-// handleHealthCheckResult ends a health check and ignores results of health checks that are not in flight.
+// handleHealthCheckResult records the result of a health check. It ignores results of checks that are not in flight.
 func (a *Aggregator) handleHealthCheckResult(result HealthCheckResult) {
 	s := a.serversByID[result.ServerID]
 	if s == nil || !s.healthCheckInFlight {
@@ -77,8 +78,8 @@
 	a.recordLoad(s, result.Report)
 }
 
-// backlog returns the wait at a server that its latest health check has shown, less the time since. A check in
-// flight counts by its age.
+// backlog returns the estimated wait at a server: the delay of its latest health check less the time since the check
+// ended. While a check is in flight, it is the age of the check.
 func (a *Aggregator) backlog(s *server) Micros {
 	if s.healthCheckInFlight {
 		return a.now - s.healthCheckSentAt
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -4,23 +4,24 @@
 	// lateThreshold is the multiple of its predicted latency above which an attempt is late.
 	lateThreshold = 3.0
 
-	// substituteLateThreshold is the same for requesting another part instead, which uses no retry budget.
+	// substituteLateThreshold is the multiple above which another part is requested in place of a late one, which uses no
+	// retry budget.
 	substituteLateThreshold = 2.0
 
-	// noHedgingLateFactor is the factor on lateThreshold where a retry replaces its attempt, as hedging is not
-	// allowed.
+	// noHedgingLateFactor is the factor on lateThreshold if hedging is not allowed, since a retry then cancels the
+	// attempt that it replaces.
 	noHedgingLateFactor = 2.0
 
-	// stragglerCoverage is the share of the required coverage, 0 to 1, from which a query's other parts are
-	// stragglers. Below it, they are more likely late because of overload.
+	// stragglerCoverage is the share of the required coverage, 0 to 1, from which a query's unanswered parts are
+	// stragglers. Below it, parts are more likely to be late because of overload.
 	stragglerCoverage = 0.6
 
-	// maxQueuedReportRate is the share of load reports with queued requests, 0 to 1, up to which the servers have
-	// capacity for hedged requests and retries of late parts.
+	// maxQueuedReportRate is the maximum queuedReportRate at which the servers are assumed to have capacity for hedged
+	// requests and for retries of late parts.
 	maxQueuedReportRate = 0.1
 )
 
-// replaceLateParts requests other parts in place of late ones, and hedges or retries late parts.
+// replaceLateParts requests other parts of the query in place of late ones, and hedges or retries late parts.
 func (a *Aggregator) replaceLateParts(q *query) {
 	a.requestParts(q)
 	for _, p := range q.parts {
@@ -30,8 +31,8 @@
 	}
 }
 
-// isLate reports whether a part's latest attempt takes longer than a multiple of its predicted latency, or the part
-// is one of the query's stragglers shortly before the latency objective.
+// isLate reports whether a part's latest attempt has taken longer than the given multiple of its predicted latency, or
+// the part is a straggler.
 func (a *Aggregator) isLate(p *part, multiple float64) bool {
 	if p.state != partInFlight || len(p.inFlight) == 0 {
 		return false
@@ -43,6 +44,8 @@
 	return float64(a.now-latest.sentAt) > multiple*latest.predictedLatency
 }
 
+// isStraggler reports whether a part is one of the last of its query and has taken longer than the reference latency
+// while the latency objective is near. It reports false if hedging is not allowed or a partial answer is.
 func (a *Aggregator) isStraggler(p *part, multiple float64) bool {
 	c := p.query.class
 	if !a.settings.AllowHedging || p.query.allowsPartialAnswer() {
@@ -55,9 +58,10 @@
 		remaining < multiple*c.referenceLatency
 }
 
-// hedgeOrRetry sends a late part to a better replica, if there is one: as a hedged request where allowed, else it
-// cancels the attempt so that the part is retried. While requests queue at the servers it does neither, since all
-// parts are late then and hedged requests of many aggregators would keep the servers overloaded.
+// hedgeOrRetry acts on a late part if there is a better replica: it sends a hedged request if that is allowed and only
+// one attempt is in flight; otherwise it cancels the first attempt so that the part is retried. While requests queue at
+// the servers it does neither, since all parts are late then and hedged requests of many aggregators would keep the
+// servers overloaded.
 func (a *Aggregator) hedgeOrRetry(p *part) {
 	late := p.latestAttempt()
 	a.recordConnectionResult(late, TimedOut)
@@ -77,14 +81,15 @@
 	}
 }
 
-// mayHedgeOrRetry reports whether the rules and limits permit another attempt at a late part.
+// mayHedgeOrRetry reports whether the limit on attempts, the retry budget, the part's idempotency and the load of the
+// servers permit another attempt at a late part.
 func (a *Aggregator) mayHedgeOrRetry(p *part) bool {
 	return !a.attemptsExhausted(p) && a.withinRetryBudget() &&
 		p.isIdempotent() && a.fleet.queuedReportRate <= maxQueuedReportRate
 }
 
-// improvesOn reports whether a candidate is another, healthy server that would answer a late attempt's part in the
-// time that the attempt has taken already, and soon enough for the answer to count.
+// improvesOn reports whether a candidate is another, healthy server that is predicted to answer the part of a late
+// attempt in no more time than the attempt has already taken, and soon enough for the answer to have a value.
 func (a *Aggregator) improvesOn(late *attempt, c candidate) bool {
 	if c.server == late.server || a.isOutlier(c.server) || a.isBusy(c.server) {
 		return false
@@ -94,7 +99,7 @@
 	return isInTime && c.predictedLatency <= float64(a.now-late.sentAt)
 }
 
-// cancelAttempt cancels an attempt once, where that is allowed.
+// cancelAttempt cancels an attempt if that is allowed and was not done before.
 func (a *Aggregator) cancelAttempt(attempt *attempt) {
 	if !a.settings.AllowCancel || attempt.canceled {
 		return
--- a/policy/history.go
+++ b/policy/history.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// timedAmount is an amount of work at a point in time.
+// timedAmount is an amount at a point in time.
 type timedAmount struct {
 	at     Micros
-	amount float64 // microseconds of work, or a number of parts
+	amount float64 // of work in microseconds, or of parts, queries or retries
 }
 
-func (e timedAmount) compareTime(at Micros) int { return cmp.Compare(e.at, at) }
+func (t timedAmount) compareTime(at Micros) int { return cmp.Compare(t.at, at) }
 
-// dropBefore returns the entries from a point in time on. The entries must be in order of time.
-func dropBefore(entries []timedAmount, before Micros) []timedAmount {
-	first, _ := slices.BinarySearchFunc(entries, before, timedAmount.compareTime)
-	return entries[first:]
+// dropBefore returns the amounts from a point in time on. The amounts must be in order of time.
+func dropBefore(amounts []timedAmount, before Micros) []timedAmount {
+	first, _ := slices.BinarySearchFunc(amounts, before, timedAmount.compareTime)
+	return amounts[first:]
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,7 +9,7 @@
 	// degradationGain is the gain, 0 to 1, of a server's latency ratio when it rises.
 	degradationGain = 0.40
 
-	// fleetGain is the gain, 0 to 1, of averages over all servers.
+	// fleetGain is the gain, 0 to 1, of averages over all servers or over a class.
 	fleetGain = 0.05
 
 	// failureGain is the gain, 0 to 1, of a server's failure rate when an attempt fails.
@@ -18,24 +18,24 @@
 	// recoveryGain is the gain, 0 to 1, of a server's failure rate when an attempt is answered.
 	recoveryGain = 0.15
 
-	// objectivePriorWeight is the number of answers that the latency objective counts for as a first estimate.
+	// objectivePriorWeight is the weight, in answers, of the latency objective as the first latency estimate.
 	objectivePriorWeight = 0.2
 
-	// maxSampleLatencyRatio is the latency ratio that a single sample counts for at most.
+	// maxSampleLatencyRatio is the maximum latency ratio of a sample; higher ones are reduced to it.
 	maxSampleLatencyRatio = 8.0
 
-	// rejectionLatencyRatio is the latency ratio that a rejection counts for at least.
+	// rejectionLatencyRatio is the minimum latency ratio of the sample that a rejection adds.
 	rejectionLatencyRatio = 2.0
 
-	// failurePenalty is the latency ratio charged for a failed attempt: its time and that of the retry.
+	// failurePenalty is the latency ratio charged for a failed attempt, for the time of the attempt and of its retry.
 	failurePenalty = 6.0
 
-	// loadSensitivity is the rise of the latency for each request at the server, as a share of the idle latency:
-	// 0 for a server that executes all at once, 1 for one that executes them one by one.
+	// loadSensitivity is the increase of the latency per request at the server, as a share of the idle latency: 0 for a
+	// server that executes all requests concurrently, 1 for one that executes one at a time.
 	loadSensitivity = 0.5
 
-	// penaltyHalfLife is the time without samples, in mean latency objectives, after which half of a server's
-	// excess latency and failure rate is forgotten.
+	// penaltyHalfLife is the time without samples, in mean latency objectives, in which a server's excess latency and
+	// failure rate decay by half.
 	penaltyHalfLife = 4.0
 )
 
@@ -48,13 +48,14 @@
 // loadFactor returns the factor by which requests at a server raise its latency.
 func loadFactor(load float64) float64 { return 1 + loadSensitivity*load }
 
-// slowness returns a server's latency ratio plus a penalty for its failures.
+// slowness returns a server's latency ratio plus a penalty for its failure rate.
 func (a *Aggregator) slowness(s *server) float64 {
 	return a.currentLatencyRatio(s) + failurePenalty*a.decayedFailureRate(s)
 }
 
 // currentLatencyRatio returns a server's latency as a multiple of the reference latency. Excess latency decays while
-// nothing is sampled; attempts without an answer count by their age.
+// there are no samples. The oldest attempt in flight, and those sent since the server last responded, count by their
+// age.
 func (a *Aggregator) currentLatencyRatio(s *server) float64 {
 	ratio := s.latencyRatio
 	if ratio > 1 {
@@ -75,10 +76,10 @@
 	return float64(a.now-attempt.sentAt) / expected
 }
 
-// decayedFailureRate returns the share of a server's attempts, 0 to 1, that are expected to fail.
+// decayedFailureRate returns the share of attempts at a server, 0 to 1, that are expected to fail.
 func (a *Aggregator) decayedFailureRate(s *server) float64 { return s.failureRate * a.penaltyDecay(s) }
 
-// penaltyDecay returns the share, 0 to 1, of a server's past excess that still counts.
+// penaltyDecay returns the share, 0 to 1, of a server's past excess latency and failure rate that still counts.
 func (a *Aggregator) penaltyDecay(s *server) float64 {
 	return math.Exp2(-float64(a.now-s.sampledAt) / (penaltyHalfLife * a.meanLatencyObjective))
 }
@@ -101,18 +102,18 @@
 		a.backOffFrom(s, c)
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, rejectionLatencyRatio))
 	case ServerError, ConnectionBroken:
-		// The server could be reached: only the attempt is lost.
+		// The server was reached, so only this attempt is lost.
 		smooth(&s.failureRate, 1, failureGain)
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, s.latencyRatio))
 	case TimedOut, ConnectFailed:
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, failurePenalty))
 	case Withdrawn:
-		// The attempt never left, so it says nothing about the server.
+		// Nothing was sent, so the result carries no information about the server.
 	}
 }
 
-// idleLatency returns the time since an attempt was sent, in microseconds, reduced to that of a part of mean cost at
-// an idle server.
+// idleLatency returns the time since an attempt was sent, in microseconds, converted to the latency of a part of mean
+// cost at an idle server.
 func (a *Aggregator) idleLatency(attempt *attempt) float64 {
 	c := attempt.part.query.class
 	latency := float64(a.now-attempt.sentAt) / loadFactor(attempt.estimatedLoad) / attempt.part.relativeCost
@@ -132,7 +133,8 @@
 	a.recordLatencyRatio(s, latency/c.referenceLatency)
 }
 
-// backOffFrom keeps parts from a server that rejected one, for longer after each rejection in a row.
+// backOffFrom suspends sending to a server that rejected a part. The time doubles with each consecutive rejection, up to
+// maxBackoffDoublings times and the latency objective.
 func (a *Aggregator) backOffFrom(s *server, c *class) {
 	s.consecutiveRejections = min(s.consecutiveRejections+1, maxBackoffDoublings)
 	s.backoffUntil = a.now + min(Micros(c.referenceLatency)<<s.consecutiveRejections/2, c.LatencyObjective)
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -1,17 +1,17 @@
 package policy
 
 const (
-	// loadReportLifetime is the age of a load report, in mean latency objectives, from which it no longer counts.
+	// loadReportLifetime is the age, in mean latency objectives, from which a load report is ignored.
 	loadReportLifetime = 0.5
 
-	// sustainedWorkRateGain is the gain, 0 to 1, of the rate of work that a server reports.
+	// sustainedWorkRateGain is the gain, 0 to 1, of the work rate that a server reports.
 	sustainedWorkRateGain = 0.15
 
 	microsPerSecond = 1e6
 )
 
-// estimateLoad returns the estimated number of requests at a server: the own attempts in flight, or more if its
-// load report says so. The report's weight falls with its age.
+// estimateLoad returns the estimated number of requests at a server: the aggregator's own attempts in flight, or more
+// if the server's load report shows more. The weight of the report falls with its age.
 func (a *Aggregator) estimateLoad(s *server) float64 {
 	own := float64(len(s.inFlight))
 	reported := max(s.loadReport.InFlight, s.loadReport.Queued)
@@ -22,7 +22,7 @@
 	return max(own, freshness*(reported+own-float64(s.inFlightAtReport))+(1-freshness)*own)
 }
 
-// recordLoad records the load report of a server, unless it is empty.
+// recordLoad records a server's load report, unless the report is empty.
 func (a *Aggregator) recordLoad(s *server, report LoadReport) {
 	if report == NoLoadReport {
 		return
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -6,13 +6,13 @@
 	// outlierThreshold is the slowness above which a server is an outlier among its peers.
 	outlierThreshold = 3.0
 
-	// outlierTrialInterval is the time without samples, in mean latency objectives, after which an outlier may be
-	// tried with a part.
+	// outlierTrialInterval is the time without samples, in mean latency objectives, after which an outlier may receive
+	// a part as a trial.
 	outlierTrialInterval = 4.0
 )
 
-// isOutlier reports whether a server is much slower than its peers. If all slow down together, the reference
-// latency follows and none is an outlier. Changes are logged, at most one in a mean latency objective.
+// isOutlier reports whether a server is much slower than its peers. If all servers slow down together, the reference
+// latency rises with them and none is an outlier. Changes are logged, at most one per mean latency objective.
 func (a *Aggregator) isOutlier(s *server) bool {
 	isOutlier := a.slowness(s) > outlierThreshold
 	if isOutlier != s.loggedAsOutlier && a.now-a.outlierLoggedAt > Micros(a.meanLatencyObjective) {
@@ -23,8 +23,8 @@
 	return isOutlier
 }
 
-// mayTryOutlier reports whether a part may be sent to an outlier to find out whether the server has recovered.
+// mayTryOutlier reports whether a part may be sent to an outlier as a trial, to detect whether it has recovered.
 func (a *Aggregator) mayTryOutlier(s *server, p *part) bool {
-	hasRested := float64(a.now-s.sampledAt) > outlierTrialInterval*a.meanLatencyObjective && len(s.inFlight) == 0
-	return hasRested && p.isIdempotent() && p.attemptCount == 0
+	isTrialDue := float64(a.now-s.sampledAt) > outlierTrialInterval*a.meanLatencyObjective && len(s.inFlight) == 0
+	return isTrialDue && p.isIdempotent() && p.attemptCount == 0
 }
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -1,13 +1,13 @@
 package policy
 
-// retryBudget is what counts toward the retry budget within its window.
+// retryBudget holds the times of the events that count toward the retry budget.
 type retryBudget struct {
 	accepted []timedAmount // queries and parts
 	retries  []timedAmount
 }
 
-// withinRetryBudget reports whether another retry fits the budget. To stay on the safe side, the window is one tick
-// narrower for accepted queries and parts, and one tick wider for retries.
+// withinRetryBudget reports whether the budget permits another retry. As a safety margin, the window is one tick shorter
+// for accepted queries and parts and one tick longer for retries.
 func (a *Aggregator) withinRetryBudget() bool {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return true
@@ -20,7 +20,8 @@
 	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*accepted
 }
 
-// recordForBudget adds an entry to a history of the budget. Without a budget nothing would ever trim the history.
+// recordForBudget adds the current time to one of the budget's histories. Without a budget it adds nothing, since the
+// history would never be trimmed.
 func (a *Aggregator) recordForBudget(history *[]timedAmount) {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return
