--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkStepByServerCount runs one of 32 aggregators: a query of 17 parts in each step, answered 200 ms later. It
-// reports the time for each part and the memory that the aggregator holds at the end.
+// BenchmarkStepByServerCount runs one of 32 aggregators with a query of 17 parts in each step, whose attempts are
+// answered 200 ms later. It reports the time per part and the memory that the aggregator holds at the end.
 func BenchmarkStepByServerCount(b *testing.B) {
 	for _, servers := range []int{16, 60, 170, 240} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) { benchmarkStep(b, servers) })
@@ -45,8 +45,8 @@
 	now        Micros
 	nextID     uint64
 
-	// results are the events that end attempts and health checks, in the order in which they started, and resultsAt
-	// when they are due.
+	// results are the pending results of attempts and health checks, in the order in which these started, and resultsAt
+	// the times at which they are due.
 	results   []Event
 	resultsAt []Micros
 }
@@ -71,7 +71,7 @@
 	return load
 }
 
-// step reports a query and the results that are due.
+// step reports a new query and the results that are due.
 func (l *benchmarkLoad) step(parts int) {
 	const latency = 200_000
 	l.now += 2 * l.settings.Tick
@@ -103,7 +103,7 @@
 	return events
 }
 
-func (l *benchmarkLoad) addResult(result Event, after Micros) {
+func (l *benchmarkLoad) addResult(result Event, delay Micros) {
 	l.results = append(l.results, result)
-	l.resultsAt = append(l.resultsAt, l.now+after)
+	l.resultsAt = append(l.resultsAt, l.now+delay)
 }
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closesAfterTimeouts lets all attempts on idle connections time out and ends those on fresh ones with the given
-// status. It returns how many servers' idle connections are closed after that, none of them being suspect itself.
-func closesAfterTimeouts(t *testing.T, freshStatus Status) int {
+// countClosesAfterTimeouts lets all attempts on idle connections time out and ends those on fresh connections with the
+// given status. It returns the number of servers whose idle connections are closed after that although they are not
+// suspect.
+func countClosesAfterTimeouts(t *testing.T, freshStatus Status) int {
 	t.Helper()
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
@@ -33,7 +34,7 @@
 	for _, s := range a.sortedServers {
 		s.idleConnectionsSuspect = false
 	}
-	if freshStatus == ConnectFailed { // one failure to connect revokes any evidence against idle connections
+	if freshStatus == ConnectFailed { // a single failure to connect resets the evidence
 		a.connections.freshSuccessRate = 0.9
 		a.recordConnectionResult(&attempt{server: a.sortedServers[0], freshConnection: true}, ConnectFailed)
 	}
@@ -45,16 +46,16 @@
 	return len(actionsOf[CloseIdleConnections](h.actions))
 }
 
-// Timeouts on idle connections that end on fresh ones prove all idle connections stale. A server that can't be
-// reached fails on fresh connections too, which proves nothing.
+// Idle connections that became stale without notice cost a timeout for each part, so they are closed before use once
+// attempts succeed on fresh connections only. An unreachable server fails on fresh connections too and is no evidence.
 func TestIdleConnectionsAreClosedOnceProvenStale(t *testing.T) {
-	assert.NotZero(t, closesAfterTimeouts(t, OK), "fresh connections were answered")
-	assert.Zero(t, closesAfterTimeouts(t, ConnectFailed), "fresh connections could not be made")
+	assert.NotZero(t, countClosesAfterTimeouts(t, OK), "closed idle connections if fresh ones are answered")
+	assert.Zero(t, countClosesAfterTimeouts(t, ConnectFailed), "closed idle connections if connecting fails")
 }
 
-// Attempts that are late at busy servers look like those on stale connections, and fresh connections bring answers
-// there too. With many aggregators, all connections are idle for long. If they answer, late or in time, they must
-// not be closed, or each part would cost a handshake.
+// Late attempts at busy servers look like attempts on stale connections, since fresh connections are answered there too,
+// and with many aggregators all connections are idle for long. Connections that bring answers, late or in time, must not
+// be closed, or each part costs a handshake.
 func TestLateAnswersClearIdleConnections(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
@@ -62,7 +63,7 @@
 	closed := 0
 	for i := range 60 {
 		h.actions = nil
-		for _, s := range a.sortedServers { // latencies stay those before the servers became busy
+		for _, s := range a.sortedServers { // keep the latencies from before the servers became busy
 			s.latencyRatio = 1
 		}
 		a.classes[idempotentClass].referenceLatency = 100_000
@@ -80,5 +81,5 @@
 		}
 		closed += len(actionsOf[CloseIdleConnections](h.actions))
 	}
-	assert.LessOrEqual(t, closed, 3, "idle connections closed, of 60 that were answered on")
+	assert.LessOrEqual(t, closed, 3, "closed idle connections, of 60 that brought answers")
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// waitForPoll advances the time until the endpoint list is polled, and returns the wait.
+// waitForPoll reports events, advances the time until the endpoint list is polled and returns the time that it took.
 func (h *harness) waitForPoll(events ...Event) Micros {
-	const longest = 20_000_000
+	const maxWait = 20_000_000
 	start := h.now
 	actions := h.step(testTick, events...)
-	for len(actionsOf[PollEndpoints](actions)) == 0 && h.now < start+longest {
+	for len(actionsOf[PollEndpoints](actions)) == 0 && h.now < start+maxWait {
 		actions = h.step(testTick, TimerFired{})
 	}
 	return h.now - start
 }
 
-// The polls after failed ones are further and further apart, up to the poll interval, and differ between the
-// instances. A list resets the backoff.
+// Instances that poll a failing discovery service at the same time, or too often, keep it overloaded. The interval
+// grows with each failed poll up to the maximum, differs between instances and is reset by an endpoint list.
 func TestFailedEndpointPollsAreBackedOff(t *testing.T) {
 	const instances = 8
 	firstWaits := map[Micros]bool{}
@@ -30,17 +30,17 @@
 		s.PollEndpoints = true
 		s.MaxPollInterval = 10_000_000
 		h := newHarness(t, s)
-		require.Len(t, actionsOf[PollEndpoints](h.actions), 1, "at the start")
+		require.Len(t, actionsOf[PollEndpoints](h.actions), 1, "polls at the start")
 		var waits []Micros
 		for range 5 {
 			waits = append(waits, h.waitForPoll(EndpointListFailed{}))
 		}
 		firstWaits[waits[0]] = true
-		assert.GreaterOrEqual(t, waits[0], Micros(h.aggregator.meanLatencyObjective)/2, "instance %d: %v", index, waits)
-		assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "instance %d: %v", index, waits)
-		assert.LessOrEqual(t, waits[4], s.MaxPollInterval+2*testTick, "instance %d: %v", index, waits)
+		assert.GreaterOrEqual(t, waits[0], Micros(h.aggregator.meanLatencyObjective)/2, "first wait of instance %d: %v", index, waits)
+		assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "second wait of instance %d: %v", index, waits)
+		assert.LessOrEqual(t, waits[4], s.MaxPollInterval+2*testTick, "last wait of instance %d: %v", index, waits)
 		h.step(testTick, EndpointList{readyEndpoints(1, 2, 3)})
-		assert.Zero(t, h.aggregator.polling.consecutiveFailures, "instance %d", index)
+		assert.Zero(t, h.aggregator.polling.consecutiveFailures, "failures of instance %d after a list", index)
 	}
-	assert.Len(t, firstWaits, instances)
+	assert.Len(t, firstWaits, instances, "different first waits")
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,8 +6,8 @@
 	"alderproxy/policy"
 )
 
-// Example runs a query of two parts over two servers. A real owner sends the attempts over its network and reports
-// what happened.
+// Example runs a query of two parts on two servers. A real owner sends the attempts over a network and reports their
+// results.
 func Example() {
 	aggregator, err := policy.New(policy.Settings{
 		InstanceCount:     1,
@@ -26,7 +26,7 @@
 		}},
 	}, 1)
 	if err != nil {
-		fmt.Println("start aggregator:", err)
+		fmt.Println("create aggregator:", err)
 		return
 	}
 	now := policy.Micros(1_000_000)
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -9,11 +9,12 @@
 	"alderproxy/internal/simnet/simfleet"
 )
 
-// workFactor is the factor on the parts' work, and the times of their classes, of simfleet.Large. With parts this
-// heavy a warming server bears some tens of them within the overload duration, so that chance matters.
+// workFactor multiplies the work of the parts, and the times of the classes, of simfleet.Large. With parts this heavy, a
+// warming server's limit is some tens of them per overload duration, so that chance matters.
 const workFactor = 4
 
-// restarts are the ways in which aggregators lose what they know of their attempts during a run.
+// restarts schedule restarts of aggregators during a run, by name. An aggregator that restarts loses the record of its
+// earlier attempts.
 var restarts = map[string]func(*simfleet.Fleet){
 	"none": func(*simfleet.Fleet) {},
 	"a tenth at a time": func(f *simfleet.Fleet) {
@@ -32,33 +33,33 @@
 	},
 }
 
-// The load of all aggregators together on a warming server stays within the limit up to chance, whatever their
-// number: under uneven traffic, while some receive endpoint lists late, all replicas of a third of the ring positions
-// are replaced at once, and aggregators restart.
+// A warming server crashes if all aggregators together exceed its limit. Whatever their number, they must stay within
+// the limit, up to chance, when the traffic is uneven, endpoint lists reach some of them late, all replicas of a third
+// of the ring positions are replaced at once and aggregators restart.
 func TestFleetOfAnySizeKeepsWarmingServersBelowTheirLimit(t *testing.T) {
 	for _, size := range []struct{ aggregators, positions int }{{3, 8}, {20, 16}, {30, 20}, {300, 30}} {
 		for name, restart := range restarts {
 			t.Run(fmt.Sprint(size.aggregators, " aggregators, restarts: ", name), func(t *testing.T) {
 				t.Parallel()
 				seeds := uint64(2)
-				if size.aggregators > 100 { // these runs take long
+				if size.aggregators > 100 { // these runs are slow
 					seeds = 1
 				}
 				for seed := uint64(1); seed <= seeds; seed++ {
-					f := replacingFleet(seed, size.aggregators, size.positions)
+					f := newFleetWithReplacements(seed, size.aggregators, size.positions)
 					restart(f)
 					r := f.Run(11 * second)
-					t.Logf("seed %d: share answered %.3f, peak load %.2f of what a server can do, %.1f parts beyond chance",
+					t.Logf("seed %d: served fraction %.3f, peak load %.2f times the capacity, %.1f parts beyond chance",
 						seed, r.ServedFraction(), r.PeakOverload, r.Excess)
-					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d", seed)
+					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d: parts beyond chance", seed)
 				}
 			})
 		}
 	}
 }
 
-// replacingFleet returns a fleet that replaces all servers at each third ring position after two seconds.
-func replacingFleet(seed uint64, aggregators, positions int) *simfleet.Fleet {
+// newFleetWithReplacements returns a fleet that replaces all servers at each third ring position after two seconds.
+func newFleetWithReplacements(seed uint64, aggregators, positions int) *simfleet.Fleet {
 	p := simfleet.Large(seed, aggregators, positions, 0.55)
 	p.ShardSkew = 0.5
 	p.AggregatorSkew = 1
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,8 +10,8 @@
 
 const second = 1_000_000
 
-// 300 aggregators at full load must answer no fewer queries than they would by sending each part to a random replica.
-// Each of them sees little of the traffic, and its hedged requests add to the load of all.
+// Each of 300 aggregators sees little of the traffic, and hedged requests add to the load of all servers. At full load,
+// they must not answer fewer queries than with each part sent to a random replica.
 func TestFleetAtFullLoadIsNoWorseThanRandomSelection(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := simfleet.Large(seed, 300, 46, 0.45)
@@ -19,13 +19,14 @@
 		r := simfleet.New(p).Run(9 * second)
 		p.RandomReplicas = true
 		random := simfleet.New(p).Run(9 * second)
-		assert.Greater(t, r.ServedFraction(), random.ServedFraction()-0.05, "seed %d: share answered, against random selection", seed)
-		assert.Less(t, r.Wasted/r.Work, 0.05, "seed %d: wasted share of the work", seed)
+		assert.Greater(t, r.ServedFraction(), random.ServedFraction()-0.05,
+			"seed %d: served fraction, against random selection", seed)
+		assert.Less(t, r.Wasted/r.Work, 0.05, "seed %d: wasted fraction of the work", seed)
 		assert.Less(t, float64(r.Attempts)/float64(r.Parts), 1.05, "seed %d: attempts per part", seed)
 	}
 }
 
-// With capacity to spare, hedged requests save the queries that meet a slow server.
+// With spare capacity, queries with a part at a server that became slow must be answered by hedged requests.
 func TestFleetWithCapacityHedgesAroundSlowServers(t *testing.T) {
 	p := simfleet.Large(1, 300, 46, 0.25)
 	f := simfleet.New(p)
@@ -34,10 +35,11 @@
 			f.Stores[i].SlowDown(6, 4*second)
 		}
 	})
-	assert.Greater(t, f.Run(9*second).ServedFraction(), 0.85)
+	assert.Greater(t, f.Run(9*second).ServedFraction(), 0.85, "served fraction")
 }
 
-// A warming server bears a limited load from all aggregators together, and each of them knows only its own.
+// A warming server crashes if the load of all aggregators together exceeds its limit, and each of them knows only its
+// own attempts.
 func TestFleetReplacingSixInTenServersOverloadsNone(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := simfleet.Large(seed, 300, 30, 0.3)
@@ -50,14 +52,15 @@
 			})
 		}
 		r := f.Run(16 * second)
-		t.Logf("seed %d: share answered %.3f, peak load %.2f of what a server can do", seed, r.ServedFraction(), r.PeakOverload)
-		assert.Zero(t, r.OverloadedStores, "seed %d: servers crashed, peak load %.2f of what a server can do", seed, r.PeakOverload)
-		assert.Less(t, r.PeakOverload, 0.9*p.Settings.OverloadFactor, "seed %d", seed)
-		assert.Greater(t, r.ServedFraction(), 0.57, "seed %d: share answered, which takes warming servers", seed)
+		t.Logf("seed %d: served fraction %.3f, peak load %.2f times the capacity", seed, r.ServedFraction(), r.PeakOverload)
+		assert.Zero(t, r.OverloadedStores, "seed %d: crashed servers, peak load %.2f times the capacity", seed, r.PeakOverload)
+		assert.Less(t, r.PeakOverload, 0.9*p.Settings.OverloadFactor, "seed %d: peak load", seed)
+		assert.Greater(t, r.ServedFraction(), 0.57, "seed %d: served fraction, which takes warming servers", seed)
 	}
 }
 
-// Aggregators that restart at the same time know no latencies and have no connections.
+// Aggregators that restart at the same time have no latency statistics and no connections. Two seconds later, they must
+// serve nearly as much as before, with few retries.
 func TestFleetRecoversFromASimultaneousRestart(t *testing.T) {
 	p := simfleet.Large(2, 300, 46, 0.4)
 	f := simfleet.New(p)
@@ -69,16 +72,16 @@
 	r := f.Run(10 * second)
 	before, after := r.Seconds[2], r.Seconds[6]
 	assert.Greater(t, after.Served/after.Offered, before.Served/before.Offered-0.1,
-		"share answered a second after the restart")
+		"served fraction two seconds after the restart")
 	assert.Less(t, float64(r.Attempts)/float64(r.Parts), 1.1, "attempts per part")
 }
 
-// A run is determined by its seed, so that a failed one can be reproduced.
+// A failed run can only be reproduced if the seed determines the whole run.
 func TestFleetRunIsReproducible(t *testing.T) {
 	run := func(seed uint64) simfleet.Result {
 		return simfleet.New(simfleet.Large(seed, 30, 10, 0.4)).Run(3 * second)
 	}
 	first, second, other := run(5), run(5), run(6)
-	assert.Equal(t, first, second)
-	assert.NotEqual(t, first.Digest, other.Digest)
+	assert.Equal(t, first, second, "runs with the same seed")
+	assert.NotEqual(t, first.Digest, other.Digest, "digests with different seeds")
 }
--- a/policy/healthchecks_test.go
+++ b/policy/healthchecks_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// healthCheckSettings are settings under which each part may pay for health checks of all its replicas.
+// healthCheckSettings returns settings with health checks so cheap that each part allows one of each of its replicas.
 func healthCheckSettings() Settings {
 	s := singleRingSettings()
 	s.AllowHealthChecks = true
@@ -16,11 +16,12 @@
 	return s
 }
 
-// The delay of a health check shows the queue that other aggregators' parts have caused.
+// An aggregator does not see the queue that other aggregators cause at a server. The delay of a health check shows it,
+// and parts must avoid that server.
 func TestReplicaWithASlowHealthCheckIsAvoided(t *testing.T) {
 	for _, slow := range []uint32{1, 2, 3} {
 		h := newHarness(t, healthCheckSettings())
-		h.step(2_000_000, TimerFired{}) // all load reports are out of date now
+		h.step(2_000_000, TimerFired{}) // all load reports are out of date after that
 		_, events := h.newQuery(idempotentClass, 1)
 		actions := h.step(0, events...)
 		require.Len(t, actionsOf[HealthCheck](actions), 3)
@@ -33,19 +34,20 @@
 		}
 		h.step(testTick, results...)
 		h.step(testTick, TimerFired{})
-		for range 3 { // by utility alone some of these parts would go to the slow server
+		for range 3 { // by utility alone, some of these parts would be sent to the slow server
 			_, events := h.newQuery(idempotentClass, 1)
 			h.step(0, events...)
 			h.step(2*testTick, TimerFired{})
 		}
 		sent := actionsOf[SendAttempt](h.actions)
-		assert.GreaterOrEqual(t, len(sent), 3, "slow server %d", slow)
+		assert.GreaterOrEqual(t, len(sent), 3, "attempts if server %d is slow", slow)
 		for _, s := range sent {
-			assert.NotEqual(t, slow, s.ServerID, "sent %+v", sent)
+			assert.NotEqual(t, slow, s.ServerID, "attempt at the slow server, of %+v", sent)
 		}
 	}
 }
 
+// Health checks that stay unanswered must not delay a part for more than two ticks.
 func TestUnansweredHealthChecksDelayPartsByTwoTicks(t *testing.T) {
 	h := newHarness(t, healthCheckSettings())
 	h.step(2_000_000, TimerFired{})
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The last part of a query, at a slow server while the others are idle, is hedged as long as the latency objective
-// can be met. The parts of a query without answers are not, since all are late under overload, nor is the last part
-// replaced in place, which would lose the attempt in flight.
+// The last part of a query, in flight at a slow server while others are idle, must be hedged while the latency objective
+// can still be met. It must not if the other parts are unanswered too, since all are late under overload. If hedging is
+// not allowed, it must not be canceled for a retry, which would lose the attempt in flight.
 func TestStragglerIsHedgedBeforeTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
-		answered     int // of 5 parts
+		answered     int // parts, of 5
 		allowHedging bool
-		hedged       bool
+		wantHedged   bool
 	}{
 		{0, true, false},
 		{4, true, true},
@@ -26,7 +26,7 @@
 		h.answerQueries(idempotentClass, 40, 200_000)
 		_, events := h.newQuery(idempotentClass, 5)
 		for i, sent := range h.stepSends(0, events...) {
-			// No attempt is late by its own prediction.
+			// The predicted latency is so long that no attempt is late by it.
 			h.aggregator.partsByID[sent.PartID].inFlight[0].predictedLatency = 900_000
 			if i < c.answered {
 				h.step(0, resultOf(sent, OK))
@@ -40,12 +40,13 @@
 		for range 380 {
 			h.step(testTick, TimerFired{})
 		}
-		attempts := len(actionsOf[CancelAttempt](h.actions)) + len(actionsOf[SendAttempt](h.actions))
-		assert.Equal(t, c.hedged, attempts > 0, "%+v: %d attempts and cancellations", c, attempts)
+		actions := len(actionsOf[CancelAttempt](h.actions)) + len(actionsOf[SendAttempt](h.actions))
+		assert.Equal(t, c.wantHedged, actions > 0, "%+v: %d attempts and cancellations", c, actions)
 	}
 }
 
-// Three of the five parts suffice for a complete answer.
+// A complete answer needs three of the five parts. If they are late, the other two must be requested even when the retry
+// budget is exhausted, since these are not retries.
 func TestOtherPartsReplaceLateOnesWithoutRetryBudget(t *testing.T) {
 	s := singleRingSettings()
 	s.RetryBudgetMinimum = 0
@@ -56,5 +57,5 @@
 	_, events := h.newQuery(partialClass, 5)
 	require.Len(t, h.stepSends(0, events...), 3)
 	h.step(900_000, TimerFired{})
-	assert.Len(t, actionsOf[SendAttempt](h.actions), 5)
+	assert.Len(t, actionsOf[SendAttempt](h.actions), 5, "attempts at the five parts")
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Errors that return at once have a low latency; a server that causes them must not seem fast.
 func TestImmediateErrorsRaiseTheSlowness(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
@@ -20,8 +21,8 @@
 	assert.GreaterOrEqual(t, h.aggregator.slowness(server), 2.0)
 }
 
-// Resets make a shard's only replica an outlier but don't cause rejections: they end at once, and the parts are
-// retried.
+// Broken connections make a shard's only replica an outlier. They must not cause rejections, since they end at once and
+// the parts are retried.
 func TestResetsByTheOnlyReplicaCauseNoRejections(t *testing.T) {
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	a := h.aggregator
@@ -35,17 +36,18 @@
 		h.step(objective/10, resultOfAttempt(retries[0], 1, OK))
 	}
 	server := a.serversByID[1]
-	for range int(a.concurrencyLimit()) + 1 { // one more than the server has capacity for
+	for range int(a.concurrencyLimit()) + 1 { // one query more than the server has capacity for
 		_, events := h.newQuery(idempotentClass, 1)
 		rejected := actionsOf[Reject](h.step(0, events...))
-		require.Empty(t, rejected, "%d in flight, slowness %.1f", len(server.inFlight), a.slowness(server))
+		require.Empty(t, rejected, "rejections with %d in flight, slowness %.1f", len(server.inFlight), a.slowness(server))
 	}
 	assert.True(t, a.isOutlier(server))
 }
 
-// A server that rejects a part gets no further one for a while, which is longer after each rejection.
+// Parts sent to an overloaded server right after a rejection would be rejected too. The pause after a rejection grows
+// with each consecutive one.
 func TestRejectingServersAreBackedOffFrom(t *testing.T) {
-	const longest = 2_000_000
+	const maxWait = 2_000_000
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 40, 100_000)
 	_, events := h.newQuery(idempotentClass, 1)
@@ -54,26 +56,26 @@
 	for attempt := range 2 {
 		rejectedAt := h.now
 		sent = h.stepSends(testTick, resultOfAttempt(sent[0], attempt, Rejected))
-		for len(sent) == 0 && h.now < rejectedAt+longest {
+		for len(sent) == 0 && h.now < rejectedAt+maxWait {
 			sent = h.stepSends(testTick, TimerFired{})
 		}
-		require.NotEmpty(t, sent)
+		require.NotEmpty(t, sent, "attempts after a rejection")
 		waits = append(waits, h.now-rejectedAt)
 	}
-	assert.GreaterOrEqual(t, waits[0], Micros(50_000))
-	assert.GreaterOrEqual(t, waits[1], waits[0]*3/2)
+	assert.GreaterOrEqual(t, waits[0], Micros(50_000), "pause after the first rejection")
+	assert.GreaterOrEqual(t, waits[1], waits[0]*3/2, "pause after the second rejection")
 }
 
-// The predicted latency of a part grows with half the logarithm of its cost hint.
+// Cost hints are rough, so the predicted latency of a part grows with the square root of its hint.
 func TestCostHintsScaleThePredictedLatency(t *testing.T) {
 	a := newHarness(t, singleRingSettings()).aggregator
 	c := a.classes[idempotentClass]
 	for i := range 300 {
 		c.recordCostHint(Micros(50_000 << (i % 3)))
 	}
-	assert.InDelta(t, 2.0, c.recordCostHint(200_000)/c.recordCostHint(50_000), 0.1, "four times the hint")
-	assert.InDelta(t, 1.0, c.recordCostHint(0), 0, "without a hint")
-	assert.InDelta(t, 1.0, c.recordCostHint(-5), 0, "without a hint")
+	assert.InDelta(t, 2.0, c.recordCostHint(200_000)/c.recordCostHint(50_000), 0.1, "relative cost at four times the hint")
+	assert.InDelta(t, 1.0, c.recordCostHint(0), 0, "relative cost without a hint")
+	assert.InDelta(t, 1.0, c.recordCostHint(-5), 0, "relative cost with a negative hint")
 
 	q := &query{class: c}
 	light := &part{query: q, relativeCost: c.recordCostHint(50_000)}
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Load reports show the load that other aggregators cause. Old ones must not count.
 func TestLoadReportsRaiseThePredictedLatency(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
@@ -17,15 +18,15 @@
 	report := NoLoadReport
 	report.InFlight = 8
 	a.recordLoad(server, report)
-	assert.GreaterOrEqual(t, a.predictLatency(server, p), 2*before)
+	assert.GreaterOrEqual(t, a.predictLatency(server, p), 2*before, "with a load report")
 
 	h.now += 2 * a.classes[idempotentClass].LatencyObjective
 	h.step(0)
-	assert.InDelta(t, before, a.predictLatency(server, p), 0.2*before, "the report is out of date")
+	assert.InDelta(t, before, a.predictLatency(server, p), 0.2*before, "with an outdated load report")
 }
 
-// Servers that report queued requests but no requests in flight report a load all the same. With many aggregators it
-// is the only information about it, since the own attempts are few.
+// Servers may report queued requests but not the requests in flight. With many aggregators, each of which has few
+// attempts in flight, such a report is the only information about a server's load and must not be ignored.
 func TestQueuedRequestsCountAsLoad(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// A server that answers nothing must be avoided before the first timeout, which comes late.
 func TestUnresponsiveServerIsAnOutlierBeforeTheTimeout(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
@@ -16,6 +17,7 @@
 	assert.True(t, h.aggregator.isOutlier(server), "slowness %v", h.aggregator.slowness(server))
 }
 
+// If all servers slow down together, treating them as outliers would leave no server to send parts to.
 func TestUniformSlowdownMakesNoOutliers(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	h.answerQueries(idempotentClass, 60, 100_000)
@@ -25,8 +27,8 @@
 	}
 }
 
-// countTrials returns the number of parts sent to server 1, which answers none, within 20 mean latency objectives.
-// Its health checks end with the given status.
+// countTrials returns the number of parts that are sent to server 1, which answers none, within 20 mean latency
+// objectives. Its health checks end with the given status.
 func countTrials(t *testing.T, s Settings, healthCheckStatus Status) int {
 	t.Helper()
 	const unresponsive = 1
@@ -59,11 +61,12 @@
 	return trials
 }
 
-// An unresponsive server gets few parts, and even fewer while its health checks fail.
+// Each trial of an unresponsive server costs a timeout. Trials must be rare, and rarer while its health checks fail, but
+// without any the aggregator would not detect the recovery.
 func TestUnresponsiveServerIsTriedRarely(t *testing.T) {
-	unchecked := countTrials(t, singleRingSettings(), OK)
-	checked := countTrials(t, healthCheckSettings(), TimedOut)
-	assert.GreaterOrEqual(t, unchecked, 2)
-	assert.LessOrEqual(t, unchecked, 10)
-	assert.Less(t, checked, unchecked)
+	withoutChecks := countTrials(t, singleRingSettings(), OK)
+	withFailedChecks := countTrials(t, healthCheckSettings(), TimedOut)
+	assert.GreaterOrEqual(t, withoutChecks, 2, "trials without health checks")
+	assert.LessOrEqual(t, withoutChecks, 10, "trials without health checks")
+	assert.Less(t, withFailedChecks, withoutChecks, "trials with failed health checks, against none")
 }
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Retries of parts that fail everywhere must not multiply the load on the servers.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	accepted := 0
@@ -30,16 +31,16 @@
 	}
 	settings := h.aggregator.settings
 	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
-	assert.Positive(t, retries)
-	assert.LessOrEqual(t, retries, limit)
+	assert.Positive(t, retries, "retries")
+	assert.LessOrEqual(t, retries, limit, "retries, against the budget for %d queries and parts", accepted)
 }
 
-// Without a budget nothing trims the histories, so they must stay empty.
+// Without a retry budget nothing trims the histories of the budget. If they were kept, they would grow without limit.
 func TestNoHistoryIsKeptWithoutARetryBudget(t *testing.T) {
 	settings := singleRingSettings()
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
-	assert.Empty(t, h.aggregator.retryBudget.accepted)
-	assert.Empty(t, h.aggregator.retryBudget.retries)
+	assert.Empty(t, h.aggregator.retryBudget.accepted, "accepted queries and parts")
+	assert.Empty(t, h.aggregator.retryBudget.retries, "retries")
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Operators find the setting to correct by the field that the error names.
 func TestInvalidSettingsNameTheField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
@@ -24,7 +25,7 @@
 		_, err := New(s, 1)
 		var invalid *InvalidSettingError
 		require.ErrorAs(t, err, &invalid, field)
-		assert.Equal(t, field, invalid.Field)
+		assert.Equal(t, field, invalid.Field, "field of the error")
 		assert.ErrorContains(t, err, field)
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// loadWarmingServer lets several aggregators, all with more parts than it can take, use one warming server that alone
-// holds their shard. It returns the most work within the overload duration as a share of what the server can do, and
-// the rate of work in seconds per second.
+// loadWarmingServer simulates aggregators that all have more parts than they may send to a single warming server, the
+// only replica of their shard. It returns the peak load, which is the maximum work sent within the overload duration as
+// a share of the server's limit, and the work rate in seconds of work per second.
 func loadWarmingServer(t *testing.T, instances int, report LoadReport) (peak, rate float64) {
 	t.Helper()
 	const work = 100_000
@@ -44,8 +44,8 @@
 	return peak, work * float64(len(sentAt)) / float64(s.SlowStartDuration)
 }
 
-// sendToWarmingServer starts a query, answers its attempts at once and returns them. Queries that are still open are
-// closed first. The latencies stay those of the given work.
+// sendToWarmingServer starts a query, answers its attempts at once and returns them. It first closes queries that are
+// still open, and keeps the latency statistics at the given work.
 func (h *harness) sendToWarmingServer(now Micros, server Endpoint, work float64) []SendAttempt {
 	a := h.aggregator
 	h.now = now
@@ -63,17 +63,18 @@
 	return sent
 }
 
-// All aggregators together use a warming server without overloading it, whatever their number.
+// A warming server crashes if all aggregators together exceed its limit, and each of them knows only its own attempts.
+// Whatever their number, they must stay within the limit and still use the server.
 func TestWarmingServersAreNotOverloaded(t *testing.T) {
 	for _, instances := range []int{1, 2, 11, 32, 90} {
 		peak, rate := loadWarmingServer(t, instances, NoLoadReport)
-		assert.LessOrEqual(t, peak, 1.0, "%d aggregators: share of the limit", instances)
-		// On average the server can do 0.62 of one part at a time.
-		assert.GreaterOrEqual(t, rate, 0.2, "%d aggregators: rate of work", instances)
+		assert.LessOrEqual(t, peak, 1.0, "peak load with %d aggregators", instances)
+		// On average, the server can execute 0.62 parts at a time.
+		assert.GreaterOrEqual(t, rate, 0.2, "work rate with %d aggregators", instances)
 	}
-	busy := NoLoadReport
-	busy.RequestRate = 30
-	_, without := loadWarmingServer(t, 11, NoLoadReport)
-	_, with := loadWarmingServer(t, 11, busy)
-	assert.Greater(t, with, without, "rate of work if warm servers report a higher rate")
+	report := NoLoadReport
+	report.RequestRate = 30
+	_, defaultRate := loadWarmingServer(t, 11, NoLoadReport)
+	_, higherRate := loadWarmingServer(t, 11, report)
+	assert.Greater(t, higherRate, defaultRate, "work rate if warm servers report a higher one")
 }
