--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -20,7 +20,7 @@
 		p.RandomReplicas = true
 		random := simfleet.New(p).Run(9 * second)
 		assert.Greater(t, r.ServedFraction(), random.ServedFraction()-0.05,
-			"seed %d: served fraction, against random selection", seed)
+			"seed %d: served fraction, compared with random selection", seed)
 		assert.Less(t, r.Wasted/r.Work, 0.05, "seed %d: wasted fraction of the work", seed)
 		assert.Less(t, float64(r.Attempts)/float64(r.Parts), 1.05, "seed %d: attempts per part", seed)
 	}
--- a/policy/healthchecks_test.go
+++ b/policy/healthchecks_test.go
@@ -53,5 +53,5 @@
 	h.step(2_000_000, TimerFired{})
 	_, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
-	assert.Len(t, h.stepSends(2*testTick, TimerFired{}), 1)
+	assert.Len(t, h.stepSends(2*testTick, TimerFired{}), 1, "attempts after two ticks")
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -18,7 +18,7 @@
 			h.step(1000, resultOf(sent, ServerError))
 		}
 	}
-	assert.GreaterOrEqual(t, h.aggregator.slowness(server), 2.0)
+	assert.GreaterOrEqual(t, h.aggregator.slowness(server), 2.0, "slowness after an immediate error")
 }
 
 // Broken connections make a shard's only replica an outlier. They must not cause rejections, since they end at once and
@@ -41,7 +41,7 @@
 		rejected := actionsOf[Reject](h.step(0, events...))
 		require.Empty(t, rejected, "rejections with %d in flight, slowness %.1f", len(server.inFlight), a.slowness(server))
 	}
-	assert.True(t, a.isOutlier(server))
+	assert.True(t, a.isOutlier(server), "slowness %.1f", a.slowness(server))
 }
 
 // Parts sent to an overloaded server right after a rejection would be rejected too. The pause after a rejection grows
@@ -81,5 +81,5 @@
 	light := &part{query: q, relativeCost: c.recordCostHint(50_000)}
 	heavy := &part{query: q, relativeCost: c.recordCostHint(200_000)}
 	server := a.sortedServers[0]
-	assert.GreaterOrEqual(t, a.predictLatency(server, heavy), 1.5*a.predictLatency(server, light))
+	assert.GreaterOrEqual(t, a.predictLatency(server, heavy), 1.5*a.predictLatency(server, light), "predicted latency at four times the hint")
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -23,7 +23,7 @@
 	h.answerQueries(idempotentClass, 60, 100_000)
 	h.answerQueries(idempotentClass, 60, 250_000)
 	for _, s := range h.aggregator.sortedServers {
-		assert.False(t, h.aggregator.isOutlier(s), "server %d", s.ID)
+		assert.False(t, h.aggregator.isOutlier(s), "server %d is an outlier", s.ID)
 	}
 }
 
@@ -68,5 +68,5 @@
 	withFailedChecks := countTrials(t, healthCheckSettings(), TimedOut)
 	assert.GreaterOrEqual(t, withoutChecks, 2, "trials without health checks")
 	assert.LessOrEqual(t, withoutChecks, 10, "trials without health checks")
-	assert.Less(t, withFailedChecks, withoutChecks, "trials with failed health checks, against none")
+	assert.Less(t, withFailedChecks, withoutChecks, "trials with failed health checks, compared with those without checks")
 }
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -32,7 +32,7 @@
 	settings := h.aggregator.settings
 	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
 	assert.Positive(t, retries, "retries")
-	assert.LessOrEqual(t, retries, limit, "retries, against the budget for %d queries and parts", accepted)
+	assert.LessOrEqual(t, retries, limit, "retries, compared with the budget for %d queries and parts", accepted)
 }
 
 // Without a retry budget nothing trims the histories of the budget. If they were kept, they would grow without limit.
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators find the setting to correct by the field that the error names.
+// If an error does not name the invalid field, operators cannot find the setting to correct.
 func TestInvalidSettingsNameTheField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
