--- a/membership.go
+++ b/membership.go
@@ -160,7 +160,7 @@
 			published = now
 			publishedAt = time.Now()
 			p.publishFact(membership.DocumentVersionFact, now.version)
-			p.publishFact(membership.EndpointListDigestFact, now.stores)
+			p.publishFact(membership.StoresDigestFact, now.stores)
 		}
 		select {
 		case <-ticker.C:
--- a/membership/fact_key.go
+++ b/membership/fact_key.go
@@ -34,8 +34,8 @@
 var (
 	// DocumentVersionFact is the key of the version of the shared configuration that is active at an instance.
 	DocumentVersionFact = NumericFactKey("document")
-	// EndpointListDigestFact is the key of the digest of the endpoint lists that are active at an instance.
-	EndpointListDigestFact = NumericFactKey("stores")
+	// StoresDigestFact is the key of the digest of the stores that an instance uses.
+	StoresDigestFact = NumericFactKey("stores")
 )
 
 // Publish returns the event that publishes a value, which expires after the TTL.
