--- a/membership/anti_entropy.go
+++ b/membership/anti_entropy.go
@@ -48,7 +48,7 @@
 func (g *Group) bucketDigests() []uint32 {
 	digests := make([]uint32, bucketCount)
 	for _, member := range g.membersByID {
-		digests[bucketOf(member.ID)] ^= member.fullHash()
+		digests[bucketOf(member.ID)] ^= member.syncHash()
 	}
 	return digests
 }
@@ -72,9 +72,9 @@
 	return h.Sum32()
 }
 
-// fullHash returns a hash that also covers the member's incarnation and facts. It does not depend on the order of the
+// syncHash returns a hash that also covers the member's incarnation and facts. It does not depend on the order of the
 // facts.
-func (m *memberRecord) fullHash() uint32 {
+func (m *memberRecord) syncHash() uint32 {
 	hash := m.presenceHash(m.Incarnation)
 	for _, fact := range m.facts {
 		hash ^= fact.hash()
@@ -121,9 +121,9 @@
 	g.send(to, request, recipient)
 }
 
-// answerSyncRequest queues synchronization responses with the members of all buckets that differ. They are sent as the
+// handleSyncRequest queues synchronization responses with the members of all buckets that differ. They are sent as the
 // send budget permits. A request is ignored while messages are still deferred, such as responses to earlier requests.
-func (g *Group) answerSyncRequest(to netip.AddrPort, requester *memberRecord, request Message) {
+func (g *Group) handleSyncRequest(to netip.AddrPort, requester *memberRecord, request Message) {
 	if len(request.BucketDigests) != bucketCount || len(g.deferredSends) > 0 {
 		return
 	}
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -33,8 +33,8 @@
 	indexByAddr map[netip.AddrPort]int
 	datagrams   int
 	bytes       int
-	// removals records each removal of a member from a view.
-	removals []removal
+	// declaredDeaths records each removal of a member from a view.
+	declaredDeaths []declaredDeath
 	// tamper modifies the messages that a member sends; nil if no member is faulty.
 	tamper func(from int, message *Message)
 	// disabledSafeguards are the safeguards that are disabled at all members.
@@ -59,12 +59,12 @@
 	clockDrift       float64 // relative error of the clock's rate
 }
 
-// removal is a change of a view by which a present member became dead.
-type removal struct {
-	at       Micros // since the start of the simulation
-	observer int    // index of the member whose view changed
-	removed  int    // index of the member that became dead
-	wasDead  bool   // the removed member's process was dead
+// declaredDeath is a change of a view by which a present member became dead.
+type declaredDeath struct {
+	at             Micros // since the start of the simulation
+	observer       int    // index of the member whose view changed
+	subject        int    // index of the member that became dead
+	processWasDead bool   // the removed member's process was dead
 }
 
 // newCluster starts a cluster. The seeds of each member are the address of the first member and one that no member has.
@@ -178,7 +178,7 @@
 		case SendMessage:
 			n.send(action)
 		case ViewChanged:
-			n.recordRemovals(action.View)
+			n.recordDeclaredDeaths(action.View)
 			n.view = action.View
 			n.viewCount++
 		case NameTaken:
@@ -187,8 +187,8 @@
 	}
 }
 
-// recordRemovals records a removal for each member that is present in the current view and dead in the next one.
-func (n *simNode) recordRemovals(next View) {
+// recordDeclaredDeaths records a removal for each member that is present in the current view and dead in the next one.
+func (n *simNode) recordDeclaredDeaths(next View) {
 	c := n.cluster
 	for _, member := range next.Members {
 		before := slices.IndexFunc(n.view.Members, func(other Member) bool { return other.ID == member.ID })
@@ -196,11 +196,11 @@
 			continue
 		}
 		removed := c.indexByAddr[member.Addr]
-		c.removals = append(c.removals, removal{
-			at:       c.network.Now() - simnet.StartTime,
-			observer: n.index,
-			removed:  removed,
-			wasDead:  !c.nodes[removed].isAlive(),
+		c.declaredDeaths = append(c.declaredDeaths, declaredDeath{
+			at:             c.network.Now() - simnet.StartTime,
+			observer:       n.index,
+			subject:        removed,
+			processWasDead: !c.nodes[removed].isAlive(),
 		})
 	}
 }
@@ -310,11 +310,11 @@
 	require.LessOrEqual(c.t, c.shareSum(), maxShareSum)
 }
 
-// falseRemovals returns the number of removals of members that were alive.
-func (c *cluster) falseRemovals() int {
+// falsePositives returns the number of removals of members that were alive.
+func (c *cluster) falsePositives() int {
 	count := 0
-	for _, removal := range c.removals {
-		if !removal.wasDead {
+	for _, removal := range c.declaredDeaths {
+		if !removal.processWasDead {
 			count++
 		}
 	}
--- a/membership/detection_test.go
+++ b/membership/detection_test.go
@@ -24,7 +24,7 @@
 			assert.Equal(t, digest, node.view.Digest)
 			assert.LessOrEqual(t, node.maxSentPerSecond, 2*node.MaxSendRate, "datagrams sent in one second")
 		}
-		assert.Empty(t, c.removals)
+		assert.Empty(t, c.declaredDeaths)
 	}
 }
 
@@ -36,7 +36,7 @@
 		c.kill(size - 1)
 		elapsed := c.waitForAgreement(size-1, 60*second)
 		t.Logf("%d members: a death is known to all after %.1f s", size, float64(elapsed)/second)
-		assert.Zero(t, c.falseRemovals())
+		assert.Zero(t, c.falsePositives())
 	}
 }
 
@@ -71,7 +71,7 @@
 				testCase.inject(c)
 			}
 			c.run(120 * second)
-			assert.Empty(t, c.removals)
+			assert.Empty(t, c.declaredDeaths)
 		})
 	}
 	t.Run("one member with datagrams delayed by 10 s", func(t *testing.T) {
@@ -82,9 +82,9 @@
 		}
 		c.run(120 * second)
 		// Each of the others removes it at most twice, because the suspicion timeout doubles with each refuted death.
-		assert.LessOrEqual(t, len(c.removals), 2*(size-1))
-		isLate := func(r removal) bool { return r.at > 90*second }
-		assert.False(t, slices.ContainsFunc(c.removals, isLate), "%v", c.removals)
+		assert.LessOrEqual(t, len(c.declaredDeaths), 2*(size-1))
+		isLate := func(r declaredDeath) bool { return r.at > 90*second }
+		assert.False(t, slices.ContainsFunc(c.declaredDeaths, isLate), "%v", c.declaredDeaths)
 	})
 }
 
@@ -115,13 +115,13 @@
 	views := c.nodes[0].viewCount - viewsBefore
 	t.Logf("42 of 60 members killed: known to all after %.1f s, in %d views", float64(elapsed)/second, views)
 	assert.LessOrEqual(t, views, 10, "the deaths must change the view a few times and not once per death")
-	removedByFirst := 0
-	for _, removal := range c.removals {
+	declaredByFirst := 0
+	for _, removal := range c.declaredDeaths {
 		if removal.observer == 0 {
-			removedByFirst++
+			declaredByFirst++
 		}
 	}
-	assert.GreaterOrEqual(t, removedByFirst, size-survivors)
+	assert.GreaterOrEqual(t, declaredByFirst, size-survivors)
 	for i := survivors; i < size; i++ {
 		c.revive(i)
 	}
@@ -130,7 +130,7 @@
 		c.requireSharesWithinWhole()
 	}
 	c.waitForAgreement(size, 60*second)
-	assert.Zero(t, c.falseRemovals())
+	assert.Zero(t, c.falsePositives())
 }
 
 // A pause that exceeds the suspicion timeout counts as a death. After it, the paused members must not accuse others,
@@ -147,62 +147,62 @@
 		present := c.nodes[size-1].view.PresentCount()
 		elapsed := c.waitForAgreement(size, 30*second)
 		t.Logf("%d of 40 members pause for 30 s: %d are present at the end of the pause, all %.1f s later", paused, present, float64(elapsed)/second)
-		for _, removal := range c.removals {
-			assert.Less(t, removal.removed, paused, "member %d was removed by member %d", removal.removed, removal.observer)
+		for _, removal := range c.declaredDeaths {
+			assert.Less(t, removal.subject, paused, "member %d was removed by member %d", removal.subject, removal.observer)
 		}
 		if paused == size {
-			assert.Empty(t, c.removals, "no member may be removed, because none misses a message while all pause")
+			assert.Empty(t, c.declaredDeaths, "no member may be removed, because none misses a message while all pause")
 		}
 	}
 }
 
 // A faulty member that reports living members as suspect, dead or left must not remove them, and its accusations must
 // be distrusted.
-func TestLyingMemberIsDistrusted(t *testing.T) {
+func TestFalseReportsAreDistrusted(t *testing.T) {
 	t.Parallel()
-	for _, claim := range []MemberState{StateSuspect, StateDead, StateLeft} {
-		t.Run(claim.String(), func(t *testing.T) {
+	for _, reported := range []MemberState{StateSuspect, StateDead, StateLeft} {
+		t.Run(reported.String(), func(t *testing.T) {
 			t.Parallel()
-			testLyingMember(t, claim)
+			testFalseReports(t, reported)
 		})
 	}
 }
 
-// testLyingMember runs a cluster in which one member reports a false state of the others.
-func testLyingMember(t *testing.T, claim MemberState) {
+// testFalseReports runs a cluster in which one member reports a false state of the others.
+func testFalseReports(t *testing.T, reported MemberState) {
 	t.Helper()
-	const size, liar = 20, 7
+	const size, faulty = 20, 7
 	c := newConvergedCluster(t, 8, size)
 	c.tamper = func(from int, message *Message) {
-		if from != liar || message.Kind != KindGossip && message.Kind != KindPing {
+		if from != faulty || message.Kind != KindGossip && message.Kind != KindPing {
 			return
 		}
-		victim := c.nodes[(liar+1+c.network.Rand().IntN(size-1))%size]
-		lie := Update{
-			ID:          victim.self.ID,
-			Generation:  victim.Generation,
-			Incarnation: victim.self.Incarnation,
-			State:       claim,
-			Accuser:     c.nodes[liar].self.ID,
-			Addr:        victim.Addr,
+		subject := c.nodes[(faulty+1+c.network.Rand().IntN(size-1))%size]
+		falseReport := Update{
+			ID:          subject.self.ID,
+			Generation:  subject.Generation,
+			Incarnation: subject.self.Incarnation,
+			State:       reported,
+			Accuser:     c.nodes[faulty].self.ID,
+			Addr:        subject.Addr,
 		}
-		if message.freeBytes() >= lie.encodedSize() {
-			message.Updates = append(message.Updates, lie)
+		if message.freeBytes() >= falseReport.encodedSize() {
+			message.Updates = append(message.Updates, falseReport)
 		}
 	}
 	c.run(120 * second)
-	assert.Empty(t, c.removals)
+	assert.Empty(t, c.declaredDeaths)
 	for _, node := range c.nodes {
 		assert.Equal(t, size, node.view.PresentCount())
 	}
-	if claim == StateLeft { // a report of a departure is not counted as an accusation
+	if reported == StateLeft { // a report of a departure is not counted as an accusation
 		return
 	}
 	distrusted := 0
 	for _, node := range c.nodes {
 		for _, member := range node.view.Members {
 			if member.Distrusted {
-				assert.Equal(t, nameOf(liar), member.Name)
+				assert.Equal(t, nameOf(faulty), member.Name)
 				distrusted++
 			}
 		}
--- a/membership/dissemination.go
+++ b/membership/dissemination.go
@@ -25,34 +25,34 @@
 	// The time between two reconnects is random, from minReconnectPercent of the mean to reconnectJitterPercent more.
 	minReconnectPercent    = 80
 	reconnectJitterPercent = 40
-	// isolatedReconnectFanout is the number of seeds that are contacted at a time while no other member is present.
-	isolatedReconnectFanout = 3
+	// loneReconnectFanout is the number of seeds that are contacted at a time while no other member is present.
+	loneReconnectFanout = 3
 )
 
-// updateKey identifies the subject of a queued update: a member, one accuser's suspicion of it, or one of its facts.
-type updateKey struct {
+// broadcastKey identifies the subject of a queued update: a member, one accuser's suspicion of it, or one of its facts.
+type broadcastKey struct {
 	id       ID
 	accuser  ID     // 0 if the subject is not a suspicion
 	factName string // empty if the subject is not a fact
 }
 
-// queuedUpdate is an update or fact whose retransmit limit is not reached yet. It has no content: the message contains
+// queuedBroadcast is an update or fact whose retransmit limit is not reached yet. It has no content: the message contains
 // the subject's state at the time of sending.
-type queuedUpdate struct {
-	updateKey
+type queuedBroadcast struct {
+	broadcastKey
 	transmissions int
 }
 
-// updateQueue holds the updates and facts to disseminate.
-type updateQueue map[updateKey]*queuedUpdate
+// broadcastQueue holds the updates and facts to disseminate.
+type broadcastQueue map[broadcastKey]*queuedBroadcast
 
 // inSendOrder returns the queued updates in the order of sending, those with the fewest transmissions first.
-func (q updateQueue) inSendOrder() []*queuedUpdate {
-	sorted := make([]*queuedUpdate, 0, len(q))
+func (q broadcastQueue) inSendOrder() []*queuedBroadcast {
+	sorted := make([]*queuedBroadcast, 0, len(q))
 	for _, queued := range q {
 		sorted = append(sorted, queued)
 	}
-	slices.SortFunc(sorted, func(x, y *queuedUpdate) int {
+	slices.SortFunc(sorted, func(x, y *queuedBroadcast) int {
 		return cmp.Or(
 			cmp.Compare(x.transmissions, y.transmissions),
 			cmp.Compare(x.id, y.id),
@@ -64,24 +64,26 @@
 }
 
 // queueMember queues the state of a member for dissemination.
-func (g *Group) queueMember(member *memberRecord) { g.queueUpdate(updateKey{id: member.ID}) }
+func (g *Group) queueMember(member *memberRecord) { g.queueBroadcast(broadcastKey{id: member.ID}) }
 
-// queueUpdate queues a subject for dissemination. If it is queued already, its transmissions are reset.
-func (g *Group) queueUpdate(key updateKey) { g.updateQueue[key] = &queuedUpdate{updateKey: key} }
+// queueBroadcast queues a subject for dissemination. If it is queued already, its transmissions are reset.
+func (g *Group) queueBroadcast(key broadcastKey) {
+	g.broadcastQueue[key] = &queuedBroadcast{broadcastKey: key}
+}
 
 // retransmitLimit returns the number of transmissions after which an update is removed from the queue.
 func (g *Group) retransmitLimit() int {
 	return retransmitMultiplier * int(math.Ceil(math.Log2(float64(g.presentCount+1))))
 }
 
-// runGossip sends the gossip, the reconnects and the synchronization requests that are due.
-func (g *Group) runGossip() {
+// runDissemination sends the gossip, the reconnects and the synchronization requests that are due.
+func (g *Group) runDissemination() {
 	if g.leaving {
 		return
 	}
 	// A part of the send budget is reserved for acks.
 	reserve := float64(g.MaxSendRate) / gossipReserveDivisor
-	if g.now >= g.nextGossipAt && len(g.updateQueue) > 0 && g.sendTokens > reserve {
+	if g.now >= g.nextGossipAt && len(g.broadcastQueue) > 0 && g.sendTokens > reserve {
 		g.nextGossipAt = g.now + g.ProbeInterval/gossipsPerProbeInterval
 		for _, member := range g.sampleMembers(gossipFanout, isPresent) {
 			g.send(member.Addr, Message{Kind: KindGossip}, member)
@@ -107,7 +109,7 @@
 	seeds := g.unknownSeeds()
 	fanout := 1
 	if g.presentCount <= 1 {
-		fanout = isolatedReconnectFanout
+		fanout = loneReconnectFanout
 		g.nextReconnectAt = g.now + g.ProbeInterval
 	}
 	if len(dead) > 0 && (len(seeds) == 0 || g.rng.IntN(2) == 0) {
@@ -155,17 +157,17 @@
 		accusation.Accuser = g.self.ID
 		filler.addUpdate(accusation)
 	}
-	if len(g.updateQueue) == 0 || filler.freeBytes < minUpdateBytes {
+	if len(g.broadcastQueue) == 0 || filler.freeBytes < minUpdateBytes {
 		return
 	}
 	limit := g.retransmitLimit()
-	for _, queued := range g.updateQueue.inSendOrder() {
+	for _, queued := range g.broadcastQueue.inSendOrder() {
 		if filler.freeBytes < minUpdateBytes {
 			return
 		}
 		subject := g.members[queued.id]
 		if queued.isObsolete(subject, g.now) {
-			delete(g.updateQueue, queued.updateKey)
+			delete(g.broadcastQueue, queued.broadcastKey)
 			continue
 		}
 		if !g.addQueued(&filler, queued, subject) {
@@ -173,13 +175,13 @@
 		}
 		queued.transmissions++
 		if queued.transmissions >= limit {
-			delete(g.updateQueue, queued.updateKey)
+			delete(g.broadcastQueue, queued.broadcastKey)
 		}
 	}
 }
 
 // isObsolete reports whether the subject of a queued update no longer exists. The member is nil if it was removed.
-func (q *queuedUpdate) isObsolete(member *memberRecord, now Micros) bool {
+func (q *queuedBroadcast) isObsolete(member *memberRecord, now Micros) bool {
 	switch {
 	case member == nil:
 		return true
@@ -193,7 +195,7 @@
 }
 
 // addQueued adds a queued update about a member to a message and reports whether it was added.
-func (g *Group) addQueued(filler *messageFiller, queued *queuedUpdate, member *memberRecord) bool {
+func (g *Group) addQueued(filler *messageFiller, queued *queuedBroadcast, member *memberRecord) bool {
 	if queued.factName != "" {
 		return filler.addFact(member.facts[queued.factName].withRemainingTTL(g.now))
 	}
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -86,7 +86,7 @@
 // storeFact stores a fact of a member and queues it for dissemination.
 func (g *Group) storeFact(owner *memberRecord, fact Fact) {
 	setEntry(&owner.facts, fact.Name, &storedFact{Fact: fact, expiresAt: g.now + fact.TTL})
-	g.queueUpdate(updateKey{id: owner.ID, factName: fact.Name})
+	g.queueBroadcast(broadcastKey{id: owner.ID, factName: fact.Name})
 	g.markViewDirty()
 }
 
--- a/membership/group.go
+++ b/membership/group.go
@@ -34,19 +34,19 @@
 	suspectCount int
 
 	// Failure detector.
-	probeOrder      []ID // targets of the current round, shuffled before each round
-	nextProbeIndex  int  // index into probeOrder
-	nextProbeAt     Micros
-	lastProbeNumber uint32
-	pendingProbes   []*probe
-	indirectProbes  map[uint32]indirectProbe // on behalf of other members, by the probe number of this member's ping
-	localHealth     int                      // Lifeguard's local health score, from 0 (healthy) to maxLocalHealth
-	probeOutcomes   [probeOutcomeCount]bool  // ring buffer: whether the target or a helper answered the recent probes
-	probesFinished  int
-	noDeathsBefore  Micros // no member is declared dead before this time
+	probeOrder       []ID // targets of the current round, shuffled before each round
+	nextProbeIndex   int  // index into probeOrder
+	nextProbeAt      Micros
+	lastProbeNumber  uint32
+	pendingProbes    []*probe
+	indirectProbes   map[uint32]indirectProbe // on behalf of other members, by the probe number of this member's ping
+	localHealthScore int                      // Lifeguard's local health score, from 0 (healthy) to maxLocalHealth
+	probeOutcomes    [probeOutcomeCount]bool  // ring buffer: whether the target or a helper answered the recent probes
+	probesFinished   int
+	noDeathsBefore   Micros // no member is declared dead before this time
 
 	// Dissemination.
-	updateQueue       updateQueue
+	broadcastQueue    broadcastQueue
 	nextGossipAt      Micros
 	nextReconnectAt   Micros
 	sendTokens        float64       // datagrams in the token bucket, which is refilled at MaxSendRate
@@ -89,7 +89,7 @@
 		rng:             rand.New(rand.NewPCG(config.RandomSeed, uint64(id))),
 		members:         map[ID]*memberRecord{},
 		indirectProbes:  map[uint32]indirectProbe{},
-		updateQueue:     updateQueue{},
+		broadcastQueue:  broadcastQueue{},
 		sendTokens:      float64(config.MaxSendRate),
 	}
 	g.self = g.addMember(Member{
@@ -137,7 +137,7 @@
 	g.runProbes()
 	g.expireSuspicions()
 	g.removeExpired()
-	g.runGossip()
+	g.runDissemination()
 	g.sendDeferred()
 	g.publishView()
 	return g.actions
--- a/membership/lifecycle_test.go
+++ b/membership/lifecycle_test.go
@@ -23,7 +23,7 @@
 			assert.Equal(t, StateLeft, member.State)
 		}
 	}
-	assert.Empty(t, c.removals)
+	assert.Empty(t, c.declaredDeaths)
 	c.run(24 * hour / 100)
 	c.revive(leaver)
 	c.waitForAgreement(size, 30*second)
@@ -41,7 +41,7 @@
 		c.run(second/2 + Micros(round))
 	}
 	c.waitForAgreement(size, 30*second)
-	assert.Empty(t, c.removals, "no view may remove the member, because it was never down for long")
+	assert.Empty(t, c.declaredDeaths, "no view may remove the member, because it was never down for long")
 }
 
 // A member that restarts each second for three minutes must not cause the removal of others, and the send rate of the
@@ -63,8 +63,8 @@
 	t.Logf("%.1f datagrams per member and second while one member flaps", rate)
 	assert.Less(t, rate, 30.0)
 	c.waitForAgreement(size, 30*second)
-	for _, removal := range c.removals {
-		assert.Equal(t, flapping, removal.removed)
+	for _, removal := range c.declaredDeaths {
+		assert.Equal(t, flapping, removal.subject)
 	}
 }
 
@@ -83,7 +83,7 @@
 	c.run(20 * second)
 	assert.True(t, duplicate.nameTaken, "the later process must give up the name")
 	assert.False(t, c.nodes[owner].nameTaken)
-	assert.Empty(t, c.removals)
+	assert.Empty(t, c.declaredDeaths)
 	for observer := range size {
 		if member, found := c.memberSeenBy(observer, owner); found {
 			assert.Equal(t, address(owner), member.Addr)
@@ -103,7 +103,7 @@
 	node.lastGeneration = 7 // the clock was set back
 	c.revive(returning)
 	c.waitForAgreement(size, 30*second)
-	assert.Zero(t, c.falseRemovals())
+	assert.Zero(t, c.falsePositives())
 
 	// Restart at another address before the others have detected the death of the previous process.
 	c.kill(returning)
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -52,12 +52,12 @@
 }
 
 // measureDetection kills a member and measures the time until the others know it.
-func (c *cluster) measureDetection(victim int) detection {
-	c.kill(victim)
+func (c *cluster) measureDetection(killed int) detection {
+	c.kill(killed)
 	killedAt := c.network.Now()
 	var result detection
 	for {
-		aware, alive := c.countAwareOf(victim)
+		aware, alive := c.countAwareOf(killed)
 		elapsed := c.secondsSince(killedAt)
 		if aware > 0 && result.first == 0 {
 			result.first = elapsed
@@ -109,12 +109,12 @@
 			datagramRate += float64(c.datagrams-datagrams) / samples
 			byteRate += float64(c.bytes-bytes) / samples
 			facts = append(facts, c.measureFact(1))
-			victim := 2 + c.network.Rand().IntN(testCase.size-2)
-			result := c.measureDetection(victim)
+			killed := 2 + c.network.Rand().IntN(testCase.size-2)
+			result := c.measureDetection(killed)
 			first = append(first, result.first)
 			half = append(half, result.half)
 			all = append(all, result.all)
-			assert.Zero(t, c.falseRemovals())
+			assert.Zero(t, c.falsePositives())
 		}
 		firstMedian, _ := medianAndMax(first)
 		halfMedian, _ := medianAndMax(half)
@@ -178,7 +178,7 @@
 	t.Helper()
 	c := newClusterWithout(t, seed, s.size, simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: s.loss}, s.disabledSafeguards)
 	c.run(120 * second)
-	c.removals = nil
+	c.declaredDeaths = nil
 	datagramsBefore := c.datagrams
 	for _, node := range c.nodes {
 		for minute := range s.minutes {
@@ -189,17 +189,17 @@
 	}
 	c.run(Micros(s.minutes) * 60 * second)
 	falsePositives := map[int]bool{}
-	for _, removal := range c.removals {
-		falsePositives[removal.removed] = true
+	for _, removal := range c.declaredDeaths {
+		falsePositives[removal.subject] = true
 	}
 	datagrams := c.datagrams - datagramsBefore
-	victim := s.size - 1
-	c.kill(victim)
+	killed := s.size - 1
+	c.kill(killed)
 	killedAt := c.network.Now()
 	detected := false
 	for !detected && c.network.Now()-killedAt < detectionTimeout {
 		c.run(pollInterval)
-		aware, alive := c.countAwareOf(victim)
+		aware, alive := c.countAwareOf(killed)
 		detected = aware == alive
 	}
 	result := soakResult{
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -97,7 +97,7 @@
 	}
 	if update.Generation > member.Generation {
 		if g.acceptNameClaim(member, update.Addr, update.Generation) {
-			g.replaceProcess(member, update.Generation, update.Incarnation, update.Addr)
+			g.replaceOwner(member, update.Generation, update.Incarnation, update.Addr)
 		}
 		return
 	}
@@ -175,7 +175,7 @@
 // refute.
 func (g *Group) confirmDeparture(member *memberRecord, update Update, from ID) bool {
 	reporter := g.members[from]
-	if reporter == nil || g.distrusts(reporter) {
+	if reporter == nil || g.updateDistrust(reporter) {
 		return false
 	}
 	setEntry(&member.departureReporters, from, true)
--- a/membership/name_claim.go
+++ b/membership/name_claim.go
@@ -11,10 +11,10 @@
 	deadline   Micros
 }
 
-// acceptSuccessor handles a message of another generation than the member's, and reports whether its sender now owns
+// acceptClaimant handles a message of another generation than the member's, and reports whether its sender now owns
 // the member's name. It does if it has a higher generation and the previous process has left, is dead or does not
 // answer. Until then, its messages are ignored.
-func (g *Group) acceptSuccessor(member *memberRecord, from netip.AddrPort, message Message) bool {
+func (g *Group) acceptClaimant(member *memberRecord, from netip.AddrPort, message Message) bool {
 	if message.Generation < member.Generation {
 		// This is either a late message of the previous process or a message of a new process whose clock was set back.
 		// The update tells a new process the known generation, after which it continues with a higher one.
@@ -25,7 +25,7 @@
 	if !g.acceptNameClaim(member, from, message.Generation) {
 		return false
 	}
-	g.replaceProcess(member, message.Generation, message.Incarnation, from)
+	g.replaceOwner(member, message.Generation, message.Incarnation, from)
 	member.lastMessageAt = g.now
 	return true
 }
@@ -60,9 +60,9 @@
 	return false
 }
 
-// replaceProcess makes another process the owner of a member's name and resets the state that belongs to the previous
+// replaceOwner makes another process the owner of a member's name and resets the state that belongs to the previous
 // one.
-func (g *Group) replaceProcess(member *memberRecord, generation, incarnation uint32, addr netip.AddrPort) {
+func (g *Group) replaceOwner(member *memberRecord, generation, incarnation uint32, addr netip.AddrPort) {
 	member.Generation = generation
 	member.Incarnation = incarnation
 	member.Addr = addr
--- a/membership/partition_test.go
+++ b/membership/partition_test.go
@@ -21,25 +21,25 @@
 		}
 		c.waitForAgreement(size, 60*second)
 		assert.InDelta(t, 1, c.shareSum(), 0.01, "the whole capacity must be shared out")
-		var parts [][]simnet.NodeID
+		var sides [][]simnet.NodeID
 		for i := range bounds[:len(bounds)-1] {
-			parts = append(parts, nodeRange(bounds[i], bounds[i+1]))
+			sides = append(sides, nodeRange(bounds[i], bounds[i+1]))
 		}
-		forEachPair(parts, c.partition)
+		forEachPair(sides, c.partition)
 		for range 60 {
 			c.run(second)
 			c.requireSharesWithinWhole()
 		}
-		forEachPair(parts, c.heal)
+		forEachPair(sides, c.heal)
 		elapsed := c.waitForAgreement(size, 90*second)
-		t.Logf("%d parts: all views agree %.1f s after the partition healed", len(parts), float64(elapsed)/second)
+		t.Logf("%d parts: all views agree %.1f s after the partition healed", len(sides), float64(elapsed)/second)
 	}
 }
 
 // forEachPair calls a function once for each pair of different parts.
-func forEachPair(parts [][]simnet.NodeID, do func(a, b []simnet.NodeID)) {
-	for i, a := range parts {
-		for _, b := range parts[i+1:] {
+func forEachPair(sides [][]simnet.NodeID, do func(a, b []simnet.NodeID)) {
+	for i, a := range sides {
+		for _, b := range sides[i+1:] {
 			do(a, b)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // The failure of a link in one or both directions must not remove a member that others still reach. The members at its
 // ends must detect in which direction it failed.
-func TestPartialLinkFailuresRemoveNobody(t *testing.T) {
+func TestPartialLinkFailuresCauseNoDeaths(t *testing.T) {
 	t.Parallel()
 	const size = 12
 	c := newConvergedCluster(t, 6, size)
@@ -63,7 +63,7 @@
 	c.run(60 * second)
 	views := c.nodes[0].viewCount
 	c.run(60 * second)
-	assert.Empty(t, c.removals)
+	assert.Empty(t, c.declaredDeaths)
 	assert.Equal(t, ReachableOneWay, reachability(4, 3))
 	assert.Equal(t, ReachableIndirectly, reachability(5, 6))
 	assert.Equal(t, ReachableIndirectly, reachability(6, 5))
@@ -73,7 +73,7 @@
 
 // A member that is cut off from all others must not declare them dead, because it cannot distinguish their failure from
 // its own isolation.
-func TestIsolatedMemberRemovesNobody(t *testing.T) {
+func TestIsolatedMemberDeclaresNobodyDead(t *testing.T) {
 	t.Parallel()
 	const size, isolated = 20, 19
 	c := newConvergedCluster(t, 7, size)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -6,8 +6,8 @@
 	// probeTimeSlots is the number of equal slots into which a probe's time is divided. A ping is sent at the start of
 	// each slot but the last, in which only acks are awaited.
 	probeTimeSlots = 4
-	// maxLocalHealth is the worst local health score. It extends time limits by a factor of five.
-	maxLocalHealth = 8
+	// maxLocalHealthScore is the worst local health score. It extends time limits by a factor of five.
+	maxLocalHealthScore = 8
 	// minAnsweredProbes is the minimum number of the last probeOutcomeCount probes that the target or a helper must
 	// have answered for the view to be trusted.
 	minAnsweredProbes = 4
@@ -192,9 +192,11 @@
 	if !g.enabled(localHealthScaling) {
 		return limit
 	}
-	return limit * Micros(2+g.localHealth) / 2
+	return limit * Micros(2+g.localHealthScore) / 2
 }
 
-func (g *Group) degradeLocalHealth() { g.localHealth = min(g.localHealth+1, maxLocalHealth) }
+func (g *Group) degradeLocalHealth() {
+	g.localHealthScore = min(g.localHealthScore+1, maxLocalHealthScore)
+}
 
-func (g *Group) improveLocalHealth() { g.localHealth = max(0, g.localHealth-1) }
+func (g *Group) improveLocalHealth() { g.localHealthScore = max(0, g.localHealthScore-1) }
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -44,7 +44,7 @@
 	if sender == nil {
 		return true
 	}
-	if sender.Generation != message.Generation && !g.acceptSuccessor(sender, event.From, message) {
+	if sender.Generation != message.Generation && !g.acceptClaimant(sender, event.From, message) {
 		return false
 	}
 	if !sender.replayWindow.accept(message.MessageNumber) {
@@ -81,7 +81,7 @@
 	case KindNack:
 		g.handleNack(message)
 	case KindSyncRequest:
-		g.answerSyncRequest(event.From, sender, message)
+		g.handleSyncRequest(event.From, sender, message)
 	case KindLeave:
 		departure := Update{
 			ID:          sender.ID,
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if record := g.members[accuser]; record != nil && record != g.self {
-		if g.distrusts(record) {
+		if g.updateDistrust(record) {
 			return
 		}
 		record.accusationsMade++
@@ -41,7 +41,7 @@
 	}
 	setEntry(&member.accusers, accuser, true)
 	if len(member.accusers) <= maxCountedAccusers {
-		g.queueUpdate(updateKey{id: member.ID, accuser: accuser})
+		g.queueBroadcast(broadcastKey{id: member.ID, accuser: accuser})
 	}
 }
 
@@ -111,10 +111,10 @@
 	}
 }
 
-// distrusts reports whether an accuser's accusations are ignored: more than half of them were refuted, and many more
+// updateDistrust reports whether an accuser's accusations are ignored: more than half of them were refuted, and many more
 // than those of the other members on average. Without this comparison, all members would distrust each other on a lossy
 // network, where the accusations of all of them are refuted equally often.
-func (g *Group) distrusts(accuser *memberRecord) bool {
+func (g *Group) updateDistrust(accuser *memberRecord) bool {
 	distrusted := accuser.accusationsRefuted >= minRefutations && 2*accuser.accusationsRefuted > accuser.accusationsMade
 	if distrusted && g.enabled(accuserComparison) {
 		distrusted = g.isRefutationOutlier(accuser)
