--- a/membership/partition_test.go
+++ b/membership/partition_test.go
@@ -8,46 +8,47 @@
 	"alderproxy/internal/simnet"
 )
 
-// After a partition heals, all views must agree again. The capacity shares of all parts must not add up to more than
+// After a partition heals, all views must agree again. The capacity shares of all sides must not add up to more than
 // one at any time.
 func TestPartitionsHeal(t *testing.T) {
 	t.Parallel()
 	const size = 24
 	for _, bounds := range [][]int{{0, 12, 24}, {0, 8, 16, 24}} {
 		c := newCluster(t, 5, size, lan)
-		for range 300 { // from the start of the members
+		for range 300 { // also while the members discover each other
 			c.run(pollInterval)
 			c.requireSharesWithinWhole()
 		}
 		c.waitForAgreement(size, 60*second)
 		assert.InDelta(t, 1, c.shareSum(), 0.01, "the whole capacity must be shared out")
-		var parts [][]simnet.NodeID
+		var sides [][]simnet.NodeID
 		for i := range bounds[:len(bounds)-1] {
-			parts = append(parts, nodeRange(bounds[i], bounds[i+1]))
+			sides = append(sides, nodeRange(bounds[i], bounds[i+1]))
 		}
-		forEachPair(parts, c.partition)
+		forEachPair(sides, c.partition)
 		for range 60 {
 			c.run(second)
 			c.requireSharesWithinWhole()
 		}
-		forEachPair(parts, c.heal)
+		forEachPair(sides, c.heal)
 		elapsed := c.waitForAgreement(size, 90*second)
-		t.Logf("%d parts: all views agree %.1f s after the partition healed", len(parts), float64(elapsed)/second)
+		t.Logf("%d sides: all views agree %.1f s after the partition healed", len(sides), float64(elapsed)/second)
 	}
 }
 
-// forEachPair calls a function once for each pair of different parts.
-func forEachPair(parts [][]simnet.NodeID, do func(a, b []simnet.NodeID)) {
-	for i, a := range parts {
-		for _, b := range parts[i+1:] {
+// forEachPair calls a function once for each pair of different sides.
+func forEachPair(sides [][]simnet.NodeID, do func(a, b []simnet.NodeID)) {
+	for i, a := range sides {
+		for _, b := range sides[i+1:] {
 			do(a, b)
 		}
 	}
 }
 
-// The failure of a link in one or both directions must not remove a member that others still reach. The members at its
-// ends must detect in which direction it failed.
-func TestPartialLinkFailuresRemoveNobody(t *testing.T) {
+// The failure of a link in one or both directions must not cause a member that others still reach to be declared dead.
+// The end that receives nothing after a one-way failure must record ReachableOneWay, and both ends of a cut link
+// ReachableIndirectly.
+func TestPartialLinkFailuresCauseNoDeaths(t *testing.T) {
 	t.Parallel()
 	const size = 12
 	c := newConvergedCluster(t, 6, size)
@@ -63,7 +64,7 @@
 	c.run(60 * second)
 	views := c.nodes[0].viewCount
 	c.run(60 * second)
-	assert.Empty(t, c.removals)
+	assert.Empty(t, c.declaredDeaths)
 	assert.Equal(t, ReachableOneWay, reachability(4, 3))
 	assert.Equal(t, ReachableIndirectly, reachability(5, 6))
 	assert.Equal(t, ReachableIndirectly, reachability(6, 5))
@@ -73,7 +74,7 @@
 
 // A member that is cut off from all others must not declare them dead, because it cannot distinguish their failure from
 // its own isolation.
-func TestIsolatedMemberRemovesNobody(t *testing.T) {
+func TestIsolatedMemberDeclaresNobodyDead(t *testing.T) {
 	t.Parallel()
 	const size, isolated = 20, 19
 	c := newConvergedCluster(t, 7, size)
