--- a/policy/admission.go
+++ b/policy/admission.go
@@ -33,7 +33,7 @@
 	c := q.class
 	smooth(&c.meanFanOut, float64(len(q.parts)), fanOutGain)
 	priority := a.relativePriority(c)
-	q.dispatchAt = q.arrivedAt - Micros(priorityHeadStartFraction*priority*float64(c.LatencyObjective))
+	q.dispatchSortKey = q.arrivedAt - Micros(priorityHeadStartFraction*priority*float64(c.LatencyObjective))
 	q.predictedResponseTime = a.predictResponseTime(q)
 	if len(q.parts) == 0 || math.IsInf(q.predictedResponseTime, 1) || a.shouldShed(q, priority) {
 		a.rejectOrFail(q)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,7 +12,7 @@
 
 // A new aggregator has no latency estimate but the latency objective. It must not reject queries because of that.
 func TestNewAggregatorRejectsNothing(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	for range 10 {
 		_, events := h.newQuery(idempotentClass, 3)
 		h.step(testTick, events...)
@@ -22,7 +22,7 @@
 
 // The owner rejects queries beyond MaxOpen. If the aggregator did so too, the limit would be one query stricter.
 func TestMaxOpenIsLeftToTheOwner(t *testing.T) {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.MaxOpen = 12
 	h := newHarness(t, s)
 	var all []Event
@@ -37,7 +37,7 @@
 func TestQueryWithTooShortADeadlineIsRejected(t *testing.T) {
 	const latency = 200_000
 	for _, timeout := range []Micros{50_000, 1_500_000} {
-		s := singleRingSettings()
+		s := fullReplicationSettings()
 		s.InstanceCount = manyInstances
 		h := newHarness(t, s)
 		h.answerQueries(idempotentClass, 30, latency)
@@ -55,7 +55,7 @@
 // A query waits for its slowest part, which takes longer than the mean part that predictions are based on. Admission
 // must scale the predicted response time by the observed ratio.
 func TestAdmissionAccountsForTheResponseTimeRatio(t *testing.T) {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.InstanceCount = manyInstances
 	h := newHarness(t, s)
 	h.answerQueries(idempotentClass, 30, 200_000)
@@ -72,7 +72,7 @@
 		objectives          = 3
 		queriesPerObjective = 10
 	)
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.InstanceCount = manyInstances
 	h := newHarness(t, s)
 	h.answerQueries(idempotentClass, 30, 200_000)
@@ -89,7 +89,7 @@
 
 // No coverage can be complete if a shard has no replica. The query must be rejected before any of its parts is sent.
 func TestQueryOfAShardWithoutReplicasIsRejected(t *testing.T) {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.ReplicationFactor = 1
 	h := newHarness(t, s, readyEndpoints(1, 2)...)
 	id, events := h.newQuery(idempotentClass, 3)
@@ -101,7 +101,7 @@
 
 // Queries that end because of overload must reduce the admissions of their class, and answers in time raise them again.
 func TestOverloadedClassIsPaced(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 40, 100_000)
 	rejectedOf100 := func() int {
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -26,8 +26,8 @@
 	// constants of slow processes.
 	meanLatencyObjective float64
 
-	// lateThreshold is the multiple of its predicted latency above which an attempt is late.
-	lateThreshold float64
+	// effectiveLateThreshold is the multiple of its predicted latency above which an attempt is late.
+	effectiveLateThreshold float64
 
 	// The endpoints. Decisions iterate over sortedServers, never over a map, so that they are reproducible.
 	serversByID   map[uint32]*server
@@ -167,9 +167,9 @@
 		a.fleet.meanLatency = a.meanLatencyObjective
 		a.fleet.baseLatency = a.meanLatencyObjective
 	}
-	a.lateThreshold = lateThreshold
+	a.effectiveLateThreshold = lateThreshold
 	if !settings.AllowHedging {
-		a.lateThreshold *= noHedgingLateFactor
+		a.effectiveLateThreshold *= noHedgingLateFactor
 	}
 	a.extendShards(settings.Shards)
 	a.rebuildReplicas()
--- a/policy/aggregator_test.go
+++ b/policy/aggregator_test.go
@@ -45,8 +45,8 @@
 
 // Unknown IDs, duplicates, invalid parts, numbers that are not finite, times that run backwards and endpoints off the
 // ring must cause no panic and leave valid queries unaffected.
-func TestInvalidInputIsIgnored(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+func TestInvalidInputCausesNoPanic(t *testing.T) {
+	h := newHarness(t, fullReplicationSettings())
 	h.step(0,
 		AttemptResult{PartID: 1, ServerID: 1},
 		AttemptResult{ServerID: 77},
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if result.Status == OK {
-		a.handleAnswer(finished)
+		a.handleAnsweredAttempt(finished)
 		return
 	}
 	if result.Status == ConnectionBroken {
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleAnswer marks the part of an attempt as answered and cancels the part's other attempts.
-func (a *Aggregator) handleAnswer(answered *attempt) {
+// handleAnsweredAttempt marks the part of an attempt as answered and cancels the part's other attempts.
+func (a *Aggregator) handleAnsweredAttempt(answered *attempt) {
 	p := answered.part
 	p.state = partAnswered
 	p.query.canaryFirst = false
--- a/policy/batching.go
+++ b/policy/batching.go
@@ -20,10 +20,10 @@
 	s.batchSize++
 }
 
-// findJoinableBatch returns the index of the first replica whose batch the part should join, even if its query already
+// firstWithJoinableBatch returns the index of the first replica whose batch the part should join, even if its query already
 // uses that server, or -1 if there is none. The replica's predicted latency may exceed the lowest one by as much as
 // joining the batch saves.
-func (a *Aggregator) findJoinableBatch(p *part, ranked []candidate, hasHealthyReplica bool) int {
+func (a *Aggregator) firstWithJoinableBatch(p *part, ranked []candidate, hasHealthyReplica bool) int {
 	saving := min(maxBatchSaving, float64(a.settings.BatchOverhead)/a.fleet.baseLatency)
 	return slices.IndexFunc(ranked, func(c candidate) bool {
 		savingOffsetsLoad := (1-saving)*(1+loadSensitivity) <= 1
--- a/policy/batching_test.go
+++ b/policy/batching_test.go
@@ -9,7 +9,7 @@
 // Parts of a query must share a batch if batches have overhead, and go to distinct servers otherwise.
 func TestBatchesAreSharedIfTheyHaveOverhead(t *testing.T) {
 	for _, overhead := range []Micros{0, 100_000} {
-		s := singleRingSettings()
+		s := fullReplicationSettings()
 		s.BatchOverhead = overhead
 		s.MaxBatchSize = 8
 		h := newHarness(t, s, readyEndpoints(1, 2, 3, 4, 5, 6)...)
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -9,7 +9,7 @@
 // An aggregator may have at least two attempts in flight at a server, and more if few aggregators share the server.
 func TestConcurrencyLimitDependsOnTheInstanceCount(t *testing.T) {
 	for instances, limit := range map[int]int{1: 6, 2: 3, 3: 2, 32: 2} {
-		s := singleRingSettings()
+		s := fullReplicationSettings()
 		s.InstanceCount = instances
 		h := newHarness(t, s, readyEndpoints(1)...)
 		for range 9 {
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -37,7 +37,7 @@
 	minimum := q.class.MinCoverage - coverageTolerance
 	mustEnd := attainable < minimum || a.now >= a.queryDeadline(q)
 	isExhausted := attainable < required && coverage >= attainable-coverageTolerance
-	isPartialAnswerDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.partialAnswerDeadline(q)
+	isPartialAnswerDue := q.allowsPartialAnswer() && coverage >= minimum && a.now >= a.partialAnswerDueAt(q)
 	switch {
 	case coverage >= required:
 		a.answerQuery(q, true)
@@ -69,9 +69,9 @@
 	return answered, attainable
 }
 
-// partialAnswerDeadline returns the time from which a query gets a partial answer if its coverage permits one. The time
+// partialAnswerDueAt returns the time from which a query gets a partial answer if its coverage permits one. The time
 // lies before the latency objective and leaves room for a fetch phase that follows.
-func (a *Aggregator) partialAnswerDeadline(q *query) Micros {
+func (a *Aggregator) partialAnswerDueAt(q *query) Micros {
 	if q.class.FetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
 		return q.objectiveDeadline - fetchTime - fetchReserveTicks*a.settings.Tick
@@ -90,9 +90,9 @@
 }
 
 // answerQuery answers a query from its answered parts. It closes the query unless a fetch phase follows.
-func (a *Aggregator) answerQuery(q *query, complete bool) {
-	isComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
-	a.emit(Answer{QueryID: q.ID, Complete: isComplete})
+func (a *Aggregator) answerQuery(q *query, phaseComplete bool) {
+	complete := phaseComplete && (q.phase == firstPhase || q.firstPhaseComplete)
+	a.emit(Answer{QueryID: q.ID, Complete: complete})
 	if q.phase == firstPhase {
 		ratio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
 		smooth(&q.class.responseTimeRatio, ratio, responseTimeRatioGain)
@@ -101,7 +101,7 @@
 		a.closeQuery(q)
 		return
 	}
-	a.startFetchPhase(q, complete)
+	a.startFetchPhase(q, phaseComplete)
 }
 
 // startFetchPhase removes the parts of the first phase. Those of the fetch phase arrive as events.
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -10,7 +10,7 @@
 // A query whose attempts never end must be ended by the timer before its client stops waiting, whatever its class.
 func TestEveryQueryEndsBeforeItsTimeout(t *testing.T) {
 	for class, settings := range testClasses() {
-		h := newHarness(t, singleRingSettings())
+		h := newHarness(t, fullReplicationSettings())
 		id, events := h.newQuery(class, 3)
 		h.step(0, events...)
 		for end := h.now + settings.Timeout; h.now < end-testTick; {
@@ -21,10 +21,10 @@
 }
 
 // The class requires a coverage of 1 for a complete answer and of 0.8 for a partial one.
-func TestAnswersReportTheirCoverage(t *testing.T) {
+func TestAnswerIsCompleteOnlyAtTheRequiredCoverage(t *testing.T) {
 	const parts = 5
 	for _, answered := range []int{3, 4, 5} {
-		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
+		h := newHarness(t, fullReplicationSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		id, events := h.newQuery(fetchClass, parts)
 		sent := h.stepSends(0, events...)
 		for i := range answered { // some parts are sent only after quick answers
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -11,7 +11,7 @@
 // status. It returns how many servers' idle connections are closed after that, none of them being suspect itself.
 func closesAfterTimeouts(t *testing.T, freshStatus Status) int {
 	t.Helper()
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
 	longIdle := 2 * Micros(a.meanLatencyObjective)
@@ -56,7 +56,7 @@
 // there too. With many aggregators, all connections are idle for long. If they answer, late or in time, they must
 // not be closed, or each part would cost a handshake.
 func TestLateAnswersClearIdleConnections(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
 	closed := 0
--- a/policy/crashsuspects_test.go
+++ b/policy/crashsuspects_test.go
@@ -10,7 +10,7 @@
 // Several connections broken by the same server must not end a query: only breaks by distinct servers suggest that the
 // query crashes them.
 func TestServerThatBreaksSeveralConnectionsCountsOnce(t *testing.T) {
-	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	h := newHarness(t, fullReplicationSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 20, 100_000)
 	id, events := h.newQuery(idempotentClass, 2)
 	for _, sent := range h.stepSends(testTick, events...) {
@@ -32,7 +32,7 @@
 // servers have broken its connections, and the next query with its key must send one part ahead of the others.
 func TestQueriesThatCrashServersAreContained(t *testing.T) {
 	const crashingKey = 7
-	h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
+	h := newHarness(t, fullReplicationSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 	h.answerQueries(idempotentClass, 40, 100_000)
 
 	id, sent := h.sendQueryWithKey(crashingKey)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -9,7 +9,7 @@
 // come last.
 func (a *Aggregator) dispatch() {
 	clear(a.queuedParts)
-	slices.SortStableFunc(a.openQueries, func(x, y *query) int { return cmp.Compare(x.dispatchAt, y.dispatchAt) })
+	slices.SortStableFunc(a.openQueries, func(x, y *query) int { return cmp.Compare(x.dispatchSortKey, y.dispatchSortKey) })
 	for _, pastObjective := range []bool{false, true} {
 		for _, q := range a.openQueries {
 			a.dispatchQuery(q, pastObjective)
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -27,7 +27,7 @@
 		{keyedClass, Rejected, 1_100_000, true},
 		{idempotentClass, ServerError, 1_100_000, true},
 	} {
-		h := newHarness(t, singleRingSettings())
+		h := newHarness(t, fullReplicationSettings())
 		_, events := h.newQuery(c.class, 1)
 		sent := h.stepSends(0, events...)
 		retries := h.stepSends(c.after, resultOf(sent[0], c.status))
@@ -42,7 +42,7 @@
 func TestDrainingServersReceiveNoParts(t *testing.T) {
 	servers := readyEndpoints(1, 2, 3)
 	servers[1].State = Draining
-	h := newHarness(t, singleRingSettings(), servers[:2]...) // 2 is draining, 3 is not listed
+	h := newHarness(t, fullReplicationSettings(), servers[:2]...) // 2 is draining, 3 is not listed
 	for range 20 {
 		_, events := h.newQuery(idempotentClass, 3)
 		h.step(testTick, events...)
@@ -54,7 +54,7 @@
 	}
 
 	// sendPart must itself refuse a draining server, whatever its caller has checked.
-	h = newHarness(t, singleRingSettings(), servers...)
+	h = newHarness(t, fullReplicationSettings(), servers...)
 	a := h.aggregator
 	_, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -24,7 +24,7 @@
 	const instances = 8
 	firstWaits := map[Micros]bool{}
 	for index := range instances {
-		s := singleRingSettings()
+		s := fullReplicationSettings()
 		s.InstanceCount = instances
 		s.InstanceIndex = index
 		s.PollEndpoints = true
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -12,7 +12,7 @@
 // The indices of the classes of testSettings.
 const (
 	idempotentClass    = iota
-	partialClass       // accepts partial answers
+	lowCoverageClass   // accepts partial answers
 	nonIdempotentClass // late answers have a value
 	keyedClass         // idempotent by key
 	fetchClass         // has a fetch phase
@@ -56,7 +56,7 @@
 			Name: "idempotent", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 1,
 			MinCoverage: 1, RequiredCoverage: 1,
 		},
-		partialClass: {
+		lowCoverageClass: {
 			Name: "partial", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 2, LateWeight: 0.1,
 			MinCoverage: 0.6, RequiredCoverage: 0.6,
 		},
@@ -83,8 +83,8 @@
 	actions    []Action // since the test last cleared them
 }
 
-// singleRingSettings returns the settings of a ring of three positions on which every server holds every shard.
-func singleRingSettings() Settings {
+// fullReplicationSettings returns the settings of a ring of three positions on which every server holds every shard.
+func fullReplicationSettings() Settings {
 	s := testSettings()
 	s.RingSize = 3
 	s.Shards = 3
@@ -159,16 +159,16 @@
 }
 
 // finalActionCount returns the number of actions that answered, rejected or failed a query.
-func (h *harness) finalActionCount(query uint64) int {
+func (h *harness) finalActionCount(queryID uint64) int {
 	count := 0
 	for _, action := range h.actions {
 		switch action := action.(type) {
 		case Fail:
-			count += boolToInt(action.QueryID == query)
+			count += boolToInt(action.QueryID == queryID)
 		case Reject:
-			count += boolToInt(action.QueryID == query)
+			count += boolToInt(action.QueryID == queryID)
 		case Answer:
-			count += boolToInt(action.QueryID == query)
+			count += boolToInt(action.QueryID == queryID)
 		}
 	}
 	return count
--- a/policy/healthchecks_test.go
+++ b/policy/healthchecks_test.go
@@ -9,7 +9,7 @@
 
 // healthCheckSettings are settings under which each part may pay for health checks of all its replicas.
 func healthCheckSettings() Settings {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.AllowHealthChecks = true
 	s.LoadReportsOnHealthChecksOnly = true
 	s.HealthCheckPrice = 0.001
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -24,7 +24,7 @@
 func (a *Aggregator) replaceLateParts(q *query) {
 	a.requestParts(q)
 	for _, p := range q.parts {
-		if a.isLate(p, a.lateThreshold) && !p.inFlight[0].canceled {
+		if a.isLate(p, a.effectiveLateThreshold) && !p.inFlight[0].canceled {
 			a.hedgeOrRetry(p)
 		}
 	}
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -20,7 +20,7 @@
 		{4, true, true},
 		{4, false, false},
 	} {
-		settings := singleRingSettings()
+		settings := fullReplicationSettings()
 		settings.AllowHedging = c.allowHedging
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		h.answerQueries(idempotentClass, 40, 200_000)
@@ -47,13 +47,13 @@
 
 // Three of the five parts suffice for a complete answer.
 func TestOtherPartsReplaceLateOnesWithoutRetryBudget(t *testing.T) {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.RetryBudgetMinimum = 0
 	s.RetryBudgetRatio = 0
 	h := newHarness(t, s, readyEndpoints(1, 2, 3, 4, 5, 6)...)
-	h.answerQueries(partialClass, 30, 200_000)
+	h.answerQueries(lowCoverageClass, 30, 200_000)
 	h.actions = nil
-	_, events := h.newQuery(partialClass, 5)
+	_, events := h.newQuery(lowCoverageClass, 5)
 	require.Len(t, h.stepSends(0, events...), 3)
 	h.step(900_000, TimerFired{})
 	assert.Len(t, actionsOf[SendAttempt](h.actions), 5)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestImmediateErrorsRaiseTheSlowness(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
 	server := h.aggregator.serversByID[2]
 	_, events := h.newQuery(idempotentClass, 3)
@@ -23,7 +23,7 @@
 // Resets make a shard's only replica an outlier but don't cause rejections: they end at once, and the parts are
 // retried.
 func TestResetsByTheOnlyReplicaCauseNoRejections(t *testing.T) {
-	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	h := newHarness(t, fullReplicationSettings(), readyEndpoints(1)...)
 	a := h.aggregator
 	objective := a.settings.Classes[idempotentClass].LatencyObjective
 	a.settings.RetryBudgetWindow = 0
@@ -46,7 +46,7 @@
 // A server that rejects a part gets no further one for a while, which is longer after each rejection.
 func TestRejectingServersAreBackedOffFrom(t *testing.T) {
 	const longest = 2_000_000
-	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	h := newHarness(t, fullReplicationSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 40, 100_000)
 	_, events := h.newQuery(idempotentClass, 1)
 	sent := h.stepSends(0, events...)
@@ -66,7 +66,7 @@
 
 // The predicted latency of a part grows with half the logarithm of its cost hint.
 func TestCostHintsScaleThePredictedLatency(t *testing.T) {
-	a := newHarness(t, singleRingSettings()).aggregator
+	a := newHarness(t, fullReplicationSettings()).aggregator
 	c := a.classes[idempotentClass]
 	for i := range 300 {
 		c.recordCostHint(Micros(50_000 << (i % 3)))
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestLoadReportsRaiseThePredictedLatency(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 200_000)
 	server := a.serversByID[2]
@@ -27,7 +27,7 @@
 // Servers that report queued requests but no requests in flight report a load all the same. With many aggregators it
 // is the only information about it, since the own attempts are few.
 func TestQueuedRequestsCountAsLoad(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
 	busy, idle := a.sortedServers[0], a.sortedServers[1]
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestUnresponsiveServerIsAnOutlierBeforeTheTimeout(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
 	_, events := h.newQuery(idempotentClass, 3)
 	h.step(testTick, events...)
@@ -17,7 +17,7 @@
 }
 
 func TestUniformSlowdownMakesNoOutliers(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 60, 100_000)
 	h.answerQueries(idempotentClass, 60, 250_000)
 	for _, s := range h.aggregator.sortedServers {
@@ -61,7 +61,7 @@
 
 // An unresponsive server gets few parts, and even fewer while its health checks fail.
 func TestUnresponsiveServerIsTriedRarely(t *testing.T) {
-	unchecked := countTrials(t, singleRingSettings(), OK)
+	unchecked := countTrials(t, fullReplicationSettings(), OK)
 	checked := countTrials(t, healthCheckSettings(), TimedOut)
 	assert.GreaterOrEqual(t, unchecked, 2)
 	assert.LessOrEqual(t, unchecked, 10)
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -87,8 +87,8 @@
 	// objectiveDeadline is the time at which the class's latency objective ends.
 	objectiveDeadline Micros
 
-	// dispatchAt determines the order of dispatch: it is the time of arrival less a head start by priority.
-	dispatchAt Micros
+	// dispatchSortKey determines the order of dispatch: it is the time of arrival less a head start by priority.
+	dispatchSortKey Micros
 
 	// phase is firstPhase or fetchPhase; parts and usedServerIDs belong to it.
 	phase              int
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// busyUtilization is the mean utilization of the servers' cores, 0 to 1, above which they count as busy.
-	busyUtilization = 0.5
+	// highLoadUtilization is the mean utilization of the servers' cores, 0 to 1, above which they count as busy.
+	highLoadUtilization = 0.5
 
-	// busyLatencyRatio is the multiple of the base latency above which the mean latency shows that servers are busy.
-	busyLatencyRatio = 3.0
+	// highLoadLatencyRatio is the multiple of the base latency above which the mean latency shows that servers are busy.
+	highLoadLatencyRatio = 3.0
 )
 
 // requestParts queues deferred parts until the requested parts suffice for a complete answer. It queues parts in
@@ -29,13 +29,13 @@
 	allowsPartial := q.allowsPartialAnswer()
 	lightest := deferred[len(deferred)-1]
 	hasLightParts := lightest.Weight*float64(len(q.parts)) < 1-coverageTolerance
-	isBusy := a.serversAreBusy()
+	isUnderLoad := a.fleetIsUnderLoad()
 	for _, p := range deferred {
 		if requested >= q.class.RequiredCoverage-coverageTolerance {
 			return
 		}
 		minimumReached := allowsPartial && requested >= q.class.MinCoverage-coverageTolerance
-		if minimumReached && hasLightParts && isBusy && q.lightPartCredits <= 0 {
+		if minimumReached && hasLightParts && isUnderLoad && q.lightPartCredits <= 0 {
 			return
 		}
 		p.state = partQueued
@@ -67,6 +67,6 @@
 	return deferred, requested
 }
 
-func (a *Aggregator) serversAreBusy() bool {
-	return a.fleet.meanUtilization > busyUtilization || a.fleet.meanLatency > busyLatencyRatio*a.fleet.baseLatency
+func (a *Aggregator) fleetIsUnderLoad() bool {
+	return a.fleet.meanUtilization > highLoadUtilization || a.fleet.meanLatency > highLoadLatencyRatio*a.fleet.baseLatency
 }
--- a/policy/requesting_test.go
+++ b/policy/requesting_test.go
@@ -18,7 +18,7 @@
 		{0.2, 6, 0},
 		{0.9, 2, 1},
 	} {
-		h := newHarness(t, singleRingSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
+		h := newHarness(t, fullReplicationSettings(), readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		h.answerQueries(fetchClass, 40, 100_000)
 		h.aggregator.fleet.meanUtilization = c.utilization
 		_, events := h.newQuery(fetchClass, 6)
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	accepted := 0
 	for range 40 {
 		_, events := h.newQuery(idempotentClass, 1)
@@ -36,7 +36,7 @@
 
 // Without a budget nothing trims the histories, so they must stay empty.
 func TestNoHistoryIsKeptWithoutARetryBudget(t *testing.T) {
-	settings := singleRingSettings()
+	settings := fullReplicationSettings()
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -49,7 +49,7 @@
 		return isAlternative(c, p, ranked) && !a.isOutlier(c.server) && !a.isBusy(c.server)
 	})
 	preferred := ranked[largestDeficit(ranked, p.Shard)]
-	if i := a.findJoinableBatch(p, ranked, hasHealthyReplica); i >= 0 {
+	if i := a.firstWithJoinableBatch(p, ranked, hasHealthyReplica); i >= 0 {
 		preferred = ranked[i]
 		p.query.usedServerIDs = slices.DeleteFunc(p.query.usedServerIDs, func(id uint32) bool {
 			return id == preferred.server.ID
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -9,7 +9,7 @@
 
 // A replica that received all parts because it is the best one would be overloaded.
 func TestPartsAreAssignedInProportionToUtility(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	for id, ratio := range map[uint32]float64{1: 1, 2: 2, 3: 2} {
 		a.serversByID[id].latencyRatio = ratio
@@ -32,7 +32,7 @@
 
 // Parts of a query that share a server delay each other, so they must use distinct servers while there are enough.
 func TestPartsOfAQueryUseDistinctServers(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	_, events := h.newQuery(idempotentClass, 3)
 	servers := map[uint32]bool{}
 	for _, sent := range h.stepSends(0, events...) {
@@ -45,7 +45,7 @@
 
 // A part that was rejected by the only healthy server must be retried at an outlier rather than wait for that server.
 func TestRetryDoesNotWaitForTheOnlyHealthyServer(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 40, 100_000)
 	_, events := h.newQuery(idempotentClass, 1)
 	sent := h.stepSends(0, events...)[0]
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,7 +12,7 @@
 func loadWarmingServer(t *testing.T, instances int, report LoadReport) (peak, rate float64) {
 	t.Helper()
 	const work = 100_000
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.OverloadFactor = 2
 	s.SlowStartFraction = 0.25
 	s.InstanceCount = instances
