--- a/policy/actions.go
+++ b/policy/actions.go
@@ -20,9 +20,12 @@
 }
 
 // Answer answers a query from the parts that are answered. If the query's class has a fetch phase, the first Answer
-// starts that phase and the second one is final; otherwise the first one is final.
+// starts that phase, which ends with a second Answer or a Fail. Otherwise the first Answer is final.
 type Answer struct {
-	QueryID  uint64
+	QueryID uint64
+
+	// Complete is set if the coverage of the first phase reached Class.RequiredCoverage and, in the Answer that ends a
+	// fetch phase, if all parts of that phase were answered as well.
 	Complete bool
 }
 
@@ -34,7 +37,8 @@
 	RetryAfter Micros
 }
 
-// Fail ends a query without an answer. Whether the query had an effect is not known.
+// Fail ends a query without a final answer if a Reject is not possible: the first Answer of the query was already
+// returned, or a part that is not Idempotent may have run or may still run, so that the query may have had an effect.
 type Fail struct {
 	QueryID uint64
 }
@@ -52,7 +56,8 @@
 // SetTimer requests a TimerFired event after a delay.
 type SetTimer struct{ Delay Micros }
 
-// PollEndpoints requests the endpoint list. It is returned only if Settings.PollEndpoints is set.
+// PollEndpoints requests the endpoint list and its changes, which follow as EndpointList events. It is returned again
+// only after an EndpointListFailed, and only if Settings.PollEndpoints is set.
 type PollEndpoints struct{}
 
 // Log writes a line to the operators' log.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,25 +9,25 @@
 	// fanOutGain is the gain, 0 to 1, of a class's mean fan-out.
 	fanOutGain = 0.1
 
-	// priorityHeadStartFraction is the head start that a query of the highest priority gets in the order of dispatch, as
-	// a fraction of its latency objective. Other queries get a head start in proportion to their priority.
+	// priorityHeadStartFraction is the head start in the order of dispatch that a query of relative priority 1 gets, as a
+	// fraction of its class's latency objective. Others get a head start in proportion to their relative priority.
 	priorityHeadStartFraction = 0.2
 
-	// lowestPriorityTimeFraction is the fraction of the time left until its latency objective that the predicted
-	// response time of a query of the lowest priority may take. For the highest priority it may take all of that time.
+	// lowestPriorityTimeFraction is the fraction of the remaining time that the predicted response time of a query of
+	// relative priority 0 may take. At relative priority 1 it may take all of that time. The remaining time ends with the
+	// latency objective or with the client's deadline, whichever comes first.
 	lowestPriorityTimeFraction = 0.4
 
 	// minAnswersForRejection is the number of answers that the statistics of a class must be based on before queries
 	// are rejected because of them.
 	minAnswersForRejection = 10.0
 
-	// maxPredictedFailureRate limits the failure rate, 0 to 1, from which response times are predicted.
+	// maxPredictedFailureRate is the maximum failure rate, 0 to 1, that predictions of response times assume.
 	maxPredictedFailureRate = 0.8
 )
 
-// admit requests the parts of a new query, or rejects the query if its replicas are saturated and an answer in time is
-// unlikely. Queries of low priority are rejected earlier. Each query that is late because of overload reduces the
-// admissions of its class, and each answer in time raises them again.
+// admit requests the parts of a new query or rejects the query. A query is rejected if it has no parts, if too few of
+// its parts have a replica for a complete answer, or if shouldShed reports true.
 func (a *Aggregator) admit(q *query) {
 	q.awaitsAdmission = false
 	c := q.class
@@ -44,8 +44,14 @@
 	a.requestParts(q)
 }
 
-// shouldShed reports whether a query should be rejected because its replicas are saturated and an answer in time is
-// unlikely. At intervals one query of each class is admitted regardless, so that the class's statistics are refreshed.
+// shouldShed reports whether a query should be rejected because of overload: its replicas may be saturated, and either
+// an answer in time is unlikely or the overload count of its class is not 0. Queries of low priority are rejected
+// earlier. Each query that is late because of overload reduces the admissions of its class, and each answer in time
+// raises them again.
+//
+// If no query of the class was admitted for a trial interval, the next one is not rejected, so that the class's
+// statistics are refreshed. The interval is the mean latency objective, doubled for each query in the overload count up
+// to maxBackoffDoublings times.
 func (a *Aggregator) shouldShed(q *query, priority float64) bool {
 	c := q.class
 	trialInterval := Micros(a.meanLatencyObjective) << min(c.overloadCount, maxBackoffDoublings)
@@ -58,8 +64,8 @@
 	return (isLate || c.overloadCount > 0) && a.mayBeSaturated(q)
 }
 
-// mayBeSaturated reports whether no replica has capacity for one of the query's parts. It also reports true if the
-// aggregator's own attempts in flight say nothing about the servers' load.
+// mayBeSaturated reports whether the shard of at least one of the query's parts has no replica with capacity. It also
+// reports true if the aggregator's own attempts in flight say nothing about the servers' load.
 func (a *Aggregator) mayBeSaturated(q *query) bool {
 	hasNoCapacity := func(p *part) bool { return !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) }
 	return a.concurrencyIsOversubscribed() || slices.ContainsFunc(q.parts, hasNoCapacity)
@@ -79,7 +85,7 @@
 }
 
 // predictResponseTime returns the predicted time, in microseconds, until enough parts of a query are answered for a
-// complete answer.
+// complete answer. It assumes that the parts have equal weights. The time is infinite if too few parts have a replica.
 func (a *Aggregator) predictResponseTime(q *query) float64 {
 	times := make([]float64, 0, len(q.parts))
 	for _, p := range q.parts {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -20,7 +20,8 @@
 	assert.Empty(t, actionsOf[Reject](h.actions))
 }
 
-// The owner rejects queries beyond MaxOpen. If the aggregator did so too, the limit would be one query stricter.
+// The owner rejects queries beyond MaxOpen. The aggregator must not reject queries because of it as well, which would
+// make the limit one query stricter.
 func TestMaxOpenIsLeftToTheOwner(t *testing.T) {
 	s := fullReplicationSettings()
 	s.MaxOpen = 12
@@ -62,7 +63,7 @@
 	h.aggregator.classes[idempotentClass].responseTimeRatio = 20
 	id, events := h.newQuery(idempotentClass, 1)
 	h.step(0, events...)
-	assert.Equal(t, 1, h.finalActionCount(id), "queries took 20 times their predicted response time")
+	assert.Equal(t, 1, h.finalActionCount(id), "final actions, queries took 20 times their predicted response time")
 }
 
 // A class whose statistics cause rejections must be admitted once in each mean latency objective. Otherwise the
@@ -87,7 +88,8 @@
 	assert.LessOrEqual(t, admitted, 4)
 }
 
-// No coverage can be complete if a shard has no replica. The query must be rejected before any of its parts is sent.
+// A query with a part whose shard has no replica can't reach a required coverage of 1. It must be rejected before any
+// of its parts is sent.
 func TestQueryOfAShardWithoutReplicasIsRejected(t *testing.T) {
 	s := fullReplicationSettings()
 	s.ReplicationFactor = 1
--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -14,7 +14,8 @@
 	maxBackoffDoublings = 3
 )
 
-// Aggregator is the decision logic of one aggregator. Its methods must not be called concurrently.
+// Aggregator decides which queries are admitted, where their parts are sent and how the queries end. Its methods must
+// not be called concurrently.
 type Aggregator struct {
 	settings  Settings
 	now       Micros
@@ -22,11 +23,11 @@
 	timerAt   Micros   // time at which the pending timer fires
 	actions   []Action // of the current step
 
-	// meanLatencyObjective is the mean latency objective of the classes in microseconds. It is the unit of the time
-	// constants of slow processes.
+	// meanLatencyObjective is the mean latency objective of the classes in microseconds. It is the unit of many intervals
+	// and decay times, such as penaltyHalfLife.
 	meanLatencyObjective float64
 
-	// effectiveLateThreshold is the multiple of its predicted latency above which an attempt is late.
+	// effectiveLateThreshold is lateThreshold, multiplied by noHedgingLateFactor if hedging is not allowed.
 	effectiveLateThreshold float64
 
 	// The endpoints. Decisions iterate over sortedServers, never over a map, so that they are reproducible.
@@ -41,7 +42,7 @@
 	queriesByNumber map[uint64]*query
 	partsByID       map[uint64]*part
 	openQueries     []*query      // in the order of dispatch
-	queuedParts     []float64     // by shard: number of parts that found no server in the last dispatch
+	queuedParts     []float64     // by shard: parts that found no server in the last dispatch; see dispatchQuery
 	shardArrivals   []timedAmount // by shard: number of accepted parts, decaying over the slow start duration
 
 	fleet         fleetStats
--- a/policy/aggregator_test.go
+++ b/policy/aggregator_test.go
@@ -44,7 +44,7 @@
 }
 
 // Unknown IDs, duplicates, invalid parts, numbers that are not finite, times that run backwards and endpoints off the
-// ring must cause no panic and leave valid queries unaffected.
+// ring must cause no panic, and a valid query among them must still end with one final action.
 func TestInvalidInputCausesNoPanic(t *testing.T) {
 	h := newHarness(t, fullReplicationSettings())
 	h.step(0,
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// quickAnswerRatio is the multiple of the base latency below which an answer counts as quick.
+// quickAnswerRatio is the multiple of the base latency, scaled by the part's relative cost, below which an attempt
+// counts as answered quickly.
 const quickAnswerRatio = 2.0
 
 // handleAttemptResult ends an attempt and decides whether its part is retried. It ignores results of attempts that
@@ -43,7 +44,8 @@
 	}
 }
 
-// handleAnsweredAttempt marks the part of an attempt as answered and cancels the part's other attempts.
+// handleAnsweredAttempt marks the part of an attempt as answered and cancels the part's other attempts. If the part was
+// sent ahead of the query's others, they may be requested from then on. A quick answer adds a light-part credit.
 func (a *Aggregator) handleAnsweredAttempt(answered *attempt) {
 	p := answered.part
 	p.state = partAnswered
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -19,7 +19,8 @@
 	return float64(len(s.inFlight)) < a.concurrencyLimit() || a.canJoinBatch(s)
 }
 
-// concurrencyLimit returns the maximum number of attempts that this aggregator may have in flight at a server.
+// concurrencyLimit returns the maximum number of attempts that this aggregator may have in flight at a server. A part
+// that joins a batch may exceed the limit, since it adds no call.
 func (a *Aggregator) concurrencyLimit() float64 {
 	return max(minConcurrencyLimit, fleetConcurrencyLimit/float64(a.settings.InstanceCount))
 }
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -6,24 +6,25 @@
 	// coverageTolerance is the amount by which a sum of weights may fall short because of rounding.
 	coverageTolerance = 5e-5
 
-	// deadlineMarginTicks is the number of ticks before the client's deadline at which a query is ended.
+	// deadlineMarginTicks is the number of ticks before the client's deadline at which a query is ended at the latest.
 	deadlineMarginTicks = 2
 
-	// partialAnswerMarginTicks is the number of ticks before the latency objective at which a partial answer is sent.
+	// partialAnswerMarginTicks is the number of ticks before the latency objective at which a partial answer is due if no
+	// fetch phase follows.
 	partialAnswerMarginTicks = 3
 
 	// fetchReserveRatio is the time reserved for the fetch phase as a multiple of the class's reference latency.
 	fetchReserveRatio = 2.0
 
-	// fetchReserveTicks is the number of ticks added to that time.
+	// fetchReserveTicks is the number of ticks added to the time reserved for the fetch phase.
 	fetchReserveTicks = 2
 
 	// responseTimeRatioGain is the gain, 0 to 1, of a class's ratio of actual to predicted response time.
 	responseTimeRatioGain = 0.15
 )
 
-// advanceQuery ends a query that can be answered or that has no prospect of a better answer. Otherwise it replaces the
-// query's late parts.
+// advanceQuery answers, rejects or fails a query once its coverage reaches the required one, can no longer improve or
+// can no longer reach the minimum, or once its time is up. Otherwise it requests further parts and replaces late ones.
 func (a *Aggregator) advanceQuery(q *query) {
 	if q.closed || a.awaitsFetchParts(q) {
 		return
@@ -69,8 +70,8 @@
 	return answered, attainable
 }
 
-// partialAnswerDueAt returns the time from which a query gets a partial answer if its coverage permits one. The time
-// lies before the latency objective and leaves room for a fetch phase that follows.
+// partialAnswerDueAt returns the earliest time at which a query gets a partial answer if its coverage may still
+// improve. The time lies before the latency objective and leaves room for a fetch phase that follows.
 func (a *Aggregator) partialAnswerDueAt(q *query) Micros {
 	if q.class.FetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
@@ -89,7 +90,8 @@
 	return deadline
 }
 
-// answerQuery answers a query from its answered parts. It closes the query unless a fetch phase follows.
+// answerQuery answers a query from its answered parts. It closes the query unless a fetch phase follows. phaseComplete
+// reports whether the coverage of the current phase is the required one.
 func (a *Aggregator) answerQuery(q *query, phaseComplete bool) {
 	complete := phaseComplete && (q.phase == firstPhase || q.firstPhaseComplete)
 	a.emit(Answer{QueryID: q.ID, Complete: complete})
@@ -120,8 +122,9 @@
 	q.usedServerIDs = nil
 }
 
-// rejectOrFail ends a query without an answer. The query is rejected, which allows the client to retry it, unless its
-// first phase was answered or a part that is not idempotent may have run.
+// rejectOrFail ends a query without a final answer. The query is rejected, which allows the client to retry it, unless
+// its first phase was answered, or its class is NonIdempotent or IdempotentByKey and a part may have run or may still
+// run.
 func (a *Aggregator) rejectOrFail(q *query) {
 	mayHaveEffect := func(p *part) bool { return !p.isIdempotent() && (p.mayHaveRun || len(p.inFlight) > 0) }
 	if q.phase == fetchPhase || slices.ContainsFunc(q.parts, mayHaveEffect) {
--- a/policy/completion_test.go
+++ b/policy/completion_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// The class requires a coverage of 1 for a complete answer and of 0.8 for a partial one.
+// An answer must be marked complete only at the required coverage, which is 1 here, and a query below the minimum
+// coverage of 0.8 must get no answer.
 func TestAnswerIsCompleteOnlyAtTheRequiredCoverage(t *testing.T) {
 	const parts = 5
 	for _, answered := range []int{3, 4, 5} {
--- a/policy/crashsuspects.go
+++ b/policy/crashsuspects.go
@@ -12,10 +12,11 @@
 	expiresAt  Micros
 }
 
-// handleBrokenConnection ends a query that may crash servers: one whose connections two servers broke, or one server
-// while the query was sending a single part first, before any part was answered. For the slow start duration, queries
-// with the same request key and retries then send one part ahead of the others. Several connections broken by the same
-// server are no evidence, nor are broken connections after another part of the query was answered.
+// handleBrokenConnection records that a server broke a connection of a query, and ends the query if it may crash
+// servers. That is assumed in the first phase, at a coverage of 0, if two servers broke the query's connections, or if
+// one did while a single part of the query was sent ahead of the others. For the slow start duration, queries with the
+// same request key and retries then send one part ahead of the others. Several connections broken by the same server
+// are no evidence, nor are broken connections after another part of the query was answered.
 func (a *Aggregator) handleBrokenConnection(q *query, s *server) {
 	if !slices.Contains(q.disconnectedServerIDs, s.ID) {
 		q.disconnectedServerIDs = append(q.disconnectedServerIDs, s.ID)
--- a/policy/crashsuspects_test.go
+++ b/policy/crashsuspects_test.go
@@ -16,7 +16,7 @@
 	for _, sent := range h.stepSends(testTick, events...) {
 		h.step(1000, resultOf(sent, ConnectionBroken))
 	}
-	assert.Zero(t, h.finalActionCount(id), "the query has attempts left")
+	assert.Zero(t, h.finalActionCount(id), "final actions after one server broke all connections")
 }
 
 // sendQueryWithKey starts a query of three parts and returns its ID and the attempts sent at once.
@@ -40,7 +40,7 @@
 	for _, s := range sent[:2] {
 		h.step(testTick, resultOf(s, ConnectionBroken))
 	}
-	require.Equal(t, 1, h.finalActionCount(id), "final actions after two broken connections")
+	require.Equal(t, 1, h.finalActionCount(id), "final actions after two servers broke connections")
 
 	_, sent = h.sendQueryWithKey(crashingKey)
 	require.Len(t, sent, 1, "parts sent first, with the same key")
@@ -49,12 +49,13 @@
 	_, sent = h.sendQueryWithKey(8)
 	assert.Len(t, sent, 3, "parts sent first, with another key")
 
+	// Broken connections are no evidence once a part of the query is answered.
 	id, sent = h.sendQueryWithKey(9)
 	h.step(testTick, resultOf(sent[2], OK))
 	for _, s := range sent[:2] {
 		h.step(testTick, resultOf(s, ConnectionBroken))
 	}
-	assert.Zero(t, h.finalActionCount(id), "broken connections are no evidence once a part is answered")
+	assert.Zero(t, h.finalActionCount(id), "final actions after an answer and two broken connections")
 
 	h.now += h.aggregator.settings.SlowStartDuration
 	_, sent = h.sendQueryWithKey(crashingKey)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,11 +5,13 @@
 	"slices"
 )
 
-// dispatch sends queued parts in the order of their queries' dispatch times. Queries past their latency objective
-// come last.
+// dispatch sends queued parts in ascending order of their queries' dispatchSortKey. Queries past their latency
+// objective come last.
 func (a *Aggregator) dispatch() {
 	clear(a.queuedParts)
-	slices.SortStableFunc(a.openQueries, func(x, y *query) int { return cmp.Compare(x.dispatchSortKey, y.dispatchSortKey) })
+	slices.SortStableFunc(a.openQueries, func(x, y *query) int {
+		return cmp.Compare(x.dispatchSortKey, y.dispatchSortKey)
+	})
 	for _, pastObjective := range []bool{false, true} {
 		for _, q := range a.openQueries {
 			a.dispatchQuery(q, pastObjective)
@@ -17,8 +19,9 @@
 	}
 }
 
-// dispatchQuery sends the queued parts of a query. It does nothing if the query is closed, or if pastObjective differs
-// from whether the query is past its latency objective.
+// dispatchQuery sends the queued parts of an open query, except those that await health checks. pastObjective selects
+// the queries past their latency objective, or those before it; dispatchQuery does nothing for the others. Parts that
+// find no server stay queued, and those of queries before their latency objective are counted in queuedParts.
 func (a *Aggregator) dispatchQuery(q *query, pastObjective bool) {
 	if isPast := q.objectiveDeadline <= a.now; q.closed || isPast != pastObjective {
 		return
@@ -35,8 +38,8 @@
 	}
 }
 
-// maySend reports whether the constraints and limits permit sending a part to a server now. If the shard has a healthy
-// replica, busy servers and outliers are excluded as well.
+// maySend reports whether the constraints and limits permit sending a part to a server now. If hasHealthyReplica is
+// set, busy servers and outliers are excluded as well, except for an outlier that mayTryOutlier permits.
 func (a *Aggregator) maySend(s *server, p *part, hasHealthyReplica bool) bool {
 	if s.State != Ready || !a.holdsShard(s, p.Shard) {
 		return false
@@ -59,7 +62,8 @@
 	return !a.isOutlier(s) || a.mayTryOutlier(s, p)
 }
 
-// mayAttempt reports whether the part's idempotency and the limit on attempts permit a first or further attempt.
+// mayAttempt reports whether a first or further attempt at a part is permitted by the limit on attempts, by the class's
+// idempotency and, while an attempt is in flight, by Settings.AllowHedging.
 func (a *Aggregator) mayAttempt(p *part) bool {
 	if a.attemptsExhausted(p) {
 		return false
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -31,14 +31,15 @@
 		_, events := h.newQuery(c.class, 1)
 		sent := h.stepSends(0, events...)
 		retries := h.stepSends(c.after, resultOf(sent[0], c.status))
-		assert.Equal(t, c.retried, len(retries) > 0, "class %d, status %d", c.class, c.status)
+		assert.Equal(t, c.retried, len(retries) > 0, "retried, class %d, status %d", c.class, c.status)
 		if c.class == nonIdempotentClass {
-			assert.Empty(t, actionsOf[Reject](h.actions), "class %d, status %d", c.class, c.status)
+			assert.Empty(t, actionsOf[Reject](h.actions), "rejections, class %d, status %d", c.class, c.status)
 		}
 	}
 }
 
-// A draining server, or one that is no longer listed, would drop the parts sent to it when it stops.
+// A draining server would drop the parts sent to it when it stops. Parts must be sent neither to such a server nor to
+// one that is not on the endpoint list.
 func TestDrainingServersReceiveNoParts(t *testing.T) {
 	servers := readyEndpoints(1, 2, 3)
 	servers[1].State = Draining
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -11,11 +11,11 @@
 
 // The indices of the classes of testSettings.
 const (
-	idempotentClass    = iota
-	lowCoverageClass   // accepts partial answers
-	nonIdempotentClass // late answers have a value
-	keyedClass         // idempotent by key
-	fetchClass         // has a fetch phase
+	idempotentClass    = iota // late answers have no value
+	lowCoverageClass          // complete answers need a coverage of 0.6
+	nonIdempotentClass        // parts must not be executed twice; late answers have a value
+	keyedClass                // parts are idempotent by key; late answers have no value
+	fetchClass                // has a fetch phase and accepts partial answers
 )
 
 // testSettings returns the settings of a small deployment with every kind of idempotency, a fetch phase, partial
@@ -57,7 +57,7 @@
 			MinCoverage: 1, RequiredCoverage: 1,
 		},
 		lowCoverageClass: {
-			Name: "partial", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 2, LateWeight: 0.1,
+			Name: "low-coverage", LatencyObjective: 2_000_000, Timeout: 6_000_000, PriorityWeight: 2, LateWeight: 0.1,
 			MinCoverage: 0.6, RequiredCoverage: 0.6,
 		},
 		nonIdempotentClass: {
@@ -83,7 +83,8 @@
 	actions    []Action // since the test last cleared them
 }
 
-// fullReplicationSettings returns the settings of a ring of three positions on which every server holds every shard.
+// fullReplicationSettings returns testSettings on a ring of three positions, where every server holds every shard.
+// Health checks, MaxOpen and the limits of slow start are turned off.
 func fullReplicationSettings() Settings {
 	s := testSettings()
 	s.RingSize = 3
@@ -158,7 +159,8 @@
 	}
 }
 
-// finalActionCount returns the number of actions that answered, rejected or failed a query.
+// finalActionCount returns the number of Answer, Reject and Fail actions of a query. It also counts the first Answer of
+// a query with a fetch phase, which is not final.
 func (h *harness) finalActionCount(queryID uint64) int {
 	count := 0
 	for _, action := range h.actions {
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// fullTimeoutPercent is the percentage of the longest known timeout from which the timeout of a retry does not count as
-// reduced by the time of earlier tries.
+// fullTimeoutPercent is the percentage of the class's longest timeout at or above which a retry's timeout counts as a
+// full one. A shorter timeout shows how long the earlier tries took.
 const fullTimeoutPercent = 98
 
-// acceptQuery opens a query, which is admitted or rejected once all events of the step are handled. A query of an
-// unknown class is rejected at once.
+// acceptQuery opens a query, which is admitted or rejected once all events of the step are handled. A query with the ID
+// of an open one is ignored, and a query of an unknown class is rejected at once. The retry budget counts both as
+// accepted.
 func (a *Aggregator) acceptQuery(event Query) {
 	a.recordForBudget(&a.retryBudget.accepted)
 	if a.queriesByID[event.ID] != nil {
@@ -38,7 +39,8 @@
 	a.openQueries = append(a.openQueries, q)
 }
 
-// acceptPart adds a part to its query. Invalid parts are ignored.
+// acceptPart adds a part to its query. Invalid parts and those of unknown or closed queries are ignored, but the retry
+// budget counts them as accepted.
 func (a *Aggregator) acceptPart(event Part) {
 	a.recordForBudget(&a.retryBudget.accepted)
 	q := a.queriesByNumber[event.QueryNumber]
@@ -63,7 +65,7 @@
 }
 
 // recordCostHint updates the class's mean cost hint with a hint, and returns the cost that the hint predicts as a
-// multiple of the class's mean cost. Hints are rough: the square root halves the logarithm of the ratio.
+// multiple of the class's mean cost. Hints are rough, so the square root moves the ratio closer to 1.
 func (c *class) recordCostHint(hint Micros) float64 {
 	if hint <= 0 {
 		return 1
--- a/policy/invariantchecker_test.go
+++ b/policy/invariantchecker_test.go
@@ -342,7 +342,7 @@
 func (c *invariantChecker) endQuery(id uint64) {
 	query := c.queries[id]
 	if query == nil || query.closed {
-		c.t.Fatalf("query %d got a second final action, or is unknown", id)
+		c.t.Fatalf("query %d got a final action although it has ended or is unknown", id)
 	}
 	query.closed = true
 	c.endedQueryCount++
--- a/policy/invariantchecks_test.go
+++ b/policy/invariantchecks_test.go
@@ -10,7 +10,7 @@
 func (c *invariantChecker) checkDeadlines() {
 	for id, query := range c.queries {
 		if !query.closed && c.now > query.deadline+c.settings.AnswerSlack {
-			c.t.Fatalf("query %d got no final action by its deadline", id)
+			c.t.Fatalf("query %d got no final action within AnswerSlack of its deadline", id)
 		}
 	}
 }
@@ -19,7 +19,7 @@
 	query := c.queries[action.QueryID]
 	for _, p := range query.parts {
 		if query.class.Idempotency == NonIdempotent && p.mayHaveEffect() {
-			c.t.Fatalf("query %d rejected although a part of it may have run", action.QueryID)
+			c.t.Fatalf("query %d rejected although a part of it may have run or may still run", action.QueryID)
 		}
 	}
 	c.endQuery(action.QueryID)
@@ -103,7 +103,7 @@
 		c.t.Fatalf("part %d hedged although hedging is not allowed", action.PartID)
 	}
 	if class.Idempotency == NonIdempotent && p.mayHaveEffect() {
-		c.t.Fatalf("non-idempotent part %d retried although it may have run", action.PartID)
+		c.t.Fatalf("non-idempotent part %d retried although it may have run or may still run", action.PartID)
 	}
 	isPastWindow := c.now > p.firstSentAt+class.DeduplicationWindow
 	if class.Idempotency == IdempotentByKey && p.mayHaveEffect() && isPastWindow {
@@ -121,9 +121,9 @@
 }
 
 // checkSlowStart checks that the work sent to a warming server within the overload duration stays within this
-// aggregator's share of what the server can do. The work of a part is the aggregator's own estimate. If the share is
-// less than one part, two parts may fall within the duration; TestWarmingServersAreNotOverloaded checks the sum over
-// all aggregators.
+// aggregator's share of what the server can do. The work of a part is the aggregator's own estimate. Up to two parts
+// are always permitted, since a share of less than one part may let two of them fall within the duration;
+// TestWarmingServersAreNotOverloaded checks the sum over all aggregators.
 func (c *invariantChecker) checkSlowStart(id uint32, work float64) {
 	server := c.servers[id]
 	if server.StartedAt <= 0 || c.now >= server.StartedAt+c.settings.SlowStartDuration {
@@ -143,7 +143,7 @@
 	duration := float64(c.settings.OverloadDuration)
 	limit := c.settings.OverloadFactor * fraction * duration / float64(c.settings.InstanceCount)
 	if sum > limit*1.001 && parts > 2 {
-		c.t.Fatalf("warming server %d was sent %d parts of work %v, limit %v", id, parts, sum, limit)
+		c.t.Fatalf("warming server %d was sent %d parts with %v us of work, limit %v us", id, parts, sum, limit)
 	}
 }
 
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -87,7 +87,7 @@
 	// objectiveDeadline is the time at which the class's latency objective ends.
 	objectiveDeadline Micros
 
-	// dispatchSortKey determines the order of dispatch: it is the time of arrival less a head start by priority.
+	// dispatchSortKey determines the order of dispatch. It is the time of arrival less a head start by priority.
 	dispatchSortKey Micros
 
 	// phase is firstPhase or fetchPhase; parts and usedServerIDs belong to it.
@@ -101,7 +101,8 @@
 	// disconnectedServerIDs are the IDs of the servers that broke the connection of one of the query's attempts.
 	disconnectedServerIDs []uint32
 
-	// lightPartCredits is the number of light parts that may be requested under load. Each quick answer adds one.
+	// lightPartCredits is the number of quick answers less the number of parts requested beyond the minimum coverage. See
+	// requestParts.
 	lightPartCredits int
 
 	// coverage is the sum of the answered parts' weights as of the last call of advanceQuery.
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -6,17 +6,20 @@
 )
 
 const (
-	// highLoadUtilization is the mean utilization of the servers' cores, 0 to 1, above which they count as busy.
+	// highLoadUtilization is the mean utilization of the servers' cores, 0 to 1, above which the fleet is under load.
 	highLoadUtilization = 0.5
 
-	// highLoadLatencyRatio is the multiple of the base latency above which the mean latency shows that servers are busy.
+	// highLoadLatencyRatio is the multiple of the base latency above which the mean latency shows that the fleet is under
+	// load.
 	highLoadLatencyRatio = 3.0
 )
 
 // requestParts queues deferred parts until the requested parts suffice for a complete answer. It queues parts in
-// descending order of weight, and those of equal weight in ascending order of predicted response time. If the class
-// accepts partial answers, the servers are busy and some parts are light, parts beyond the minimum coverage are queued
-// only one for each quick answer.
+// descending order of weight, and those of equal weight in ascending order of predicted response time.
+//
+// If the query may crash servers, only its first part is queued until a part is answered. If the class accepts partial
+// answers, the fleet is under load and a deferred part is light, parts beyond the minimum coverage are queued only while
+// the query has light-part credits. A part is light if its weight is below the mean of the query's parts.
 func (a *Aggregator) requestParts(q *query) {
 	if q.canaryFirst {
 		q.parts[0].state = max(q.parts[0].state, partQueued)
--- a/policy/requesting_test.go
+++ b/policy/requesting_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the servers are busy, the light parts of a query that accepts a partial answer must not add to the load unless
-// answers are quick: each quick answer releases one of them.
+// While the fleet is under load, the light parts of a query that accepts a partial answer must not add to the load
+// unless answers are quick: each quick answer releases one of them.
 func TestLightPartsAreDeferredUnderLoad(t *testing.T) {
 	for _, c := range []struct {
 		utilization float64
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -38,7 +38,8 @@
 
 // chooseReplica returns the server to send a part to, or nil if the part must stay queued. The replicas of a shard
 // receive parts in proportion to their utility: the one with the largest deficit is preferred, then the others in
-// descending order of utility. Servers that the query already uses come last.
+// descending order of utility. Servers that the query already uses come last, without the server of the part's latest
+// attempt if there are others. A replica whose batch the part should join takes precedence over all others.
 func (a *Aggregator) chooseReplica(p *part) *server {
 	if !slices.ContainsFunc(a.replicas[p.Shard], a.hasCapacity) {
 		return nil
@@ -51,6 +52,7 @@
 	preferred := ranked[largestDeficit(ranked, p.Shard)]
 	if i := a.firstWithJoinableBatch(p, ranked, hasHealthyReplica); i >= 0 {
 		preferred = ranked[i]
+		// Lets firstEligible choose the server although the query already uses it.
 		p.query.usedServerIDs = slices.DeleteFunc(p.query.usedServerIDs, func(id uint32) bool {
 			return id == preferred.server.ID
 		})
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -40,7 +40,7 @@
 	}
 	require.Len(t, servers, 3)
 	_, events = h.newQuery(idempotentClass, 5)
-	assert.GreaterOrEqual(t, len(h.stepSends(0, events...)), 3, "parts sent, of more parts than servers")
+	assert.GreaterOrEqual(t, len(h.stepSends(0, events...)), 3, "parts sent, of a query with more parts than servers")
 }
 
 // A part that was rejected by the only healthy server must be retried at an outlier rather than wait for that server.
