--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -12,7 +12,7 @@
 // suspect.
 func countClosesAfterTimeouts(t *testing.T, freshStatus Status) int {
 	t.Helper()
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
 	longIdle := 2 * Micros(a.meanLatencyObjective)
@@ -57,7 +57,7 @@
 // and with many aggregators all connections are idle for long. Connections that bring answers, late or in time, must not
 // be closed, or each part costs a handshake.
 func TestLateAnswersClearIdleConnections(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
 	closed := 0
--- a/policy/healthchecks_test.go
+++ b/policy/healthchecks_test.go
@@ -9,7 +9,7 @@
 
 // healthCheckSettings returns settings with health checks so cheap that each part allows one of each of its replicas.
 func healthCheckSettings() Settings {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.AllowHealthChecks = true
 	s.LoadReportsOnHealthChecksOnly = true
 	s.HealthCheckPrice = 0.001
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -20,7 +20,7 @@
 		{4, true, true},
 		{4, false, false},
 	} {
-		settings := singleRingSettings()
+		settings := fullReplicationSettings()
 		settings.AllowHedging = c.allowHedging
 		h := newHarness(t, settings, readyEndpoints(1, 2, 3, 4, 5, 6)...)
 		h.answerQueries(idempotentClass, 40, 200_000)
@@ -48,13 +48,13 @@
 // A complete answer needs three of the five parts. If they are late, the other two must be requested even when the retry
 // budget is exhausted, since these are not retries.
 func TestOtherPartsReplaceLateOnesWithoutRetryBudget(t *testing.T) {
-	s := singleRingSettings()
+	s := fullReplicationSettings()
 	s.RetryBudgetMinimum = 0
 	s.RetryBudgetRatio = 0
 	h := newHarness(t, s, readyEndpoints(1, 2, 3, 4, 5, 6)...)
-	h.answerQueries(partialClass, 30, 200_000)
+	h.answerQueries(lowCoverageClass, 30, 200_000)
 	h.actions = nil
-	_, events := h.newQuery(partialClass, 5)
+	_, events := h.newQuery(lowCoverageClass, 5)
 	require.Len(t, h.stepSends(0, events...), 3)
 	h.step(900_000, TimerFired{})
 	assert.Len(t, actionsOf[SendAttempt](h.actions), 5, "attempts at the five parts")
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -9,7 +9,7 @@
 
 // Errors that return at once have a low latency; a server that causes them must not seem fast.
 func TestImmediateErrorsRaiseTheSlowness(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
 	server := h.aggregator.serversByID[2]
 	_, events := h.newQuery(idempotentClass, 3)
@@ -24,7 +24,7 @@
 // Broken connections make a shard's only replica an outlier. They must not cause rejections, since they end at once and
 // the parts are retried.
 func TestResetsByTheOnlyReplicaCauseNoRejections(t *testing.T) {
-	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	h := newHarness(t, fullReplicationSettings(), readyEndpoints(1)...)
 	a := h.aggregator
 	objective := a.settings.Classes[idempotentClass].LatencyObjective
 	a.settings.RetryBudgetWindow = 0
@@ -48,7 +48,7 @@
 // with each consecutive one.
 func TestRejectingServersAreBackedOffFrom(t *testing.T) {
 	const maxWait = 2_000_000
-	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
+	h := newHarness(t, fullReplicationSettings(), readyEndpoints(1)...)
 	h.answerQueries(idempotentClass, 40, 100_000)
 	_, events := h.newQuery(idempotentClass, 1)
 	sent := h.stepSends(0, events...)
@@ -68,7 +68,7 @@
 
 // Cost hints are rough, so the predicted latency of a part grows with the square root of its hint.
 func TestCostHintsScaleThePredictedLatency(t *testing.T) {
-	a := newHarness(t, singleRingSettings()).aggregator
+	a := newHarness(t, fullReplicationSettings()).aggregator
 	c := a.classes[idempotentClass]
 	for i := range 300 {
 		c.recordCostHint(Micros(50_000 << (i % 3)))
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -8,7 +8,7 @@
 
 // Load reports show the load that other aggregators cause. Old ones must not count.
 func TestLoadReportsRaiseThePredictedLatency(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 200_000)
 	server := a.serversByID[2]
@@ -28,7 +28,7 @@
 // Servers may report queued requests but not the requests in flight. With many aggregators, each of which has few
 // attempts in flight, such a report is the only information about a server's load and must not be ignored.
 func TestQueuedRequestsCountAsLoad(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
 	busy, idle := a.sortedServers[0], a.sortedServers[1]
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -8,7 +8,7 @@
 
 // A server that answers nothing must be avoided before the first timeout, which comes late.
 func TestUnresponsiveServerIsAnOutlierBeforeTheTimeout(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 30, 200_000)
 	_, events := h.newQuery(idempotentClass, 3)
 	h.step(testTick, events...)
@@ -19,7 +19,7 @@
 
 // If all servers slow down together, treating them as outliers would leave no server to send parts to.
 func TestUniformSlowdownMakesNoOutliers(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	h.answerQueries(idempotentClass, 60, 100_000)
 	h.answerQueries(idempotentClass, 60, 250_000)
 	for _, s := range h.aggregator.sortedServers {
@@ -64,7 +64,7 @@
 // Each trial of an unresponsive server costs a timeout. Trials must be rare, and rarer while its health checks fail, but
 // without any the aggregator would not detect the recovery.
 func TestUnresponsiveServerIsTriedRarely(t *testing.T) {
-	withoutChecks := countTrials(t, singleRingSettings(), OK)
+	withoutChecks := countTrials(t, fullReplicationSettings(), OK)
 	withFailedChecks := countTrials(t, healthCheckSettings(), TimedOut)
 	assert.GreaterOrEqual(t, withoutChecks, 2, "trials without health checks")
 	assert.LessOrEqual(t, withoutChecks, 10, "trials without health checks")
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -8,7 +8,7 @@
 
 // Retries of parts that fail everywhere must not multiply the load on the servers.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
-	h := newHarness(t, singleRingSettings())
+	h := newHarness(t, fullReplicationSettings())
 	accepted := 0
 	for range 40 {
 		_, events := h.newQuery(idempotentClass, 1)
@@ -37,7 +37,7 @@
 
 // Without a retry budget nothing trims the histories of the budget. If they were kept, they would grow without limit.
 func TestNoHistoryIsKeptWithoutARetryBudget(t *testing.T) {
-	settings := singleRingSettings()
+	settings := fullReplicationSettings()
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
