--- a/admin/config.go
+++ b/admin/config.go
@@ -111,14 +111,14 @@
 		return
 	}
 	s.execute(w, raftnode.Command{Change: &sharedconfig.Change{
-		RequestID:       change.Request,
-		ExpectedVersion: change.Expect,
-		Text:            change.Text,
-		Digest:          document.Digest(change.Text),
-		Author:          change.Author,
-		Reason:          change.Reason,
-		RequestedAt:     time.Now().UnixMilli(),
-		RestoredVersion: change.Restores,
+		RequestID:         change.Request,
+		ExpectedVersion:   change.Expect,
+		Text:              change.Text,
+		Digest:            document.Digest(change.Text),
+		Author:            change.Author,
+		Reason:            change.Reason,
+		RequestedAtMillis: time.Now().UnixMilli(),
+		RestoredVersion:   change.Restores,
 	}})
 }
 
--- a/cmd/alderproxy/config.go
+++ b/cmd/alderproxy/config.go
@@ -188,7 +188,7 @@
 			return a.print(c.OutOrStdout(), versions, func(out *output) {
 				var rows []string
 				for _, v := range versions {
-					at := time.UnixMilli(v.RequestedAt).UTC().Format(time.DateTime)
+					at := time.UnixMilli(v.RequestedAtMillis).UTC().Format(time.DateTime)
 					rows = append(rows, fmt.Sprintf("%d\t%s\t%s\t%s\t%s", v.Number, at, v.Author, v.Digest, v.Reason))
 				}
 				out.table("VERSION\tTIME\tAUTHOR\tDIGEST\tREASON", rows)
--- a/cmd/alderproxy/instances.go
+++ b/cmd/alderproxy/instances.go
@@ -73,7 +73,7 @@
 func printInstances(out *output, status raftnode.Status) {
 	var rows []string
 	for _, m := range status.Members {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s", m.Name, m.Addr, yesOrNo(m.Voter), yesOrNo(m.Name == status.Leader), m.InstanceID))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s", m.Name, m.Addr, yesOrNo(m.Voter), yesOrNo(m.Name == status.Leader), m.DirectoryID))
 	}
 	out.table("INSTANCE\tADDRESS\tVOTE\tLEADS\tFOLDER", rows)
 	out.printf("%s serves version %d of %d; term %d", status.Name, status.Serving, status.Version, status.Term)
--- a/raftnode/bootstrap.go
+++ b/raftnode/bootstrap.go
@@ -32,12 +32,12 @@
 			GroupID:     group,
 			MaxVersions: keep,
 			FirstChange: sharedconfig.Change{
-				RequestID:   "first-" + group,
-				Text:        text,
-				Digest:      digest,
-				Author:      author,
-				Reason:      "the group begins",
-				RequestedAt: at.UnixMilli(),
+				RequestID:         "first-" + group,
+				Text:              text,
+				Digest:            digest,
+				Author:            author,
+				Reason:            "the group begins",
+				RequestedAtMillis: at.UnixMilli(),
 			},
 		},
 	}.Encode()
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -50,8 +50,8 @@
 // checkChange asks a member, perhaps this one, whether it could serve a change's document.
 func (n *Node) checkChange(action sharedconfig.CheckChange) {
 	result := sharedconfig.CheckResult{
-		RequestID:  action.Change.RequestID,
-		InstanceID: action.Member.InstanceID,
+		RequestID:   action.Change.RequestID,
+		DirectoryID: action.Member.DirectoryID,
 	}
 	rejection, err := n.requestCheck(action)
 	if err != nil {
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -133,7 +133,7 @@
 	if name != member.Name {
 		return refusedOutcome(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
 	}
-	added := sharedconfig.Member{Name: name, InstanceID: directoryID, Addr: member.Addr}
+	added := sharedconfig.Member{Name: name, DirectoryID: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(call uint64) sharedconfig.Event {
 		return sharedconfig.AddMemberRequested{CallID: call, Member: added}
 	})
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -95,7 +95,7 @@
 	waitUntilServes(t, node, next)
 	assert.Equal(t, "next text", node.State().Active().Text)
 	assert.Equal(t, written.State.Versions, node.State().Versions[:len(written.State.Versions)])
-	assert.Equal(t, written.State.RetiredIDs, node.State().RetiredIDs)
+	assert.Equal(t, written.State.RetiredDirectoryIDs, node.State().RetiredDirectoryIDs)
 
 	followerConfig := earlierConfig(directory, "f1")
 	followerConfig.Voters = []string{config.Listener.Addr().String()}
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -74,7 +74,7 @@
 		if !found {
 			return refusedOutcome("there is no instance " + name + " with a vote")
 		}
-		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.InstanceID), raft.ServerAddress(voter.Addr))
+		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.DirectoryID), raft.ServerAddress(voter.Addr))
 	}
 	err := future.Error()
 	if errors.Is(err, raft.ErrNotLeader) {
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	answer, ok := callEventLoop(n, n.leaseRequests, leaseVerificationTimeout, func(call uint64) sharedconfig.Event {
-		return sharedconfig.LeaseRequested{CallID: call, InstanceID: directoryID}
+		return sharedconfig.LeaseRequested{CallID: call, DirectoryID: directoryID}
 	})
 	if !ok {
 		return nil, errNotVerified
--- a/raftnode/membership.go
+++ b/raftnode/membership.go
@@ -35,10 +35,10 @@
 			continue
 		}
 		members = append(members, sharedconfig.Member{
-			Name:       name,
-			InstanceID: directoryID,
-			Addr:       string(server.Address),
-			Voter:      server.Suffrage == raft.Voter,
+			Name:        name,
+			DirectoryID: directoryID,
+			Addr:        string(server.Address),
+			Voter:       server.Suffrage == raft.Voter,
 		})
 	}
 	return members
@@ -56,7 +56,7 @@
 
 // changeMembership adds, changes or removes a member in Raft's member list.
 func (n *Node) changeMembership(action sharedconfig.ChangeMembership) {
-	id := serverID(action.Member.Name, action.Member.InstanceID)
+	id := serverID(action.Member.Name, action.Member.DirectoryID)
 	address := raft.ServerAddress(action.Member.Addr)
 	var future raft.IndexFuture
 	switch {
@@ -84,7 +84,7 @@
 	for time.Now().Before(deadline) {
 		applied, err := n.requestAppliedIndex(memberTarget(member), timeout)
 		if err == nil && applied >= committed {
-			n.events.push(sharedconfig.CaughtUp{InstanceID: member.InstanceID})
+			n.events.push(sharedconfig.CaughtUp{DirectoryID: member.DirectoryID})
 			return
 		}
 		select {
--- a/raftnode/recovery.go
+++ b/raftnode/recovery.go
@@ -151,8 +151,8 @@
 func (r *recoverySource) otherDirectoryIDs() []string {
 	var ids []string
 	for _, member := range r.report.Members {
-		if serverID(member.Name, member.InstanceID) != r.directory.id {
-			ids = append(ids, member.InstanceID)
+		if serverID(member.Name, member.DirectoryID) != r.directory.id {
+			ids = append(ids, member.DirectoryID)
 		}
 	}
 	slices.Sort(ids)
--- a/raftnode/rpc.go
+++ b/raftnode/rpc.go
@@ -51,5 +51,5 @@
 }
 
 func memberTarget(member sharedconfig.Member) peer.Target {
-	return peerTarget(serverID(member.Name, member.InstanceID), raft.ServerAddress(member.Addr))
+	return peerTarget(serverID(member.Name, member.DirectoryID), raft.ServerAddress(member.Addr))
 }
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -27,10 +27,10 @@
 		`{"remove":"n2"}`:    Command{Remove: name},
 		`{"hand_over":"n2"}`: Command{TransferLeadership: &name},
 		`{"add":{"name":"n2","folder":"f","addr":"a","voter":true}}`: Command{
-			Add: &sharedconfig.Member{Name: name, InstanceID: "f", Addr: "a", Voter: true},
+			Add: &sharedconfig.Member{Name: name, DirectoryID: "f", Addr: "a", Voter: true},
 		},
 		`{"change":{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"w","at":2}}`: Command{
-			Change: &sharedconfig.Change{RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", RequestedAt: 2},
+			Change: &sharedconfig.Change{RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", RequestedAtMillis: 2},
 		},
 	} {
 		encoded, err := json.Marshal(message)
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -13,7 +13,7 @@
 	callDeadline    Micros   // time by which the calls are answered; 0: none
 	proposalApplied bool     // the entry that proposes the change is applied
 
-	outstandingChecks map[string]Member // members that have not replied, by instance ID; nil: the check has not begun
+	outstandingChecks map[string]Member // members that have not replied, by directory ID; nil: the check has not begun
 	checkDeadline     Micros
 	acceptCount       int          // number of voters that accepted
 	firstRejection    *CheckResult // nil: no member has rejected the change
@@ -162,7 +162,7 @@
 	current.checkDeadline = c.now + c.settings.CheckTimeout
 	current.outstandingChecks = map[string]Member{}
 	for _, member := range c.members {
-		current.outstandingChecks[member.InstanceID] = member
+		current.outstandingChecks[member.DirectoryID] = member
 		c.emit(CheckChange{Member: member, Change: current.Change})
 	}
 }
@@ -172,11 +172,11 @@
 	if current == nil || current.RequestID != e.RequestID || current.decisionSubmitted {
 		return
 	}
-	member, outstanding := current.outstandingChecks[e.InstanceID]
+	member, outstanding := current.outstandingChecks[e.DirectoryID]
 	if !outstanding {
 		return
 	}
-	delete(current.outstandingChecks, e.InstanceID)
+	delete(current.outstandingChecks, e.DirectoryID)
 	switch {
 	case e.NoReply:
 		c.logf("member %s did not check change %s: %s", member.Name, e.RequestID, cmp.Or(e.Reason, "no reply"))
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -39,8 +39,8 @@
 	verificationSeq        uint64           // sequence number of the verification in progress; 0: none
 
 	membershipChange       *membershipChange // in progress; nil: none
-	memberLeaseRequestedAt map[string]Micros // time of each member's latest lease request, by instance ID
-	catchUpRequestedAt     map[string]Micros // time of the latest WaitForCatchUp for each member, by instance ID
+	memberLeaseRequestedAt map[string]Micros // time of each member's latest lease request, by directory ID
+	catchUpRequestedAt     map[string]Micros // time of the latest WaitForCatchUp for each member, by directory ID
 }
 
 // NewCore returns the core of an instance whose log has produced the given state. It knows no members and no leader
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -14,9 +14,9 @@
 	core := NewCore(DefaultSettings("f1", 1_000_000, false), State{})
 	core.Step(0, []Event{
 		MemberList{Members: []Member{
-			{Name: "n1", InstanceID: "f1", Addr: "a1", Voter: true},
-			{Name: "n2", InstanceID: "f2", Addr: "a2", Voter: true},
-			{Name: "n3", InstanceID: "f3", Addr: "a3", Voter: false},
+			{Name: "n1", DirectoryID: "f1", Addr: "a1", Voter: true},
+			{Name: "n2", DirectoryID: "f2", Addr: "a2", Voter: true},
+			{Name: "n3", DirectoryID: "f3", Addr: "a3", Voter: false},
 		}},
 		EntriesApplied{State: state},
 		LeadershipChanged{Leading: true, Term: 4},
@@ -71,10 +71,10 @@
 		},
 	} {
 		core := newLeader()
-		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{CallID: 1, InstanceID: c.instanceID}}))
+		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{CallID: 1, DirectoryID: c.instanceID}}))
 		require.Len(t, verify, 1, name)
 		// A request during a verification waits for the next one.
-		assert.Empty(t, actionsOf[VerifyLeadership](core.Step(2, []Event{LeaseRequested{CallID: 2, InstanceID: "f2"}})), name)
+		assert.Empty(t, actionsOf[VerifyLeadership](core.Step(2, []Event{LeaseRequested{CallID: 2, DirectoryID: "f2"}})), name)
 		c.verified.Seq = verify[0].Seq
 		actions := core.Step(3, []Event{c.verified})
 		assert.Equal(t, []LeaseReply{c.want}, actionsOf[LeaseReply](actions), name)
--- a/sharedconfig/encoding_test.go
+++ b/sharedconfig/encoding_test.go
@@ -12,12 +12,12 @@
 // in the code, since instances of other releases read them.
 func TestEncodedNames(t *testing.T) {
 	change := Change{
-		RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, RestoredVersion: 6,
+		RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "why", RequestedAtMillis: 5, RestoredVersion: 6,
 	}
 	version := Version{
-		Number: 2, Digest: "d", Author: "a", Reason: "why", RequestedAt: 5, RequestID: "r", RestoredVersion: 6, Text: "t",
+		Number: 2, Digest: "d", Author: "a", Reason: "why", RequestedAtMillis: 5, RequestID: "r", RestoredVersion: 6, Text: "t",
 	}
-	member := Member{Name: "n1", InstanceID: "f1", Addr: "a1", Voter: true}
+	member := Member{Name: "n1", DirectoryID: "f1", Addr: "a1", Voter: true}
 	outcome := Outcome{RequestID: "r", Status: StatusRejected, Version: 2, RejectedBy: "n1", Reason: "no"}
 	const (
 		changeJSON  = `{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"why","at":5,"restores":6}`
@@ -37,14 +37,14 @@
 		`{"decide":{"request":"r","accept":true,"instance":"n1","why":"no"}}`: Entry{
 			Decide: &Decision{RequestID: "r", Accept: true, RejectedBy: "n1", Reason: "no"},
 		},
-		`{"retire":{"folder":"f1"}}`: Entry{Retire: &Retirement{InstanceID: "f1"}},
+		`{"retire":{"folder":"f1"}}`: Entry{Retire: &Retirement{DirectoryID: "f1"}},
 		`{"group":"g","keep":3,"versions":[` + versionJSON + `],"pending":` + changeJSON +
 			`,"outcomes":[` + outcomeJSON + `],"retired":["f1"]}`: State{
-			GroupID: "g", MaxVersions: 3, Versions: []Version{version}, PendingChange: &change, Outcomes: []Outcome{outcome}, RetiredIDs: []string{"f1"},
+			GroupID: "g", MaxVersions: 3, Versions: []Version{version}, PendingChange: &change, Outcomes: []Outcome{outcome}, RetiredDirectoryIDs: []string{"f1"},
 		},
 		`{"have":2,"digest":"d"}`: PollRequest{Version: 2, Digest: "d"},
 		`{"ok":true,"why":"no","group":"g","version":2,"left":7,"active":` + versionJSON + `,"voters":[` + memberJSON + `]}`: PollReply{
-			Seq: 9, OK: true, Reason: "no", GroupID: "g", Version: 2, LeaseRemaining: 7, Active: &version, Voters: []Member{member},
+			Seq: 9, OK: true, Reason: "no", GroupID: "g", Version: 2, LeaseRemaining: 7, ActiveVersion: &version, Voters: []Member{member},
 		},
 		`{"Call":4,"OK":true,"Version":2,"Removed":true}`: LeaseReply{CallID: 4, OK: true, Version: 2, Removed: true},
 	} {
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -28,9 +28,9 @@
 	Reason     string `json:"why,omitempty"`      // why the change was rejected
 }
 
-// Retirement records the ID of a removed instance, which can never become a member again.
+// Retirement records the directory ID of an instance that is to be removed and can never become a member again.
 type Retirement struct {
-	InstanceID string `json:"folder"`
+	DirectoryID string `json:"folder"`
 }
 
 // Encode returns the entry as it is stored in the log. DecodeEntry is the inverse.
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -36,17 +36,17 @@
 
 // CheckResult is the result of CheckChange: a member's reply, or the lack of one.
 type CheckResult struct {
-	RequestID  string
-	InstanceID string // of the member
-	Accepted   bool
-	NoReply    bool   // the member did not reply; Accepted has no meaning
-	Reason     string // why the change was rejected or there is no reply
+	RequestID   string
+	DirectoryID string // of the member
+	Accepted    bool
+	NoReply     bool   // the member did not reply; Accepted has no meaning
+	Reason      string // why the change was rejected or there is no reply
 }
 
 // LeaseRequested is a member's request for a lease. It is answered by one LeaseReply.
 type LeaseRequested struct {
-	CallID     uint64
-	InstanceID string // of the member
+	CallID      uint64
+	DirectoryID string // of the member
 }
 
 // VerifyLeadershipResult is the result of VerifyLeadership: whether a majority confirmed that this instance is the
@@ -87,7 +87,7 @@
 
 // CaughtUp reports that a member without a vote has applied all entries that were committed at the time of
 // WaitForCatchUp.
-type CaughtUp struct{ InstanceID string }
+type CaughtUp struct{ DirectoryID string }
 
 // Tick only reports that time has passed.
 type Tick struct{}
@@ -101,7 +101,7 @@
 	GroupID        string   `json:"group,omitempty"`
 	Version        uint64   `json:"version,omitempty"` // active version, which the voter's lease covers
 	LeaseRemaining Micros   `json:"left,omitempty"`    // remaining duration of that lease on the voter's clock
-	Active         *Version `json:"active,omitempty"`  // nil: the follower already has this version
+	ActiveVersion  *Version `json:"active,omitempty"`  // nil: the follower already has this version
 	Voters         []Member `json:"voters,omitempty"`
 }
 
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -152,8 +152,8 @@
 		f.knownVoters = e.Voters
 	}
 	f.clearFailures(pending.voter)
-	if e.Active != nil && f.replacesActive(*e.Active, isFirstReply) {
-		f.active = *e.Active
+	if e.ActiveVersion != nil && f.replacesActive(*e.ActiveVersion, isFirstReply) {
+		f.active = *e.ActiveVersion
 		f.emit(Activate{Version: f.active})
 	}
 	f.extendLease(pending.sentAt, e)
--- a/sharedconfig/follower_test.go
+++ b/sharedconfig/follower_test.go
@@ -26,7 +26,7 @@
 		GroupID:        group,
 		Version:        version,
 		LeaseRemaining: modelStalenessBound,
-		Active:         &Version{Number: version, Digest: "d"},
+		ActiveVersion:  &Version{Number: version, Digest: "d"},
 		Voters:         voters,
 	}
 }
--- a/sharedconfig/follower_voters.go
+++ b/sharedconfig/follower_voters.go
@@ -9,7 +9,7 @@
 )
 
 // votersByPreference returns the voters in the order in which this instance polls them. The order is derived from a
-// hash of the instance ID, which spreads the instances over the voters. Voters that failed within the staleness bound
+// hash of the directory ID, which spreads the instances over the voters. Voters that failed within the staleness bound
 // come last, the earliest failure first. Seed voters are included only if all known voters have failed.
 func (f *Follower) votersByPreference() []Member {
 	voters := slices.Clone(f.knownVoters)
@@ -46,7 +46,7 @@
 }
 
 func (f *Follower) preferenceHash(voter Member) uint64 {
-	return xxhash.Sum64String(f.settings.InstanceID + " " + voter.Addr)
+	return xxhash.Sum64String(f.settings.DirectoryID + " " + voter.Addr)
 }
 
 func (f *Follower) markFailed(voter Member) { f.voterFailedAt[voter.Addr] = f.now }
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -56,7 +56,7 @@
 		c.emit(LeaseReply{CallID: e.CallID})
 		return
 	}
-	c.memberLeaseRequestedAt[e.InstanceID] = c.now
+	c.memberLeaseRequestedAt[e.DirectoryID] = c.now
 	c.queuedLeaseRequests = append(c.queuedLeaseRequests, e)
 }
 
@@ -84,9 +84,9 @@
 	for _, request := range c.verifyingLeaseRequests {
 		reply := LeaseReply{CallID: request.CallID}
 		if isLeader && c.verifyingVersion > 0 {
-			_, isMember := c.findMember(func(m Member) bool { return m.InstanceID == request.InstanceID })
+			_, isMember := c.findMember(func(m Member) bool { return m.DirectoryID == request.DirectoryID })
 			reply.Version = c.verifyingVersion
-			reply.Removed = c.state.IsRetired(request.InstanceID)
+			reply.Removed = c.state.IsRetired(request.DirectoryID)
 			reply.OK = isMember || reply.Removed
 		}
 		c.emit(reply)
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -22,9 +22,9 @@
 	addressOwner, isAddressTaken := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
 	case !c.acceptMembershipRequest(e.CallID):
-	case c.state.IsRetired(member.InstanceID):
+	case c.state.IsRetired(member.DirectoryID):
 		c.reject(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
-	case isMember && current.InstanceID != member.InstanceID:
+	case isMember && current.DirectoryID != member.DirectoryID:
 		c.reject(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
 	case isAddressTaken:
 		c.reject(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
@@ -37,7 +37,7 @@
 	}
 }
 
-// handleRemoveMemberRequested removes a member. It retires the member's instance ID first, so that the instance cannot
+// handleRemoveMemberRequested removes a member. It retires the member's directory ID first, so that the instance cannot
 // become a member again even if the removal itself fails.
 func (c *Core) handleRemoveMemberRequested(e RemoveMemberRequested) {
 	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
@@ -48,12 +48,12 @@
 		c.reject(e.CallID, "cannot remove %s: it is not a member", e.Name)
 	case member.Voter && remaining == 0:
 		c.reject(e.CallID, "cannot remove %s: it is the last voter", member.Name)
-	case member.Voter && c.reachableVoters(member.InstanceID) <= remaining/2:
+	case member.Voter && c.reachableVoters(member.DirectoryID) <= remaining/2:
 		c.reject(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
-			member.Name, c.reachableVoters(member.InstanceID), remaining)
+			member.Name, c.reachableVoters(member.DirectoryID), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member, remove: true})
-		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.InstanceID}}})
+		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{DirectoryID: member.DirectoryID}}})
 		c.submitMembershipChange()
 	}
 }
@@ -111,12 +111,12 @@
 	c.membershipChange = nil
 }
 
-// advanceMembership removes members whose instance ID is retired, and asks members without a vote to report when they
+// advanceMembership removes members whose directory ID is retired, and asks members without a vote to report when they
 // have caught up, including those of an earlier leader's changes. It also ends a membership change whose deadline has
 // passed.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
-		isRetired := c.state.IsRetired(member.InstanceID)
+		isRetired := c.state.IsRetired(member.DirectoryID)
 		if isRetired && c.membershipChange == nil {
 			c.beginMembershipChange(membershipChange{member: member, remove: true})
 			c.submitMembershipChange()
@@ -131,11 +131,11 @@
 // requestCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
 // timeout.
 func (c *Core) requestCatchUp(member Member) {
-	requestedAt, requested := c.catchUpRequestedAt[member.InstanceID]
+	requestedAt, requested := c.catchUpRequestedAt[member.DirectoryID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
 		return
 	}
-	c.catchUpRequestedAt[member.InstanceID] = c.now
+	c.catchUpRequestedAt[member.DirectoryID] = c.now
 	c.emit(WaitForCatchUp{Member: member})
 }
 
@@ -153,8 +153,8 @@
 
 // handleCaughtUp makes a member a voter. If another membership change is in progress, the member is asked again later.
 func (c *Core) handleCaughtUp(e CaughtUp) {
-	member, isMember := c.findMember(func(m Member) bool { return m.InstanceID == e.InstanceID })
-	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
+	member, isMember := c.findMember(func(m Member) bool { return m.DirectoryID == e.DirectoryID })
+	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.DirectoryID) {
 		return
 	}
 	member.Voter = true
@@ -162,7 +162,7 @@
 	switch {
 	case change == nil: // an earlier leader added it
 		c.beginMembershipChange(membershipChange{member: member})
-	case change.seq == 0 && change.member.InstanceID == member.InstanceID:
+	case change.seq == 0 && change.member.DirectoryID == member.DirectoryID:
 		change.member = member
 	default:
 		return
@@ -171,17 +171,17 @@
 	c.submitMembershipChange()
 }
 
-// reachableVoters returns the number of voters, other than the one with the instance ID exceptID, that are this instance
+// reachableVoters returns the number of voters, other than the one with the directory ID exceptID, that are this instance
 // or have recently requested a lease.
 func (c *Core) reachableVoters(exceptID string) int {
 	count := 0
 	for _, member := range c.members {
-		if !member.Voter || member.InstanceID == exceptID {
+		if !member.Voter || member.DirectoryID == exceptID {
 			continue
 		}
-		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.InstanceID]
+		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.DirectoryID]
 		isRecent := hasRequested && requestedAt+c.settings.ReachabilityTimeout > c.now
-		if member.InstanceID == c.settings.InstanceID || isRecent {
+		if member.DirectoryID == c.settings.DirectoryID || isRecent {
 			count++
 		}
 	}
--- a/sharedconfig/membership_test.go
+++ b/sharedconfig/membership_test.go
@@ -8,7 +8,7 @@
 )
 
 func addRequest(name, instanceID, addr string) Event {
-	return AddMemberRequested{CallID: 1, Member: Member{Name: name, InstanceID: instanceID, Addr: addr}}
+	return AddMemberRequested{CallID: 1, Member: Member{Name: name, DirectoryID: instanceID, Addr: addr}}
 }
 
 func removeRequest(name string) Event { return RemoveMemberRequested{CallID: 1, Name: name} }
@@ -56,7 +56,7 @@
 	} {
 		core := newLeader()
 		state := core.State()
-		state.RetiredIDs = []string{"f7"}
+		state.RetiredDirectoryIDs = []string{"f7"}
 		actions := core.Step(5_000_000, []Event{EntriesApplied{State: state}, c.request})
 		changes, replies := actionsOf[ChangeMembership](actions), actionsOf[Reply](actions)
 		if c.want == "" {
@@ -77,14 +77,14 @@
 func TestNewLeaderCompletesMembershipChanges(t *testing.T) {
 	core := newLeader()
 	state := core.State()
-	state.RetiredIDs = []string{"f2"}
+	state.RetiredDirectoryIDs = []string{"f2"}
 	changes := actionsOf[ChangeMembership](core.Step(5_000_000, []Event{EntriesApplied{State: state}}))
 	require.Len(t, changes, 1)
 	assert.True(t, changes[0].Remove)
 
 	core = newLeader()
 	assert.Len(t, actionsOf[WaitForCatchUp](core.Step(5_000_000, []Event{Tick{}})), 1)
-	changes = actionsOf[ChangeMembership](core.Step(5_000_001, []Event{CaughtUp{InstanceID: "f3"}}))
+	changes = actionsOf[ChangeMembership](core.Step(5_000_001, []Event{CaughtUp{DirectoryID: "f3"}}))
 	require.Len(t, changes, 1)
 	assert.True(t, changes[0].Member.Voter)
 }
--- a/sharedconfig/model_followers_test.go
+++ b/sharedconfig/model_followers_test.go
@@ -37,7 +37,7 @@
 		f.pausedUntil = m.now + Micros(m.rng.IntN(int(3*modelStalenessBound)))
 	case 1: // restarted with an empty data directory
 		servedSteps := f.servedSteps
-		*f = *newModelFollower(f.settings.InstanceID, []string{"a1", "a0"}, f.clockOffset)
+		*f = *newModelFollower(f.settings.DirectoryID, []string{"a1", "a0"}, f.clockOffset)
 		f.servedSteps = servedSteps
 	}
 	if f.pausedUntil > m.now {
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -73,7 +73,7 @@
 	for i := range nodeCount {
 		name := fmt.Sprint("n", i)
 		instanceID := fmt.Sprint("f", i)
-		m.members = append(m.members, Member{Name: name, InstanceID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
+		m.members = append(m.members, Member{Name: name, DirectoryID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
 		m.nodes = append(m.nodes, newModelNode(name, instanceID, Micros(m.rng.IntN(maxClockOffset))))
 	}
 	return m
@@ -249,15 +249,15 @@
 
 func (m *model) sendCheck(i int, a CheckChange) {
 	for j, n := range m.nodes {
-		if n.instanceID != a.Member.InstanceID {
+		if n.instanceID != a.Member.DirectoryID {
 			continue
 		}
 		m.sendBetween(i, j, func(n *modelNode) {
 			result := CheckResult{
-				RequestID:  a.Change.RequestID,
-				InstanceID: n.instanceID,
-				Accepted:   !n.rejectsChanges,
-				Reason:     "no",
+				RequestID:   a.Change.RequestID,
+				DirectoryID: n.instanceID,
+				Accepted:    !n.rejectsChanges,
+				Reason:      "no",
 			}
 			m.sendBetween(j, i, func(n *modelNode) { n.events = append(n.events, result) })
 		})
@@ -282,7 +282,7 @@
 	m.leaseRequestSeqs[call] = a.Seq
 	sender := m.nodes[i]
 	m.sendBetween(i, to, func(n *modelNode) {
-		n.events = append(n.events, LeaseRequested{CallID: call, InstanceID: sender.instanceID})
+		n.events = append(n.events, LeaseRequested{CallID: call, DirectoryID: sender.instanceID})
 	})
 }
 
@@ -322,7 +322,7 @@
 	}
 	for _, f := range m.followers {
 		if f.pausedUntil <= m.now && f.lease.Covers(m.now+f.clockOffset, f.version) {
-			checkVersion(f.settings.InstanceID, f.version)
+			checkVersion(f.settings.DirectoryID, f.version)
 		}
 	}
 }
--- a/sharedconfig/poll.go
+++ b/sharedconfig/poll.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if request.Version != active.Number || request.Digest != active.Digest {
-		reply.Active = &active
+		reply.ActiveVersion = &active
 	}
 	return reply
 }
--- a/sharedconfig/records.go
+++ b/sharedconfig/records.go
@@ -2,26 +2,26 @@
 
 // Version is one committed version of the document.
 type Version struct {
-	Number          uint64 `json:"number"` // from 1
-	Digest          string `json:"digest"`
-	Author          string `json:"author"`
-	Reason          string `json:"reason"`
-	RequestedAt     int64  `json:"at"`                 // Unix time of the change request in ms, on the clock of its recipient
-	RequestID       string `json:"request"`            // ID of the change request that created the version
-	RestoredVersion uint64 `json:"restores,omitempty"` // number of the version that a rollback restored; 0: not a rollback
-	Text            string `json:"text,omitempty"`
+	Number            uint64 `json:"number"` // from 1
+	Digest            string `json:"digest"`
+	Author            string `json:"author"`
+	Reason            string `json:"reason"`
+	RequestedAtMillis int64  `json:"at"`                 // Unix time of the change request in ms, on the clock of its recipient
+	RequestID         string `json:"request"`            // ID of the change request that created the version
+	RestoredVersion   uint64 `json:"restores,omitempty"` // number of the version that a rollback restored; 0: not a rollback
+	Text              string `json:"text,omitempty"`
 }
 
 // Change is a requested change of the document.
 type Change struct {
-	RequestID       string `json:"request"` // a change with a known ID is a duplicate of the earlier one
-	ExpectedVersion uint64 `json:"expect"`  // number of the version that the change is based on
-	Text            string `json:"text"`
-	Digest          string `json:"digest"`
-	Author          string `json:"author"`
-	Reason          string `json:"reason"`
-	RequestedAt     int64  `json:"at"`                 // Unix time of the request in ms
-	RestoredVersion uint64 `json:"restores,omitempty"` // number of the version that a rollback restores; 0: not a rollback
+	RequestID         string `json:"request"` // a change with a known ID is a duplicate of the earlier one
+	ExpectedVersion   uint64 `json:"expect"`  // number of the version that the change is based on
+	Text              string `json:"text"`
+	Digest            string `json:"digest"`
+	Author            string `json:"author"`
+	Reason            string `json:"reason"`
+	RequestedAtMillis int64  `json:"at"`                 // Unix time of the request in ms
+	RestoredVersion   uint64 `json:"restores,omitempty"` // number of the version that a rollback restores; 0: not a rollback
 }
 
 // Status is the status of a change or of a membership change.
@@ -48,8 +48,8 @@
 
 // Member is an instance of the group.
 type Member struct {
-	Name       string `json:"name"`
-	InstanceID string `json:"folder"` // identifies the member by its data directory: with a new one it has another ID
-	Addr       string `json:"addr"`
-	Voter      bool   `json:"voter"`
+	Name        string `json:"name"`
+	DirectoryID string `json:"folder"` // ID of the data directory: the member gets another one with a new data directory
+	Addr        string `json:"addr"`
+	Voter       bool   `json:"voter"`
 }
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -2,7 +2,7 @@
 
 // Settings are the parameters of a Core or Follower.
 type Settings struct {
-	InstanceID              string // identifies the instance by its data directory: with a new one it has another ID
+	DirectoryID             string // ID of the data directory, preceded by the name in a Follower, which only hashes it
 	StalenessBound          Micros // maximum time for which a version is served after it was replaced
 	ServeWhenStale          bool   // serve without a valid lease instead of rejecting queries
 	Removed                 bool   // an earlier run learned that this instance was removed from the group
@@ -27,7 +27,7 @@
 // DefaultSettings returns the settings of an instance with the given staleness bound.
 func DefaultSettings(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
 	return Settings{
-		InstanceID:              instanceID,
+		DirectoryID:             instanceID,
 		StalenessBound:          stalenessBound,
 		ServeWhenStale:          serveWhenStale,
 		LeaseRenewalInterval:    min(max(stalenessBound/10, minLeaseRenewalInterval), maxLeaseRenewalInterval),
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -17,12 +17,12 @@
 // State is the result of the log's entries up to an index. Methods return new states and never modify what a state
 // refers to, so that copies stay valid.
 type State struct {
-	GroupID       string    `json:"group"`             // empty before the bootstrap
-	MaxVersions   int       `json:"keep"`              // maximum number of versions retained
-	Versions      []Version `json:"versions"`          // by ascending number; the last one is active
-	PendingChange *Change   `json:"pending,omitempty"` // proposed but not decided; nil: none
-	Outcomes      []Outcome `json:"outcomes"`          // of the latest decided changes, in the order of their decisions
-	RetiredIDs    []string  `json:"retired,omitempty"` // instance IDs of removed members
+	GroupID             string    `json:"group"`             // empty before the bootstrap
+	MaxVersions         int       `json:"keep"`              // maximum number of versions retained
+	Versions            []Version `json:"versions"`          // by ascending number; the last one is active
+	PendingChange       *Change   `json:"pending,omitempty"` // proposed but not decided; nil: none
+	Outcomes            []Outcome `json:"outcomes"`          // of the latest decided changes, in the order of their decisions
+	RetiredDirectoryIDs []string  `json:"retired,omitempty"` // directory IDs of removed members
 }
 
 // Active returns the active version. Its number is 0 before the bootstrap.
@@ -59,7 +59,9 @@
 }
 
 // IsRetired reports whether the instance with the given ID was removed from the group.
-func (s State) IsRetired(instanceID string) bool { return slices.Contains(s.RetiredIDs, instanceID) }
+func (s State) IsRetired(instanceID string) bool {
+	return slices.Contains(s.RetiredDirectoryIDs, instanceID)
+}
 
 // Apply returns the state after an entry, and the outcome of the change that the entry concerns, if any.
 //
@@ -75,8 +77,8 @@
 		return s.propose(*e.Propose)
 	case e.Decide != nil:
 		return s.decide(*e.Decide)
-	case e.Retire != nil && !s.IsRetired(e.Retire.InstanceID):
-		s.RetiredIDs = append(slices.Clip(s.RetiredIDs), e.Retire.InstanceID)
+	case e.Retire != nil && !s.IsRetired(e.Retire.DirectoryID):
+		s.RetiredDirectoryIDs = append(slices.Clip(s.RetiredDirectoryIDs), e.Retire.DirectoryID)
 	}
 	return s, Outcome{}
 }
@@ -127,14 +129,14 @@
 
 func (s State) activate(change Change) (State, Outcome) {
 	version := Version{
-		Number:          s.Active().Number + 1,
-		Digest:          change.Digest,
-		Author:          change.Author,
-		Reason:          change.Reason,
-		RequestedAt:     change.RequestedAt,
-		RequestID:       change.RequestID,
-		RestoredVersion: change.RestoredVersion,
-		Text:            change.Text,
+		Number:            s.Active().Number + 1,
+		Digest:            change.Digest,
+		Author:            change.Author,
+		Reason:            change.Reason,
+		RequestedAtMillis: change.RequestedAtMillis,
+		RequestID:         change.RequestID,
+		RestoredVersion:   change.RestoredVersion,
+		Text:              change.Text,
 	}
 	s.Versions = appendBounded(s.Versions, version, s.MaxVersions)
 	outcome := Outcome{RequestID: change.RequestID, Status: StatusDone, Version: version.Number}
@@ -156,12 +158,12 @@
 	return items
 }
 
-// Recover returns the state of a new group that continues from this one without its other members, whose instance IDs
+// Recover returns the state of a new group that continues from this one without its other members, whose directory IDs
 // are retiredIDs. A pending change is dropped, since the members that had to check it are not in the new group.
 func (s State) Recover(groupID string, retiredIDs []string) State {
 	s.GroupID = groupID
 	s.PendingChange = nil
-	s.RetiredIDs = append(slices.Clip(s.RetiredIDs), retiredIDs...)
+	s.RetiredDirectoryIDs = append(slices.Clip(s.RetiredDirectoryIDs), retiredIDs...)
 	return s
 }
 
