--- a/document/settings.go
+++ b/document/settings.go
@@ -81,21 +81,21 @@
 // base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
 func (d *Document) Overlay(base policy.Settings) (policy.Settings, error) {
 	classes := make([]policy.Class, len(base.Classes))
-	for i, class := range base.Classes {
-		classes[i] = class
-		own, found := d.Class(class.Name)
+	for i, baseClass := range base.Classes {
+		classes[i] = baseClass
+		documentClass, found := d.Class(baseClass.Name)
 		if !found {
 			continue
 		}
-		if own.Idempotency != class.Idempotency {
+		if documentClass.Idempotency != baseClass.Idempotency {
 			return base, inifile.Fault{
 				File:     "agreed document",
-				Location: "class " + class.Name + ".effect",
+				Location: "class " + baseClass.Name + ".effect",
 				Message:  "expected the effect configured for the platform's front",
 			}
 		}
-		own.FetchParts = class.FetchParts
-		classes[i] = own
+		documentClass.FetchParts = baseClass.FetchParts
+		classes[i] = documentClass
 	}
 	base.Classes = classes
 	return base, nil
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -213,7 +213,7 @@
 	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, RequestID: current.RequestID})
 }
 
-// mayBeCommitted reports whether the current change may already be committed although it is not applied here.
-func (c *Core) mayBeCommitted() bool {
+// newerVersionMayBeActive reports whether the current change may already be committed although it is not applied here.
+func (c *Core) newerVersionMayBeActive() bool {
 	return c.currentChange != nil && c.currentChange.decisionSubmitted && c.currentChange.decisionAccepts
 }
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -19,9 +19,9 @@
 	members  []Member
 	lease    Lease
 
-	pendingLeaseRequests map[uint64]Micros // send times of the requests that may still be answered, by sequence number
-	lastLeaseRequestSeq  uint64            // sequence number of the latest request
-	lastLeaseRequestAt   Micros            // send time of that request
+	ownLeaseRequests       map[uint64]Micros // send times of the requests that may still be answered, by sequence number
+	lastOwnLeaseRequestSeq uint64            // sequence number of the latest request
+	lastOwnLeaseRequestAt  Micros            // send time of that request
 
 	term        uint64
 	leading     bool
@@ -39,8 +39,8 @@
 	verificationSeq        uint64           // sequence number of the verification in progress; 0: none
 
 	membershipChange       *membershipChange // in progress; nil: none
-	memberLeaseRequestedAt map[string]Micros // time of each member's latest lease request, by directory ID
-	catchUpRequestedAt     map[string]Micros // time of the latest WaitForCatchUp for each member, by directory ID
+	leaseRequestReceivedAt map[string]Micros // time of each member's latest lease request, by directory ID
+	catchUpWaitStartedAt   map[string]Micros // time of the latest WaitForCatchUp for each member, by directory ID
 }
 
 // NewCore returns the core of an instance whose log has produced the given state. It knows no members and no leader
@@ -50,10 +50,10 @@
 		settings:               settings,
 		state:                  state,
 		lease:                  Lease{ServeWhenStale: settings.ServeWhenStale, Removed: settings.Removed},
-		pendingLeaseRequests:   map[uint64]Micros{},
-		lastLeaseRequestAt:     -settings.LeaseRenewalInterval,
-		memberLeaseRequestedAt: map[string]Micros{},
-		catchUpRequestedAt:     map[string]Micros{},
+		ownLeaseRequests:       map[uint64]Micros{},
+		lastOwnLeaseRequestAt:  -settings.LeaseRenewalInterval,
+		leaseRequestReceivedAt: map[string]Micros{},
+		catchUpWaitStartedAt:   map[string]Micros{},
 	}
 }
 
@@ -139,8 +139,8 @@
 	c.queuedLeaseRequests = nil
 	c.verifyingLeaseRequests = nil
 	c.verificationSeq = 0
-	clear(c.memberLeaseRequestedAt)
-	clear(c.catchUpRequestedAt)
+	clear(c.leaseRequestReceivedAt)
+	clear(c.catchUpWaitStartedAt)
 }
 
 // failPendingCalls answers all calls that wait for this instance, which is no longer the leader.
--- a/sharedconfig/core_test.go
+++ b/sharedconfig/core_test.go
@@ -40,38 +40,38 @@
 // Otherwise a leader that was replaced could confirm a version that is no longer active.
 func TestLeasesRequireVerification(t *testing.T) {
 	for name, c := range map[string]struct {
-		verified   VerifyLeadershipResult
-		instanceID string
-		want       LeaseReply
+		verified    VerifyLeadershipResult
+		directoryID string
+		want        LeaseReply
 	}{
 		"verified": {
-			verified:   VerifyLeadershipResult{OK: true, Term: 4},
-			instanceID: "f2",
-			want:       LeaseReply{CallID: 1, OK: true, Version: 1},
+			verified:    VerifyLeadershipResult{OK: true, Term: 4},
+			directoryID: "f2",
+			want:        LeaseReply{CallID: 1, OK: true, Version: 1},
 		},
 		"not the leader": {
-			verified:   VerifyLeadershipResult{Term: 4},
-			instanceID: "f2",
-			want:       LeaseReply{CallID: 1},
+			verified:    VerifyLeadershipResult{Term: 4},
+			directoryID: "f2",
+			want:        LeaseReply{CallID: 1},
 		},
 		"another term": {
-			verified:   VerifyLeadershipResult{OK: true, Term: 5},
-			instanceID: "f2",
-			want:       LeaseReply{CallID: 1},
+			verified:    VerifyLeadershipResult{OK: true, Term: 5},
+			directoryID: "f2",
+			want:        LeaseReply{CallID: 1},
 		},
 		"not a member": {
-			verified:   VerifyLeadershipResult{OK: true, Term: 4},
-			instanceID: "f9",
-			want:       LeaseReply{CallID: 1, Version: 1},
+			verified:    VerifyLeadershipResult{OK: true, Term: 4},
+			directoryID: "f9",
+			want:        LeaseReply{CallID: 1, Version: 1},
 		},
 		"without a vote": {
-			verified:   VerifyLeadershipResult{OK: true, Term: 4},
-			instanceID: "f3",
-			want:       LeaseReply{CallID: 1, OK: true, Version: 1},
+			verified:    VerifyLeadershipResult{OK: true, Term: 4},
+			directoryID: "f3",
+			want:        LeaseReply{CallID: 1, OK: true, Version: 1},
 		},
 	} {
 		core := newLeader()
-		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{CallID: 1, DirectoryID: c.instanceID}}))
+		verify := actionsOf[VerifyLeadership](core.Step(1, []Event{LeaseRequested{CallID: 1, DirectoryID: c.directoryID}}))
 		require.Len(t, verify, 1, name)
 		// A request during a verification waits for the next one.
 		assert.Empty(t, actionsOf[VerifyLeadership](core.Step(2, []Event{LeaseRequested{CallID: 2, DirectoryID: "f2"}})), name)
--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -24,8 +24,8 @@
 	return requestedAt + duration - duration/clockDriftDivisor
 }
 
-// covers reports whether g permits everything that other permits.
-func (g Grant) covers(other Grant) bool {
+// includes reports whether g permits everything that other permits.
+func (g Grant) includes(other Grant) bool {
 	return g.Version <= other.Version && g.ExpiresAt >= other.ExpiresAt
 }
 
@@ -57,15 +57,15 @@
 	return l.Covers(now, version) || l.ServeWhenStale && version > 0 && !l.Removed
 }
 
-// withGrant returns the lease with a grant added, and without the grants that it covers or that have expired.
+// withGrant returns the lease with a grant added, and without the grants that it includes or that have expired.
 func (l Lease) withGrant(grant Grant, now Micros) Lease {
 	var grants []Grant
 	for _, other := range l.Grants {
-		if other.ExpiresAt > now && !grant.covers(other) {
+		if other.ExpiresAt > now && !grant.includes(other) {
 			grants = append(grants, other)
 		}
 	}
-	if !slices.ContainsFunc(grants, func(other Grant) bool { return other.covers(grant) }) {
+	if !slices.ContainsFunc(grants, func(other Grant) bool { return other.includes(grant) }) {
 		grants = append(grants, grant)
 		slices.SortFunc(grants, func(a, b Grant) int { return cmp.Compare(a.Version, b.Version) })
 	}
--- a/sharedconfig/lease_requests.go
+++ b/sharedconfig/lease_requests.go
@@ -9,32 +9,32 @@
 // requestLease requests a lease when one is due. Requests are frequent enough that several in a row may be lost before
 // the staleness bound passes.
 func (c *Core) requestLease() {
-	if c.lease.Removed || c.now < c.lastLeaseRequestAt+c.leaseRequestInterval() {
+	if c.lease.Removed || c.now < c.lastOwnLeaseRequestAt+c.leaseRequestInterval() {
 		return
 	}
-	maps.DeleteFunc(c.pendingLeaseRequests, func(_ uint64, requestedAt Micros) bool {
+	maps.DeleteFunc(c.ownLeaseRequests, func(_ uint64, requestedAt Micros) bool {
 		return requestedAt+c.settings.StalenessBound <= c.now
 	})
-	c.lastLeaseRequestSeq++
-	c.pendingLeaseRequests[c.lastLeaseRequestSeq] = c.now
-	c.lastLeaseRequestAt = c.now
-	c.emit(RequestLease{Seq: c.lastLeaseRequestSeq})
+	c.lastOwnLeaseRequestSeq++
+	c.ownLeaseRequests[c.lastOwnLeaseRequestSeq] = c.now
+	c.lastOwnLeaseRequestAt = c.now
+	c.emit(RequestLease{Seq: c.lastOwnLeaseRequestSeq})
 }
 
 func (c *Core) leaseRequestInterval() Micros {
-	_, isPending := c.pendingLeaseRequests[c.lastLeaseRequestSeq]
-	if isPending || c.lastLeaseRequestSeq == 0 {
+	_, isPending := c.ownLeaseRequests[c.lastOwnLeaseRequestSeq]
+	if isPending || c.lastOwnLeaseRequestSeq == 0 {
 		return c.settings.LeaseRenewalInterval / leaseRetryDivisor
 	}
 	return c.settings.LeaseRenewalInterval
 }
 
 func (c *Core) handleLeaseReply(e LeaseReplyReceived) {
-	requestedAt, isPending := c.pendingLeaseRequests[e.Seq]
+	requestedAt, isPending := c.ownLeaseRequests[e.Seq]
 	if !isPending || !e.OK {
 		return
 	}
-	delete(c.pendingLeaseRequests, e.Seq)
+	delete(c.ownLeaseRequests, e.Seq)
 	if e.Removed {
 		c.lease = Lease{Removed: true}
 		c.emit(SetLease{Lease: c.lease})
@@ -56,14 +56,14 @@
 		c.emit(LeaseReply{CallID: e.CallID})
 		return
 	}
-	c.memberLeaseRequestedAt[e.DirectoryID] = c.now
+	c.leaseRequestReceivedAt[e.DirectoryID] = c.now
 	c.queuedLeaseRequests = append(c.queuedLeaseRequests, e)
 }
 
 // startVerification verifies the leadership for the queued lease requests. It waits while a newer version may be active
 // that is not applied here, since a grant must not confirm a replaced version.
 func (c *Core) startVerification() {
-	if len(c.queuedLeaseRequests) == 0 || c.verificationSeq != 0 || c.mayBeCommitted() {
+	if len(c.queuedLeaseRequests) == 0 || c.verificationSeq != 0 || c.newerVersionMayBeActive() {
 		return
 	}
 	c.lastSeq++
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -21,13 +21,13 @@
 	current, isMember := c.findMember(func(m Member) bool { return m.Name == member.Name })
 	addressOwner, isAddressTaken := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
-	case !c.acceptMembershipRequest(e.CallID):
+	case !c.checkMembershipRequest(e.CallID):
 	case c.state.IsRetired(member.DirectoryID):
-		c.reject(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
 	case isMember && current.DirectoryID != member.DirectoryID:
-		c.reject(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
 	case isAddressTaken:
-		c.reject(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
 	case isMember && current.Addr == member.Addr && current.Voter:
 		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is already a member"}})
 	default:
@@ -43,13 +43,13 @@
 	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
-	case !c.acceptMembershipRequest(e.CallID):
+	case !c.checkMembershipRequest(e.CallID):
 	case !isMember:
-		c.reject(e.CallID, "cannot remove %s: it is not a member", e.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot remove %s: it is not a member", e.Name)
 	case member.Voter && remaining == 0:
-		c.reject(e.CallID, "cannot remove %s: it is the last voter", member.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot remove %s: it is the last voter", member.Name)
 	case member.Voter && c.reachableVoters(member.DirectoryID) <= remaining/2:
-		c.reject(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
+		c.rejectMembershipRequest(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
 			member.Name, c.reachableVoters(member.DirectoryID), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member, remove: true})
@@ -58,8 +58,8 @@
 	}
 }
 
-// acceptMembershipRequest reports whether a membership change may begin. If not, it answers the call.
-func (c *Core) acceptMembershipRequest(callID uint64) bool {
+// checkMembershipRequest reports whether a membership change may begin. If not, it answers the call.
+func (c *Core) checkMembershipRequest(callID uint64) bool {
 	switch {
 	case !c.leading || !c.leaderReady:
 		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotLeader}})
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (c *Core) reject(callID uint64, format string, args ...any) {
+func (c *Core) rejectMembershipRequest(callID uint64, format string, args ...any) {
 	c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}})
 }
 
@@ -122,20 +122,20 @@
 			c.submitMembershipChange()
 		}
 		if !isRetired && !member.Voter {
-			c.requestCatchUp(member)
+			c.waitForCatchUp(member)
 		}
 	}
 	c.expireMembershipChange()
 }
 
-// requestCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
+// waitForCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
 // timeout.
-func (c *Core) requestCatchUp(member Member) {
-	requestedAt, requested := c.catchUpRequestedAt[member.DirectoryID]
+func (c *Core) waitForCatchUp(member Member) {
+	requestedAt, requested := c.catchUpWaitStartedAt[member.DirectoryID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
 		return
 	}
-	c.catchUpRequestedAt[member.DirectoryID] = c.now
+	c.catchUpWaitStartedAt[member.DirectoryID] = c.now
 	c.emit(WaitForCatchUp{Member: member})
 }
 
@@ -179,7 +179,7 @@
 		if !member.Voter || member.DirectoryID == exceptID {
 			continue
 		}
-		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.DirectoryID]
+		requestedAt, hasRequested := c.leaseRequestReceivedAt[member.DirectoryID]
 		isRecent := hasRequested && requestedAt+c.settings.ReachabilityTimeout > c.now
 		if member.DirectoryID == c.settings.DirectoryID || isRecent {
 			count++
--- a/sharedconfig/membership_test.go
+++ b/sharedconfig/membership_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func addRequest(name, instanceID, addr string) Event {
-	return AddMemberRequested{CallID: 1, Member: Member{Name: name, DirectoryID: instanceID, Addr: addr}}
+func addRequest(name, directoryID, addr string) Event {
+	return AddMemberRequested{CallID: 1, Member: Member{Name: name, DirectoryID: directoryID, Addr: addr}}
 }
 
 func removeRequest(name string) Event { return RemoveMemberRequested{CallID: 1, Name: name} }
--- a/sharedconfig/model_faults_test.go
+++ b/sharedconfig/model_faults_test.go
@@ -21,7 +21,7 @@
 	case 5:
 		m.lossPercent = m.rng.IntN(60)
 	case 6: // restarted: it applies the log from the beginning
-		*n = *newModelNode(n.name, n.instanceID, n.clockOffset)
+		*n = *newModelNode(n.name, n.directoryID, n.clockOffset)
 		if m.leader == i {
 			m.leader = -1
 		}
--- a/sharedconfig/model_followers_test.go
+++ b/sharedconfig/model_followers_test.go
@@ -16,9 +16,9 @@
 	servedSteps int // number of steps in which it could serve
 }
 
-func newModelFollower(instanceID string, voters []string, clockOffset Micros) *modelFollower {
+func newModelFollower(directoryID string, voters []string, clockOffset Micros) *modelFollower {
 	return &modelFollower{
-		Follower:    NewFollower(DefaultSettings(instanceID, modelStalenessBound, false), voters, Version{}),
+		Follower:    NewFollower(DefaultSettings(directoryID, modelStalenessBound, false), voters, Version{}),
 		clockOffset: clockOffset,
 	}
 }
--- a/sharedconfig/model_test.go
+++ b/sharedconfig/model_test.go
@@ -41,7 +41,7 @@
 type modelNode struct {
 	*Core
 	name           string
-	instanceID     string
+	directoryID    string
 	clockOffset    Micros
 	applied        int // number of log entries applied
 	events         []Event
@@ -72,18 +72,18 @@
 	m.commit(Entry{Bootstrap: &Bootstrap{GroupID: "g", MaxVersions: 50, FirstChange: Change{RequestID: "first", Text: "0", Digest: "0"}}})
 	for i := range nodeCount {
 		name := fmt.Sprint("n", i)
-		instanceID := fmt.Sprint("f", i)
-		m.members = append(m.members, Member{Name: name, DirectoryID: instanceID, Addr: fmt.Sprint("a", i), Voter: true})
-		m.nodes = append(m.nodes, newModelNode(name, instanceID, Micros(m.rng.IntN(maxClockOffset))))
+		directoryID := fmt.Sprint("f", i)
+		m.members = append(m.members, Member{Name: name, DirectoryID: directoryID, Addr: fmt.Sprint("a", i), Voter: true})
+		m.nodes = append(m.nodes, newModelNode(name, directoryID, Micros(m.rng.IntN(maxClockOffset))))
 	}
 	return m
 }
 
-func newModelNode(name, instanceID string, clockOffset Micros) *modelNode {
+func newModelNode(name, directoryID string, clockOffset Micros) *modelNode {
 	return &modelNode{
-		Core:        NewCore(DefaultSettings(instanceID, modelStalenessBound, false), State{}),
+		Core:        NewCore(DefaultSettings(directoryID, modelStalenessBound, false), State{}),
 		name:        name,
-		instanceID:  instanceID,
+		directoryID: directoryID,
 		clockOffset: clockOffset,
 	}
 }
@@ -249,13 +249,13 @@
 
 func (m *model) sendCheck(i int, a CheckChange) {
 	for j, n := range m.nodes {
-		if n.instanceID != a.Member.DirectoryID {
+		if n.directoryID != a.Member.DirectoryID {
 			continue
 		}
 		m.sendBetween(i, j, func(n *modelNode) {
 			result := CheckResult{
 				RequestID:   a.Change.RequestID,
-				DirectoryID: n.instanceID,
+				DirectoryID: n.directoryID,
 				Accepted:    !n.rejectsChanges,
 				Reason:      "no",
 			}
@@ -282,7 +282,7 @@
 	m.leaseRequestSeqs[call] = a.Seq
 	sender := m.nodes[i]
 	m.sendBetween(i, to, func(n *modelNode) {
-		n.events = append(n.events, LeaseRequested{CallID: call, DirectoryID: sender.instanceID})
+		n.events = append(n.events, LeaseRequested{CallID: call, DirectoryID: sender.directoryID})
 	})
 }
 
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -25,9 +25,9 @@
 )
 
 // DefaultSettings returns the settings of an instance with the given staleness bound.
-func DefaultSettings(instanceID string, stalenessBound Micros, serveWhenStale bool) Settings {
+func DefaultSettings(directoryID string, stalenessBound Micros, serveWhenStale bool) Settings {
 	return Settings{
-		DirectoryID:             instanceID,
+		DirectoryID:             directoryID,
 		StalenessBound:          stalenessBound,
 		ServeWhenStale:          serveWhenStale,
 		LeaseRenewalInterval:    min(max(stalenessBound/10, minLeaseRenewalInterval), maxLeaseRenewalInterval),
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -11,8 +11,8 @@
 // dropped counts as a new change, which then conflicts with the active version.
 const maxOutcomes = 1024
 
-// minRetainedVersions is the minimum length of the history: the active version and the one that it replaced.
-const minRetainedVersions = 2
+// minMaxVersions is the minimum length of the history: the active version and the one that it replaced.
+const minMaxVersions = 2
 
 // State is the result of the log's entries up to an index. Methods return new states and never modify what a state
 // refers to, so that copies stay valid.
@@ -59,8 +59,8 @@
 }
 
 // IsRetired reports whether the instance with the given ID was removed from the group.
-func (s State) IsRetired(instanceID string) bool {
-	return slices.Contains(s.RetiredDirectoryIDs, instanceID)
+func (s State) IsRetired(directoryID string) bool {
+	return slices.Contains(s.RetiredDirectoryIDs, directoryID)
 }
 
 // Apply returns the state after an entry, and the outcome of the change that the entry concerns, if any.
@@ -71,7 +71,7 @@
 	switch {
 	case e.Bootstrap != nil && len(s.Versions) == 0:
 		s.GroupID = e.Bootstrap.GroupID
-		s.MaxVersions = max(minRetainedVersions, e.Bootstrap.MaxVersions)
+		s.MaxVersions = max(minMaxVersions, e.Bootstrap.MaxVersions)
 		return s.activate(e.Bootstrap.FirstChange)
 	case e.Propose != nil && len(s.Versions) > 0:
 		return s.propose(*e.Propose)
@@ -160,10 +160,10 @@
 
 // Recover returns the state of a new group that continues from this one without its other members, whose directory IDs
 // are retiredIDs. A pending change is dropped, since the members that had to check it are not in the new group.
-func (s State) Recover(groupID string, retiredIDs []string) State {
+func (s State) Recover(groupID string, retiredDirectoryIDs []string) State {
 	s.GroupID = groupID
 	s.PendingChange = nil
-	s.RetiredDirectoryIDs = append(slices.Clip(s.RetiredDirectoryIDs), retiredIDs...)
+	s.RetiredDirectoryIDs = append(slices.Clip(s.RetiredDirectoryIDs), retiredDirectoryIDs...)
 	return s
 }
 
@@ -174,7 +174,7 @@
 			return fmt.Errorf("version numbers are not consecutive at version %d", v.Number)
 		}
 	}
-	if len(s.Versions) > 0 && (s.GroupID == "" || s.MaxVersions < minRetainedVersions) {
+	if len(s.Versions) > 0 && (s.GroupID == "" || s.MaxVersions < minMaxVersions) {
 		return errors.New("state has versions, but no group ID or an invalid history length")
 	}
 	return nil
