--- a/document/document.go
+++ b/document/document.go
@@ -17,7 +17,7 @@
 
 // Document holds the parsed shared sections.
 type Document struct {
-	Text    string // the text as it was read
+	Text    string // the text that was parsed; of an instance's own file, it has the other sections too (see SharedText)
 	Layout  Layout
 	Limits  Limits
 	Classes []policy.Class // a tenant's own class is named tenant/class
@@ -42,21 +42,21 @@
 	AllowCancel   bool
 	MaxRetryAfter time.Duration // maximum Retry-After in responses; 0: none is sent
 
-	RetryBudgetRatio   float64       // retries per accepted query and part; 0: the tenants' ratios apply
+	RetryBudgetRatio   float64       // retries per accepted query and part; 0: the weighted mean of the tenants' ratios applies
 	RetryBudgetMinimum float64       // retries within RetryBudgetWindow in addition to that ratio
 	RetryBudgetWindow  time.Duration // time over which retries are limited
 
 	SlowStartDuration time.Duration // time until a store that starts has its full capacity; 0: no slow start
 	SlowStartFraction float64       // fraction of its capacity that a store has when it starts
-	OverloadFactor    float64       // load above this multiple of its capacity overloads a store during slow start
-	OverloadDuration  time.Duration // time for which such a store withstands the overload
+	OverloadFactor    float64       // a store that starts fails if its load exceeds this multiple of its capacity for OverloadDuration
+	OverloadDuration  time.Duration // see OverloadFactor
 }
 
 // Tenant is the quota and the retry ratio of a team.
 type Tenant struct {
 	Name             string
 	QueriesPerSecond float64 // quota of queries at full weight; 0: unlimited
-	RetryRatio       float64 // retries per query and part of the tenant; 0: only MaxAttempts applies
+	RetryRatio       float64 // retries per query and part; enters the weighted mean that applies if Limits.RetryBudgetRatio is 0
 }
 
 // Index is a searchable index.
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -94,16 +94,16 @@
 // TestFaults checks that a fault names the file, line, section and key, and says what is expected.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
-		{"reach = 2", "reach = 3", "doc:5: layout.reach: 3 is more than layout.cells (2): expected at most that"},
+		{"reach = 2", "reach = 3", "doc:5: layout.reach: is 3, but must be at most layout.cells (2)"},
 		{"max_open = 150", "max_opn = 150", "doc:8: limits.max_opn: unknown key"},
-		{"give_up = 4s", "give_up = 1s", "doc:18: class sales/lookup.give_up: 1s is less than aim (1.5s): expected at least that"},
+		{"give_up = 4s", "give_up = 1s", "doc:18: class sales/lookup.give_up: is 1s, but must be at least aim (1.5s)"},
 		{"[team sales]", "[team finance]", "doc:16: class sales/lookup: there is no section [team sales]: expected the name of a team before the /"},
 		{"window = 3s", "", "doc:21: class quote-save.window: required with effect = keyed: expected the time for which stores drop repeated requests, such as 3s"},
 		{"effect = keyed", "", "doc:25: class quote-save.window: expected only in a class with effect = keyed"},
-		{"least = 0.5", "least = 0.95", "doc:28: class quote-save.least: 0.95 is more than need (0.9): expected at most that"},
+		{"least = 0.5", "least = 0.95", "doc:28: class quote-save.least: is 0.95, but must be at most need (0.9)"},
 		{"aim = 1s", "", "doc:21: class quote-save.aim: is missing"},
 		{"class = sales/lookup", "class = lookup", "doc:31: index catalogue.class: there is no section [class lookup]: expected the name of a class"},
-		{"class = sales/lookup", "class = quote-save", "doc:31: index catalogue.class: expected a class with effect = safe, since searches can always be repeated safely"},
+		{"class = sales/lookup", "class = quote-save", "doc:31: index catalogue.class: class quote-save does not have effect = safe, which an index needs, since searches can always be repeated safely"},
 		{"slices = 0-2", "slices = 0-4", "doc:32: index catalogue.slices: 4 is not below 4"},
 		{"[index catalogue]", "[index Catalogue]", "doc:30: index Catalogue: invalid name: expected up to 255 lower-case letters, digits, -, _ and ., the first a letter or digit"},
 		{"[class quote-save]", "[class quote/save/x]", "doc:21: class quote/save/x: invalid name: expected NAME or TEAM/NAME, each of up to 64 letters, digits, - and _, the first a letter or digit"},
@@ -153,7 +153,8 @@
 	assert.ErrorContains(t, err, "class quote-save.effect")
 }
 
-// FuzzParse checks that every document that parses has valid settings. Otherwise an accepted change could not be activated.
+// FuzzParse checks that every document with classes that parses has valid settings. Otherwise an accepted change could not
+// be activated.
 func FuzzParse(f *testing.F) {
 	f.Add(validText)
 	f.Fuzz(func(t *testing.T, text string) {
--- a/document/parse.go
+++ b/document/parse.go
@@ -35,7 +35,7 @@
 // text by name.
 func Parse(name, text string) (*Document, error) {
 	if len(text) > MaxSize {
-		return nil, inifile.Faults{{File: name, Message: fmt.Sprintf("is larger than %d bytes, the maximum size of a document", MaxSize)}}
+		return nil, inifile.Faults{{File: name, Message: fmt.Sprintf("has %d bytes; the maximum size of a document is %d", len(text), MaxSize)}}
 	}
 	file := inifile.Read(name, text)
 	if !file.Malformed() {
@@ -48,7 +48,8 @@
 	return d, nil
 }
 
-// SharedText returns the text of a file's shared sections, including the comments within them.
+// SharedText returns the text of a file's shared sections, each from its title to the next title. A comment above a title
+// thus belongs to the section before it, and one above the first title is left out.
 func SharedText(file *inifile.File) string {
 	var out strings.Builder
 	lines := strings.SplitAfter(file.Text, "\n")
@@ -70,7 +71,7 @@
 	}
 	// The file of an instance may be larger than a document, since only its shared sections count.
 	if size := len(SharedText(file)); size > MaxSize {
-		file.Section("layout").Fault("", "the shared sections are larger than %d bytes, the maximum size of a document", MaxSize)
+		file.Section("layout").Fault("", "the shared sections have %d bytes; the maximum size of a document is %d", size, MaxSize)
 	}
 	d.readLayout(file.Section("layout"))
 	d.readLimits(file.Section("limits"))
@@ -104,7 +105,7 @@
 		ReplicationFactor: s.Int("reach", 1, 1, maxShards),
 	}
 	if d.Layout.ReplicationFactor > d.Layout.RingSize {
-		s.Fault("reach", "%d is more than layout.cells (%d): expected at most that", d.Layout.ReplicationFactor, d.Layout.RingSize)
+		s.Fault("reach", "is %d, but must be at most layout.cells (%d)", d.Layout.ReplicationFactor, d.Layout.RingSize)
 	}
 	s.CheckUnused()
 }
@@ -161,13 +162,13 @@
 	class.MinCoverage = s.Float("least", class.RequiredCoverage, 0.001, 1)
 	switch {
 	case timeout < objective:
-		s.Fault("give_up", "%v is less than aim (%v): expected at least that", timeout, objective)
+		s.Fault("give_up", "is %v, but must be at least aim (%v)", timeout, objective)
 	case idempotency == policy.IdempotentByKey && window == 0:
 		s.Fault("window", "required with effect = keyed: expected the time for which stores drop repeated requests, such as 3s")
 	case idempotency != policy.IdempotentByKey && window != 0:
 		s.Fault("window", "expected only in a class with effect = keyed")
 	case class.MinCoverage > class.RequiredCoverage:
-		s.Fault("least", "%v is more than need (%v): expected at most that", class.MinCoverage, class.RequiredCoverage)
+		s.Fault("least", "is %v, but must be at most need (%v)", class.MinCoverage, class.RequiredCoverage)
 	}
 	d.Classes = append(d.Classes, class)
 	s.CheckUnused()
@@ -198,7 +199,7 @@
 	case !found:
 		s.Fault("class", "there is no section [class %s]: expected the name of a class", index.Class)
 	case class.Idempotency != policy.Idempotent:
-		s.Fault("class", "expected a class with effect = safe, since searches can always be repeated safely")
+		s.Fault("class", "class %s does not have effect = safe, which an index needs, since searches can always be repeated safely", index.Class)
 	}
 	d.Indices = append(d.Indices, index)
 	s.CheckUnused()
--- a/document/settings.go
+++ b/document/settings.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	tickInterval = 5 * time.Millisecond   // time between two reviews of pending decisions
+	tickInterval = 5 * time.Millisecond   // resolution of the broker's timers
 	answerSlack  = 4 * tickInterval       // maximum time after its deadline at which a query is answered
 	drainGrace   = 500 * time.Millisecond // time for which attempts may still be sent to a store that drains
 	maxBatchSize = 1                      // maximum number of parts in a call to a store
@@ -60,7 +60,8 @@
 }
 
 // retryBudgetRatio returns the ratio of the one retry budget that package policy keeps: the limits' own ratio, or else
-// the mean of the tenants' ratios, weighted by their quotas.
+// the mean of the tenants' ratios, weighted by their quotas. A tenant without a quota, or with one below 1 query/s, has
+// weight 1.
 func (d *Document) retryBudgetRatio() float64 {
 	if d.Limits.RetryBudgetRatio > 0 {
 		return d.Limits.RetryBudgetRatio
@@ -91,7 +92,7 @@
 			return base, inifile.Fault{
 				File:     "agreed document",
 				Location: "class " + baseClass.Name + ".effect",
-				Message:  "expected the effect configured for the platform's front",
+				Message:  "differs from the effect in the platform's configuration: the two must be equal",
 			}
 		}
 		documentClass.FetchParts = baseClass.FetchParts
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -127,7 +127,7 @@
 	r.waitUntilServing(6, "n1", "n2", "n3")
 	for what, text := range map[string]string{ // a document that one front cannot serve is activated nowhere
 		"index catalogue: no store here holds slice 1":            strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 2\ncells = 2", 1),
-		"expected the effect configured for the platform's front": "[class lookup]\naim = 1s\ngive_up = 2s\neffect = keyed\nwindow = 3s\n",
+		"differs from the effect in the platform's configuration": "[class lookup]\naim = 1s\ngive_up = 2s\neffect = keyed\nwindow = 3s\n",
 		"index catalogue.slices: 1 is not below 1":                strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 1", 1),
 		"settings: Classes is empty":                              "[layout]\nslices = 2\n",
 	} {
--- a/raftnode/recovery_test.go
+++ b/raftnode/recovery_test.go
@@ -76,7 +76,7 @@
 	c.listenAgain(&config)
 	_, err = Open(config)
 	require.Error(t, err)
-	assert.Contains(t, err.Error(), "is corrupt")
+	assert.Contains(t, err.Error(), "cannot read snapshot "+metas[0].ID)
 	assert.NotContains(t, err.Error(), "\n")
 	assert.NotErrorIs(t, err, os.ErrNotExist)
 }
--- a/sharedconfig/actions.go
+++ b/sharedconfig/actions.go
@@ -1,11 +1,11 @@
 package sharedconfig
 
-// Action is an output of a Core or Follower. Only types of this package implement it. The caller carries out actions in
-// the order in which they are returned.
+// Action is an output of a Core or Follower. Only types of this package implement it. The caller starts the actions in
+// the order in which they are returned; those that wait for the log or the network may end in any order.
 type Action interface{ action() }
 
-// AppendEntry appends an entry to the Raft log. EntriesApplied reports that the entry was applied, and AppendFailed
-// with the same request ID that appending failed.
+// AppendEntry appends an entry to the Raft log. EntriesApplied reports that the entry was applied. AppendFailed with the
+// same request ID reports that it was not appended, or that this is unknown.
 type AppendEntry struct {
 	Entry     Entry
 	RequestID string // empty: failures are not reported
@@ -30,7 +30,7 @@
 // one VerifyLeadershipResult.
 type VerifyLeadership struct{ Seq uint64 }
 
-// LeaseReply answers a LeaseRequested event. It is sent as JSON to the member that requested the lease.
+// LeaseReply answers a LeaseRequested event. It is sent as JSON to the instance that requested the lease.
 type LeaseReply struct {
 	CallID  uint64 `json:"Call"`
 	OK      bool   `json:"OK"`
@@ -46,8 +46,8 @@
 	Remove bool
 }
 
-// WaitForCatchUp waits until a member without a vote has applied all entries that are committed by now. It is answered
-// by at most one CaughtUp.
+// WaitForCatchUp waits, for at most Settings.CheckTimeout, until a member without a vote has applied all entries that are
+// committed by now. It is answered by at most one CaughtUp.
 type WaitForCatchUp struct{ Member Member }
 
 // Activate makes this instance serve a new active version.
@@ -62,7 +62,7 @@
 // PollVoter sends a poll to a voter. It is answered by one PollReply, by one PollFailed or not at all.
 type PollVoter struct {
 	Seq     uint64
-	Voter   Member // only Addr is set if the voter is known from the settings alone
+	Voter   Member // Name and DirectoryID are empty if only the address is known
 	Request PollRequest
 }
 
--- a/sharedconfig/changes.go
+++ b/sharedconfig/changes.go
@@ -20,7 +20,7 @@
 	rejectedBy        string       // name of the member of firstRejection
 
 	decisionSubmitted bool // the entry that decides the change was sent to the log
-	decisionAccepts   bool // that entry commits the change
+	decisionAccepts   bool // that entry accepts the change
 }
 
 // handleChangeRequested queues a change. A request whose outcome is recorded is answered at once, and a repeated
@@ -49,7 +49,7 @@
 	switch outcome.Status {
 	case StatusPending:
 		current.proposalApplied = true
-	case StatusBusy: // a change of an earlier leader is pending and is decided first
+	case StatusBusy: // another change is pending and is decided first
 		c.requeueCurrentChange()
 	case StatusUnknown: // the entry decided nothing
 	default:
@@ -101,12 +101,13 @@
 	c.startCheck()
 }
 
-// resumePendingChange takes over a change that an earlier leader proposed but did not decide.
+// resumePendingChange takes up a change that was proposed but not decided, either by an earlier leader or by this one
+// before an append failed.
 func (c *Core) resumePendingChange() {
 	if c.state.PendingChange == nil {
 		return
 	}
-	c.logf("change %s is pending from an earlier term: checking it again", c.state.PendingChange.RequestID)
+	c.logf("change %s is proposed but not decided: checking it again", c.state.PendingChange.RequestID)
 	c.currentChange = &changeInProgress{Change: *c.state.PendingChange, proposalApplied: true}
 }
 
@@ -188,9 +189,11 @@
 	}
 }
 
-// decideCurrentChange commits or rejects the current change once its check has ended: a member has rejected it, no
-// reply is outstanding, or the deadline has passed. A change that no majority of the voters accepted is rejected: a
-// leader that is cut off from the voters would otherwise learn only later that it cannot commit the change.
+// decideCurrentChange accepts or rejects the current change once its check has ended: a member has rejected it, no reply
+// is outstanding, or the deadline has passed. A rejection by any member, with or without a vote, rejects the change.
+// Members that do not reply in time do not block it, but a majority of the voters must accept it. Otherwise a change
+// that few voters have checked could become active, and a leader that is cut off from the voters would submit an
+// acceptance that it cannot commit.
 func (c *Core) decideCurrentChange() {
 	current := c.currentChange
 	if current == nil || current.outstandingChecks == nil || current.decisionSubmitted {
@@ -213,7 +216,8 @@
 	c.emit(AppendEntry{Entry: Entry{Decide: &decision}, RequestID: current.RequestID})
 }
 
-// newerVersionMayBeActive reports whether the current change may already be committed although it is not applied here.
+// newerVersionMayBeActive reports whether the entry that accepts the current change may be committed although it is not
+// applied here. The version that the change creates is then active already.
 func (c *Core) newerVersionMayBeActive() bool {
 	return c.currentChange != nil && c.currentChange.decisionSubmitted && c.currentChange.decisionAccepts
 }
--- a/sharedconfig/core.go
+++ b/sharedconfig/core.go
@@ -5,10 +5,10 @@
 // Reasons in replies to callers.
 const (
 	reasonNotLeader      = "this instance is not the leader"
+	reasonNotReadyLeader = "this instance is not the leader, or is a new leader that has not applied all earlier entries yet; repeat the request"
 	reasonLeadershipLost = "this instance lost the leadership before the outcome was known"
-	reasonAppendFailed   = "cannot append an entry to the log, or the result is unknown"
+	reasonAppendFailed   = "the log did not confirm the entry, which may still be committed; repeat the request with the same request ID"
 	reasonChangeTimedOut = "the change was not decided before the timeout"
-	reasonNotCommitted   = "the membership change was not committed before the timeout"
 )
 
 // Core makes the decisions of one member of the group. Its methods must not be called concurrently.
@@ -19,8 +19,8 @@
 	members  []Member
 	lease    Lease
 
-	ownLeaseRequests       map[uint64]Micros // send times of the requests that may still be answered, by sequence number
-	lastOwnLeaseRequestSeq uint64            // sequence number of the latest request
+	ownLeaseRequests       map[uint64]Micros // send times of this instance's requests that may still be answered, by sequence number
+	lastOwnLeaseRequestSeq uint64            // sequence number of this instance's latest request
 	lastOwnLeaseRequestAt  Micros            // send time of that request
 
 	term        uint64
@@ -39,7 +39,7 @@
 	verificationSeq        uint64           // sequence number of the verification in progress; 0: none
 
 	membershipChange       *membershipChange // in progress; nil: none
-	leaseRequestReceivedAt map[string]Micros // time of each member's latest lease request, by directory ID
+	leaseRequestReceivedAt map[string]Micros // time of the latest lease request of each instance, by directory ID
 	catchUpWaitStartedAt   map[string]Micros // time of the latest WaitForCatchUp for each member, by directory ID
 }
 
@@ -143,7 +143,7 @@
 	clear(c.catchUpWaitStartedAt)
 }
 
-// failPendingCalls answers all calls that wait for this instance, which is no longer the leader.
+// failPendingCalls answers all calls that wait for this instance, since its leadership of the term has ended.
 func (c *Core) failPendingCalls() {
 	c.abandonCurrentChange(reasonLeadershipLost)
 	for _, queued := range c.queuedChanges {
--- a/sharedconfig/datadir.go
+++ b/sharedconfig/datadir.go
@@ -16,18 +16,18 @@
 	Err       error  // why the snapshot cannot be read; nil: it is intact
 }
 
-// Validate returns an error if the instance must not start from the data directory. An older snapshot can replace a
-// corrupt one only if the log continues from it: across a gap, the instance would reach a state that never existed.
+// Validate returns an error if the instance must not start from the data directory. An older snapshot can replace an
+// unreadable one only if the log continues from it: across a gap, the instance would reach a state that never existed.
 func (d DataDirectory) Validate() error {
-	var corrupt error
+	var unreadable error
 	for _, snapshot := range d.Snapshots {
 		if snapshot.Err == nil {
-			return d.checkStart(snapshot, corrupt)
+			return d.checkStart(snapshot, unreadable)
 		}
-		corrupt = fmt.Errorf("snapshot %s is corrupt: %w", snapshot.Name, snapshot.Err)
+		unreadable = fmt.Errorf("cannot read snapshot %s: %w", snapshot.Name, snapshot.Err)
 	}
-	if corrupt != nil && d.FirstIndex != 1 {
-		return corrupt
+	if unreadable != nil && d.FirstIndex != 1 {
+		return unreadable
 	}
 	if d.FirstIndex > 1 {
 		return fmt.Errorf("the log begins at index %d, and no snapshot has the entries before it", d.FirstIndex)
@@ -35,17 +35,17 @@
 	return nil
 }
 
-// checkStart returns an error if the instance must not start from snapshot, its newest intact one. corrupt is the error
-// of the corrupt snapshot that is newer, or nil if there is none.
-func (d DataDirectory) checkStart(snapshot SnapshotInfo, corrupt error) error {
+// checkStart returns an error if the instance must not start from snapshot, its newest intact one. unreadable is the
+// error of the unreadable snapshot that is newer, or nil if there is none.
+func (d DataDirectory) checkStart(snapshot SnapshotInfo, unreadable error) error {
 	hasGap := d.LastIndex > 0 && d.FirstIndex > snapshot.LastIndex+1
 	switch {
-	case hasGap && corrupt != nil:
-		return fmt.Errorf("%w; the next older snapshot ends at index %d, but the log begins at index %d", corrupt, snapshot.LastIndex, d.FirstIndex)
+	case hasGap && unreadable != nil:
+		return fmt.Errorf("%w; the next older snapshot ends at index %d, but the log begins at index %d", unreadable, snapshot.LastIndex, d.FirstIndex)
 	case hasGap:
 		return fmt.Errorf("the log begins at index %d, but snapshot %s ends at index %d", d.FirstIndex, snapshot.Name, snapshot.LastIndex)
 	case d.LastIndex == 0:
-		return corrupt
+		return unreadable
 	}
 	return nil
 }
--- a/sharedconfig/datadir_test.go
+++ b/sharedconfig/datadir_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDataDirectoryValidate checks that an instance does not start from a data directory with missing entries or a corrupt
-// snapshot, from which it would reach a state that never existed.
+// TestDataDirectoryValidate checks that an instance does not start from a data directory with missing entries or an
+// unreadable snapshot, from which it would reach a state that never existed.
 func TestDataDirectoryValidate(t *testing.T) {
-	errChecksum := errors.New("bad")
+	errRead := errors.New("bad")
 	intact9 := SnapshotInfo{Name: "a", LastIndex: 9}
-	corrupt15 := SnapshotInfo{Name: "b", LastIndex: 15, Err: errChecksum}
+	unreadable15 := SnapshotInfo{Name: "b", LastIndex: 15, Err: errRead}
 	for name, c := range map[string]struct {
 		directory DataDirectory
 		want      string // error; empty: none
@@ -38,23 +38,23 @@
 			directory: DataDirectory{FirstIndex: 3, LastIndex: 20},
 			want:      "the log begins at index 3, and no snapshot has the entries before it",
 		},
-		"corrupt snapshot, log continues the older one": {
-			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15, intact9}},
+		"unreadable snapshot, log continues the older one": {
+			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{unreadable15, intact9}},
 		},
-		"corrupt snapshot, gap between the older one and the log": {
-			directory: DataDirectory{FirstIndex: 12, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15, intact9}},
-			want:      "snapshot b is corrupt: bad; the next older snapshot ends at index 9, but the log begins at index 12",
+		"unreadable snapshot, gap between the older one and the log": {
+			directory: DataDirectory{FirstIndex: 12, LastIndex: 20, Snapshots: []SnapshotInfo{unreadable15, intact9}},
+			want:      "cannot read snapshot b: bad; the next older snapshot ends at index 9, but the log begins at index 12",
 		},
-		"corrupt snapshot, no log": {
-			directory: DataDirectory{Snapshots: []SnapshotInfo{corrupt15, intact9}},
-			want:      "snapshot b is corrupt: bad",
+		"unreadable snapshot, no log": {
+			directory: DataDirectory{Snapshots: []SnapshotInfo{unreadable15, intact9}},
+			want:      "cannot read snapshot b: bad",
 		},
-		"corrupt snapshot, complete log": {
-			directory: DataDirectory{FirstIndex: 1, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15}},
+		"unreadable snapshot, complete log": {
+			directory: DataDirectory{FirstIndex: 1, LastIndex: 20, Snapshots: []SnapshotInfo{unreadable15}},
 		},
-		"corrupt snapshot, log without a beginning": {
-			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{corrupt15}},
-			want:      "snapshot b is corrupt: bad",
+		"unreadable snapshot, log without a beginning": {
+			directory: DataDirectory{FirstIndex: 5, LastIndex: 20, Snapshots: []SnapshotInfo{unreadable15}},
+			want:      "cannot read snapshot b: bad",
 		},
 	} {
 		err := c.directory.Validate()
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -16,11 +16,11 @@
 // Bootstrap creates a group with its first version.
 type Bootstrap struct {
 	GroupID     string `json:"group"`
-	MaxVersions int    `json:"keep"` // number of versions retained in the history
+	MaxVersions int    `json:"keep"` // maximum number of versions retained
 	FirstChange Change `json:"first"`
 }
 
-// Decision commits or rejects the pending change.
+// Decision accepts or rejects the pending change.
 type Decision struct {
 	RequestID  string `json:"request"`
 	Accept     bool   `json:"accept"`
--- a/sharedconfig/events.go
+++ b/sharedconfig/events.go
@@ -3,8 +3,8 @@
 // Event is an input of a Core or Follower. Only types of this package implement it.
 type Event interface{ event() }
 
-// EntriesApplied reports that this instance has applied entries of the log. It carries the resulting state and the
-// outcomes of the changes that the entries concern.
+// EntriesApplied reports that this instance has applied entries of the log or has restored a snapshot. It carries the
+// resulting state and the outcomes of the changes that the entries concern; a snapshot has none.
 type EntriesApplied struct {
 	State    State
 	Outcomes []Outcome
@@ -43,10 +43,11 @@
 	Reason      string // why the change was rejected or there is no reply
 }
 
-// LeaseRequested is a member's request for a lease. It is answered by one LeaseReply.
+// LeaseRequested is an instance's request for a lease. The instance need not be a member. It is answered by one
+// LeaseReply.
 type LeaseRequested struct {
 	CallID      uint64
-	DirectoryID string // of the member
+	DirectoryID string // of the instance
 }
 
 // VerifyLeadershipResult is the result of VerifyLeadership: whether a majority confirmed that this instance is the
--- a/sharedconfig/follower.go
+++ b/sharedconfig/follower.go
@@ -12,14 +12,15 @@
 // Follower makes the decisions of an instance outside the Raft group, of which there may be hundreds. It polls one
 // voter at a time for the active version and a lease. Its lease ends no later than the voter's, since the remaining
 // duration that the voter reports counts from the time at which the poll was sent. The staleness bound therefore holds
-// for followers too, without load on the leader. Its methods must not be called concurrently.
+// for followers too, without a verification of the leadership for each poll. Its methods must not be called
+// concurrently.
 type Follower struct {
 	stepState
 	settings      Settings
-	seedVoters    []Member // from the settings; only Addr is set
+	seedVoters    []Member // known by address only: Name and DirectoryID are empty
 	knownVoters   []Member // from the latest reply that listed any
 	active        Version
-	groupID       string // empty before the first reply
+	groupID       string // empty before the first reply that grants a lease
 	loggedGroupID string // ID of the other group that was logged last
 	lease         Lease
 	pendingPolls  map[uint64]pendingPoll // by sequence number
@@ -54,7 +55,7 @@
 // Active returns the latest version that this instance knows.
 func (f *Follower) Active() Version { return f.active }
 
-// GroupID returns the ID of the group that this instance follows. It is empty before the first reply.
+// GroupID returns the ID of the group that this instance follows. It is empty before the first reply that grants a lease.
 func (f *Follower) GroupID() string { return f.groupID }
 
 // Voters returns the known voters in this instance's order of preference.
--- a/sharedconfig/follower_voters.go
+++ b/sharedconfig/follower_voters.go
@@ -8,9 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// votersByPreference returns the voters in the order in which this instance polls them. The order is derived from a
-// hash of the directory ID, which spreads the instances over the voters. Voters that failed within the staleness bound
-// come last, the earliest failure first. Seed voters are included only if all known voters have failed.
+// votersByPreference returns the voters in the order in which this instance polls them. The order is that of a
+// rendezvous hash of the directory ID and the voter's address, which spreads the instances over the voters. Voters that
+// failed within the staleness bound come last, the earliest failure first. Seed voters are included only if all known
+// voters have failed within the bound, or if none is known.
 func (f *Follower) votersByPreference() []Member {
 	voters := slices.Clone(f.knownVoters)
 	hasWorkingVoter := slices.ContainsFunc(voters, func(voter Member) bool { return !f.failedRecently(voter) })
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// handleRemoveMemberRequested removes a member. It retires the member's directory ID first, so that the instance cannot
-// become a member again even if the removal itself fails.
+// handleRemoveMemberRequested removes a member. It also retires the member's directory ID, so that the instance cannot
+// become a member again, and so that a leader completes the removal if it fails at first. The two steps run
+// concurrently: either may be committed first, or without the other.
 func (c *Core) handleRemoveMemberRequested(e RemoveMemberRequested) {
 	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
@@ -62,7 +63,7 @@
 func (c *Core) checkMembershipRequest(callID uint64) bool {
 	switch {
 	case !c.leading || !c.leaderReady:
-		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotLeader}})
+		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotReadyLeader}})
 		return false
 	case c.membershipChange != nil:
 		reason := "the membership change of " + c.membershipChange.member.Name + " is in progress"
@@ -111,9 +112,8 @@
 	c.membershipChange = nil
 }
 
-// advanceMembership removes members whose directory ID is retired, and asks members without a vote to report when they
-// have caught up, including those of an earlier leader's changes. It also ends a membership change whose deadline has
-// passed.
+// advanceMembership removes members whose directory ID is retired, and starts to wait for members without a vote to
+// catch up, including those of an earlier leader's changes. It also ends a membership change whose deadline has passed.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
 		isRetired := c.state.IsRetired(member.DirectoryID)
@@ -128,7 +128,7 @@
 	c.expireMembershipChange()
 }
 
-// waitForCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
+// waitForCatchUp starts to wait for a member without a vote to catch up with the log, and starts again after each check
 // timeout.
 func (c *Core) waitForCatchUp(member Member) {
 	requestedAt, requested := c.catchUpWaitStartedAt[member.DirectoryID]
@@ -144,14 +144,14 @@
 	if change == nil || c.now < change.deadline {
 		return
 	}
-	reason := reasonNotCommitted
+	reason := "the membership change of " + change.member.Name + " was not confirmed before the timeout and may still be committed; list the members before repeating it"
 	if change.seq == 0 {
 		reason = change.member.Name + " is a member without a vote: it did not catch up with the log before the timeout and becomes a voter once it has"
 	}
 	c.finishMembershipChange(StatusUnknown, reason)
 }
 
-// handleCaughtUp makes a member a voter. If another membership change is in progress, the member is asked again later.
+// handleCaughtUp makes a member a voter. If another membership change is in progress, a later CaughtUp does so.
 func (c *Core) handleCaughtUp(e CaughtUp) {
 	member, isMember := c.findMember(func(m Member) bool { return m.DirectoryID == e.DirectoryID })
 	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.DirectoryID) {
@@ -160,7 +160,7 @@
 	member.Voter = true
 	change := c.membershipChange
 	switch {
-	case change == nil: // an earlier leader added it
+	case change == nil: // an earlier leader added it, or its change timed out
 		c.beginMembershipChange(membershipChange{member: member})
 	case change.seq == 0 && change.member.DirectoryID == member.DirectoryID:
 		change.member = member
--- a/sharedconfig/model_faults_test.go
+++ b/sharedconfig/model_faults_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// requestChange requests a new change or repeats an earlier one, mostly from the leader. It may request a second change
-// based on the same version at the same time.
+// requestChange sends a node, mostly the leader, a new change or an earlier one again. It may send a second change based
+// on the same version with it.
 func (m *model) requestChange() {
 	m.nextID++
 	change := m.newChange(m.stateAfter(len(m.log)).Active().Number)
--- a/sharedconfig/model_invariants_test.go
+++ b/sharedconfig/model_invariants_test.go
@@ -18,8 +18,7 @@
 }
 
 // TestModel checks in random runs with faults that no instance serves a version for longer than the staleness bound
-// after it was replaced, that a change has one outcome on all instances, and that callers are answered with that
-// outcome.
+// after it was replaced, that no change creates two versions, and that callers are answered with the recorded outcome.
 func TestModel(t *testing.T) {
 	done, rejected, unknown := 0, 0, 0
 	longestStaleness := Micros(0)
@@ -63,7 +62,7 @@
 	count := map[string]int{}
 	for _, version := range versions {
 		count[version.RequestID]++
-		require.Equal(t, 1, count[version.RequestID], "seed %d: change %s was committed twice", seed, version.RequestID)
+		require.Equal(t, 1, count[version.RequestID], "seed %d: change %s was accepted twice", seed, version.RequestID)
 	}
 }
 
--- a/sharedconfig/poll.go
+++ b/sharedconfig/poll.go
@@ -9,8 +9,8 @@
 }
 
 // NewPollReply returns a voter's reply to a poll: the active version and the remaining duration of the voter's lease,
-// if the lease covers that version. The caller must read the state before the lease: a grant for a newer version does
-// not cover an older one.
+// if the lease covers that version. The state and the lease may be of different times. A grant for a newer version does
+// not cover an older one, so the reply may lack a lease if the state is the older of the two.
 func NewPollReply(state State, lease Lease, now Micros, members []Member, request PollRequest) PollReply {
 	active := state.Active()
 	if !lease.Covers(now, active.Number) {
--- a/sharedconfig/records.go
+++ b/sharedconfig/records.go
@@ -1,6 +1,6 @@
 package sharedconfig
 
-// Version is one committed version of the document.
+// Version is the active version of the document or an earlier one.
 type Version struct {
 	Number            uint64 `json:"number"` // from 1
 	Digest            string `json:"digest"`
@@ -27,26 +27,26 @@
 // Status is the status of a change or of a membership change.
 type Status string
 
-// The values of Status.
+// The values of Status. After StatusDone, other instances may still serve the previous version within the staleness bound.
 const (
 	StatusUnknown  Status = ""         // this instance knows no outcome; the request may be repeated
-	StatusDone     Status = "done"     // the version is active on every instance that holds a lease for it
+	StatusDone     Status = "done"     // the change is accepted or has nothing to change, or the membership change is complete
 	StatusPending  Status = "pending"  // proposed but not decided
 	StatusConflict Status = "conflict" // based on a version other than the active one
 	StatusBusy     Status = "busy"     // another change is in progress
-	StatusRejected Status = "refused"  // rejected by an instance, or not accepted by a majority
+	StatusRejected Status = "refused"  // rejected by a member, not accepted by a majority of the voters, or not permitted
 )
 
 // Outcome is the result of a change or of a membership change.
 type Outcome struct {
 	RequestID  string `json:"request"`
 	Status     Status `json:"status"`
-	Version    uint64 `json:"version,omitempty"`  // StatusDone: number of the active version
+	Version    uint64 `json:"version,omitempty"`  // StatusDone: number of the version that the change created, or of the active one if there was nothing to change
 	RejectedBy string `json:"instance,omitempty"` // StatusRejected: name of the member that rejected the change, if any did
 	Reason     string `json:"why,omitempty"`      // explanation for operators
 }
 
-// Member is an instance of the group.
+// Member is an instance in the Raft group.
 type Member struct {
 	Name        string `json:"name"`
 	DirectoryID string `json:"folder"` // ID of the data directory: the member gets another one with a new data directory
--- a/sharedconfig/settings.go
+++ b/sharedconfig/settings.go
@@ -3,14 +3,14 @@
 // Settings are the parameters of a Core or Follower.
 type Settings struct {
 	DirectoryID             string // ID of the data directory, preceded by the name in a Follower, which only hashes it
-	StalenessBound          Micros // maximum time for which a version is served after it was replaced
+	StalenessBound          Micros // maximum time for which a version is served after it was replaced, unless ServeWhenStale is set
 	ServeWhenStale          bool   // serve without a valid lease instead of rejecting queries
 	Removed                 bool   // an earlier run learned that this instance was removed from the group
 	LeaseRenewalInterval    Micros // time between two lease requests of a member, or two polls of a follower
-	CheckTimeout            Micros // time limit for the members to check a change
+	CheckTimeout            Micros // time limit for the members to check a change, and for a WaitForCatchUp before it is repeated
 	MembershipChangeTimeout Micros // time limit for a membership change, including the catch-up of a new member
 	ReachabilityTimeout     Micros // time after its last lease request during which a member counts as reachable
-	ChangeTimeout           Micros // time limit for a caller that waits for the decision on a change
+	ChangeTimeout           Micros // time after its proposal at which the callers of an undecided change are answered; none for a resumed change
 }
 
 // Default settings, and bounds on those that DefaultSettings derives from the staleness bound.
--- a/sharedconfig/state.go
+++ b/sharedconfig/state.go
@@ -2,16 +2,16 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 )
 
 // maxOutcomes is the maximum number of outcomes that are retained. A request that is repeated after its outcome was
-// dropped counts as a new change, which then conflicts with the active version.
+// dropped counts as a new change. If the earlier one was accepted, or any other since, it conflicts with the active
+// version; otherwise it is proposed again.
 const maxOutcomes = 1024
 
-// minMaxVersions is the minimum length of the history: the active version and the one that it replaced.
+// minMaxVersions is the lowest value of State.MaxVersions: room for the active version and the one that it replaced.
 const minMaxVersions = 2
 
 // State is the result of the log's entries up to an index. Methods return new states and never modify what a state
@@ -22,7 +22,7 @@
 	Versions            []Version `json:"versions"`          // by ascending number; the last one is active
 	PendingChange       *Change   `json:"pending,omitempty"` // proposed but not decided; nil: none
 	Outcomes            []Outcome `json:"outcomes"`          // of the latest decided changes, in the order of their decisions
-	RetiredDirectoryIDs []string  `json:"retired,omitempty"` // directory IDs of removed members
+	RetiredDirectoryIDs []string  `json:"retired,omitempty"` // directory IDs of members that were removed or are to be removed
 }
 
 // Active returns the active version. Its number is 0 before the bootstrap.
@@ -58,15 +58,15 @@
 	return Outcome{RequestID: requestID}
 }
 
-// IsRetired reports whether the instance with the given ID was removed from the group.
+// IsRetired reports whether the instance with the given directory ID was removed from the group or is to be removed.
 func (s State) IsRetired(directoryID string) bool {
 	return slices.Contains(s.RetiredDirectoryIDs, directoryID)
 }
 
 // Apply returns the state after an entry, and the outcome of the change that the entry concerns, if any.
 //
-// The result depends on the state and the entry alone, since all replicas must get the same one. That includes the
-// texts of outcomes, which are stored: replicas of different releases would diverge if a text changed.
+// The result depends on the state and the entry alone, since all members must get the same one. That includes the texts
+// of outcomes, which are stored: members of different releases would diverge if a text changed.
 func (s State) Apply(e Entry) (State, Outcome) {
 	switch {
 	case e.Bootstrap != nil && len(s.Versions) == 0:
@@ -171,11 +171,11 @@
 func (s State) Validate() error {
 	for i, v := range s.Versions {
 		if i > 0 && v.Number != s.Versions[i-1].Number+1 || v.Number == 0 {
-			return fmt.Errorf("version numbers are not consecutive at version %d", v.Number)
+			return fmt.Errorf("invalid version number %d at position %d: the numbers must be above 0 and consecutive", v.Number, i+1)
 		}
 	}
 	if len(s.Versions) > 0 && (s.GroupID == "" || s.MaxVersions < minMaxVersions) {
-		return errors.New("state has versions, but no group ID or an invalid history length")
+		return fmt.Errorf("state has versions, but group ID %q and a maximum of %d versions: expected a group ID and a maximum of at least %d", s.GroupID, s.MaxVersions, minMaxVersions)
 	}
 	return nil
 }
--- a/sharedconfig/state_test.go
+++ b/sharedconfig/state_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestStateInvariants applies random entries in random order, with repetitions. Version numbers must have no gap, a
-// request must take effect at most once, a reported outcome must not change, and copies of a state must not be
-// modified.
+// TestStateInvariants applies random entries other than retirements in random order, with repetitions. Version numbers
+// must have no gap, a request must take effect at most once, a reported outcome must not change, and the versions of an
+// earlier copy of the state must not be modified.
 func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxVersions := rapid.IntRange(2, 5).Draw(t, "max versions")
@@ -23,7 +23,7 @@
 			entry := drawEntry(t, state)
 			before, versions := state, slices.Clone(state.Versions)
 			next, outcome := state.Apply(entry)
-			require.Equal(t, versions, before.Versions, "applying an entry modified a copy of the state")
+			require.Equal(t, versions, before.Versions, "applying an entry modified the versions of an earlier copy of the state")
 			require.NoError(t, next.Validate())
 			require.LessOrEqual(t, len(next.Versions), maxVersions)
 			require.Equal(t, "g", next.GroupID)
@@ -54,14 +54,14 @@
 	}
 }
 
-// requireValidActivation checks that an entry activates at most the next version, and only by committing a pending
-// change that was not committed before. It records the request ID of the change in activatedRequests.
+// requireValidActivation checks that an entry activates at most the next version, and only by accepting a pending change
+// that was not accepted before. It records the request ID of the change in activatedRequests.
 func requireValidActivation(t *rapid.T, state, next State, entry Entry, activatedRequests map[string]bool) {
 	active := next.Active()
 	switch active.Number {
 	case state.Active().Number:
 	case state.Active().Number + 1:
-		require.False(t, activatedRequests[active.RequestID], "the change was committed twice")
+		require.False(t, activatedRequests[active.RequestID], "the change was accepted twice")
 		committed := entry.Decide != nil && entry.Decide.Accept && state.PendingChange != nil && state.PendingChange.RequestID == active.RequestID
 		require.True(t, committed, "a version is active without a proposal and its decision")
 		activatedRequests[active.RequestID] = true
