--- a/sharedconfig/lease.go
+++ b/sharedconfig/lease.go
@@ -84,7 +84,7 @@
 	case l.Covers(now, version):
 		return ""
 	case l.ExpiresAt(version) == 0:
-		return fmt.Sprintf("no leader or voter has confirmed that version %d is active: none has replied, or those that did confirmed a newer version, which this instance does not serve yet", version)
+		return fmt.Sprintf("no leader or voter has confirmed that version %d is active: none has granted a lease, or the lease covers only a newer version, which this instance does not serve yet", version)
 	}
 	return fmt.Sprintf("the lease has been expired for %d ms: no leader or voter has since confirmed that version %d is active",
 		(now-l.ExpiresAt(version))/1000, version)
--- a/sharedconfig/lease_test.go
+++ b/sharedconfig/lease_test.go
@@ -49,7 +49,7 @@
 	for reason, lease := range map[string]Lease{
 		"": granted,
 		"this instance was removed from its group": {Removed: true},
-		"no leader or voter has confirmed that version 2 is active: none has replied, or those that did confirmed a newer version, which this instance does not serve yet": {},
+		"no leader or voter has confirmed that version 2 is active: none has granted a lease, or the lease covers only a newer version, which this instance does not serve yet": {},
 	} {
 		assert.Equal(t, reason, lease.NotCoveredReason(9, 2))
 	}
