--- a/sharedconfig/model_followers_test.go
+++ b/sharedconfig/model_followers_test.go
@@ -16,9 +16,9 @@
 	servedSteps int // number of steps in which it could serve
 }
 
-func newModelFollower(instanceID string, voters []string, clockOffset Micros) *modelFollower {
+func newModelFollower(directoryID string, voters []string, clockOffset Micros) *modelFollower {
 	return &modelFollower{
-		Follower:    NewFollower(DefaultSettings(instanceID, modelStalenessBound, false), voters, Version{}),
+		Follower:    NewFollower(DefaultSettings(directoryID, modelStalenessBound, false), voters, Version{}),
 		clockOffset: clockOffset,
 	}
 }
@@ -37,7 +37,7 @@
 		f.pausedUntil = m.now + Micros(m.rng.IntN(int(3*modelStalenessBound)))
 	case 1: // restarted with an empty data directory
 		servedSteps := f.servedSteps
-		*f = *newModelFollower(f.settings.InstanceID, []string{"a1", "a0"}, f.clockOffset)
+		*f = *newModelFollower(f.settings.DirectoryID, []string{"a1", "a0"}, f.clockOffset)
 		f.servedSteps = servedSteps
 	}
 	if f.pausedUntil > m.now {
