--- a/broker/terms.go
+++ b/broker/terms.go
@@ -28,7 +28,7 @@
 // Check returns an error if a broker cannot serve by the terms.
 func (t *Terms) Check() error {
 	for _, class := range t.Settings.Classes {
-		if class.FetchParts > 0 {
+		if class.MaxFetchParts > 0 {
 			return fmt.Errorf("class %s: %w", class.Name, ErrFetchPhaseUnsupported)
 		}
 	}
--- a/broker/terms_test.go
+++ b/broker/terms_test.go
@@ -12,7 +12,7 @@
 
 func TestFetchPhaseIsUnsupported(t *testing.T) {
 	settings := newSettings(policy.Idempotent)
-	settings.Classes[0].FetchParts = 1
+	settings.Classes[0].MaxFetchParts = 1
 	_, err := New(Config{Settings: settings})
 	assert.ErrorIs(t, err, ErrFetchPhaseUnsupported)
 }
@@ -53,7 +53,7 @@
 	b, _ := startBroker(t, newSettings(policy.Idempotent))
 	oldTerms := b.Terms()
 	withFetchPhase := &Terms{Version: 2, Settings: newSettings(policy.Idempotent)}
-	withFetchPhase.Settings.Classes[0].FetchParts = 1
+	withFetchPhase.Settings.Classes[0].MaxFetchParts = 1
 	require.ErrorIs(t, b.SetTerms(withFetchPhase), ErrFetchPhaseUnsupported)
 	require.Error(t, b.SetTerms(&Terms{Version: 3}))
 	_, received := submit(b, 20*time.Millisecond)
--- a/document/settings.go
+++ b/document/settings.go
@@ -77,8 +77,8 @@
 	return sum / weights
 }
 
-// Overlay returns base with its classes replaced by the document's classes of the same names. FetchParts stays that of
-// base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
+// Overlay returns base with its classes replaced by the document's classes of the same names. MaxFetchParts stays that
+// of base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
 func (d *Document) Overlay(base policy.Settings) (policy.Settings, error) {
 	classes := make([]policy.Class, len(base.Classes))
 	for i, class := range base.Classes {
@@ -94,7 +94,7 @@
 				Message:  "expected the effect configured for the platform's front",
 			}
 		}
-		own.FetchParts = class.FetchParts
+		own.MaxFetchParts = class.MaxFetchParts
 		classes[i] = own
 	}
 	base.Classes = classes
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -80,7 +80,7 @@
 		MinCoverage:         v.item("family_info.least_share", index, 1),
 		RequiredCoverage:    v.item("family_info.need_by_class", index, 1),
 		PartialWeight:       v.item("family_info.partial_earns", index, 0),
-		FetchParts:          int(v.item("family_info.fetch_parts", index, 0)),
+		MaxFetchParts:       int(v.item("family_info.fetch_parts", index, 0)),
 	}
 }
 
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -72,7 +72,7 @@
 // partialAnswerDeadline returns the time from which a query gets a partial answer if its coverage permits one. The time
 // lies before the latency objective and leaves room for a fetch phase that follows.
 func (a *Aggregator) partialAnswerDeadline(q *query) Micros {
-	if q.class.FetchParts > 0 && q.phase == firstPhase {
+	if q.class.MaxFetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
 		return q.objectiveDeadline - fetchTime - fetchReserveTicks*a.settings.Tick
 	}
@@ -97,7 +97,7 @@
 		ratio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
 		smooth(&q.class.responseTimeRatio, ratio, responseTimeRatioGain)
 	}
-	if q.phase == fetchPhase || q.class.FetchParts == 0 {
+	if q.phase == fetchPhase || q.class.MaxFetchParts == 0 {
 		a.closeQuery(q)
 		return
 	}
@@ -115,7 +115,7 @@
 	}
 	q.phase = fetchPhase
 	q.firstPhaseComplete = firstPhaseComplete
-	q.expectedFetchParts = min(answered, q.class.FetchParts)
+	q.expectedFetchParts = min(answered, q.class.MaxFetchParts)
 	q.parts = nil
 	q.usedServerIDs = nil
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -70,7 +70,7 @@
 		},
 		fetchClass: {
 			Name: "fetch", LatencyObjective: 2_000_000, Timeout: 5_000_000, PriorityWeight: 2, LateWeight: 0.1,
-			MinCoverage: 0.8, RequiredCoverage: 1, PartialWeight: 0.9, FetchParts: 3,
+			MinCoverage: 0.8, RequiredCoverage: 1, PartialWeight: 0.9, MaxFetchParts: 3,
 		},
 	}
 }
--- a/policy/invariantchecks_test.go
+++ b/policy/invariantchecks_test.go
@@ -51,11 +51,11 @@
 	if action.Complete && isIncomplete {
 		c.t.Fatalf("query %d marked complete at a coverage of %v in phase %d", action.QueryID, coverage, query.phase)
 	}
-	if query.phase == firstPhase && class.FetchParts > 0 {
+	if query.phase == firstPhase && class.MaxFetchParts > 0 {
 		query.phase = fetchPhase
 		query.firstPhaseComplete = action.Complete
 		number := c.aggregator.queriesByID[action.QueryID].Number
-		c.addParts(query, number, min(answered, class.FetchParts))
+		c.addParts(query, number, min(answered, class.MaxFetchParts))
 		return
 	}
 	c.endQuery(action.QueryID)
--- a/policy/querystate.go
+++ b/policy/querystate.go
@@ -74,7 +74,7 @@
 // The phases of a query.
 const (
 	firstPhase = 1 // the parts that arrive with the query
-	fetchPhase = 2 // the parts that the first answer asks for; see Class.FetchParts
+	fetchPhase = 2 // the parts that the first answer asks for; see Class.MaxFetchParts
 )
 
 // query is the state of an open query.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -51,9 +51,9 @@
 	// PartialWeight determines the value of a partial answer, which is PartialWeight * coverage / RequiredCoverage.
 	PartialWeight float64
 
-	// FetchParts is the maximum number of parts in the fetch phase, which follows the first Answer; 0 if there is no
+	// MaxFetchParts is the maximum number of parts in the fetch phase, which follows the first Answer; 0 if there is no
 	// fetch phase.
-	FetchParts int
+	MaxFetchParts int
 }
 
 // Tenant is one of the customers that share the servers.
