--- a/document/settings.go
+++ b/document/settings.go
@@ -78,8 +78,8 @@
 	return sum / weights
 }
 
-// Overlay returns base with its classes replaced by the document's classes of the same names. FetchParts stays that of
-// base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
+// Overlay returns base with its classes replaced by the document's classes of the same names. MaxFetchParts stays that
+// of base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
 func (d *Document) Overlay(base policy.Settings) (policy.Settings, error) {
 	classes := make([]policy.Class, len(base.Classes))
 	for i, baseClass := range base.Classes {
@@ -95,7 +95,7 @@
 				Message:  "differs from the effect in the platform's configuration: the two must be equal",
 			}
 		}
-		documentClass.FetchParts = baseClass.FetchParts
+		documentClass.MaxFetchParts = baseClass.MaxFetchParts
 		classes[i] = documentClass
 	}
 	base.Classes = classes
--- a/policy/completion.go
+++ b/policy/completion.go
@@ -73,7 +73,7 @@
 // partialAnswerDueAt returns the earliest time at which a query gets a partial answer if its coverage may still
 // improve. The time lies before the latency objective and leaves room for a fetch phase that follows.
 func (a *Aggregator) partialAnswerDueAt(q *query) Micros {
-	if q.class.FetchParts > 0 && q.phase == firstPhase {
+	if q.class.MaxFetchParts > 0 && q.phase == firstPhase {
 		fetchTime := Micros(fetchReserveRatio * q.class.referenceLatency)
 		return q.objectiveDeadline - fetchTime - fetchReserveTicks*a.settings.Tick
 	}
@@ -99,7 +99,7 @@
 		ratio := float64(a.now-q.arrivedAt) / max(q.predictedResponseTime, 1)
 		smooth(&q.class.responseTimeRatio, ratio, responseTimeRatioGain)
 	}
-	if q.phase == fetchPhase || q.class.FetchParts == 0 {
+	if q.phase == fetchPhase || q.class.MaxFetchParts == 0 {
 		a.closeQuery(q)
 		return
 	}
@@ -117,7 +117,7 @@
 	}
 	q.phase = fetchPhase
 	q.firstPhaseComplete = firstPhaseComplete
-	q.expectedFetchParts = min(answered, q.class.FetchParts)
+	q.expectedFetchParts = min(answered, q.class.MaxFetchParts)
 	q.parts = nil
 	q.usedServerIDs = nil
 }
