--- a/policy/aggregator.go
+++ b/policy/aggregator.go
@@ -68,12 +68,12 @@
 		queriesByNumber: map[uint64]*query{},
 		partsByID:       map[uint64]*part{},
 		fleet: fleetStats{
-			sustainedWorkRate: initialSustainedWorkRate,
-			meanUtilization:   initialUtilization,
+			peakWorkRate:    initialPeakWorkRate,
+			meanUtilization: initialUtilization,
 		},
 		connections: connectionStats{
-			freshSuccessRate: initialFreshSuccessRate,
-			idleLimitBase:    math.MaxInt64,
+			staleConfidence: initialStaleConfidence,
+			idleLimitBase:   math.MaxInt64,
 		},
 	}
 	a.applySettings(settings)
@@ -164,7 +164,7 @@
 		a.meanLatencyObjective += float64(c.LatencyObjective) / float64(len(settings.Classes))
 	}
 	if a.fleet.answerCount == 0 {
-		a.fleet.meanLatency = a.meanLatencyObjective
+		a.fleet.referenceLatency = a.meanLatencyObjective
 		a.fleet.baseLatency = a.meanLatencyObjective
 	}
 	a.lateThreshold = lateThreshold
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -22,7 +22,7 @@
 	s.inFlight = slices.DeleteFunc(s.inFlight, matches)
 	p.inFlight = slices.DeleteFunc(p.inFlight, matches)
 	p.mayHaveRun = p.mayHaveRun || !result.Status.neverRan()
-	a.recordLoad(s, result.Report)
+	a.recordLoadReport(s, result.Report)
 	a.recordAttemptResult(finished, result.Status)
 	if p.query.closed || a.partsByID[p.ID] != p || p.state != partInFlight {
 		return
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -7,17 +7,17 @@
 	// idle connections suspect.
 	suspectIdleTime = 0.4
 
-	// freshSuccessGain is the gain, 0 to 1, of freshSuccessRate.
-	freshSuccessGain = 0.40
+	// staleConfidenceGain is the gain, 0 to 1, of staleConfidence.
+	staleConfidenceGain = 0.40
 
-	// initialFreshSuccessRate is freshSuccessRate before there is any evidence.
-	initialFreshSuccessRate = 0.5
+	// initialStaleConfidence is staleConfidence before there is any evidence.
+	initialStaleConfidence = 0.5
 
-	// probablyStaleThreshold is the freshSuccessRate from which every server with suspect idle connections gets a fresh
+	// probablyStaleThreshold is the staleConfidence from which every server with suspect idle connections gets a fresh
 	// connection. Below it, at most one server gets one per mean latency objective.
 	probablyStaleThreshold = 0.5
 
-	// provenStaleThreshold is the freshSuccessRate above which all connections that have been idle beyond the idle
+	// provenStaleThreshold is the staleConfidence above which all connections that have been idle beyond the idle
 	// limit are closed before use.
 	provenStaleThreshold = 0.7
 
@@ -29,9 +29,9 @@
 // connectionStats is the evidence on whether idle connections become stale, which means that attempts on them stay
 // unanswered.
 type connectionStats struct {
-	// freshSuccessRate is the smoothed success rate, 0 to 1, of attempts on fresh connections that replaced idle ones.
+	// staleConfidence is the smoothed success rate, 0 to 1, of attempts on fresh connections that replaced idle ones.
 	// An answer on a connection that was idle for long lowers it, and a failure to connect resets it to 0.
-	freshSuccessRate float64
+	staleConfidence float64
 
 	// freshSentAt is the time at which an attempt was last sent on a fresh connection.
 	freshSentAt Micros
@@ -55,10 +55,10 @@
 	attempt.connectionResultRecorded = true
 	switch {
 	case attempt.freshConnection && status == OK:
-		smooth(&a.connections.freshSuccessRate, 1, freshSuccessGain)
+		smooth(&a.connections.staleConfidence, 1, staleConfidenceGain)
 	case status == ConnectFailed:
 		// The server cannot be reached at all, so idle connections are not the cause.
-		a.connections.freshSuccessRate = 0
+		a.connections.staleConfidence = 0
 	}
 	if status == TimedOut && float64(attempt.connectionIdleTime) > suspectIdleTime*a.meanLatencyObjective {
 		a.recordIdleConnectionTimeout(attempt)
@@ -71,7 +71,7 @@
 	if answered.connectionIdleTime >= a.connections.idleLimitBase {
 		a.connections.idleLimitBase = 2 * answered.connectionIdleTime
 		a.connections.idleLimitChangedAt = a.now
-		smooth(&a.connections.freshSuccessRate, 0, freshSuccessGain)
+		smooth(&a.connections.staleConfidence, 0, staleConfidenceGain)
 	}
 }
 
@@ -112,10 +112,10 @@
 
 // needsFreshConnection reports whether idle connections are to be closed before an attempt is sent.
 func (a *Aggregator) needsFreshConnection(sent *attempt) bool {
-	allowsFresh := a.connections.freshSuccessRate >= probablyStaleThreshold ||
+	allowsFresh := a.connections.staleConfidence >= probablyStaleThreshold ||
 		a.now-a.connections.freshSentAt > Micros(a.meanLatencyObjective)
 	if sent.server.idleConnectionsSuspect && allowsFresh {
 		return true
 	}
-	return a.connections.freshSuccessRate > provenStaleThreshold && float64(sent.connectionIdleTime) >= a.idleLimit()
+	return a.connections.staleConfidence > provenStaleThreshold && float64(sent.connectionIdleTime) >= a.idleLimit()
 }
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -35,7 +35,7 @@
 		s.idleConnectionsSuspect = false
 	}
 	if freshStatus == ConnectFailed { // a single failure to connect resets the evidence
-		a.connections.freshSuccessRate = 0.9
+		a.connections.staleConfidence = 0.9
 		a.recordConnectionResult(&attempt{server: a.sortedServers[0], freshConnection: true}, ConnectFailed)
 	}
 	h.actions = nil
@@ -56,7 +56,7 @@
 // Late attempts at busy servers look like attempts on stale connections, since fresh connections are answered there too,
 // and with many aggregators all connections are idle for long. Connections that bring answers, late or in time, must not
 // be closed, or each part costs a handshake.
-func TestLateAnswersClearIdleConnections(t *testing.T) {
+func TestIdleConnectionsThatBringAnswersAreNotClosed(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
 	h.answerQueries(idempotentClass, 30, 100_000)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,7 +12,7 @@
 
 // Each of 300 aggregators sees little of the traffic, and hedged requests add to the load of all servers. At full load,
 // they must not answer fewer queries than with each part sent to a random replica.
-func TestFleetAtFullLoadIsNoWorseThanRandomSelection(t *testing.T) {
+func TestFleetUnderHighLoadIsNoWorseThanRandomSelection(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := simfleet.Large(seed, 300, 46, 0.45)
 		p.Rate = simfleet.Burst(p.Rate, 3*second, 6*second)
@@ -81,7 +81,7 @@
 	run := func(seed uint64) simfleet.Result {
 		return simfleet.New(simfleet.Large(seed, 30, 10, 0.4)).Run(3 * second)
 	}
-	first, second, other := run(5), run(5), run(6)
-	assert.Equal(t, first, second, "runs with the same seed")
+	first, repeated, other := run(5), run(5), run(6)
+	assert.Equal(t, first, repeated, "runs with the same seed")
 	assert.NotEqual(t, first.Digest, other.Digest, "digests with different seeds")
 }
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -68,14 +68,14 @@
 	s.healthCheckDelay = a.now - s.healthCheckSentAt
 	if result.Status != OK {
 		s.loadReport = NoLoadReport
-		s.healthCheckDelay = max(s.healthCheckDelay, Micros(failedCheckDelayRatio*a.fleet.meanLatency))
+		s.healthCheckDelay = max(s.healthCheckDelay, Micros(failedCheckDelayRatio*a.fleet.referenceLatency))
 		return
 	}
 	s.respondedAt = a.now
 	if result.Report.Utilization >= 0 {
-		smooth(&a.fleet.meanUtilization, result.Report.Utilization, fleetGain)
+		smooth(&a.fleet.meanUtilization, result.Report.Utilization, averageGain)
 	}
-	a.recordLoad(s, result.Report)
+	a.recordLoadReport(s, result.Report)
 }
 
 // backlog returns the estimated wait at a server: the delay of its latest health check less the time since the check
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -31,22 +31,22 @@
 	}
 }
 
-// isLate reports whether a part's latest attempt has taken longer than the given multiple of its predicted latency, or
+// isLate reports whether a part's latest attempt has taken longer than threshold times its predicted latency, or
 // the part is a straggler.
-func (a *Aggregator) isLate(p *part, multiple float64) bool {
+func (a *Aggregator) isLate(p *part, threshold float64) bool {
 	if p.state != partInFlight || len(p.inFlight) == 0 {
 		return false
 	}
 	latest := p.latestAttempt()
-	if a.isStraggler(p, multiple) {
+	if a.isStraggler(p, threshold) {
 		return true
 	}
-	return float64(a.now-latest.sentAt) > multiple*latest.predictedLatency
+	return float64(a.now-latest.sentAt) > threshold*latest.predictedLatency
 }
 
 // isStraggler reports whether a part is one of the last of its query and has taken longer than the reference latency
 // while the latency objective is near. It reports false if hedging is not allowed or a partial answer is.
-func (a *Aggregator) isStraggler(p *part, multiple float64) bool {
+func (a *Aggregator) isStraggler(p *part, threshold float64) bool {
 	c := p.query.class
 	if !a.settings.AllowHedging || p.query.allowsPartialAnswer() {
 		return false
@@ -55,7 +55,7 @@
 	remaining := float64(p.query.objectiveDeadline - a.now)
 	return p.query.coverage >= stragglerCoverage*c.RequiredCoverage &&
 		age > c.referenceLatency &&
-		remaining < multiple*c.referenceLatency
+		remaining < threshold*c.referenceLatency
 }
 
 // hedgeOrRetry acts on a late part if there is a better replica: it sends a hedged request if that is allowed and only
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -9,7 +9,7 @@
 // acceptQuery opens a query, which is admitted or rejected once all events of the step are handled. A query of an
 // unknown class is rejected at once.
 func (a *Aggregator) acceptQuery(event Query) {
-	a.recordForBudget(&a.retryBudget.accepted)
+	a.recordForBudget(&a.retryBudget.received)
 	if a.queriesByID[event.ID] != nil {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // acceptPart adds a part to its query. Invalid parts are ignored.
 func (a *Aggregator) acceptPart(event Part) {
-	a.recordForBudget(&a.retryBudget.accepted)
+	a.recordForBudget(&a.retryBudget.received)
 	q := a.queriesByNumber[event.QueryNumber]
 	if q == nil || q.closed || !a.isValidPart(event) {
 		return
@@ -69,6 +69,6 @@
 		return 1
 	}
 	c.costHintCount++
-	smooth(&c.meanCostHint, float64(hint), max(fleetGain, 1/c.costHintCount))
+	smooth(&c.meanCostHint, float64(hint), max(averageGain, 1/c.costHintCount))
 	return math.Sqrt(float64(hint) / c.meanCostHint)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,8 +9,8 @@
 	// degradationGain is the gain, 0 to 1, of a server's latency ratio when it rises.
 	degradationGain = 0.40
 
-	// fleetGain is the gain, 0 to 1, of averages over all servers or over a class.
-	fleetGain = 0.05
+	// averageGain is the gain, 0 to 1, of averages over all servers or over a class.
+	averageGain = 0.05
 
 	// failureGain is the gain, 0 to 1, of a server's failure rate when an attempt fails.
 	failureGain = 0.33
@@ -124,9 +124,9 @@
 func (a *Aggregator) recordAnswer(s *server, c *class, latency float64) {
 	c.answerCount++
 	a.fleet.answerCount++
-	smooth(&a.fleet.meanLatency, latency, max(fleetGain, 1/(a.fleet.answerCount+objectivePriorWeight)))
-	smooth(&c.referenceLatency, latency, max(fleetGain, 1/(c.answerCount+objectivePriorWeight)))
-	a.fleet.baseLatency = min(a.fleet.baseLatency, a.fleet.meanLatency)
+	smooth(&a.fleet.referenceLatency, latency, max(averageGain, 1/(a.fleet.answerCount+objectivePriorWeight)))
+	smooth(&c.referenceLatency, latency, max(averageGain, 1/(c.answerCount+objectivePriorWeight)))
+	a.fleet.baseLatency = min(a.fleet.baseLatency, a.fleet.referenceLatency)
 	s.respondedAt = a.now
 	s.consecutiveRejections = 0
 	smooth(&s.failureRate, 0, recoveryGain)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -23,7 +23,7 @@
 
 // Broken connections make a shard's only replica an outlier. They must not cause rejections, since they end at once and
 // the parts are retried.
-func TestResetsByTheOnlyReplicaCauseNoRejections(t *testing.T) {
+func TestBrokenConnectionsOfTheOnlyReplicaCauseNoRejections(t *testing.T) {
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	a := h.aggregator
 	objective := a.settings.Classes[idempotentClass].LatencyObjective
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -22,8 +22,8 @@
 	return max(own, freshness*(reported+own-float64(s.inFlightAtReport))+(1-freshness)*own)
 }
 
-// recordLoad records a server's load report, unless the report is empty.
-func (a *Aggregator) recordLoad(s *server, report LoadReport) {
+// recordLoadReport records a server's load report, unless the report is empty.
+func (a *Aggregator) recordLoadReport(s *server, report LoadReport) {
 	if report == NoLoadReport {
 		return
 	}
@@ -31,10 +31,10 @@
 	s.loadReportAt = a.now
 	s.inFlightAtReport = len(s.inFlight)
 	if report.Queued >= 0 {
-		smooth(&a.fleet.queuedReportRate, min(report.Queued, 1), fleetGain)
+		smooth(&a.fleet.queuedReportRate, min(report.Queued, 1), averageGain)
 	}
 	if report.RequestRate > 0 && a.now > s.StartedAt+a.settings.SlowStartDuration {
-		smooth(&s.sustainedWorkRate, report.RequestRate*a.fleet.meanLatency/microsPerSecond, sustainedWorkRateGain)
-		a.fleet.sustainedWorkRate = max(a.fleet.sustainedWorkRate, s.sustainedWorkRate)
+		smooth(&s.sustainedWorkRate, report.RequestRate*a.fleet.referenceLatency/microsPerSecond, sustainedWorkRateGain)
+		a.fleet.peakWorkRate = max(a.fleet.peakWorkRate, s.sustainedWorkRate)
 	}
 }
--- a/policy/loadreports_test.go
+++ b/policy/loadreports_test.go
@@ -17,7 +17,7 @@
 
 	report := NoLoadReport
 	report.InFlight = 8
-	a.recordLoad(server, report)
+	a.recordLoadReport(server, report)
 	assert.GreaterOrEqual(t, a.predictLatency(server, p), 2*before, "with a load report")
 
 	h.now += 2 * a.classes[idempotentClass].LatencyObjective
@@ -35,7 +35,7 @@
 	report := NoLoadReport
 	report.Queued = 12
 	report.RequestRate = 40
-	a.recordLoad(busy, report)
+	a.recordLoadReport(busy, report)
 	h.actions = nil
 	for range 12 {
 		_, events := h.newQuery(idempotentClass, 1)
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -68,5 +68,5 @@
 }
 
 func (a *Aggregator) serversAreBusy() bool {
-	return a.fleet.meanUtilization > busyUtilization || a.fleet.meanLatency > busyLatencyRatio*a.fleet.baseLatency
+	return a.fleet.meanUtilization > busyUtilization || a.fleet.referenceLatency > busyLatencyRatio*a.fleet.baseLatency
 }
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -2,7 +2,7 @@
 
 // retryBudget holds the times of the events that count toward the retry budget.
 type retryBudget struct {
-	accepted []timedAmount // queries and parts
+	received []timedAmount // queries and parts
 	retries  []timedAmount
 }
 
@@ -13,11 +13,11 @@
 		return true
 	}
 	windowStart := a.now - a.settings.RetryBudgetWindow
-	a.retryBudget.accepted = dropBefore(a.retryBudget.accepted, windowStart+a.settings.Tick)
+	a.retryBudget.received = dropBefore(a.retryBudget.received, windowStart+a.settings.Tick)
 	a.retryBudget.retries = dropBefore(a.retryBudget.retries, windowStart-a.settings.Tick)
 	retries := float64(len(a.retryBudget.retries) + 1)
-	accepted := float64(len(a.retryBudget.accepted))
-	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*accepted
+	received := float64(len(a.retryBudget.received))
+	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*received
 }
 
 // recordForBudget adds the current time to one of the budget's histories. Without a budget it adds nothing, since the
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -9,10 +9,10 @@
 // Retries of parts that fail everywhere must not multiply the load on the servers.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
-	accepted := 0
+	received := 0
 	for range 40 {
 		_, events := h.newQuery(idempotentClass, 1)
-		accepted += len(events)
+		received += len(events)
 		sent := h.stepSends(testTick, events...)
 		for range 3 {
 			var results []Event
@@ -30,9 +30,9 @@
 		attempts[s.PartID]++
 	}
 	settings := h.aggregator.settings
-	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(accepted))
+	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(received))
 	assert.Positive(t, retries, "retries")
-	assert.LessOrEqual(t, retries, limit, "retries, compared with the budget for %d queries and parts", accepted)
+	assert.LessOrEqual(t, retries, limit, "retries, compared with the budget for %d queries and parts", received)
 }
 
 // Without a retry budget nothing trims the histories of the budget. If they were kept, they would grow without limit.
@@ -41,6 +41,6 @@
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
-	assert.Empty(t, h.aggregator.retryBudget.accepted, "accepted queries and parts")
+	assert.Empty(t, h.aggregator.retryBudget.received, "accepted queries and parts")
 	assert.Empty(t, h.aggregator.retryBudget.retries, "retries")
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -20,8 +20,8 @@
 	overloadDuration := a.settings.OverloadDuration
 	progress := max(0, float64(a.now-overloadDuration-s.StartedAt)/float64(a.settings.SlowStartDuration))
 	fraction := min(1, a.settings.SlowStartFraction+(1-a.settings.SlowStartFraction)*progress)
-	fleetAllowance := a.settings.OverloadFactor * fraction * a.fleet.sustainedWorkRate * float64(overloadDuration)
-	return fleetAllowance / float64(a.settings.InstanceCount)
+	totalAllowance := a.settings.OverloadFactor * fraction * a.fleet.peakWorkRate * float64(overloadDuration)
+	return totalAllowance / float64(a.settings.InstanceCount)
 }
 
 // slowStartWait returns the expected time, in microseconds, until a part may be sent to a warming server.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -22,7 +22,7 @@
 		h := newHarness(t, s)
 		h.answerQueries(idempotentClass, 60, work)
 		for range 40 {
-			h.aggregator.recordLoad(h.aggregator.serversByID[1], report)
+			h.aggregator.recordLoadReport(h.aggregator.serversByID[1], report)
 		}
 		harnesses = append(harnesses, h)
 	}
@@ -38,7 +38,7 @@
 		recentWork := float64(work * countSince(sentAt, now-s.OverloadDuration+1))
 		progress := float64(now-start) / float64(s.SlowStartDuration)
 		fraction := s.SlowStartFraction + (1-s.SlowStartFraction)*progress
-		limit := s.OverloadFactor * fraction * float64(s.OverloadDuration) * harnesses[0].aggregator.fleet.sustainedWorkRate
+		limit := s.OverloadFactor * fraction * float64(s.OverloadDuration) * harnesses[0].aggregator.fleet.peakWorkRate
 		peak = max(peak, recentWork/limit)
 	}
 	return peak, work * float64(len(sentAt)) / float64(s.SlowStartDuration)
@@ -57,7 +57,7 @@
 	for _, attempt := range sent {
 		h.step(0, resultOf(attempt, OK))
 		a.classes[idempotentClass].referenceLatency = work
-		a.fleet.meanLatency = work
+		a.fleet.referenceLatency = work
 		a.fleet.baseLatency = work
 	}
 	return sent
