--- a/policy/connections.go
+++ b/policy/connections.go
@@ -29,8 +29,9 @@
 // connectionStats is the evidence on whether idle connections become stale, which means that attempts on them stay
 // unanswered.
 type connectionStats struct {
-	// staleConfidence is the smoothed success rate, 0 to 1, of attempts on fresh connections that replaced idle ones.
-	// An answer on a connection that was idle for long lowers it, and a failure to connect resets it to 0.
+	// staleConfidence is the confidence, 0 to 1, that idle connections become stale. An answer on a fresh connection
+	// raises it, an answer on a connection that was idle for at least idleLimitBase lowers it, and a failure to connect
+	// resets it to 0.
 	staleConfidence float64
 
 	// freshSentAt is the time at which an attempt was last sent on a fresh connection.
@@ -44,7 +45,8 @@
 // recordConnectionResult records the result of an attempt, or TimedOut for a late attempt, as evidence on idle
 // connections. If fresh connections mostly bring answers where idle connections did not, idle connections are closed
 // before use. A wrong conclusion costs a handshake for each part, so an answer on a connection that was idle for at
-// least idleLimitBase raises idleLimitBase to twice that idle time.
+// least idleLimitBase raises idleLimitBase to twice that idle time. Only the first result of an attempt counts, except
+// that an answer on a connection that was not fresh always does.
 func (a *Aggregator) recordConnectionResult(attempt *attempt, status Status) {
 	if status == OK && !attempt.freshConnection {
 		a.recordIdleConnectionAnswer(attempt)
@@ -77,6 +79,7 @@
 
 // recordIdleConnectionTimeout records a late attempt on an idle connection. If the connection was idle for less than
 // the idle limit, the limit falls to half of its idle time, since the true limit lies below the idle time that failed.
+// Otherwise the limit returns to idleLimitBase. In both cases it doubles again from there.
 func (a *Aggregator) recordIdleConnectionTimeout(late *attempt) {
 	late.server.idleConnectionsSuspect = true
 	if float64(late.connectionIdleTime) < a.idleLimit() {
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -34,7 +34,7 @@
 	for _, s := range a.sortedServers {
 		s.idleConnectionsSuspect = false
 	}
-	if freshStatus == ConnectFailed { // a single failure to connect resets the evidence
+	if freshStatus == ConnectFailed { // a single failure to connect resets staleConfidence
 		a.connections.staleConfidence = 0.9
 		a.recordConnectionResult(&attempt{server: a.sortedServers[0], freshConnection: true}, ConnectFailed)
 	}
@@ -54,8 +54,8 @@
 }
 
 // Late attempts at busy servers look like attempts on stale connections, since fresh connections are answered there too,
-// and with many aggregators all connections are idle for long. Connections that bring answers, late or in time, must not
-// be closed, or each part costs a handshake.
+// and with many aggregators all connections are idle for long. Connections that bring answers, late or in time, must
+// rarely be closed, or each part costs a handshake.
 func TestIdleConnectionsThatBringAnswersAreNotClosed(t *testing.T) {
 	h := newHarness(t, singleRingSettings())
 	a := h.aggregator
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -7,7 +7,7 @@
 // # Time
 //
 // All times are microseconds (Micros). Points in time are readings of the owner's clock, which may start at any value
-// and must not run backwards; a time before that of the previous step counts as the time of the previous step.
+// from 0 and must not run backwards; a time before that of the previous step counts as the time of the previous step.
 //
 // # Invalid input
 //
@@ -18,9 +18,9 @@
 //
 // # Decisions
 //
-// A query is admitted or rejected (admission.go), its parts are requested (requesting.go) and each is sent to one
-// of its shard's replicas (dispatch.go). Replicas are ranked by utility, the inverse of the predicted latency
-// (latency.go), and receive parts in proportion to it (selection.go). Late parts are hedged or retried
-// (hedging.go) within the retry budget (retrybudget.go). A query ends with a complete or partial answer, a rejection
-// or a failure (completion.go).
+// A query is admitted or rejected (admission.go), as many of its parts as the answer needs are requested
+// (requesting.go), and each of these is sent to one of its shard's replicas (dispatch.go). Replicas are ranked by
+// utility, the inverse of the predicted latency (latency.go), and receive parts in proportion to it (selection.go).
+// Late parts are hedged or retried (hedging.go) within the retry budget (retrybudget.go). A query ends with a complete
+// or partial answer, a rejection or a failure (completion.go), or without an action if the client cancels it.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -26,7 +26,8 @@
 	// failureRate is the smoothed share of attempts, 0 to 1, that reached the server and failed.
 	failureRate float64
 
-	// sustainedWorkRate is the smoothed rate of work that the server reports, in seconds of work per second.
+	// sustainedWorkRate is the smoothed work rate of the server after its slow start, in seconds of work per second. It
+	// is estimated from the request rate that the server reports.
 	sustainedWorkRate float64
 
 	sampledAt   Micros // time of the last update of latencyRatio
@@ -51,13 +52,14 @@
 	// that is not fresh or the idle connections are closed.
 	idleConnectionsSuspect bool
 
-	// connectionUsedAt is the time at which a fresh connection was last requested or an attempt last ended other than as
-	// TimedOut or Canceled.
+	// connectionUsedAt is the time from which the server's connections count as idle: the time at which an attempt last
+	// ended other than as TimedOut or Canceled, a fresh connection was last requested, or the server or its restart
+	// became known, whichever is latest.
 	connectionUsedAt Micros
 
 	healthCheckInFlight bool
 	healthCheckSentAt   Micros // time at which the latest health check was sent
-	healthCheckDelay    Micros // duration of the latest health check
+	healthCheckDelay    Micros // duration of the latest health check, or more if it failed; see failedCheckDelayRatio
 
 	batchSentAt Micros // time at which the latest batch was sent
 	batchSize   int    // parts in the latest batch
@@ -86,8 +88,10 @@
 	}
 }
 
-// backOffPolling schedules the next poll after a failed one. The delay depends on the instance index, since polls of
-// all instances at once could overload the discovery service so that it answers none.
+// backOffPolling schedules the next poll after a failed one. The delay is the mean latency objective times a factor,
+// doubled once for each consecutive failure, at most maxBackoffDoublings times, and limited to MaxPollInterval. The
+// factor depends on the instance index, since polls of all instances at once could overload the discovery service so that
+// it answers none.
 func (a *Aggregator) backOffPolling() {
 	if !a.settings.PollEndpoints {
 		return
--- a/policy/events.go
+++ b/policy/events.go
@@ -6,7 +6,8 @@
 // EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
-// The states of an endpoint. An endpoint that is missing from the list counts as Removed.
+// The states of an endpoint. An endpoint that is missing from the list counts as Removed. Ready servers receive attempts.
+// Draining and Removed ones receive no new attempts; those in flight continue.
 const (
 	Removed EndpointState = iota
 	Ready
@@ -31,7 +32,8 @@
 	StartedAt Micros
 }
 
-// LoadReport is a server's report of its own load. A negative value means that the server did not report the field.
+// LoadReport is a server's report of its own load. A negative value means that the server did not report the field. The
+// decisions do not use Latency and ErrorRate.
 type LoadReport struct {
 	InFlight    float64 // requests at the server
 	Queued      float64 // the queued ones among these requests
@@ -62,15 +64,13 @@
 // by name, of classes stay, and so do attempts in flight. Invalid settings change nothing and produce a Log action.
 type Reconfigure struct{ Settings Settings }
 
-// Query is a new query. Its parts follow in the same step. A query of an unknown class is rejected at once; an
-// unknown tenant is ignored.
+// Query is a new query. Its parts follow in the same step. A query of an unknown class is rejected at once.
 type Query struct {
-	ID uint64
-
-	// Number identifies the query in the QueryNumber of its parts.
+	// ID identifies the query in actions and in ClientCanceled, and Number in the QueryNumber of its parts.
+	ID     uint64
 	Number uint64
 
-	// Class and Tenant are indices into Settings.Classes and Settings.Tenants.
+	// Class and Tenant are indices into Settings.Classes and Settings.Tenants. The decisions do not use Tenant.
 	Class  int
 	Tenant int
 
@@ -80,7 +80,7 @@
 	// Deadline is the time at which the client stops waiting for this try.
 	Deadline Micros
 
-	// PartCount is the number of Part events that follow.
+	// PartCount is the number of Part events that follow. The decisions do not use it.
 	PartCount int
 
 	// Retry indicates that the client has tried the query before.
@@ -127,7 +127,8 @@
 	return s == Rejected || s == ConnectFailed || s == Withdrawn
 }
 
-// AttemptResult reports the end of an attempt. Exactly one follows each SendAttempt.
+// AttemptResult reports the end of an attempt. Exactly one follows each SendAttempt. The decisions do not use Elapsed:
+// they take durations from the times of the steps.
 type AttemptResult struct {
 	PartID uint64
 
@@ -140,7 +141,7 @@
 	Report   LoadReport
 }
 
-// HealthCheckResult reports the end of a health check.
+// HealthCheckResult reports the end of a health check. The decisions do not use Elapsed.
 type HealthCheckResult struct {
 	ServerID uint32
 	Status   Status
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -34,8 +34,8 @@
 }
 
 // A warming server crashes if all aggregators together exceed its limit. Whatever their number, they must stay within
-// the limit, up to chance, when the traffic is uneven, endpoint lists reach some of them late, all replicas of a third
-// of the ring positions are replaced at once and aggregators restart.
+// the limit, apart from random variation (see simfleet.StoreStats.Excess), when the traffic is uneven, endpoint lists
+// reach some of them late, all replicas of a third of the ring positions are replaced at once and aggregators restart.
 func TestFleetOfAnySizeKeepsWarmingServersBelowTheirLimit(t *testing.T) {
 	for _, size := range []struct{ aggregators, positions int }{{3, 8}, {20, 16}, {30, 20}, {300, 30}} {
 		for name, restart := range restarts {
@@ -49,9 +49,9 @@
 					f := newFleetWithReplacements(seed, size.aggregators, size.positions)
 					restart(f)
 					r := f.Run(11 * second)
-					t.Logf("seed %d: served fraction %.3f, peak load %.2f times the capacity, %.1f parts beyond chance",
+					t.Logf("seed %d: served fraction %.3f, peak load %.2f times the capacity, %.1f parts beyond random variation",
 						seed, r.ServedFraction(), r.PeakOverload, r.Excess)
-					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d: parts beyond chance", seed)
+					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d: parts beyond random variation", seed)
 				}
 			})
 		}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,8 +10,8 @@
 
 const second = 1_000_000
 
-// Each of 300 aggregators sees little of the traffic, and hedged requests add to the load of all servers. At full load,
-// they must not answer fewer queries than with each part sent to a random replica.
+// Each of 300 aggregators sees little of the traffic, and hedged requests add to the load of all servers. In a burst to
+// two thirds of the capacity, they must serve nearly as much as with each part sent to a random replica.
 func TestFleetUnderHighLoadIsNoWorseThanRandomSelection(t *testing.T) {
 	for seed := uint64(1); seed <= 2; seed++ {
 		p := simfleet.Large(seed, 300, 46, 0.45)
@@ -55,7 +55,8 @@
 		t.Logf("seed %d: served fraction %.3f, peak load %.2f times the capacity", seed, r.ServedFraction(), r.PeakOverload)
 		assert.Zero(t, r.OverloadedStores, "seed %d: crashed servers, peak load %.2f times the capacity", seed, r.PeakOverload)
 		assert.Less(t, r.PeakOverload, 0.9*p.Settings.OverloadFactor, "seed %d: peak load", seed)
-		assert.Greater(t, r.ServedFraction(), 0.57, "seed %d: served fraction, which takes warming servers", seed)
+		assert.Greater(t, r.ServedFraction(), 0.57,
+			"seed %d: served fraction, which is lower if warming servers are left unused", seed)
 	}
 }
 
--- a/policy/healthchecks.go
+++ b/policy/healthchecks.go
@@ -12,12 +12,14 @@
 	// busyBacklogTicks is the backlog, in ticks, from which a server is busy.
 	busyBacklogTicks = 2
 
-	// failedCheckDelayRatio is the minimum delay assumed for a failed health check, in mean latencies.
+	// failedCheckDelayRatio is the minimum delay assumed for a failed health check, as a multiple of the reference
+	// latency over all classes.
 	failedCheckDelayRatio = 3.0
 )
 
 // requestHealthChecks adds a part's share of the health check budget and, within the budget, checks those of its
-// replicas whose load report is missing or old. It delays the part if health checks of its replicas are in flight.
+// replicas whose load report is missing or old. The share covers at most ReplicationFactor checks. The part is delayed
+// if health checks of its replicas are in flight.
 func (a *Aggregator) requestHealthChecks(p *part) {
 	price := max(a.settings.HealthCheckPrice, healthCheckBudget/float64(a.settings.ReplicationFactor))
 	a.healthCheckCredits = min(a.healthCheckCredits+healthCheckBudget/price, float64(len(a.sortedServers)))
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// isLate reports whether a part's latest attempt has taken longer than threshold times its predicted latency, or
-// the part is a straggler.
+// isLate reports whether a part's latest attempt has taken longer than threshold times its predicted latency, or the
+// part is a straggler.
 func (a *Aggregator) isLate(p *part, threshold float64) bool {
 	if p.state != partInFlight || len(p.inFlight) == 0 {
 		return false
@@ -44,8 +44,9 @@
 	return float64(a.now-latest.sentAt) > threshold*latest.predictedLatency
 }
 
-// isStraggler reports whether a part is one of the last of its query and has taken longer than the reference latency
-// while the latency objective is near. It reports false if hedging is not allowed or a partial answer is.
+// isStraggler reports whether a part is one of the last of its query and has taken longer than the reference latency,
+// while less than threshold reference latencies remain until the latency objective. It reports false if hedging is not
+// allowed or if a partial answer is allowed.
 func (a *Aggregator) isStraggler(p *part, threshold float64) bool {
 	c := p.query.class
 	if !a.settings.AllowHedging || p.query.allowsPartialAnswer() {
@@ -58,10 +59,11 @@
 		remaining < threshold*c.referenceLatency
 }
 
-// hedgeOrRetry acts on a late part if there is a better replica: it sends a hedged request if that is allowed and only
-// one attempt is in flight; otherwise it cancels the first attempt so that the part is retried. While requests queue at
-// the servers it does neither, since all parts are late then and hedged requests of many aggregators would keep the
-// servers overloaded.
+// hedgeOrRetry acts on a late part if there is a better replica. It sends a hedged request if that is allowed and only
+// one attempt is in flight. Otherwise it cancels the oldest attempt, if that is allowed: the part is then retried if no
+// other attempt is in flight, and may be hedged again if one is. While requests queue at the servers it does neither,
+// since all parts are late then and hedged requests of many aggregators would keep the servers overloaded. In any case
+// the late attempt counts as evidence on idle connections.
 func (a *Aggregator) hedgeOrRetry(p *part) {
 	late := p.latestAttempt()
 	a.recordConnectionResult(late, TimedOut)
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -34,6 +34,7 @@
 		}
 		for _, s := range h.aggregator.sortedServers {
 			s.latencyRatio = 1
+			// With a response after the attempts, only the oldest attempt in flight raises the latency ratio.
 			s.respondedAt = h.now + 10_000_000
 		}
 		h.actions = nil
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,7 +9,8 @@
 	// degradationGain is the gain, 0 to 1, of a server's latency ratio when it rises.
 	degradationGain = 0.40
 
-	// averageGain is the gain, 0 to 1, of averages over all servers or over a class.
+	// averageGain is the gain, 0 to 1, of averages over all servers or over a class. Latencies and cost hints have a
+	// higher gain while there are few samples.
 	averageGain = 0.05
 
 	// failureGain is the gain, 0 to 1, of a server's failure rate when an attempt fails.
@@ -54,8 +55,8 @@
 }
 
 // currentLatencyRatio returns a server's latency as a multiple of the reference latency. Excess latency decays while
-// there are no samples. The oldest attempt in flight, and those sent since the server last responded, count by their
-// age.
+// there are no samples. The ratio is at least the ageRatio of the oldest attempt in flight and of those sent since the
+// server last responded.
 func (a *Aggregator) currentLatencyRatio(s *server) float64 {
 	ratio := s.latencyRatio
 	if ratio > 1 {
@@ -96,19 +97,21 @@
 	case OK:
 		a.recordAnswer(s, c, latency)
 	case Canceled:
+		// The attempt would have taken longer than its age, so its sample is at least the server's current slowness.
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, a.slowness(s)))
 	case Rejected:
 		attempt.part.query.hadRejectedAttempt = true
 		a.backOffFrom(s, c)
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, rejectionLatencyRatio))
 	case ServerError, ConnectionBroken:
-		// The server was reached, so only this attempt is lost.
+		// The server can be reached, so the failure counts in failureRate. The sample must not lower the latency ratio,
+		// since an error may come at once.
 		smooth(&s.failureRate, 1, failureGain)
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, s.latencyRatio))
 	case TimedOut, ConnectFailed:
 		a.recordLatencyRatio(s, max(latency/c.referenceLatency, failurePenalty))
 	case Withdrawn:
-		// Nothing was sent, so the result carries no information about the server.
+		// Nothing was sent, so the latency statistics do not change.
 	}
 }
 
@@ -133,8 +136,9 @@
 	a.recordLatencyRatio(s, latency/c.referenceLatency)
 }
 
-// backOffFrom suspends sending to a server that rejected a part. The time doubles with each consecutive rejection, up to
-// maxBackoffDoublings times and the latency objective.
+// backOffFrom suspends sending to a server that rejected a part. The time is the class's reference latency after the
+// first rejection and doubles with each consecutive one, up to 2^(maxBackoffDoublings-1) reference latencies, but is at
+// most the latency objective.
 func (a *Aggregator) backOffFrom(s *server, c *class) {
 	s.consecutiveRejections = min(s.consecutiveRejections+1, maxBackoffDoublings)
 	s.backoffUntil = a.now + min(Micros(c.referenceLatency)<<s.consecutiveRejections/2, c.LatencyObjective)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -21,8 +21,8 @@
 	assert.GreaterOrEqual(t, h.aggregator.slowness(server), 2.0, "slowness after an immediate error")
 }
 
-// Broken connections make a shard's only replica an outlier. They must not cause rejections, since they end at once and
-// the parts are retried.
+// Broken connections make a shard's only replica an outlier. Attempts on them end at once and their parts are retried, so
+// they must not cause rejections.
 func TestBrokenConnectionsOfTheOnlyReplicaCauseNoRejections(t *testing.T) {
 	h := newHarness(t, singleRingSettings(), readyEndpoints(1)...)
 	a := h.aggregator
--- a/policy/loadreports.go
+++ b/policy/loadreports.go
@@ -4,7 +4,7 @@
 	// loadReportLifetime is the age, in mean latency objectives, from which a load report is ignored.
 	loadReportLifetime = 0.5
 
-	// sustainedWorkRateGain is the gain, 0 to 1, of the work rate that a server reports.
+	// sustainedWorkRateGain is the gain, 0 to 1, of a server's sustainedWorkRate.
 	sustainedWorkRateGain = 0.15
 
 	microsPerSecond = 1e6
@@ -22,7 +22,9 @@
 	return max(own, freshness*(reported+own-float64(s.inFlightAtReport))+(1-freshness)*own)
 }
 
-// recordLoadReport records a server's load report, unless the report is empty.
+// recordLoadReport records a server's load report and adds it to the statistics over all servers, unless the report is
+// empty. Outside the slow start, it estimates the server's work rate as the request rate times the reference latency over
+// all classes.
 func (a *Aggregator) recordLoadReport(s *server, report LoadReport) {
 	if report == NoLoadReport {
 		return
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -2,12 +2,12 @@
 
 // retryBudget holds the times of the events that count toward the retry budget.
 type retryBudget struct {
-	received []timedAmount // queries and parts
-	retries  []timedAmount
+	received []timedAmount // queries and parts, including those that were rejected or ignored
+	retries  []timedAmount // attempts at a part after its first
 }
 
 // withinRetryBudget reports whether the budget permits another retry. As a safety margin, the window is one tick shorter
-// for accepted queries and parts and one tick longer for retries.
+// for received queries and parts and one tick longer for retries.
 func (a *Aggregator) withinRetryBudget() bool {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return true
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -32,7 +32,7 @@
 	settings := h.aggregator.settings
 	limit := int(settings.RetryBudgetMinimum + settings.RetryBudgetRatio*float64(received))
 	assert.Positive(t, retries, "retries")
-	assert.LessOrEqual(t, retries, limit, "retries, compared with the budget for %d queries and parts", received)
+	assert.LessOrEqual(t, retries, limit, "retries, compared with the budget for %d received queries and parts", received)
 }
 
 // Without a retry budget nothing trims the histories of the budget. If they were kept, they would grow without limit.
@@ -41,6 +41,6 @@
 	settings.RetryBudgetWindow = 0
 	h := newHarness(t, settings)
 	h.answerQueries(idempotentClass, 50, 1000)
-	assert.Empty(t, h.aggregator.retryBudget.received, "accepted queries and parts")
+	assert.Empty(t, h.aggregator.retryBudget.received, "received queries and parts")
 	assert.Empty(t, h.aggregator.retryBudget.retries, "retries")
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -22,7 +22,8 @@
 type Class struct {
 	Name string
 
-	// LatencyObjective is the time from a query's arrival within which an answer earns its full value.
+	// LatencyObjective is the time within which an answer earns its full value. It begins with the query's arrival, or
+	// with that of the query's first try if the deadline of a retry shows when that was.
 	LatencyObjective Micros
 
 	// Timeout is the total time that a client waits for an answer, over all its tries.
@@ -45,10 +46,12 @@
 	// answered.
 	MinCoverage float64
 
-	// RequiredCoverage is the minimum coverage of a complete answer.
+	// RequiredCoverage is the minimum coverage of a complete answer. In the fetch phase, a complete answer needs a
+	// coverage of 1 and a complete first Answer.
 	RequiredCoverage float64
 
-	// PartialWeight determines the value of a partial answer, which is PartialWeight * coverage / RequiredCoverage.
+	// PartialWeight determines the share of a complete answer's value that a partial answer earns. The share is
+	// PartialWeight * coverage / RequiredCoverage.
 	PartialWeight float64
 
 	// MaxFetchParts is the maximum number of parts in the fetch phase, which follows the first Answer; 0 if there is no
@@ -66,10 +69,13 @@
 
 // Settings configures an aggregator. New and Reconfigure validate it.
 //
-// The decisions do not depend on Tenants, OverQuotaWeight, Zone, ServersCacheKeys, MaxOpen, SendRetryAfter,
-// LoadReportsOnHealthChecksOnly, AnswerSlack, DrainGrace, CrossZonePrice and Class.PartialWeight: they are stricter than
-// AnswerSlack and DrainGrace require, leave MaxOpen and SendRetryAfter to the owner, and judge each replica by its
-// measured latency.
+// The decisions do not use these fields:
+//   - AnswerSlack, DrainGrace: the decisions are stricter. They end queries before their deadline and send no attempts to
+//     draining servers.
+//   - MaxOpen, SendRetryAfter: they are left to the owner.
+//   - Zone, ServersCacheKeys, CrossZonePrice: each replica is judged by its measured latency.
+//   - Tenants, OverQuotaWeight: the decisions do not enforce quotas.
+//   - LoadReportsOnHealthChecksOnly, Class.PartialWeight.
 type Settings struct {
 	// InstanceIndex is this aggregator's index among the InstanceCount aggregators that share the servers.
 	InstanceIndex int
@@ -88,7 +94,8 @@
 	Zone int
 
 	// Shards is the number of shards. The servers at the ring positions (s+i) mod RingSize, for i from 0 to
-	// ReplicationFactor-1, hold shard s.
+	// ReplicationFactor-1, hold shard s. ReplicationFactor counts ring positions, not servers: several servers may have
+	// the same position.
 	Shards            int
 	RingSize          int
 	ReplicationFactor int
@@ -118,17 +125,19 @@
 	// SendRetryAfter indicates that the owner sends Reject.RetryAfter to the client.
 	SendRetryAfter bool
 
-	// MaxRetryAfter is the maximum Reject.RetryAfter that clients honor.
+	// MaxRetryAfter is the maximum Reject.RetryAfter that clients honor. Every Reject has it as its RetryAfter, except
+	// those of queries of an unknown class.
 	MaxRetryAfter Micros
 
 	// LoadReportsOnHealthChecksOnly indicates that servers send load reports only with the results of health checks.
 	LoadReportsOnHealthChecksOnly bool
 
-	// PollEndpoints indicates that the endpoint list arrives only after a PollEndpoints action.
+	// PollEndpoints indicates that endpoint lists arrive only after a PollEndpoints action, which starts a watch of the
+	// list. The aggregator polls again after EndpointListFailed.
 	PollEndpoints bool
 
-	// MaxPollInterval is the time after its last poll, failed polls included, from which an aggregator is expected to
-	// know the endpoint list. It limits the backoff between polls; 0 if there is no limit.
+	// MaxPollInterval is the maximum delay between a failed poll and the next one; 0 if unlimited. An aggregator is
+	// expected to know the endpoint list once this time has passed since its last poll, even if that poll failed.
 	MaxPollInterval Micros
 
 	// AnswerSlack is the maximum time after a query's deadline at which its final action may come.
@@ -138,18 +147,20 @@
 	DrainGrace Micros
 
 	// SlowStartFraction is the minimum share of its capacity, 0 to 1, that a server has when it starts, and
-	// SlowStartDuration the maximum time until it has all of it.
+	// SlowStartDuration the maximum time until it has all of it. A server is warming for that time after its start, and
+	// warm after that.
 	SlowStartFraction float64
 	SlowStartDuration Micros
 
-	// OverloadFactor is the multiple of its current capacity that crashes a warming server if the load exceeds it for
-	// OverloadDuration; 0 if no load crashes servers.
+	// A warming server crashes if its load exceeds OverloadFactor times its current capacity for OverloadDuration.
+	// OverloadFactor is 0 if no load crashes servers.
 	OverloadFactor   float64
 	OverloadDuration Micros
 
 	// RetryBudgetWindow is the length of the sliding window in which retries are limited; 0 if there is no retry
 	// budget. The maximum number of retries in the window is RetryBudgetMinimum plus RetryBudgetRatio times the number
-	// of accepted queries and parts.
+	// of queries and parts received, rejected ones included. Each attempt at a part after its first counts as a retry,
+	// including hedged requests.
 	RetryBudgetWindow  Micros
 	RetryBudgetMinimum float64
 	RetryBudgetRatio   float64
@@ -180,14 +191,15 @@
 func (s Settings) Validate() error {
 	switch {
 	case len(s.Classes) == 0:
-		return invalidSetting("Classes", "is empty")
+		return invalidSetting("Classes", "is empty, must contain at least one class")
 	case s.Shards <= 0 || s.Shards > maxShards:
 		return invalidSetting("Shards", "is %d, must be from 1 to %d", s.Shards, maxShards)
 	case s.RingSize <= 0 || s.ReplicationFactor <= 0 || s.ReplicationFactor > s.RingSize:
-		return invalidSetting("ReplicationFactor", "is %d with RingSize %d, must be from 1 to RingSize",
+		return invalidSetting("ReplicationFactor",
+			"is %d with RingSize %d, both must be positive and ReplicationFactor at most RingSize",
 			s.ReplicationFactor, s.RingSize)
 	case s.Tick <= 0:
-		return invalidSetting("Tick", "is %d, must be positive", s.Tick)
+		return invalidSetting("Tick", "is %d us, must be positive", s.Tick)
 	case s.InstanceCount <= 0:
 		return invalidSetting("InstanceCount", "is %d, must be positive", s.InstanceCount)
 	case s.InstanceIndex < 0 || s.InstanceIndex >= s.InstanceCount:
@@ -205,15 +217,16 @@
 // validate returns an *InvalidSettingError, whose Field begins with the prefix, if the class is invalid.
 func (c Class) validate(prefix string) error {
 	if c.LatencyObjective <= 0 || c.Timeout < c.LatencyObjective {
-		return invalidSetting(prefix+"LatencyObjective", "is %d with Timeout %d, must be from 1 to Timeout",
-			c.LatencyObjective, c.Timeout)
+		return invalidSetting(prefix+"LatencyObjective",
+			"is %d us with Timeout %d us, must be from 1 us to Timeout (class %q)",
+			c.LatencyObjective, c.Timeout, c.Name)
 	}
 	isRequiredValid := c.RequiredCoverage > 0 && c.RequiredCoverage <= 1
 	isMinimumValid := c.MinCoverage > 0 && c.MinCoverage <= c.RequiredCoverage
 	if !isRequiredValid || !isMinimumValid {
 		return invalidSetting(prefix+"MinCoverage",
-			"is %v with RequiredCoverage %v, must be 0 < MinCoverage <= RequiredCoverage <= 1",
-			c.MinCoverage, c.RequiredCoverage)
+			"is %v with RequiredCoverage %v, must be 0 < MinCoverage <= RequiredCoverage <= 1 (class %q)",
+			c.MinCoverage, c.RequiredCoverage, c.Name)
 	}
 	return nil
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,7 +12,9 @@
 }
 
 // slowStartAllowance returns the work, in microseconds, that this aggregator may send to a server per overload
-// duration: its equal share of the server's limit. The allowance is infinite for a warm server.
+// duration: its equal share of the server's limit. The limit is that of the capacity at the start of the window, which
+// is the lowest in it. The allowance is infinite from slowStartEnd on, for a server without a start time, and if no load
+// crashes servers.
 func (a *Aggregator) slowStartAllowance(s *server) float64 {
 	if s.StartedAt <= 0 || a.settings.OverloadFactor <= 0 || a.now >= a.slowStartEnd(s) {
 		return math.Inf(1)
@@ -24,7 +26,8 @@
 	return totalAllowance / float64(a.settings.InstanceCount)
 }
 
-// slowStartWait returns the expected time, in microseconds, until a part may be sent to a warming server.
+// slowStartWait returns the expected time, in microseconds, until a part may be sent to a warming server. If the
+// allowance is at least one part, that is half the mean interval between parts.
 func (a *Aggregator) slowStartWait(s *server) float64 {
 	allowance := a.slowStartAllowance(s)
 	if allowance < a.fleet.baseLatency {
@@ -47,9 +50,11 @@
 }
 
 // slowStartNextSend returns the time from which this aggregator may send a part to a warming server if its allowance
-// is less than one part. Fixed time slots would mostly go unused, since an aggregator with little traffic seldom has a
-// part to send in its slot. Instead, the pause after a part plus the mean time until the next part arrives equals the
-// interval that the allowance permits.
+// is less than one part. The interval between its parts is such that they use slowStartUtilization of the allowance.
+// Fixed time slots would mostly go unused, since an aggregator with little traffic seldom has a part to send in its
+// slot. Instead, the pause after a part plus the mean time until the next part arrives equals the interval. The pause
+// is at least the overload duration plus a tick. Before its first part, each aggregator waits until a start time of its
+// own, so that the first parts of all aggregators are spread over one interval.
 func (a *Aggregator) slowStartNextSend(s *server, allowance float64) Micros {
 	interval := a.fleet.baseLatency / allowance / slowStartUtilization * float64(a.settings.OverloadDuration)
 	pause := Micros(interval - a.meanArrivalInterval(s))
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -69,7 +69,7 @@
 	for _, instances := range []int{1, 2, 11, 32, 90} {
 		peak, rate := loadWarmingServer(t, instances, NoLoadReport)
 		assert.LessOrEqual(t, peak, 1.0, "peak load with %d aggregators", instances)
-		// On average, the server can execute 0.62 parts at a time.
+		// On average over its slow start, the server's capacity is 0.62 seconds of work per second.
 		assert.GreaterOrEqual(t, rate, 0.2, "work rate with %d aggregators", instances)
 	}
 	report := NoLoadReport
