--- a/policy/connections.go
+++ b/policy/connections.go
@@ -7,17 +7,17 @@
 	// idle connections suspect.
 	suspectIdleTime = 0.4
 
-	// freshSuccessGain is the gain, 0 to 1, of freshSuccessRate.
-	freshSuccessGain = 0.40
+	// staleConfidenceGain is the gain, 0 to 1, of staleConfidence.
+	staleConfidenceGain = 0.40
 
-	// initialFreshSuccessRate is freshSuccessRate before there is any evidence.
-	initialFreshSuccessRate = 0.5
+	// initialStaleConfidence is staleConfidence before there is any evidence.
+	initialStaleConfidence = 0.5
 
-	// probablyStaleThreshold is the freshSuccessRate from which every server with suspect idle connections gets a fresh
+	// probablyStaleThreshold is the staleConfidence from which every server with suspect idle connections gets a fresh
 	// connection. Below it, at most one server gets one per mean latency objective.
 	probablyStaleThreshold = 0.5
 
-	// provenStaleThreshold is the freshSuccessRate above which all connections that have been idle beyond the idle
+	// provenStaleThreshold is the staleConfidence above which all connections that have been idle beyond the idle
 	// limit are closed before use.
 	provenStaleThreshold = 0.7
 
@@ -29,9 +29,10 @@
 // connectionStats is the evidence on whether idle connections become stale, which means that attempts on them stay
 // unanswered.
 type connectionStats struct {
-	// freshSuccessRate is the smoothed success rate, 0 to 1, of attempts on fresh connections that replaced idle ones.
-	// An answer on a connection that was idle for long lowers it, and a failure to connect resets it to 0.
-	freshSuccessRate float64
+	// staleConfidence is the confidence, 0 to 1, that idle connections become stale. An answer on a fresh connection
+	// raises it, an answer on a connection that was idle for at least idleLimitBase lowers it, and a failure to connect
+	// resets it to 0.
+	staleConfidence float64
 
 	// freshSentAt is the time at which an attempt was last sent on a fresh connection.
 	freshSentAt Micros
@@ -44,7 +45,8 @@
 // recordConnectionResult records the result of an attempt, or TimedOut for a late attempt, as evidence on idle
 // connections. If fresh connections mostly bring answers where idle connections did not, idle connections are closed
 // before use. A wrong conclusion costs a handshake for each part, so an answer on a connection that was idle for at
-// least idleLimitBase raises idleLimitBase to twice that idle time.
+// least idleLimitBase raises idleLimitBase to twice that idle time. Only the first result of an attempt counts, except
+// that an answer on a connection that was not fresh always does.
 func (a *Aggregator) recordConnectionResult(attempt *attempt, status Status) {
 	if status == OK && !attempt.freshConnection {
 		a.recordIdleConnectionAnswer(attempt)
@@ -55,10 +57,10 @@
 	attempt.connectionResultRecorded = true
 	switch {
 	case attempt.freshConnection && status == OK:
-		smooth(&a.connections.freshSuccessRate, 1, freshSuccessGain)
+		smooth(&a.connections.staleConfidence, 1, staleConfidenceGain)
 	case status == ConnectFailed:
 		// The server cannot be reached at all, so idle connections are not the cause.
-		a.connections.freshSuccessRate = 0
+		a.connections.staleConfidence = 0
 	}
 	if status == TimedOut && float64(attempt.connectionIdleTime) > suspectIdleTime*a.meanLatencyObjective {
 		a.recordIdleConnectionTimeout(attempt)
@@ -71,12 +73,13 @@
 	if answered.connectionIdleTime >= a.connections.idleLimitBase {
 		a.connections.idleLimitBase = 2 * answered.connectionIdleTime
 		a.connections.idleLimitChangedAt = a.now
-		smooth(&a.connections.freshSuccessRate, 0, freshSuccessGain)
+		smooth(&a.connections.staleConfidence, 0, staleConfidenceGain)
 	}
 }
 
 // recordIdleConnectionTimeout records a late attempt on an idle connection. If the connection was idle for less than
 // the idle limit, the limit falls to half of its idle time, since the true limit lies below the idle time that failed.
+// Otherwise the limit returns to idleLimitBase. In both cases it doubles again from there.
 func (a *Aggregator) recordIdleConnectionTimeout(late *attempt) {
 	late.server.idleConnectionsSuspect = true
 	if float64(late.connectionIdleTime) < a.idleLimit() {
@@ -112,10 +115,10 @@
 
 // needsFreshConnection reports whether idle connections are to be closed before an attempt is sent.
 func (a *Aggregator) needsFreshConnection(sent *attempt) bool {
-	allowsFresh := a.connections.freshSuccessRate >= probablyStaleThreshold ||
+	allowsFresh := a.connections.staleConfidence >= probablyStaleThreshold ||
 		a.now-a.connections.freshSentAt > Micros(a.meanLatencyObjective)
 	if sent.server.idleConnectionsSuspect && allowsFresh {
 		return true
 	}
-	return a.connections.freshSuccessRate > provenStaleThreshold && float64(sent.connectionIdleTime) >= a.idleLimit()
+	return a.connections.staleConfidence > provenStaleThreshold && float64(sent.connectionIdleTime) >= a.idleLimit()
 }
--- a/policy/intake.go
+++ b/policy/intake.go
@@ -10,7 +10,7 @@
 // of an open one is ignored, and a query of an unknown class is rejected at once. The retry budget counts both as
 // accepted.
 func (a *Aggregator) acceptQuery(event Query) {
-	a.recordForBudget(&a.retryBudget.accepted)
+	a.recordForBudget(&a.retryBudget.received)
 	if a.queriesByID[event.ID] != nil {
 		return
 	}
@@ -42,7 +42,7 @@
 // acceptPart adds a part to its query. Invalid parts and those of unknown or closed queries are ignored, but the retry
 // budget counts them as accepted.
 func (a *Aggregator) acceptPart(event Part) {
-	a.recordForBudget(&a.retryBudget.accepted)
+	a.recordForBudget(&a.retryBudget.received)
 	q := a.queriesByNumber[event.QueryNumber]
 	if q == nil || q.closed || !a.isValidPart(event) {
 		return
@@ -71,6 +71,6 @@
 		return 1
 	}
 	c.costHintCount++
-	smooth(&c.meanCostHint, float64(hint), max(fleetGain, 1/c.costHintCount))
+	smooth(&c.meanCostHint, float64(hint), max(averageGain, 1/c.costHintCount))
 	return math.Sqrt(float64(hint) / c.meanCostHint)
 }
--- a/policy/requesting.go
+++ b/policy/requesting.go
@@ -71,5 +71,5 @@
 }
 
 func (a *Aggregator) fleetIsUnderLoad() bool {
-	return a.fleet.meanUtilization > highLoadUtilization || a.fleet.meanLatency > highLoadLatencyRatio*a.fleet.baseLatency
+	return a.fleet.meanUtilization > highLoadUtilization || a.fleet.referenceLatency > highLoadLatencyRatio*a.fleet.baseLatency
 }
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -2,22 +2,22 @@
 
 // retryBudget holds the times of the events that count toward the retry budget.
 type retryBudget struct {
-	accepted []timedAmount // queries and parts
-	retries  []timedAmount
+	received []timedAmount // queries and parts, including those that were rejected or ignored
+	retries  []timedAmount // attempts at a part after its first
 }
 
 // withinRetryBudget reports whether the budget permits another retry. As a safety margin, the window is one tick shorter
-// for accepted queries and parts and one tick longer for retries.
+// for received queries and parts and one tick longer for retries.
 func (a *Aggregator) withinRetryBudget() bool {
 	if a.settings.RetryBudgetWindow <= 0 {
 		return true
 	}
 	windowStart := a.now - a.settings.RetryBudgetWindow
-	a.retryBudget.accepted = dropBefore(a.retryBudget.accepted, windowStart+a.settings.Tick)
+	a.retryBudget.received = dropBefore(a.retryBudget.received, windowStart+a.settings.Tick)
 	a.retryBudget.retries = dropBefore(a.retryBudget.retries, windowStart-a.settings.Tick)
 	retries := float64(len(a.retryBudget.retries) + 1)
-	accepted := float64(len(a.retryBudget.accepted))
-	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*accepted
+	received := float64(len(a.retryBudget.received))
+	return retries <= a.settings.RetryBudgetMinimum+a.settings.RetryBudgetRatio*received
 }
 
 // recordForBudget adds the current time to one of the budget's histories. Without a budget it adds nothing, since the
