--- a/document/settings.go
+++ b/document/settings.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	tickInterval = 5 * time.Millisecond   // time between two reviews of pending decisions
+	tickInterval = 5 * time.Millisecond   // resolution of the broker's timers
 	answerSlack  = 4 * tickInterval       // maximum time after its deadline at which a query is answered
 	drainGrace   = 500 * time.Millisecond // time for which attempts may still be sent to a store that drains
 	maxBatchSize = 1                      // maximum number of parts in a call to a store
@@ -60,7 +60,8 @@
 }
 
 // retryBudgetRatio returns the ratio of the one retry budget that package policy keeps: the limits' own ratio, or else
-// the mean of the tenants' ratios, weighted by their quotas.
+// the mean of the tenants' ratios, weighted by their quotas. A tenant without a quota, or with one below 1 query/s, has
+// weight 1.
 func (d *Document) retryBudgetRatio() float64 {
 	if d.Limits.RetryBudgetRatio > 0 {
 		return d.Limits.RetryBudgetRatio
@@ -77,25 +78,25 @@
 	return sum / weights
 }
 
-// Overlay returns base with its classes replaced by the document's classes of the same names. FetchParts stays that of
-// base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
+// Overlay returns base with its classes replaced by the document's classes of the same names. MaxFetchParts stays that
+// of base. It fails with an inifile.Fault if the document gives one of these classes another idempotency than base.
 func (d *Document) Overlay(base policy.Settings) (policy.Settings, error) {
 	classes := make([]policy.Class, len(base.Classes))
-	for i, class := range base.Classes {
-		classes[i] = class
-		own, found := d.Class(class.Name)
+	for i, baseClass := range base.Classes {
+		classes[i] = baseClass
+		documentClass, found := d.Class(baseClass.Name)
 		if !found {
 			continue
 		}
-		if own.Idempotency != class.Idempotency {
+		if documentClass.Idempotency != baseClass.Idempotency {
 			return base, inifile.Fault{
 				File:     "agreed document",
-				Location: "class " + class.Name + ".effect",
-				Message:  "expected the effect configured for the platform's front",
+				Location: "class " + baseClass.Name + ".effect",
+				Message:  "differs from the effect in the platform's configuration: the two must be equal",
 			}
 		}
-		own.FetchParts = class.FetchParts
-		classes[i] = own
+		documentClass.MaxFetchParts = baseClass.MaxFetchParts
+		classes[i] = documentClass
 	}
 	base.Classes = classes
 	return base, nil
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// noTime represents the absence of a time.
+// noTime stands for a missing time where 0 is a valid time.
 const noTime Micros = -1
 
 // PlannedDrain is the predicted drain and return of one machine.
 type PlannedDrain struct {
-	Request string `json:"request"`
-	Machine string `json:"machine"`
+	RequestName string `json:"request"`
+	Machine     string `json:"machine"`
 	// Wave is the number, from 1, of the group of drains that start at the same time; 0 if the machine is already
 	// unavailable.
 	Wave     int    `json:"wave"`
@@ -22,26 +22,28 @@
 	AvailableAt Micros `json:"back"`
 }
 
-// Undrainable is a machine whose maintenance was requested but that the plan cannot drain.
-type Undrainable struct {
-	Request string `json:"request"`
-	Machine string `json:"machine"`
+// UndrainableMachine is a machine whose maintenance was requested but that the plan cannot drain.
+type UndrainableMachine struct {
+	RequestName string `json:"request"`
+	Machine     string `json:"machine"`
 	RuleViolation
-	// Remedy is the smallest change that would allow the drain.
+	// Remedy tells an operator how to resolve the violation. Other rules may still forbid the drain.
 	Remedy string `json:"nearest"`
 }
 
 // Plan is the predicted order of the drains.
 type Plan struct {
 	// Drains are sorted by StartsAt.
-	Drains      []PlannedDrain `json:"turns"`
-	Undrainable []Undrainable  `json:"never,omitempty"`
+	Drains      []PlannedDrain       `json:"turns"`
+	Undrainable []UndrainableMachine `json:"never,omitempty"`
 	// End is the time at which the last machine counts as available again.
 	End Micros `json:"end"`
 }
 
-// Plan predicts the drains of all open permits. They start in the order of sortByPriority, as early as the rules allow:
-// now, when another machine returns, or when a restriction on time ends.
+// Plan predicts the drains of all open permits. Each wave starts the drains that the rules allow at its time,
+// considered in the order of sortByPriority. The first wave is at State.Now, and the next ones are when another machine
+// returns or a restriction on time ends. The prediction ignores a freeze, and does not stop while a machine is
+// unhealthy after its maintenance. It assumes that the load stays the same and that unhealthy machines stay unhealthy.
 func (s State) Plan() Plan {
 	if s.Layout == nil {
 		return Plan{}
@@ -62,7 +64,7 @@
 // planner simulates the drains of a plan.
 type planner struct {
 	state   State
-	outages *outageCounts
+	tracker *availabilityTracker
 	returns returnQueue
 	waiting []Permit // by priority
 	now     Micros
@@ -73,19 +75,19 @@
 }
 
 func newPlanner(s State) *planner {
-	p := &planner{state: s, outages: s.outageCounts(), now: s.Now, nextTime: noTime}
+	p := &planner{state: s, tracker: s.availability(), now: s.Now, nextTime: noTime}
 	for _, permit := range s.Permits {
 		machine := s.Layout.Machine(permit.Machine)
 		switch {
 		case permit.Step.isUnavailable():
 			p.addDrain(machine, PlannedDrain{
-				Request:     permit.Request,
+				RequestName: permit.RequestName,
 				Machine:     permit.Machine,
 				StartsAt:    permit.DrainStartedAt,
 				AvailableAt: s.Now + s.remainingUnavailableDuration(permit),
 			})
 		case permit.Step == Requested:
-			if undrainable := s.undrainable(permit, machine); undrainable != nil {
+			if undrainable := s.checkDrainable(permit, machine); undrainable != nil {
 				p.plan.Undrainable = append(p.plan.Undrainable, *undrainable)
 			} else {
 				p.waiting = append(p.waiting, permit)
@@ -110,23 +112,24 @@
 	}
 }
 
-// startWave starts all drains that the rules allow now, and sets nextTime.
+// startWave moves expired permits to the undrainable ones, starts all drains that the rules allow now, and sets
+// nextTime.
 func (p *planner) startWave() {
 	p.nextTime = noTime
 	wave := p.wave + 1
 	p.waiting = slices.DeleteFunc(p.waiting, func(permit Permit) bool {
 		machine := p.state.Layout.Machine(permit.Machine)
 		if permit.isExpiredAt(p.now) {
-			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "the drain could start only after the end of its time window"}, "extend the time window, or raise the urgency")
+			p.addUndrainable(permit, RuleViolation{RuleTimeWindow, "the drain could start only after the end of its time window"}, "cancel the permit and request the machine under a new request name, with a later end of the time window or a higher urgency")
 			return true
 		}
 		if !p.mayDrain(permit, machine) {
 			return false
 		}
 		p.wave = wave
-		p.outages.startDrain(machine, p.now)
+		p.tracker.startDrain(machine, p.now)
 		p.addDrain(machine, PlannedDrain{
-			Request:     permit.Request,
+			RequestName: permit.RequestName,
 			Machine:     permit.Machine,
 			Wave:        wave,
 			StartsAt:    p.now,
@@ -146,11 +149,11 @@
 		p.lowerNextTime(permit.NotBefore)
 		return false
 	}
-	if start, _ := p.outages.earliestDrainStart(machine, p.now); start != p.now {
+	if start, _ := p.tracker.earliestDrainStart(machine, p.now); start != p.now {
 		p.lowerNextTime(start)
 		return false
 	}
-	return p.outages.violationIfUnavailable(machine) == nil
+	return p.tracker.violationIfUnavailable(machine) == nil
 }
 
 // advanceTime sets the time to nextTime and records the machines that return by then as available, except unhealthy
@@ -160,7 +163,7 @@
 	for len(p.returns) > 0 && p.returns[0].at <= p.now {
 		returned := heap.Pop(&p.returns).(machineReturn)
 		if returned.machine != nil && p.state.Unhealthy[returned.machine.Name] == "" {
-			p.outages.setUnavailable(returned.machine, false)
+			p.tracker.setUnavailable(returned.machine, false)
 		}
 	}
 }
@@ -170,7 +173,7 @@
 func (p *planner) markWaitingUndrainable() {
 	for _, permit := range p.waiting {
 		violation := RuleViolation{}
-		if v := p.outages.violationIfUnavailable(p.state.Layout.Machine(permit.Machine)); v != nil {
+		if v := p.tracker.violationIfUnavailable(p.state.Layout.Machine(permit.Machine)); v != nil {
 			violation = *v
 		}
 		p.addUndrainable(permit, violation, "return the unavailable machines to service")
@@ -178,8 +181,8 @@
 }
 
 func (p *planner) addUndrainable(permit Permit, violation RuleViolation, remedy string) {
-	p.plan.Undrainable = append(p.plan.Undrainable, Undrainable{
-		Request:       permit.Request,
+	p.plan.Undrainable = append(p.plan.Undrainable, UndrainableMachine{
+		RequestName:   permit.RequestName,
 		Machine:       permit.Machine,
 		RuleViolation: violation,
 		Remedy:        remedy,
@@ -192,7 +195,8 @@
 	return s.Rules.DrainDuration + permit.WorkDuration + s.Rules.WarmUpDuration
 }
 
-// remainingUnavailableDuration returns the time after which an unavailable machine is expected to be available.
+// remainingUnavailableDuration returns the time after which an unavailable machine is expected to be available. For a
+// machine at step Drained, too, DrainDuration counts from the time at which it reached its step.
 func (s State) remainingUnavailableDuration(permit Permit) Micros {
 	elapsed := s.Now - permit.StepReachedAt
 	switch permit.Step {
@@ -202,38 +206,38 @@
 		return max(0, permit.WorkDuration-elapsed) + s.Rules.WarmUpDuration
 	case WarmingUp:
 		return max(0, s.Rules.WarmUpDuration-elapsed)
-	default:
+	default: // Returning
 		return s.Rules.WarmUpDuration
 	}
 }
 
-// undrainable returns why a machine cannot be drained even while all others are available, or nil if it can.
-func (s State) undrainable(permit Permit, machine *Machine) *Undrainable {
-	result := &Undrainable{Request: permit.Request, Machine: permit.Machine}
+// checkDrainable returns why a machine cannot be drained even while all others are available, or nil if it can.
+func (s State) checkDrainable(permit Permit, machine *Machine) *UndrainableMachine {
+	result := &UndrainableMachine{RequestName: permit.RequestName, Machine: permit.Machine}
 	if machine == nil {
 		result.RuleViolation = RuleViolation{Reason: "the machine is not in the layout"}
 		result.Remedy = "add the machine to the layout"
 		return result
 	}
-	outages := newOutageCounts(s.Layout, s.Rules, s.Load)
-	violation := outages.violationIfUnavailable(machine)
+	tracker := newAvailabilityTracker(s.Layout, s.Rules, s.Load)
+	violation := tracker.violationIfUnavailable(machine)
 	if violation == nil {
 		return nil
 	}
 	result.RuleViolation = *violation
-	outages.setUnavailable(machine, true)
-	result.Remedy = outages.remedy(violation.Rule, machine)
+	tracker.setUnavailable(machine, true)
+	result.Remedy = tracker.remedy(violation.Rule, machine)
 	return result
 }
 
-// remedy returns the smallest change after which a rule allows a machine to be unavailable. The machine must be the
-// only one that is recorded as unavailable.
-func (o *outageCounts) remedy(rule Rule, machine *Machine) string {
+// remedy returns a change after which a rule allows a machine to be unavailable. The machine must be the only one that
+// is recorded as unavailable.
+func (t *availabilityTracker) remedy(rule Rule, machine *Machine) string {
 	switch rule {
 	case RuleReplicas:
-		fewest := noReplicaLimit
+		fewest := unlimitedReplicas
 		for _, store := range machine.Stores {
-			_, replicas := o.leastReplicatedShard(store.RingPosition)
+			_, replicas := t.leastReplicatedShard(store.RingPosition)
 			fewest = min(fewest, replicas)
 		}
 		if fewest < 1 {
@@ -241,7 +245,7 @@
 		}
 		return fmt.Sprintf("set keep_sound to %d, or add another replica of its shards", fewest)
 	case RuleLoad:
-		return fmt.Sprintf("set room to %.2f, or reduce the load", o.remainingLoad())
+		return fmt.Sprintf("set room above %.2f (maximum 1), or reduce the load", t.remainingLoad())
 	case RuleVoters:
 		return "add another voter"
 	default:
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -52,12 +52,12 @@
 }
 
 // measureDetection kills a member and measures the time until the others know it.
-func (c *cluster) measureDetection(victim int) detection {
-	c.kill(victim)
+func (c *cluster) measureDetection(killed int) detection {
+	c.kill(killed)
 	killedAt := c.network.Now()
 	var result detection
 	for {
-		aware, alive := c.countAwareOf(victim)
+		aware, alive := c.countAwareOf(killed)
 		elapsed := c.secondsSince(killedAt)
 		if aware > 0 && result.first == 0 {
 			result.first = elapsed
@@ -109,12 +109,12 @@
 			datagramRate += float64(c.datagrams-datagrams) / samples
 			byteRate += float64(c.bytes-bytes) / samples
 			facts = append(facts, c.measureFact(1))
-			victim := 2 + c.network.Rand().IntN(testCase.size-2)
-			result := c.measureDetection(victim)
+			killed := 2 + c.network.Rand().IntN(testCase.size-2)
+			result := c.measureDetection(killed)
 			first = append(first, result.first)
 			half = append(half, result.half)
 			all = append(all, result.all)
-			assert.Zero(t, c.falseRemovals())
+			assert.Zero(t, c.falsePositives())
 		}
 		firstMedian, _ := medianAndMax(first)
 		halfMedian, _ := medianAndMax(half)
@@ -129,7 +129,7 @@
 type soakResult struct {
 	runs             int
 	memberHours      float64
-	falsePositives   int // living members that were removed from any view, each counted once per run
+	falsePositives   int // living members that were declared dead in any view, each counted once per run
 	detectionSeconds []float64
 	datagramRate     float64 // per member and second
 	undetected       int     // deaths that not all members knew within detectionTimeout
@@ -178,7 +178,7 @@
 	t.Helper()
 	c := newClusterWithout(t, seed, s.size, simnet.Link{MinDelay: 300, MaxDelay: 5000, LossRate: s.loss}, s.disabledSafeguards)
 	c.run(120 * second)
-	c.removals = nil
+	c.declaredDeaths = nil
 	datagramsBefore := c.datagrams
 	for _, node := range c.nodes {
 		for minute := range s.minutes {
@@ -189,17 +189,17 @@
 	}
 	c.run(Micros(s.minutes) * 60 * second)
 	falsePositives := map[int]bool{}
-	for _, removal := range c.removals {
-		falsePositives[removal.removed] = true
+	for _, death := range c.declaredDeaths {
+		falsePositives[death.subject] = true
 	}
 	datagrams := c.datagrams - datagramsBefore
-	victim := s.size - 1
-	c.kill(victim)
+	killed := s.size - 1
+	c.kill(killed)
 	killedAt := c.network.Now()
 	detected := false
 	for !detected && c.network.Now()-killedAt < detectionTimeout {
 		c.run(pollInterval)
-		aware, alive := c.countAwareOf(victim)
+		aware, alive := c.countAwareOf(killed)
 		detected = aware == alive
 	}
 	result := soakResult{
@@ -215,7 +215,7 @@
 	return result
 }
 
-// Measures the number of living members that are removed from a view, per member-hour.
+// Measures the number of living members that are declared dead, per member-hour.
 func TestMeasureFalsePositives(t *testing.T) {
 	for _, testCase := range []struct {
 		loss float64
@@ -306,8 +306,7 @@
 	})
 }
 
-// Checks that all views agree after random faults, with every death known and no connected member removed, and measures
-// the time until they do.
+// Checks that all views agree some time after the last random fault, and measures the time until they do.
 func TestMeasureRandomFaults(t *testing.T) {
 	const runs = 200
 	var settled []float64
--- a/policy/attemptresults.go
+++ b/policy/attemptresults.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// quickAnswerRatio is the multiple of the base latency below which an answer counts as quick.
+// quickAnswerRatio is the multiple of the base latency, scaled by the part's relative cost, below which an attempt
+// counts as answered quickly.
 const quickAnswerRatio = 2.0
 
 // handleAttemptResult ends an attempt and decides whether its part is retried. It ignores results of attempts that
@@ -28,7 +29,7 @@
 		return
 	}
 	if result.Status == OK {
-		a.handleAnswer(finished)
+		a.handleAnsweredAttempt(finished)
 		return
 	}
 	if result.Status == ConnectionBroken {
@@ -43,8 +44,9 @@
 	}
 }
 
-// handleAnswer marks the part of an attempt as answered and cancels the part's other attempts.
-func (a *Aggregator) handleAnswer(answered *attempt) {
+// handleAnsweredAttempt marks the part of an attempt as answered and cancels the part's other attempts. If the part was
+// sent ahead of the query's others, they may be requested from then on. A quick answer adds a light-part credit.
+func (a *Aggregator) handleAnsweredAttempt(answered *attempt) {
 	p := answered.part
 	p.state = partAnswered
 	p.query.canaryFirst = false
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// If an error does not name the invalid field, operators cannot find the setting to correct.
 func TestInvalidSettingsNameTheField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
@@ -24,7 +25,7 @@
 		_, err := New(s, 1)
 		var invalid *InvalidSettingError
 		require.ErrorAs(t, err, &invalid, field)
-		assert.Equal(t, field, invalid.Field)
+		assert.Equal(t, field, invalid.Field, "field of the error")
 		assert.ErrorContains(t, err, field)
 	}
 }
--- a/sharedconfig/entry.go
+++ b/sharedconfig/entry.go
@@ -16,11 +16,11 @@
 // Bootstrap creates a group with its first version.
 type Bootstrap struct {
 	GroupID     string `json:"group"`
-	MaxVersions int    `json:"keep"` // number of versions retained in the history
+	MaxVersions int    `json:"keep"` // maximum number of versions retained
 	FirstChange Change `json:"first"`
 }
 
-// Decision commits or rejects the pending change.
+// Decision accepts or rejects the pending change.
 type Decision struct {
 	RequestID  string `json:"request"`
 	Accept     bool   `json:"accept"`
@@ -28,9 +28,9 @@
 	Reason     string `json:"why,omitempty"`      // why the change was rejected
 }
 
-// Retirement records the ID of a removed instance, which can never become a member again.
+// Retirement records the directory ID of an instance that is to be removed and can never become a member again.
 type Retirement struct {
-	InstanceID string `json:"folder"`
+	DirectoryID string `json:"folder"`
 }
 
 // Encode returns the entry as it is stored in the log. DecodeEntry is the inverse.
--- a/sharedconfig/membership.go
+++ b/sharedconfig/membership.go
@@ -21,13 +21,13 @@
 	current, isMember := c.findMember(func(m Member) bool { return m.Name == member.Name })
 	addressOwner, isAddressTaken := c.findMember(func(m Member) bool { return m.Addr == member.Addr && m.Name != member.Name })
 	switch {
-	case !c.acceptMembershipRequest(e.CallID):
-	case c.state.IsRetired(member.InstanceID):
-		c.reject(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
-	case isMember && current.InstanceID != member.InstanceID:
-		c.reject(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
+	case !c.checkMembershipRequest(e.CallID):
+	case c.state.IsRetired(member.DirectoryID):
+		c.rejectMembershipRequest(e.CallID, "cannot add %s: its data directory belongs to an instance that was removed from this group for good; start it with an empty data directory", member.Name)
+	case isMember && current.DirectoryID != member.DirectoryID:
+		c.rejectMembershipRequest(e.CallID, "cannot add %s: a member of this name has another data directory; remove that member first, since the votes that it cast are recorded there", member.Name)
 	case isAddressTaken:
-		c.reject(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot use address %s: it belongs to member %s", member.Addr, addressOwner.Name)
 	case isMember && current.Addr == member.Addr && current.Voter:
 		c.emit(Reply{CallID: e.CallID, Outcome: Outcome{Status: StatusDone, Reason: member.Name + " is already a member"}})
 	default:
@@ -37,32 +37,33 @@
 	}
 }
 
-// handleRemoveMemberRequested removes a member. It retires the member's instance ID first, so that the instance cannot
-// become a member again even if the removal itself fails.
+// handleRemoveMemberRequested removes a member. It also retires the member's directory ID, so that the instance cannot
+// become a member again, and so that a leader completes the removal if it fails at first. The two steps run
+// concurrently: either may be committed first, or without the other.
 func (c *Core) handleRemoveMemberRequested(e RemoveMemberRequested) {
 	member, isMember := c.findMember(func(m Member) bool { return m.Name == e.Name })
 	remaining := c.voterCount() - 1
 	switch {
-	case !c.acceptMembershipRequest(e.CallID):
+	case !c.checkMembershipRequest(e.CallID):
 	case !isMember:
-		c.reject(e.CallID, "cannot remove %s: it is not a member", e.Name)
+		c.rejectMembershipRequest(e.CallID, "cannot remove %s: it is not a member", e.Name)
 	case member.Voter && remaining == 0:
-		c.reject(e.CallID, "cannot remove %s: it is the last voter", member.Name)
-	case member.Voter && c.reachableVoters(member.InstanceID) <= remaining/2:
-		c.reject(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
-			member.Name, c.reachableVoters(member.InstanceID), remaining)
+		c.rejectMembershipRequest(e.CallID, "cannot remove %s: it is the last voter", member.Name)
+	case member.Voter && c.reachableVoters(member.DirectoryID) <= remaining/2:
+		c.rejectMembershipRequest(e.CallID, "cannot remove %s: only %d of the %d remaining voters are reachable, which is no majority",
+			member.Name, c.reachableVoters(member.DirectoryID), remaining)
 	default:
 		c.beginMembershipChange(membershipChange{callID: e.CallID, member: member, remove: true})
-		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{InstanceID: member.InstanceID}}})
+		c.emit(AppendEntry{Entry: Entry{Retire: &Retirement{DirectoryID: member.DirectoryID}}})
 		c.submitMembershipChange()
 	}
 }
 
-// acceptMembershipRequest reports whether a membership change may begin. If not, it answers the call.
-func (c *Core) acceptMembershipRequest(callID uint64) bool {
+// checkMembershipRequest reports whether a membership change may begin. If not, it answers the call.
+func (c *Core) checkMembershipRequest(callID uint64) bool {
 	switch {
 	case !c.leading || !c.leaderReady:
-		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotLeader}})
+		c.emit(Reply{CallID: callID, Outcome: Outcome{Reason: reasonNotReadyLeader}})
 		return false
 	case c.membershipChange != nil:
 		reason := "the membership change of " + c.membershipChange.member.Name + " is in progress"
@@ -72,7 +73,7 @@
 	return true
 }
 
-func (c *Core) reject(callID uint64, format string, args ...any) {
+func (c *Core) rejectMembershipRequest(callID uint64, format string, args ...any) {
 	c.emit(Reply{CallID: callID, Outcome: Outcome{Status: StatusRejected, Reason: fmt.Sprintf(format, args...)}})
 }
 
@@ -111,31 +112,30 @@
 	c.membershipChange = nil
 }
 
-// advanceMembership removes members whose instance ID is retired, and asks members without a vote to report when they
-// have caught up, including those of an earlier leader's changes. It also ends a membership change whose deadline has
-// passed.
+// advanceMembership removes members whose directory ID is retired, and starts to wait for members without a vote to
+// catch up, including those of an earlier leader's changes. It also ends a membership change whose deadline has passed.
 func (c *Core) advanceMembership() {
 	for _, member := range c.members {
-		isRetired := c.state.IsRetired(member.InstanceID)
+		isRetired := c.state.IsRetired(member.DirectoryID)
 		if isRetired && c.membershipChange == nil {
 			c.beginMembershipChange(membershipChange{member: member, remove: true})
 			c.submitMembershipChange()
 		}
 		if !isRetired && !member.Voter {
-			c.requestCatchUp(member)
+			c.waitForCatchUp(member)
 		}
 	}
 	c.expireMembershipChange()
 }
 
-// requestCatchUp asks a member without a vote to report when it has caught up, and repeats that after each check
+// waitForCatchUp starts to wait for a member without a vote to catch up with the log, and starts again after each check
 // timeout.
-func (c *Core) requestCatchUp(member Member) {
-	requestedAt, requested := c.catchUpRequestedAt[member.InstanceID]
+func (c *Core) waitForCatchUp(member Member) {
+	requestedAt, requested := c.catchUpWaitStartedAt[member.DirectoryID]
 	if requested && c.now < requestedAt+c.settings.CheckTimeout {
 		return
 	}
-	c.catchUpRequestedAt[member.InstanceID] = c.now
+	c.catchUpWaitStartedAt[member.DirectoryID] = c.now
 	c.emit(WaitForCatchUp{Member: member})
 }
 
@@ -144,25 +144,25 @@
 	if change == nil || c.now < change.deadline {
 		return
 	}
-	reason := reasonNotCommitted
+	reason := "the membership change of " + change.member.Name + " was not confirmed before the timeout and may still be committed; list the members before repeating it"
 	if change.seq == 0 {
 		reason = change.member.Name + " is a member without a vote: it did not catch up with the log before the timeout and becomes a voter once it has"
 	}
 	c.finishMembershipChange(StatusUnknown, reason)
 }
 
-// handleCaughtUp makes a member a voter. If another membership change is in progress, the member is asked again later.
+// handleCaughtUp makes a member a voter. If another membership change is in progress, a later CaughtUp does so.
 func (c *Core) handleCaughtUp(e CaughtUp) {
-	member, isMember := c.findMember(func(m Member) bool { return m.InstanceID == e.InstanceID })
-	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.InstanceID) {
+	member, isMember := c.findMember(func(m Member) bool { return m.DirectoryID == e.DirectoryID })
+	if !c.leading || !c.leaderReady || !isMember || member.Voter || c.state.IsRetired(member.DirectoryID) {
 		return
 	}
 	member.Voter = true
 	change := c.membershipChange
 	switch {
-	case change == nil: // an earlier leader added it
+	case change == nil: // an earlier leader added it, or its change timed out
 		c.beginMembershipChange(membershipChange{member: member})
-	case change.seq == 0 && change.member.InstanceID == member.InstanceID:
+	case change.seq == 0 && change.member.DirectoryID == member.DirectoryID:
 		change.member = member
 	default:
 		return
@@ -171,17 +171,17 @@
 	c.submitMembershipChange()
 }
 
-// reachableVoters returns the number of voters, other than the one with the instance ID exceptID, that are this instance
+// reachableVoters returns the number of voters, other than the one with the directory ID exceptID, that are this instance
 // or have recently requested a lease.
 func (c *Core) reachableVoters(exceptID string) int {
 	count := 0
 	for _, member := range c.members {
-		if !member.Voter || member.InstanceID == exceptID {
+		if !member.Voter || member.DirectoryID == exceptID {
 			continue
 		}
-		requestedAt, hasRequested := c.memberLeaseRequestedAt[member.InstanceID]
+		requestedAt, hasRequested := c.leaseRequestReceivedAt[member.DirectoryID]
 		isRecent := hasRequested && requestedAt+c.settings.ReachabilityTimeout > c.now
-		if member.InstanceID == c.settings.InstanceID || isRecent {
+		if member.DirectoryID == c.settings.DirectoryID || isRecent {
 			count++
 		}
 	}
