--- a/broker/attempt.go
+++ b/broker/attempt.go
@@ -13,8 +13,8 @@
 	Query *Query
 	// Shard is the number of the part's shard.
 	Shard int
-	// Server is the number of the store's endpoint.
-	Server uint32
+	// ServerID is the number of the store's endpoint.
+	ServerID uint32
 	// Deadline is when nobody waits for the attempt any longer.
 	Deadline time.Time
 	// RetryDeadline is when the attempt must have been started at the latest. It is set for a retry of a part that is
--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -76,7 +76,7 @@
 	a := &Attempt{
 		Query:         p.query.Query,
 		Shard:         p.spec.Shard,
-		Server:        order.ServerID,
+		ServerID:      order.ServerID,
 		Deadline:      deadline,
 		RetryDeadline: p.retryDeadline(),
 		broker:        b,
@@ -134,7 +134,7 @@
 	b.emit(policy.AttemptResult{
 		PartID:       p.id,
 		AttemptIndex: a.number,
-		ServerID:     a.Server,
+		ServerID:     a.ServerID,
 		Status:       result.Status,
 		Elapsed:      now.Sub(a.sentAt).Microseconds(),
 		Report:       result.Report,
--- a/opensearch/codec.go
+++ b/opensearch/codec.go
@@ -24,7 +24,7 @@
 	attempt := call[0]
 	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false",
 		attempt.Query.FrontData.(*searchTarget).index, attempt.Shard, max(1, attempt.Deadline.Sub(now).Milliseconds()))
-	extra := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.PartID(attempt)}}
+	extra := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.WirePartID(attempt)}}
 	return httpwire.AppendRequest(to, http.MethodPost, target, store.Addr, extra, attempt.Query.Payload)
 }
 
--- a/storepool/codec.go
+++ b/storepool/codec.go
@@ -49,5 +49,5 @@
 	Result broker.AttemptResult
 }
 
-// PartID returns the id of an attempt's part on the wire.
-func PartID(a *broker.Attempt) string { return a.Query.ID + "." + strconv.Itoa(a.Shard) }
+// WirePartID returns the id of an attempt's part on the wire.
+func WirePartID(a *broker.Attempt) string { return a.Query.ID + "." + strconv.Itoa(a.Shard) }
--- a/storepool/connection.go
+++ b/storepool/connection.go
@@ -88,7 +88,7 @@
 		return false
 	}
 	for _, a := range request.attempts {
-		if id := PartID(a); c.canceledIDs[id] || c.inFlight[id] != nil {
+		if id := WirePartID(a); c.canceledIDs[id] || c.inFlight[id] != nil {
 			return false
 		}
 	}
@@ -98,7 +98,7 @@
 	c.lastUsed = time.Now()
 	c.inFlightCount += len(request.attempts)
 	for _, a := range request.attempts {
-		c.inFlight[PartID(a)] = &inFlightAttempt{Attempt: a}
+		c.inFlight[WirePartID(a)] = &inFlightAttempt{Attempt: a}
 	}
 	return true
 }
@@ -127,7 +127,7 @@
 func (c *connection) cancel(a *broker.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id := PartID(a)
+	id := WirePartID(a)
 	if s := c.inFlight[id]; s == nil || s.Attempt != a {
 		return false
 	}
--- a/storepool/connection_test.go
+++ b/storepool/connection_test.go
@@ -44,7 +44,7 @@
 				require.True(t, c.tryEnqueue(callOf(a), hasCapacity))
 				if written {
 					require.True(t, a.Start())
-					c.inFlight[PartID(a)].written = true
+					c.inFlight[WirePartID(a)].written = true
 				}
 				c.close(errClosed)
 			case response := <-received:
@@ -67,6 +67,6 @@
 	c.canceledIDs["late"] = true
 	require.NoError(t, c.handleMessage(Message{Kind: Answer, ID: "late"}, true), "a late answer is no error")
 	require.NoError(t, c.closeCause)
-	require.NoError(t, c.handleMessage(Message{Kind: Answer, ID: PartID(a)}, true))
+	require.NoError(t, c.handleMessage(Message{Kind: Answer, ID: WirePartID(a)}, true))
 	assert.Error(t, c.closeCause, "the connection is still open")
 }
--- a/storepool/helpers_test.go
+++ b/storepool/helpers_test.go
@@ -104,7 +104,7 @@
 type callOnlyCodec struct{}
 
 func (callOnlyCodec) AppendCall(to []byte, _ Store, call []*broker.Attempt, _ time.Time) []byte {
-	text := "1" + PartID(call[0]) + " 0 d=1 0\n"
+	text := "1" + WirePartID(call[0]) + " 0 d=1 0\n"
 	return append(binary.BigEndian.AppendUint32(to, uint32(len(text))), text...)
 }
 
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -73,7 +73,7 @@
 func (p *Pool) Cancel(a *broker.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if st := p.stores[a.Server]; st != nil && cancelOnAny(st.connections, a) {
+	if st := p.stores[a.ServerID]; st != nil && cancelOnAny(st.connections, a) {
 		return
 	}
 	cancelOnAny(p.retiring, a)
--- a/storepool/selection.go
+++ b/storepool/selection.go
@@ -18,8 +18,8 @@
 	ErrConnectionsBusy = errors.New("all connections are busy")
 	// ErrConnectionAllowance means that as many connections are open as the process may have.
 	ErrConnectionAllowance = errors.New("no capacity for another connection")
-	// ErrCallTooLarge means that not even a new connection can carry the call.
-	ErrCallTooLarge = errors.New("call exceeds the limits of a connection")
+	// ErrCallNotAccepted means that not even a new connection can carry the call.
+	ErrCallNotAccepted = errors.New("call exceeds the limits of a connection")
 )
 
 const (
@@ -93,7 +93,7 @@
 func (p *Pool) enqueueOnNewLocked(st *storeConnections, request writeRequest) error {
 	c := newConnection(p, st.Store)
 	if !c.tryEnqueue(request, hasCapacity) {
-		return fmt.Errorf("store %s: %w: %d parts", st.Name, ErrCallTooLarge, len(request.attempts))
+		return fmt.Errorf("store %s: %w: %d parts", st.Name, ErrCallNotAccepted, len(request.attempts))
 	}
 	st.connections = append(st.connections, c)
 	p.openConnections++
--- a/storepool/writer.go
+++ b/storepool/writer.go
@@ -188,10 +188,10 @@
 // finishWithdrawn ends an attempt that was queued and must not be written any more.
 func (c *connection) finishWithdrawn(a *broker.Attempt) {
 	c.mu.Lock()
-	s := c.inFlight[PartID(a)]
+	s := c.inFlight[WirePartID(a)]
 	present := s != nil && s.Attempt == a
 	if present {
-		c.removeInFlightLocked(PartID(a))
+		c.removeInFlightLocked(WirePartID(a))
 	}
 	c.mu.Unlock()
 	if present {
@@ -214,7 +214,7 @@
 	var lost []*broker.Attempt
 	c.mu.Lock()
 	for _, a := range started {
-		id := PartID(a)
+		id := WirePartID(a)
 		s := c.inFlight[id]
 		if s == nil || s.Attempt != a {
 			continue // answered or canceled meanwhile
