--- a/broker/admission.go
+++ b/broker/admission.go
@@ -19,10 +19,10 @@
 		submitted.Responder.Respond(rejection)
 		return
 	}
-	b.lastID++
+	b.lastPolicyID++
 	q := &activeQuery{
 		Query:          submitted,
-		id:             b.lastID,
+		policyID:       b.lastPolicyID,
 		termsVersion:   terms.Version,
 		answerDeadline: submitted.Deadline,
 	}
@@ -30,12 +30,12 @@
 		q.class = b.settings.Classes[submitted.Class]
 		q.answerDeadline = answerDeadline(submitted, q.class, now)
 	}
-	b.queriesByID[q.id] = q
+	b.queriesByPolicyID[q.policyID] = q
 	b.queriesBySubmission[submitted] = q
-	b.openItems += 1 + len(submitted.Parts)
+	b.openQueriesAndParts += 1 + len(submitted.Parts)
 	b.emit(policy.Query{
-		ID:        q.id,
-		Number:    q.id,
+		ID:        q.policyID,
+		Number:    q.policyID,
 		Class:     submitted.Class,
 		Deadline:  b.policyTime(submitted.Deadline),
 		PartCount: len(submitted.Parts),
@@ -45,14 +45,14 @@
 		b.openPart(q, spec)
 	}
 	// The decisions end every query in time. If they ever fail to, the client still gets its answer.
-	q.deadlineTimer = b.timers.add(submitted.Deadline.Add(-expiryMargin), func(now time.Time) { b.expire(q, now) })
+	q.deadlineTimer = b.timers.add(submitted.Deadline.Add(-expiryMargin), func(now time.Time) { b.expireQuery(q, now) })
 }
 
 // rejectAtAdmission returns the answer to a query that is not admitted. The order of the checks decides which reason the
 // client is given.
 func (b *Broker) rejectAtAdmission(submitted *Query, terms *Terms, now time.Time) (rejection Response, rejected bool) {
 	// The decisions leave the limit on open queries to the broker, whose memory it protects.
-	full := b.settings.MaxOpen > 0 && b.openItems >= b.settings.MaxOpen
+	full := b.settings.MaxOpen > 0 && b.openQueriesAndParts >= b.settings.MaxOpen
 	if full || b.drainDeadlinePassed(now) {
 		return Response{Status: Rejected, RetryAfter: b.overloadRetryAfter()}, true
 	}
@@ -91,13 +91,13 @@
 
 // openPart adds a part to an open query.
 func (b *Broker) openPart(q *activeQuery, spec Part) {
-	b.lastID++
-	p := &activePart{id: b.lastID, query: q, spec: spec}
+	b.lastPolicyID++
+	p := &activePart{policyID: b.lastPolicyID, query: q, spec: spec}
 	q.parts = append(q.parts, p)
-	b.partsByID[p.id] = p
+	b.partsByPolicyID[p.policyID] = p
 	b.emit(policy.Part{
-		ID:          p.id,
-		QueryNumber: q.id,
+		ID:          p.policyID,
+		QueryNumber: q.policyID,
 		Shard:       spec.Shard,
 		AffinityKey: spec.AffinityKey,
 		Weight:      spec.Weight,
--- a/broker/attempt.go
+++ b/broker/attempt.go
@@ -24,8 +24,8 @@
 
 	broker *Broker
 	part   *activePart
-	// number is the attempt's index in its part.
-	number int
+	// index is the attempt's index in its part.
+	index int
 	// sentAt is when the decisions had the attempt sent.
 	sentAt        time.Time
 	deadlineTimer *timer
--- a/broker/attempt_test.go
+++ b/broker/attempt_test.go
@@ -38,7 +38,7 @@
 		<-nextReceived
 		assert.Empty(t, received)
 		b.Close()
-		assert.Empty(t, b.partsByID, "the attempt's part was not released")
+		assert.Empty(t, b.partsByPolicyID, "the attempt's part was not released")
 	}
 }
 
@@ -99,7 +99,7 @@
 	serveQueries(t, b, transport, 20)
 	q, received := newQuery(time.Second)
 	transport.onSend = func(a *Attempt) {
-		if a.number == 1 {
+		if a.index == 1 {
 			b.Cancel(q)
 			assert.False(t, a.Start(), "started before the event loop has handled the cancellation")
 		}
@@ -107,7 +107,7 @@
 	require.True(t, b.Submit(q))
 	require.True(t, (<-transport.sent).Start())
 	hedge := <-transport.sent
-	assert.Equal(t, 1, hedge.number)
+	assert.Equal(t, 1, hedge.index)
 	assert.False(t, hedge.Start())
 	for range 2 { // both attempts are canceled
 		<-transport.canceled
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -60,20 +60,20 @@
 
 	// The event loop owns everything below.
 
-	policy *policy.Aggregator
+	aggregator *policy.Aggregator
 	// pendingEvents are reported to the decisions in the next step.
 	pendingEvents []policy.Event
 	// settings are those of terms.
 	settings            policy.Settings
-	queriesByID         map[uint64]*activeQuery
+	queriesByPolicyID   map[uint64]*activeQuery
 	queriesBySubmission map[*Query]*activeQuery
-	// partsByID also holds the parts of ended queries that have unfinished attempts.
-	partsByID map[uint64]*activePart
-	// openItems is the number of open queries and of their parts, which the settings limit.
-	openItems int
-	// lastID is the last number given to a query or part.
-	lastID uint64
-	timers timerHeap
+	// partsByPolicyID also holds the parts of ended queries that have unfinished attempts.
+	partsByPolicyID map[uint64]*activePart
+	// openQueriesAndParts is the number of open queries and of their parts, which the settings limit.
+	openQueriesAndParts int
+	// lastPolicyID is the last number given to a query or part.
+	lastPolicyID uint64
+	timers       timerHeap
 	// drainDeadline is when a drain ends every open query; zero while there is none.
 	drainDeadline time.Time
 	expiryLog     ratelog.Line
@@ -106,11 +106,11 @@
 		stopping:            make(chan struct{}),
 		stopped:             make(chan struct{}),
 		drained:             make(chan struct{}),
-		policy:              aggregator,
+		aggregator:          aggregator,
 		settings:            terms.Settings,
-		queriesByID:         map[uint64]*activeQuery{},
+		queriesByPolicyID:   map[uint64]*activeQuery{},
 		queriesBySubmission: map[*Query]*activeQuery{},
-		partsByID:           map[uint64]*activePart{},
+		partsByPolicyID:     map[uint64]*activePart{},
 	}
 	b.terms.Store(terms)
 	go b.run()
--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -32,7 +32,7 @@
 	}
 	for _, server := range servers {
 		for call := range slices.Chunk(attemptsByServer[server], max(1, b.settings.MaxBatchSize)) {
-			b.send(server, call, now)
+			b.sendCall(server, call, now)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 func (b *Broker) executeAction(action policy.Action, now time.Time) {
 	switch action := action.(type) {
 	case policy.CancelAttempt:
-		if p := b.partsByID[action.PartID]; p != nil && action.AttemptIndex >= 0 && action.AttemptIndex < len(p.attempts) {
+		if p := b.partsByPolicyID[action.PartID]; p != nil && action.AttemptIndex >= 0 && action.AttemptIndex < len(p.attempts) {
 			b.cancelAttempt(p.attempts[action.AttemptIndex], policy.Canceled, now)
 		}
 	case policy.Answer:
@@ -64,7 +64,7 @@
 // newAttempt records an attempt that the decisions ordered. It returns nil for one that must not be sent, which the
 // decisions then see as withdrawn.
 func (b *Broker) newAttempt(order policy.SendAttempt, now time.Time) *Attempt {
-	p := b.partsByID[order.PartID]
+	p := b.partsByPolicyID[order.PartID]
 	if p == nil {
 		b.log.WithField("part", order.PartID).Error("decisions sent an attempt of an unknown part")
 		return nil
@@ -81,11 +81,11 @@
 		RetryDeadline: p.retryDeadline(),
 		broker:        b,
 		part:          p,
-		number:        len(p.attempts),
+		index:         len(p.attempts),
 		sentAt:        now,
 	}
 	p.attempts = append(p.attempts, a)
-	overLimit := b.settings.MaxAttempts > 0 && a.number >= b.settings.MaxAttempts
+	overLimit := b.settings.MaxAttempts > 0 && a.index >= b.settings.MaxAttempts
 	if overLimit || !b.isOpen(p.query) || !deadline.After(now) {
 		a.Withdraw()
 		b.finishAttempt(a, Unanswered(policy.Withdrawn), now)
@@ -95,14 +95,14 @@
 	return a
 }
 
-// send hands a call to the transport.
-func (b *Broker) send(server uint32, call []*Attempt, now time.Time) {
-	err := b.transport.Send(server, call)
+// sendCall hands a call to the transport.
+func (b *Broker) sendCall(serverID uint32, call []*Attempt, now time.Time) {
+	err := b.transport.Send(serverID, call)
 	if err == nil {
 		return
 	}
 	if suppressed, due := b.sendErrorLog.Due(now); due {
-		b.log.WithError(err).WithFields(logrus.Fields{"server": server, "more": suppressed}).Warn("attempt not sent")
+		b.log.WithError(err).WithFields(logrus.Fields{"server": serverID, "more": suppressed}).Warn("attempt not sent")
 	}
 	for _, a := range call {
 		a.Withdraw()
@@ -111,10 +111,10 @@
 }
 
 // checkHealth has the transport request a server's load report.
-func (b *Broker) checkHealth(server uint32, now time.Time) {
+func (b *Broker) checkHealth(serverID uint32, now time.Time) {
 	var once sync.Once
-	b.transport.CheckHealth(server, func(result AttemptResult) {
-		once.Do(func() { b.post(healthCheckFinished{server, now, result}) })
+	b.transport.CheckHealth(serverID, func(result AttemptResult) {
+		once.Do(func() { b.post(healthCheckFinished{serverID, now, result}) })
 	})
 }
 
@@ -132,8 +132,8 @@
 		p.body = result.Body
 	}
 	b.emit(policy.AttemptResult{
-		PartID:       p.id,
-		AttemptIndex: a.number,
+		PartID:       p.policyID,
+		AttemptIndex: a.index,
 		ServerID:     a.ServerID,
 		Status:       result.Status,
 		Elapsed:      now.Sub(a.sentAt).Microseconds(),
--- a/broker/drain.go
+++ b/broker/drain.go
@@ -22,19 +22,19 @@
 
 // expireOpenQueries ends what is open at the deadline of a drain, in the order of admission.
 func (b *Broker) expireOpenQueries(now time.Time) {
-	open := make([]*activeQuery, 0, len(b.queriesByID))
-	for _, q := range b.queriesByID {
+	open := make([]*activeQuery, 0, len(b.queriesByPolicyID))
+	for _, q := range b.queriesByPolicyID {
 		open = append(open, q)
 	}
-	slices.SortFunc(open, func(x, y *activeQuery) int { return cmp.Compare(x.id, y.id) })
+	slices.SortFunc(open, func(x, y *activeQuery) int { return cmp.Compare(x.policyID, y.policyID) })
 	for _, q := range open {
-		b.expire(q, now)
+		b.expireQuery(q, now)
 	}
 }
 
 // signalDrained closes the channel that Drain returned once no query is open.
 func (b *Broker) signalDrained() {
-	if b.drainDeadline.IsZero() || len(b.queriesByID) > 0 {
+	if b.drainDeadline.IsZero() || len(b.queriesByPolicyID) > 0 {
 		return
 	}
 	select {
--- a/broker/eventloop.go
+++ b/broker/eventloop.go
@@ -27,7 +27,7 @@
 	}
 
 	healthCheckFinished struct {
-		server    uint32
+		serverID  uint32
 		startedAt time.Time
 		result    AttemptResult
 	}
@@ -105,15 +105,15 @@
 			b.log.WithField("stack", string(debug.Stack())).Errorf("decisions panicked: %v", r)
 		}
 	}()
-	return b.policy.Step(b.policyTime(now), events)
+	return b.aggregator.Step(b.policyTime(now), events)
 }
 
 func (m querySubmitted) handle(b *Broker, now time.Time) { b.admit(m.query, now) }
 
 func (m queryCanceled) handle(b *Broker, now time.Time) {
 	if q := b.queriesBySubmission[m.query]; q != nil {
-		b.emit(policy.ClientCanceled{QueryID: q.id})
-		b.remove(q, now)
+		b.emit(policy.ClientCanceled{QueryID: q.policyID})
+		b.removeQuery(q, now)
 	}
 }
 
@@ -121,7 +121,7 @@
 
 func (m healthCheckFinished) handle(b *Broker, now time.Time) {
 	b.emit(policy.HealthCheckResult{
-		ServerID: m.server,
+		ServerID: m.serverID,
 		Status:   m.result.Status,
 		Elapsed:  now.Sub(m.startedAt).Microseconds(),
 		Report:   m.result.Report,
--- a/broker/lifecycle.go
+++ b/broker/lifecycle.go
@@ -16,7 +16,7 @@
 // activeQuery is a query that was admitted.
 type activeQuery struct {
 	*Query
-	id uint64
+	policyID uint64
 	// termsVersion is the version of the terms at admission.
 	termsVersion uint64
 	// class is the query's class by the settings at admission.
@@ -29,7 +29,7 @@
 
 // activePart is a part of an admitted query.
 type activePart struct {
-	id       uint64
+	policyID uint64
 	query    *activeQuery
 	spec     Part
 	attempts []*Attempt
@@ -40,7 +40,7 @@
 
 // respond gives an open query the final answer that the decisions chose.
 func (b *Broker) respond(id uint64, response Response, now time.Time) {
-	q := b.queriesByID[id]
+	q := b.queriesByPolicyID[id]
 	if q == nil {
 		return
 	}
@@ -50,13 +50,13 @@
 		response.DeadlineExceeded = time.Until(q.answerDeadline) <= duration(deadlineToleranceTicks*b.settings.Tick)
 		response.PartsFailed = slices.ContainsFunc(q.parts, (*activePart).failed)
 	}
-	b.remove(q, now)
+	b.removeQuery(q, now)
 	response.Version = q.termsVersion
 	q.Responder.Respond(response)
 }
 
-// expire ends a query that is still open at its deadline or at that of a drain.
-func (b *Broker) expire(q *activeQuery, now time.Time) {
+// expireQuery ends a query that is still open at its deadline or at that of a drain.
+func (b *Broker) expireQuery(q *activeQuery, now time.Time) {
 	if !b.isOpen(q) {
 		return
 	}
@@ -71,17 +71,17 @@
 			"more":    suppressed,
 		}).Warn("query ended at its deadline")
 	}
-	b.emit(policy.ClientCanceled{QueryID: q.id})
-	b.remove(q, now)
+	b.emit(policy.ClientCanceled{QueryID: q.policyID})
+	b.removeQuery(q, now)
 	q.Responder.Respond(Response{Status: status, DeadlineExceeded: true, Version: q.termsVersion})
 }
 
-// remove takes an ended query out of the tables. Its attempts that are not started never are, whether or not the settings
+// removeQuery takes an ended query out of the tables. Its attempts that are not started never are, whether or not the settings
 // allow cancellation: no store knows of them. The others are kept until their outcome is known.
-func (b *Broker) remove(q *activeQuery, now time.Time) {
-	delete(b.queriesByID, q.id)
+func (b *Broker) removeQuery(q *activeQuery, now time.Time) {
+	delete(b.queriesByPolicyID, q.policyID)
 	delete(b.queriesBySubmission, q.Query)
-	b.openItems -= 1 + len(q.parts)
+	b.openQueriesAndParts -= 1 + len(q.parts)
 	b.timers.cancel(q.deadlineTimer)
 	for _, p := range q.parts {
 		p.body = nil // unfinished attempts keep their part in memory
@@ -98,12 +98,12 @@
 func (b *Broker) releasePart(p *activePart) {
 	unfinished := func(a *Attempt) bool { return !a.finished }
 	if !b.isOpen(p.query) && !slices.ContainsFunc(p.attempts, unfinished) {
-		delete(b.partsByID, p.id)
+		delete(b.partsByPolicyID, p.policyID)
 	}
 }
 
 // isOpen reports whether a query has had no final answer yet.
-func (b *Broker) isOpen(q *activeQuery) bool { return b.queriesByID[q.id] == q }
+func (b *Broker) isOpen(q *activeQuery) bool { return b.queriesByPolicyID[q.policyID] == q }
 
 // answeredParts returns the answers that have arrived, in the order of the parts.
 func (q *activeQuery) answeredParts() []PartResult {
--- a/broker/lifecycle_test.go
+++ b/broker/lifecycle_test.go
@@ -34,8 +34,8 @@
 	serveQueries(t, b, transport, 50)
 	b.Close()
 	assert.Less(t, len(b.timers), 10) // those of the decisions
-	assert.Empty(t, b.queriesByID)
-	assert.Empty(t, b.partsByID)
+	assert.Empty(t, b.queriesByPolicyID)
+	assert.Empty(t, b.partsByPolicyID)
 }
 
 // An attempt that was not started has never run, so a query that is idempotent by key may be rejected. Once an attempt was
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -7,13 +7,13 @@
 // may wait for the event loop, so they must not be called from within a method of the transport.
 type Transport interface {
 	// Send starts attempts that share one call. If it returns an error, none of them is sent.
-	Send(server uint32, call []*Attempt) error
+	Send(serverID uint32, call []*Attempt) error
 	// Cancel is called once nobody waits for an attempt any longer.
 	Cancel(a *Attempt)
 	// CloseIdleConnections closes the idle connections to a server.
-	CloseIdleConnections(server uint32)
+	CloseIdleConnections(serverID uint32)
 	// CheckHealth requests a server's load report and calls done once.
-	CheckHealth(server uint32, done func(AttemptResult))
+	CheckHealth(serverID uint32, done func(AttemptResult))
 }
 
 // AttemptResult is the outcome of an attempt or of a health check.
--- a/storepool/close.go
+++ b/storepool/close.go
@@ -61,8 +61,8 @@
 	time.AfterFunc(c.pool.connectTimeout(), func() { c.close(errIdle) })
 }
 
-// drained reports that the connection is retired and has nothing left to do.
-func (c *connection) drained() bool {
+// isRetiredAndIdle reports that the connection is retired and has nothing left to do.
+func (c *connection) isRetiredAndIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.retired && c.nothingPendingLocked()
@@ -83,9 +83,9 @@
 
 // closeIfIdle closes the connection if no attempts are in flight and it is retired, unresponsive, or was not used for the
 // given time.
-func (c *connection) closeIfIdle(unused time.Duration) {
+func (c *connection) closeIfIdle(minIdleTime time.Duration) {
 	c.mu.Lock()
-	obsolete := c.retired || time.Since(c.lastUsed) >= unused || c.unresponsiveLocked()
+	obsolete := c.retired || time.Since(c.lastUsed) >= minIdleTime || c.unresponsiveLocked()
 	idle := c.inFlightCount == 0 && len(c.writeQueue) == 0 && obsolete
 	if idle {
 		c.retired = true // before the lock is released, so that no call is added meanwhile
@@ -103,7 +103,7 @@
 		return
 	}
 	byPool := errors.Is(cause, errIdle) || errors.Is(cause, errClosed)
-	closeLog := c.pool.remove(c, len(pending.attempts) > 0 && !byPool)
+	closeLog := c.pool.removeConnection(c, len(pending.attempts) > 0 && !byPool)
 	if closeLog != nil && !byPool {
 		if suppressed, due := closeLog.Due(time.Now()); due {
 			c.pool.log.WithFields(logrus.Fields{
@@ -121,22 +121,22 @@
 	}
 }
 
-// pendingResults are the attempts and health checks that end with a connection.
-type pendingResults struct {
-	attempts          []endedAttempt
+// unfinishedRequests are the attempts and health checks that end with a connection.
+type unfinishedRequests struct {
+	attempts          []attemptOutcome
 	healthChecks      []*healthCheck
 	healthCheckStatus policy.Status
 }
 
-// endedAttempt is an attempt that ends with its connection.
-type endedAttempt struct {
+// attemptOutcome is an attempt that ends with its connection.
+type attemptOutcome struct {
 	attempt *broker.Attempt
 	status  policy.Status
 }
 
 // markClosed closes the connection's socket and takes over what is pending on it. It returns false if the connection was
 // closed before.
-func (c *connection) markClosed(cause error) (pending pendingResults, closed bool) {
+func (c *connection) markClosed(cause error) (pending unfinishedRequests, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closeCause != nil {
@@ -164,18 +164,18 @@
 
 // takeAttemptsLocked removes the attempts that end with the connection. One that is being written stays: its writer gets the
 // error and decides.
-func (c *connection) takeAttemptsLocked() []endedAttempt {
-	var ended []endedAttempt
+func (c *connection) takeAttemptsLocked() []attemptOutcome {
+	var outcomes []attemptOutcome
 	for id, s := range c.inFlight {
 		switch {
 		case s.written:
-			ended = append(ended, endedAttempt{s.Attempt, policy.ConnectionBroken})
+			outcomes = append(outcomes, attemptOutcome{s.Attempt, policy.ConnectionBroken})
 		case s.Withdraw():
-			ended = append(ended, endedAttempt{s.Attempt, policy.ConnectFailed})
+			outcomes = append(outcomes, attemptOutcome{s.Attempt, policy.ConnectFailed})
 		default:
 			continue
 		}
 		delete(c.inFlight, id)
 	}
-	return ended
+	return outcomes
 }
--- a/storepool/connection.go
+++ b/storepool/connection.go
@@ -44,8 +44,8 @@
 	healthChecks []*healthCheck
 	// lastUsed is when something was last queued or answered.
 	lastUsed time.Time
-	// awaitingSince is since when an answer is due and nothing has been received; zero if none is due.
-	awaitingSince time.Time
+	// awaitingAnswerSince is since when an answer is due and nothing has been received; zero if none is due.
+	awaitingAnswerSince time.Time
 }
 
 // inFlightAttempt is an attempt on a connection.
@@ -72,14 +72,14 @@
 // unresponsiveLocked reports that an answer is overdue. A broken network path looks like that, which TCP may not report for
 // long, and whatever else is written to such a connection is lost.
 func (c *connection) unresponsiveLocked() bool {
-	return !c.awaitingSince.IsZero() && time.Since(c.awaitingSince) > c.pool.connectTimeout()/2
+	return !c.awaitingAnswerSince.IsZero() && time.Since(c.awaitingAnswerSince) > c.pool.connectTimeout()/2
 }
 
 // tryEnqueue queues a request if the connection accepts it now and fulfills the requirement.
 func (c *connection) tryEnqueue(request writeRequest, required requirement) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.fulfillsLocked(request, required) {
+	if !c.acceptsLocked(request, required) {
 		return false
 	}
 	if request.attempts != nil && c.idleTooLongLocked() {
@@ -103,18 +103,18 @@
 	return true
 }
 
-// fulfillsLocked reports whether the connection accepts new requests and fulfills the requirement.
-func (c *connection) fulfillsLocked(request writeRequest, required requirement) bool {
+// acceptsLocked reports whether the connection accepts new requests and fulfills the requirement.
+func (c *connection) acceptsLocked(request writeRequest, required requirement) bool {
 	if c.closeCause != nil || c.retired {
 		return false
 	}
 	if request.attempts != nil && c.inFlightCount >= c.pool.limits.Load().MaxInFlight {
 		return false
 	}
-	if required >= isResponsive && c.unresponsiveLocked() {
+	if required >= requireResponsive && c.unresponsiveLocked() {
 		return false
 	}
-	return required < isUnused || c.inFlightCount == 0
+	return required < requireNoAttempts || c.inFlightCount == 0
 }
 
 // idleTooLongLocked reports that the store may have closed the connection by now although nobody has noticed yet, as after
--- a/storepool/connection_test.go
+++ b/storepool/connection_test.go
@@ -15,10 +15,10 @@
 	attempts, _ := submitQuery(t)
 	a := <-attempts
 	c := unconnected(32)
-	require.True(t, c.tryEnqueue(callOf(a), hasCapacity))
+	require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
 	c.fence()
 	assert.False(t, a.Start(), "the call can still be written")
-	assert.False(t, c.tryEnqueue(writeRequest{cancelID: "x"}, hasCapacity), "new requests are accepted")
+	assert.False(t, c.tryEnqueue(writeRequest{cancelID: "x"}, requireCapacity), "new requests are accepted")
 	assert.NotSame(t, a, <-attempts)
 }
 
@@ -26,10 +26,10 @@
 	attempts, _ := submitQuery(t)
 	a := <-attempts
 	c := unconnected(1)
-	require.True(t, c.tryEnqueue(callOf(a), hasCapacity))
-	assert.False(t, c.tryEnqueue(callOf(a), hasCapacity), "more attempts than the limit")
+	require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
+	assert.False(t, c.tryEnqueue(callOf(a), requireCapacity), "more attempts than the limit")
 	c.pool.SetLimits(limitsWith(9))
-	assert.False(t, c.tryEnqueue(callOf(a), hasCapacity), "two attempts with the same id")
+	assert.False(t, c.tryEnqueue(callOf(a), requireCapacity), "two attempts with the same id")
 	assert.False(t, c.cancel(&broker.Attempt{Query: a.Query}), "canceled another attempt with the same id")
 }
 
@@ -41,7 +41,7 @@
 			select {
 			case a := <-attempts:
 				c := unconnected(32)
-				require.True(t, c.tryEnqueue(callOf(a), hasCapacity))
+				require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
 				if written {
 					require.True(t, a.Start())
 					c.inFlight[WirePartID(a)].written = true
@@ -61,7 +61,7 @@
 	attempts, _ := submitQuery(t)
 	a := <-attempts
 	c := unconnected(32)
-	require.True(t, c.tryEnqueue(callOf(a), hasCapacity))
+	require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
 	c.dequeue() // as the writer would
 	require.ErrorIs(t, c.handleMessage(Message{Kind: Answer, ID: "other"}, false), ErrMalformed)
 	c.canceledIDs["late"] = true
--- a/storepool/endpoints_test.go
+++ b/storepool/endpoints_test.go
@@ -45,11 +45,11 @@
 			p.stores[1].connections = []*connection{queued}
 			var checkResult *broker.AttemptResult
 			check := &healthCheck{done: func(result broker.AttemptResult) { checkResult = &result }}
-			require.True(t, queued.tryEnqueue(callOf(a), hasCapacity))
-			require.True(t, queued.tryEnqueue(writeRequest{healthCheck: check}, hasCapacity))
+			require.True(t, queued.tryEnqueue(callOf(a), requireCapacity))
+			require.True(t, queued.tryEnqueue(writeRequest{healthCheck: check}, requireCapacity))
 			p.UpdateEndpoints(c.list)
 			assert.False(t, a.Start(), "the call can still be written")
-			assert.False(t, queued.tryEnqueue(callOf(&broker.Attempt{Query: a.Query, Shard: 9}), hasCapacity))
+			assert.False(t, queued.tryEnqueue(callOf(&broker.Attempt{Query: a.Query, Shard: 9}), requireCapacity))
 			for request, ok := queued.dequeue(); ok; request, ok = queued.dequeue() {
 				_, err := queued.write(nil, request, nil) // a write would panic, as there is no socket
 				require.NoError(t, err)
--- a/storepool/healthcheck.go
+++ b/storepool/healthcheck.go
@@ -18,13 +18,13 @@
 func (h *healthCheck) Finish(result broker.AttemptResult) { h.once.Do(func() { h.done(result) }) }
 
 // CheckHealth requests a store's load report. It calls done from another goroutine, with the report or without an answer.
-func (p *Pool) CheckHealth(server uint32, done func(broker.AttemptResult)) {
+func (p *Pool) CheckHealth(serverID uint32, done func(broker.AttemptResult)) {
 	check := &healthCheck{done: done}
 	if len(p.codec.AppendHealthCheck(nil)) == 0 {
 		go check.Finish(broker.Unanswered(policy.ServerError))
 		return
 	}
-	if err := p.enqueue(server, writeRequest{healthCheck: check}); err != nil {
+	if err := p.enqueue(serverID, writeRequest{healthCheck: check}); err != nil {
 		go check.Finish(broker.Unanswered(policy.ConnectFailed))
 		return
 	}
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -85,10 +85,10 @@
 }
 
 // CloseIdleConnections closes the idle connections to a store.
-func (p *Pool) CloseIdleConnections(server uint32) {
+func (p *Pool) CloseIdleConnections(serverID uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	st := p.stores[server]
+	st := p.stores[serverID]
 	if st == nil {
 		return
 	}
@@ -116,9 +116,9 @@
 	return all
 }
 
-// remove takes a closed connection out of the pool. broken reports that attempts in flight were lost. It returns the log
+// removeConnection takes a closed connection out of the pool. broken reports that attempts in flight were lost. It returns the log
 // line for closed connections to the store, which is limited in rate, or nil if the store is no longer listed.
-func (p *Pool) remove(closed *connection, broken bool) *ratelog.Line {
+func (p *Pool) removeConnection(closed *connection, attemptsLost bool) *ratelog.Line {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.retiring, closed); i >= 0 {
@@ -128,7 +128,7 @@
 	if st == nil {
 		return nil
 	}
-	if broken {
+	if attemptsLost {
 		st.brokenAt = time.Now()
 	}
 	if i := slices.Index(st.connections, closed); i >= 0 {
--- a/storepool/reader.go
+++ b/storepool/reader.go
@@ -14,12 +14,12 @@
 const (
 	// readBufferSize is the size of a connection's read buffer in bytes.
 	readBufferSize = 4 << 10
-	// idleChecks is how many times per idle limit a connection that receives nothing is inspected.
-	idleChecks = 8
+	// idleChecksPerTimeout is how many times per idle limit a connection that receives nothing is inspected.
+	idleChecksPerTimeout = 8
 )
 
-// finisher is an attempt or health check that waits for its result.
-type finisher interface{ Finish(broker.AttemptResult) }
+// resultReceiver is an attempt or health check that waits for its result.
+type resultReceiver interface{ Finish(broker.AttemptResult) }
 
 // readLoop handles messages until the connection ends.
 func (c *connection) readLoop(netConn net.Conn) {
@@ -39,7 +39,7 @@
 // readMessage waits for a message. That none arrives is no error, since idle connections and slow stores look alike.
 func (c *connection) readMessage(netConn net.Conn, r *bufio.Reader) (Message, error) {
 	for {
-		netConn.SetReadDeadline(time.Now().Add(c.pool.idleLimit() / idleChecks))
+		netConn.SetReadDeadline(time.Now().Add(c.pool.idleLimit() / idleChecksPerTimeout))
 		_, err := r.Peek(1)
 		if err == nil {
 			break
@@ -48,7 +48,7 @@
 			return Message{}, err
 		}
 		// An idle connection must be closed before the inspection that would come too late.
-		c.closeIfIdle(c.pool.idleLimit() * (idleChecks - 1) / idleChecks)
+		c.closeIfIdle(c.pool.idleLimit() * (idleChecksPerTimeout - 1) / idleChecksPerTimeout)
 	}
 	// A message that does not end, as with a wrong length, would block every answer behind it.
 	netConn.SetReadDeadline(time.Now().Add(c.pool.connectTimeout()))
@@ -59,7 +59,7 @@
 // any longer. moreBuffered reports that further bytes were received. If nothing is in flight, they answer nothing that was
 // sent, so that the connection cannot be used any more.
 func (c *connection) handleMessage(m Message, moreBuffered bool) error {
-	var receiver finisher
+	var receiver resultReceiver
 	var err error
 	c.mu.Lock()
 	switch m.Kind {
@@ -69,9 +69,9 @@
 		receiver, err = c.nextHealthCheckLocked()
 	case OtherMessage:
 	}
-	c.awaitingSince = time.Time{}
+	c.awaitingAnswerSince = time.Time{}
 	if len(c.inFlight)+len(c.healthChecks) > 0 {
-		c.awaitingSince = time.Now()
+		c.awaitingAnswerSince = time.Now()
 	}
 	unexpectedBytes := moreBuffered && len(c.inFlight)+len(c.canceledIDs)+len(c.healthChecks) == 0
 	if m.Closing || unexpectedBytes {
@@ -93,7 +93,7 @@
 
 // answeredAttemptLocked removes and returns the attempt with the given id; an empty id stands for the only one. It returns
 // nil for an attempt that was canceled. An unknown id is an error, since the answer that it stands for will not come.
-func (c *connection) answeredAttemptLocked(id string) (finisher, error) {
+func (c *connection) answeredAttemptLocked(id string) (resultReceiver, error) {
 	if id == "" {
 		for only := range c.inFlight {
 			id = only
@@ -113,7 +113,7 @@
 }
 
 // nextHealthCheckLocked removes and returns the oldest health check that was written.
-func (c *connection) nextHealthCheckLocked() (finisher, error) {
+func (c *connection) nextHealthCheckLocked() (resultReceiver, error) {
 	if len(c.healthChecks) == 0 {
 		return nil, fmt.Errorf("%w: unrequested load report", ErrMalformed)
 	}
--- a/storepool/selection.go
+++ b/storepool/selection.go
@@ -35,23 +35,23 @@
 type requirement uint8
 
 const (
-	hasCapacity  requirement = iota // fewer attempts in flight than the limit
-	isResponsive                    // and no answer is overdue
-	isUnused                        // and no attempts are in flight
+	requireCapacity   requirement = iota // fewer attempts in flight than the limit
+	requireResponsive                    // and no answer is overdue
+	requireNoAttempts                    // and no attempts are in flight
 )
 
 // Send queues a call on a connection with capacity or on a new one.
-func (p *Pool) Send(server uint32, call []*broker.Attempt) error {
-	return p.enqueue(server, writeRequest{attempts: call})
+func (p *Pool) Send(serverID uint32, call []*broker.Attempt) error {
+	return p.enqueue(serverID, writeRequest{attempts: call})
 }
 
 // enqueue queues a request on an existing connection if one fits, else on a new one.
-func (p *Pool) enqueue(server uint32, request writeRequest) error {
+func (p *Pool) enqueue(serverID uint32, request writeRequest) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	st := p.stores[server]
+	st := p.stores[serverID]
 	if st == nil || st.State != policy.Ready || p.closed {
-		return fmt.Errorf("store %d: %w", server, ErrNotReady)
+		return fmt.Errorf("store %d: %w", serverID, ErrNotReady)
 	}
 	allowance := 1 // connections that may still be opened
 	if p.ConnectionAllowance != nil {
@@ -75,14 +75,14 @@
 // enqueueOnExisting queues a request on a connection to the store that is open already, if one fits. The pool's lock is
 // held.
 func (st *storeConnections) enqueueOnExisting(request writeRequest) bool {
-	required := isResponsive
+	required := requireResponsive
 	if request.attempts != nil && time.Since(st.brokenAt) < isolationDuration {
-		required = isUnused
+		required = requireNoAttempts
 	}
 	if st.enqueueOnAny(request, required) {
 		return true
 	}
-	return len(st.connections) >= maxIsolatedConnections && st.enqueueOnAny(request, hasCapacity)
+	return len(st.connections) >= maxIsolatedConnections && st.enqueueOnAny(request, requireCapacity)
 }
 
 func (st *storeConnections) enqueueOnAny(request writeRequest, required requirement) bool {
@@ -92,7 +92,7 @@
 // enqueueOnNewLocked opens a connection for a request.
 func (p *Pool) enqueueOnNewLocked(st *storeConnections, request writeRequest) error {
 	c := newConnection(p, st.Store)
-	if !c.tryEnqueue(request, hasCapacity) {
+	if !c.tryEnqueue(request, requireCapacity) {
 		return fmt.Errorf("store %s: %w: %d parts", st.Name, ErrCallNotAccepted, len(request.attempts))
 	}
 	st.connections = append(st.connections, c)
--- a/storepool/writer.go
+++ b/storepool/writer.go
@@ -19,12 +19,12 @@
 	cancelID    string
 }
 
-// maxWriteQueue limits the requests that wait on one connection: its calls and their cancellations, twice over.
-func (c *connection) maxWriteQueue() int { return 4*c.pool.limits.Load().MaxInFlight + 16 }
+// maxWriteQueueLength limits the requests that wait on one connection: its calls and their cancellations, twice over.
+func (c *connection) maxWriteQueueLength() int { return 4*c.pool.limits.Load().MaxInFlight + 16 }
 
 // enqueueLocked has a request written. It returns false if the queue is full, which means that the store does not read.
 func (c *connection) enqueueLocked(request writeRequest) bool {
-	if len(c.writeQueue) >= c.maxWriteQueue() {
+	if len(c.writeQueue) >= c.maxWriteQueueLength() {
 		return false
 	}
 	c.writeQueue = append(c.writeQueue, request)
@@ -103,7 +103,7 @@
 		if request, ok := c.dequeue(); ok {
 			return request, true
 		}
-		if c.drained() {
+		if c.isRetiredAndIdle() {
 			c.close(errIdle)
 			return writeRequest{}, false
 		}
@@ -203,8 +203,8 @@
 func (c *connection) expectAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.awaitingSince.IsZero() {
-		c.awaitingSince = now
+	if c.awaitingAnswerSince.IsZero() {
+		c.awaitingAnswerSince = now
 	}
 }
 
