--- a/broker/admission.go
+++ b/broker/admission.go
@@ -6,13 +6,13 @@
 	"alderproxy/policy"
 )
 
-// expiryMargin is how long before a query's deadline the broker answers it if the decisions have not.
+// expiryMargin is the time before a query's deadline at which the broker ends the query if the aggregator has not.
 const expiryMargin = time.Millisecond
 
-// admit opens a query or rejects it at once.
+// admit opens a submitted query or rejects it.
 func (b *Broker) admit(submitted *Query, now time.Time) {
 	if submitted.canceled.Load() {
-		return // nobody waits for an answer
+		return // the client no longer waits for an answer
 	}
 	terms := b.terms.Load()
 	if rejection, rejected := b.rejectAtAdmission(submitted, terms, now); rejected {
@@ -44,14 +44,14 @@
 	for _, spec := range submitted.Parts {
 		b.openPart(q, spec)
 	}
-	// The decisions end every query in time. If they ever fail to, the client still gets its answer.
+	// The aggregator ends every query in time. If it fails to, for example because it panics, this timer does.
 	q.deadlineTimer = b.timers.add(submitted.Deadline.Add(-expiryMargin), func(now time.Time) { b.expireQuery(q, now) })
 }
 
-// rejectAtAdmission returns the answer to a query that is not admitted. The order of the checks decides which reason the
-// client is given.
+// rejectAtAdmission reports whether a query must not be admitted, and returns the answer to it in that case. The order of
+// the checks determines which reason the client receives.
 func (b *Broker) rejectAtAdmission(submitted *Query, terms *Terms, now time.Time) (rejection Response, rejected bool) {
-	// The decisions leave the limit on open queries to the broker, whose memory it protects.
+	// The aggregator does not enforce MaxOpen. The limit protects the memory of the broker.
 	full := b.settings.MaxOpen > 0 && b.openQueriesAndParts >= b.settings.MaxOpen
 	if full || b.drainDeadlinePassed(now) {
 		return Response{Status: Rejected, RetryAfter: b.overloadRetryAfter()}, true
@@ -59,7 +59,7 @@
 	if !submitted.Deadline.After(now) {
 		return Response{Status: Rejected, DeadlineExceeded: true}, true
 	}
-	// The gate is asked here and not where the query was parsed, since the process may have been suspended in between.
+	// The gate is checked here and not when the query is parsed, since the process may be suspended in between.
 	if b.gate != nil {
 		if open, retryAfter := b.gate(terms); !open {
 			return Response{Status: Rejected, GateClosed: true, RetryAfter: retryAfter}, true
@@ -71,7 +71,8 @@
 	return Response{}, false
 }
 
-// overloadRetryAfter is the advice to clients that find the broker full or shutting down; 0 where the settings allow none.
+// overloadRetryAfter returns the time after which clients should retry if the broker is full or drained; 0 if the settings
+// allow no such advice.
 func (b *Broker) overloadRetryAfter() time.Duration {
 	if !b.settings.SendRetryAfter {
 		return 0
@@ -79,8 +80,8 @@
 	return duration(b.settings.MaxRetryAfter)
 }
 
-// answerDeadline is when the decisions end a query at the latest: where a late answer has no weight, by the class's latency
-// objective already.
+// answerDeadline returns the time at which the aggregator ends a query at the latest: the client's deadline or, if the class
+// gives late answers no weight, the latency objective if that is earlier.
 func answerDeadline(submitted *Query, class policy.Class, now time.Time) time.Time {
 	objective := now.Add(duration(class.LatencyObjective))
 	if class.LateWeight <= 0 && objective.Before(submitted.Deadline) {
--- a/broker/attempt_test.go
+++ b/broker/attempt_test.go
@@ -10,8 +10,9 @@
 	"alderproxy/policy"
 )
 
-// A client leaves between the decision to send and the write, before the event loop handles the cancellation: nothing is
-// written. A queued attempt is withdrawn at once, whether or not the settings allow attempts to be canceled at stores.
+// A client that disconnects after an attempt was ordered and before it is written must not cause a write, even if the event
+// loop has yet to handle the cancellation. The queued attempt must be withdrawn whether or not the settings allow stores to be
+// sent cancellations.
 func TestCanceledQueryStartsNoAttempt(t *testing.T) {
 	for _, allowCancel := range []bool{true, false} {
 		settings := newSettings(policy.Idempotent)
@@ -22,7 +23,7 @@
 		q, received := newQuery(time.Hour)
 		transport.onSend = func(a *Attempt) {
 			b.Cancel(q)
-			assert.False(t, a.Start(), "started before the event loop has handled the cancellation")
+			assert.False(t, a.Start(), "the attempt was started although its query was canceled")
 		}
 		require.True(t, b.Submit(q))
 		a := <-transport.sent
@@ -30,7 +31,7 @@
 		case canceled := <-transport.canceled:
 			assert.Same(t, a, canceled)
 		case <-time.After(eventTimeout):
-			require.Fail(t, "the attempt was not canceled", "cancellation allowed: %v", allowCancel)
+			require.Fail(t, "the attempt was not canceled", "AllowCancel: %v", allowCancel)
 		}
 		transport.onSend = nil
 		_, nextReceived := submit(b, time.Second)
@@ -38,11 +39,12 @@
 		<-nextReceived
 		assert.Empty(t, received)
 		b.Close()
-		assert.Empty(t, b.partsByPolicyID, "the attempt's part was not released")
+		assert.Empty(t, b.partsByPolicyID, "the part of the attempt is still in memory")
 	}
 }
 
-// Cancel marks all queries before it posts the first cancellation, which may wait for a busy event loop.
+// Cancel must mark all queries as canceled before it posts the first cancellation, which blocks while the event loop is busy.
+// Otherwise attempts of the later queries could still be started.
 func TestCancelMarksAllQueriesBeforePosting(t *testing.T) {
 	transport := newFakeTransport()
 	blocked := make(chan *Attempt)
@@ -72,26 +74,26 @@
 	assert.False(t, second.Start())
 	select {
 	case <-canceled:
-		assert.Fail(t, "the event loop was not blocked")
+		assert.Fail(t, "Cancel returned although the event loop is blocked and its queue is full")
 	default:
 	}
 	close(release)
 	<-canceled
 }
 
-// An attempt is not started after its deadline even if the event loop has yet to run its timer.
+// An attempt must not be started after its deadline, even if the event loop has yet to run the attempt's timer.
 func TestAttemptIsNotStartedAfterDeadline(t *testing.T) {
 	b, transport := startBroker(t, newSettings(policy.Idempotent))
 	started := make(chan bool, 1)
 	transport.onSend = func(a *Attempt) {
-		time.Sleep(time.Until(a.Deadline)) // the deadline is a matter of real time
+		time.Sleep(time.Until(a.Deadline)) // Start reads the system clock
 		started <- a.Start()
 	}
 	submit(b, 100*time.Millisecond)
 	assert.False(t, <-started)
 }
 
-// The client leaves between the decision to send a hedged request and the write.
+// A client that disconnects after a hedged request was ordered and before it is written must not cause a write.
 func TestCanceledQueryStartsNoHedgedRequest(t *testing.T) {
 	settings := newSettings(policy.Idempotent)
 	settings.AllowHedging = true
@@ -101,7 +103,7 @@
 	transport.onSend = func(a *Attempt) {
 		if a.index == 1 {
 			b.Cancel(q)
-			assert.False(t, a.Start(), "started before the event loop has handled the cancellation")
+			assert.False(t, a.Start(), "the hedged request was started although its query was canceled")
 		}
 	}
 	require.True(t, b.Submit(q))
@@ -115,13 +117,13 @@
 	assert.Empty(t, received)
 }
 
-// A part that is idempotent by key and may have run is retried only while stores recognize duplicates. It isn't enough that
-// the decisions observe that time, since the attempt may wait for its connection.
+// A retry of a part that is idempotent by key and may have run must not be started after stores have stopped recognizing
+// duplicates. The aggregator orders retries only before that time, but an attempt may then wait for a connection.
 func TestRetryIsNotStartedAfterDeduplicationWindow(t *testing.T) {
 	for _, c := range []struct {
 		started bool
 		status  policy.Status
-		limited bool // the retry may not be started after the window
+		limited bool // the retry must not be started after the window
 	}{
 		{started: true, status: policy.ConnectionBroken, limited: true},
 		{started: true, status: policy.ServerError, limited: true},
@@ -138,7 +140,7 @@
 		}
 		first.Finish(AttemptResult{Status: c.status, Report: policy.NoLoadReport})
 		second := <-transport.sent
-		time.Sleep(time.Until(first.sentAt.Add(110 * time.Millisecond))) // the window is a matter of real time
-		assert.Equal(t, !c.limited, second.Start(), c.status)
+		time.Sleep(time.Until(first.sentAt.Add(110 * time.Millisecond))) // Start reads the system clock
+		assert.Equal(t, !c.limited, second.Start(), "first attempt: started %v, status %v", c.started, c.status)
 	}
 }
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -1,10 +1,9 @@
-// Package broker carries out the decisions of package policy. It admits queries, reports events to policy.Aggregator, sends
-// the attempts that it orders and answers the queries. It deals in queries, parts, attempts and results and knows no wire
-// protocol.
+// Package broker runs a policy.Aggregator, called the aggregator below. It admits queries, reports events to the aggregator,
+// sends the attempts that the aggregator orders, and answers the queries. The package is independent of any wire protocol.
 //
-// One goroutine, the event loop, owns the aggregator and all tables. Other goroutines reach it by messages in a bounded
-// queue. What the event loop calls (Transport, Responder and Gate) must not block, so that a slow peer delays nothing but
-// its own queries.
+// One goroutine, the event loop, owns the aggregator and all tables. Other goroutines send it messages through a bounded
+// queue. The event loop calls Transport, Responder and Gate, which must not block, so that a slow peer delays only its own
+// queries.
 package broker
 
 import (
@@ -19,35 +18,35 @@
 	"alderproxy/policy"
 )
 
-// defaultQueueLength is the capacity of the message queue where Config sets none.
+// defaultQueueLength is the capacity of the message queue if Config sets none.
 const defaultQueueLength = 1024
 
 // Config configures a broker.
 type Config struct {
-	// Settings are served by where Terms is nil.
+	// Settings are the settings to serve queries by if Terms is nil.
 	Settings policy.Settings
-	// Seed initializes the random choices of the decisions.
+	// Seed is passed to policy.New, which ignores it.
 	Seed uint64
-	// Transport sends the attempts.
+	// Transport sends attempts and health checks to stores.
 	Transport Transport
-	// Log receives the log lines of the broker and of the decisions.
+	// Log receives the log lines of the broker and of the aggregator.
 	Log *logrus.Entry
-	// QueueLength is the capacity of the message queue; 0 stands for a default.
+	// QueueLength is the capacity of the message queue; 0 selects the default.
 	QueueLength int
-	// Terms are the first terms to serve by; nil stands for Settings without a version.
+	// Terms are the initial terms. If they are nil, the terms consist of Settings and version 0.
 	Terms *Terms
-	// Gate can stop the admission of queries; nil never does.
+	// Gate can stop the admission of queries. If it is nil, the gate is always open.
 	Gate Gate
 }
 
-// Broker runs the decisions of one aggregator. Its methods may be called from any goroutine.
+// Broker admits queries and carries out the actions of one aggregator. Its methods may be called from any goroutine.
 type Broker struct {
-	// terms are those of new queries. The event loop changes them.
+	// terms apply to new queries. Only the event loop replaces them.
 	terms     atomic.Pointer[Terms]
 	gate      Gate
 	transport Transport
 	log       *logrus.Entry
-	// epoch is the time on both clocks, the system's and the monotonic one, when the broker was started.
+	// epoch is the time at which the broker was started. It has a wall clock and a monotonic clock reading.
 	epoch     time.Time
 	messages  chan message
 	closeOnce sync.Once
@@ -55,32 +54,33 @@
 	stopping chan struct{}
 	// stopped is closed when the event loop has returned.
 	stopped chan struct{}
-	// drained is closed when no query is open during a drain.
+	// drained is closed once a drain was started and no query is open.
 	drained chan struct{}
 
 	// The event loop owns everything below.
 
 	aggregator *policy.Aggregator
-	// pendingEvents are reported to the decisions in the next step.
+	// pendingEvents are reported to the aggregator in the next step.
 	pendingEvents []policy.Event
 	// settings are those of terms.
-	settings            policy.Settings
+	settings policy.Settings
+	// queriesByPolicyID and queriesBySubmission hold the open queries.
 	queriesByPolicyID   map[uint64]*activeQuery
 	queriesBySubmission map[*Query]*activeQuery
-	// partsByPolicyID also holds the parts of ended queries that have unfinished attempts.
+	// partsByPolicyID holds the parts of open queries, and those of ended queries that have unfinished attempts.
 	partsByPolicyID map[uint64]*activePart
-	// openQueriesAndParts is the number of open queries and of their parts, which the settings limit.
+	// openQueriesAndParts is the number of open queries plus that of their parts, which Settings.MaxOpen limits.
 	openQueriesAndParts int
-	// lastPolicyID is the last number given to a query or part.
+	// lastPolicyID is the latest ID that was given to a query or part.
 	lastPolicyID uint64
 	timers       timerHeap
-	// drainDeadline is when a drain ends every open query; zero while there is none.
+	// drainDeadline is the time at which a drain ends all open queries; zero if no drain was started.
 	drainDeadline time.Time
 	expiryLog     ratelog.Line
 	sendErrorLog  ratelog.Line
 }
 
-// New checks the terms and starts a broker. It returns the error of Terms.Check or of policy.New.
+// New checks the terms and starts a broker. An error is that of Terms.Check or wraps that of policy.New.
 func New(config Config) (*Broker, error) {
 	terms := config.Terms
 	if terms == nil {
@@ -91,7 +91,7 @@
 	}
 	aggregator, err := policy.New(terms.Settings, config.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("start decisions: %w", err)
+		return nil, fmt.Errorf("create aggregator: %w", err)
 	}
 	queueLength := config.QueueLength
 	if queueLength <= 0 {
@@ -117,17 +117,17 @@
 	return b, nil
 }
 
-// Submit hands in a query, whose Responder receives exactly one final answer unless the broker is closed or the client has
-// left. It returns false, and there is no answer, if the broker was closed already.
+// Submit submits a query. The query's Responder receives exactly one final answer unless the query is canceled or the broker
+// is closed. Submit returns false if the broker was closed before it could take the query, which then gets no answer.
 func (b *Broker) Submit(q *Query) bool { return b.post(querySubmitted{q}) }
 
-// Cancel reports that the client of some queries has left. When it returns, no attempt of theirs is started any more,
-// however long the message queue is. A final answer may still follow if it was under way.
+// Cancel reports that the client no longer waits for some queries. Once it returns, no attempt at their parts is started,
+// however long the message queue is. A final answer may still follow until the event loop has handled the cancellation.
 func (b *Broker) Cancel(queries ...*Query) {
 	for _, q := range queries {
 		q.canceled.Store(true)
 	}
-	// Posting waits while the message queue is full, so every query is marked before.
+	// post blocks while the message queue is full, so all queries are marked first.
 	for _, q := range queries {
 		b.post(queryCanceled{q})
 	}
@@ -136,13 +136,14 @@
 // UpdateEndpoints replaces the endpoint list.
 func (b *Broker) UpdateEndpoints(endpoints []policy.Endpoint) { b.post(endpointsUpdated{endpoints}) }
 
-// Drain makes the broker end every query by the deadline. The channel that it returns is closed once no query is open.
+// Drain ends every query by the deadline, before which queries are still admitted. The returned channel is closed once no
+// query is open. Only the first call sets the deadline.
 func (b *Broker) Drain(deadline time.Time) <-chan struct{} {
 	b.post(drainStarted{deadline})
 	return b.drained
 }
 
-// Close stops the event loop and waits for its end. Open queries get no answer, so drain first.
+// Close stops the event loop and waits until it has returned. Open queries get no answer, so call Drain first.
 func (b *Broker) Close() {
 	b.closeOnce.Do(func() { close(b.stopping) })
 	<-b.stopped
--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -10,8 +10,8 @@
 	"alderproxy/policy"
 )
 
-// execute carries out the actions of one step in their order. Attempts are sent last, those to the same server in shared
-// calls.
+// execute carries out the actions of one step in order. Attempts are sent last, and those to the same server share calls of
+// up to Settings.MaxBatchSize attempts.
 func (b *Broker) execute(actions []policy.Action, now time.Time) {
 	var servers []uint32
 	attemptsByServer := map[uint32][]*Attempt{}
@@ -61,12 +61,12 @@
 	}
 }
 
-// newAttempt records an attempt that the decisions ordered. It returns nil for one that must not be sent, which the
-// decisions then see as withdrawn.
+// newAttempt records an attempt that the aggregator ordered. If the attempt must not be sent, newAttempt reports it to the
+// aggregator as withdrawn and returns nil. It also returns nil if the part is unknown.
 func (b *Broker) newAttempt(order policy.SendAttempt, now time.Time) *Attempt {
 	p := b.partsByPolicyID[order.PartID]
 	if p == nil {
-		b.log.WithField("part", order.PartID).Error("decisions sent an attempt of an unknown part")
+		b.log.WithField("part", order.PartID).Error("cannot send an attempt at an unknown part")
 		return nil
 	}
 	deadline := now.Add(duration(order.Timeout))
@@ -95,14 +95,14 @@
 	return a
 }
 
-// sendCall hands a call to the transport.
+// sendCall passes a call to the transport. If that fails, its attempts end with the status ConnectFailed.
 func (b *Broker) sendCall(serverID uint32, call []*Attempt, now time.Time) {
 	err := b.transport.Send(serverID, call)
 	if err == nil {
 		return
 	}
 	if suppressed, due := b.sendErrorLog.Due(now); due {
-		b.log.WithError(err).WithFields(logrus.Fields{"server": serverID, "more": suppressed}).Warn("attempt not sent")
+		b.log.WithError(err).WithFields(logrus.Fields{"server": serverID, "more": suppressed}).Warn("cannot send a call to a store")
 	}
 	for _, a := range call {
 		a.Withdraw()
@@ -110,7 +110,7 @@
 	}
 }
 
-// checkHealth has the transport request a server's load report.
+// checkHealth has the transport request a server's load report. Only the first result counts.
 func (b *Broker) checkHealth(serverID uint32, now time.Time) {
 	var once sync.Once
 	b.transport.CheckHealth(serverID, func(result AttemptResult) {
@@ -118,7 +118,8 @@
 	})
 }
 
-// finishAttempt reports an attempt's outcome to the decisions. A later one is ignored: an answer may cross a timeout.
+// finishAttempt reports an attempt's outcome to the aggregator. Only the first outcome counts, since an answer may arrive
+// after a timeout.
 func (b *Broker) finishAttempt(a *Attempt, result AttemptResult, now time.Time) {
 	if a.finished {
 		return
@@ -142,13 +143,14 @@
 	b.releasePart(p)
 }
 
-// cancelAttempt ends the wait for an attempt. The status is that of an attempt that was started.
+// cancelAttempt cancels an unfinished attempt, which ends with the given status. If it timed out before it was started, it
+// ends with ConnectFailed instead.
 func (b *Broker) cancelAttempt(a *Attempt, status policy.Status, now time.Time) {
 	if a.finished {
 		return
 	}
 	if a.Withdraw() && status == policy.TimedOut {
-		status = policy.ConnectFailed // it has waited for a connection all the time
+		status = policy.ConnectFailed // it has only waited for a connection
 	}
 	b.transport.Cancel(a)
 	b.finishAttempt(a, Unanswered(status), now)
--- a/broker/drain.go
+++ b/broker/drain.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startDrain has every open query ended by the deadline. Only the first call counts.
+// startDrain sets the deadline at which all open queries are ended. Calls after the first are ignored.
 func (b *Broker) startDrain(deadline time.Time) {
 	if !b.drainDeadline.IsZero() {
 		return
@@ -15,12 +15,12 @@
 	b.timers.add(deadline, b.expireOpenQueries)
 }
 
-// drainDeadlinePassed reports whether a drain admits no queries any more.
+// drainDeadlinePassed reports whether the deadline of a drain has passed. Queries are then no longer admitted.
 func (b *Broker) drainDeadlinePassed(now time.Time) bool {
 	return !b.drainDeadline.IsZero() && !now.Before(b.drainDeadline)
 }
 
-// expireOpenQueries ends what is open at the deadline of a drain, in the order of admission.
+// expireOpenQueries ends all open queries, in the order of their admission, at the deadline of a drain.
 func (b *Broker) expireOpenQueries(now time.Time) {
 	open := make([]*activeQuery, 0, len(b.queriesByPolicyID))
 	for _, q := range b.queriesByPolicyID {
@@ -32,7 +32,7 @@
 	}
 }
 
-// signalDrained closes the channel that Drain returned once no query is open.
+// signalDrained closes the channel that Drain returns if a drain was started and no query is open.
 func (b *Broker) signalDrained() {
 	if b.drainDeadline.IsZero() || len(b.queriesByPolicyID) > 0 {
 		return
--- a/broker/eventloop.go
+++ b/broker/eventloop.go
@@ -7,7 +7,7 @@
 	"alderproxy/policy"
 )
 
-// message is what another goroutine asks of the event loop or reports to it.
+// message is a request or report of another goroutine to the event loop.
 type message interface {
 	// handle is called by the event loop.
 	handle(b *Broker, now time.Time)
@@ -33,8 +33,8 @@
 	}
 )
 
-// post puts a message into the queue of the event loop. While the queue is full it blocks, which delays the caller's own
-// connection only. After Close it drops the message and returns false.
+// post appends a message to the queue of the event loop. It blocks while the queue is full, which delays only the connection
+// that the caller serves. If the broker is closed, it may drop the message and returns false in that case.
 func (b *Broker) post(m message) bool {
 	select {
 	case b.messages <- m:
@@ -61,7 +61,7 @@
 		b.handleQueued()
 		now := time.Now()
 		b.runDueTimers(now)
-		// Carrying out actions can cause events at once, as when an attempt cannot be sent. They get a step of their own.
+		// Actions may cause events immediately, for example if an attempt cannot be sent. Further steps handle them.
 		for len(b.pendingEvents) > 0 {
 			b.step(now)
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-// handleQueued handles the messages that wait already, so that the decisions see all of them in one step.
+// handleQueued handles the messages that are queued already, so that one step of the aggregator covers all their events.
 func (b *Broker) handleQueued() {
 	for range cap(b.messages) {
 		select {
@@ -87,22 +87,22 @@
 	}
 }
 
-// emit queues an event for the next step of the decisions.
+// emit queues an event for the next step of the aggregator.
 func (b *Broker) emit(e policy.Event) { b.pendingEvents = append(b.pendingEvents, e) }
 
-// step reports the pending events to the decisions and carries out the actions that they return.
+// step reports the pending events to the aggregator and carries out the actions that it returns.
 func (b *Broker) step(now time.Time) {
 	events := b.pendingEvents
 	b.pendingEvents = nil
 	b.execute(b.decide(events, now), now)
 }
 
-// decide runs one step of the decisions. It recovers from a panic, which must not take other queries with it: the timer of
-// each query still ends it at its deadline.
+// decide runs one step of the aggregator. It recovers from a panic and returns no actions then. Queries that the panic
+// affects are still ended at their deadlines, by the deadline timers.
 func (b *Broker) decide(events []policy.Event, now time.Time) []policy.Action {
 	defer func() {
 		if r := recover(); r != nil {
-			b.log.WithField("stack", string(debug.Stack())).Errorf("decisions panicked: %v", r)
+			b.log.WithField("stack", string(debug.Stack())).Errorf("aggregator panicked: %v", r)
 		}
 	}()
 	return b.aggregator.Step(b.policyTime(now), events)
--- a/broker/helpers_test.go
+++ b/broker/helpers_test.go
@@ -12,16 +12,16 @@
 	"alderproxy/policy"
 )
 
-// eventTimeout is how long a test waits for something that must happen.
+// eventTimeout is the maximum time for which a test waits for an event that must occur.
 const eventTimeout = 5 * time.Second
 
-// fakeTransport records what the event loop asks of it.
+// fakeTransport is a Transport that records the attempts that the event loop sends and cancels.
 type fakeTransport struct {
 	sent     chan *Attempt
 	canceled chan *Attempt
 	// sendError is returned by Send.
 	sendError error
-	// onSend is called by Send with the first attempt of the call.
+	// onSend is called first by Send, with the first attempt of the call; nil if it is not needed.
 	onSend func(*Attempt)
 }
 
@@ -50,7 +50,7 @@
 	go done(AttemptResult{Report: policy.NoLoadReport})
 }
 
-// responses is a Responder that passes on what it receives.
+// responses is a Responder that sends each response to a channel.
 type responses chan Response
 
 func (r responses) Respond(response Response) { r <- response }
@@ -73,14 +73,14 @@
 	}
 }
 
-// startBroker starts a broker with two endpoints, closed with the test.
+// startBroker starts a broker with two ready endpoints and closes it at the end of the test.
 func startBroker(t *testing.T, settings policy.Settings) (*Broker, *fakeTransport) {
 	t.Helper()
 	transport := newFakeTransport()
 	return startBrokerWith(t, Config{Settings: settings, Transport: transport, Log: discardLog()}), transport
 }
 
-// startBrokerWith is startBroker for any configuration.
+// startBrokerWith is like startBroker, with the given configuration.
 func startBrokerWith(t *testing.T, config Config) *Broker {
 	t.Helper()
 	b, err := New(config)
@@ -90,7 +90,7 @@
 	return b
 }
 
-// newQuery returns a query of one part.
+// newQuery returns a query of one part and the channel that receives its responses.
 func newQuery(timeout time.Duration) (*Query, responses) {
 	received := make(responses, 8)
 	q := &Query{ID: "q", Deadline: time.Now().Add(timeout), Parts: []Part{{Weight: 1}}, Responder: received}
@@ -104,13 +104,13 @@
 	return q, received
 }
 
-// serveQueries has the broker see a number of queries answered immediately. The transport itself answers them, so that no
-// pause of the test's own goroutine counts as a store's latency.
+// serveQueries submits a number of queries, one after another, and answers them immediately. The transport itself answers
+// them, so that pauses of the test's goroutine do not count as latency of a store.
 func serveQueries(t *testing.T, b *Broker, transport *fakeTransport, count int) {
 	t.Helper()
 	transport.onSend = func(a *Attempt) {
 		assert.True(t, a.Start())
-		finishOK(a) // called by the event loop, whose queue has capacity
+		finishOK(a) // does not block the event loop, since its queue has capacity
 	}
 	for range count {
 		_, received := submit(b, time.Hour)
--- a/broker/lifecycle.go
+++ b/broker/lifecycle.go
@@ -9,19 +9,20 @@
 	"alderproxy/policy"
 )
 
-// deadlineToleranceTicks is how many ticks of the decisions before its answer deadline a query may end to count as one whose
-// time was up.
+// deadlineToleranceTicks is the maximum number of ticks before its answer deadline at which a query ends and still counts as
+// one that exceeded the deadline. The aggregator ends queries shortly before their deadlines.
 const deadlineToleranceTicks = 3
 
-// activeQuery is a query that was admitted.
+// activeQuery is an admitted query.
 type activeQuery struct {
 	*Query
+	// policyID identifies the query in package policy. Query.ID is the client's ID.
 	policyID uint64
 	// termsVersion is the version of the terms at admission.
 	termsVersion uint64
 	// class is the query's class by the settings at admission.
 	class policy.Class
-	// answerDeadline is when the decisions end the query at the latest.
+	// answerDeadline is the time at which the aggregator ends the query at the latest.
 	answerDeadline time.Time
 	deadlineTimer  *timer
 	parts          []*activePart
@@ -29,18 +30,19 @@
 
 // activePart is a part of an admitted query.
 type activePart struct {
+	// policyID identifies the part in package policy.
 	policyID uint64
 	query    *activeQuery
 	spec     Part
 	attempts []*Attempt
 	answered bool
-	// body is the answer, if any.
+	// body is the answer if there is one and the query is open.
 	body []byte
 }
 
-// respond gives an open query the final answer that the decisions chose.
-func (b *Broker) respond(id uint64, response Response, now time.Time) {
-	q := b.queriesByPolicyID[id]
+// respond gives a query the final answer that the aggregator decided on. It does nothing if the query is not open.
+func (b *Broker) respond(queryID uint64, response Response, now time.Time) {
+	q := b.queriesByPolicyID[queryID]
 	if q == nil {
 		return
 	}
@@ -55,7 +57,8 @@
 	q.Responder.Respond(response)
 }
 
-// expireQuery ends a query that is still open at its deadline or at that of a drain.
+// expireQuery ends a query that is still open shortly before its deadline or at the deadline of a drain. The query fails if
+// its class is not Idempotent and a part may have run; otherwise it is rejected.
 func (b *Broker) expireQuery(q *activeQuery, now time.Time) {
 	if !b.isOpen(q) {
 		return
@@ -69,15 +72,15 @@
 			"query":   q.ID,
 			"refused": status == Rejected,
 			"more":    suppressed,
-		}).Warn("query ended at its deadline")
+		}).Warn("query ended without an answer at its deadline or at that of the drain")
 	}
 	b.emit(policy.ClientCanceled{QueryID: q.policyID})
 	b.removeQuery(q, now)
 	q.Responder.Respond(Response{Status: status, DeadlineExceeded: true, Version: q.termsVersion})
 }
 
-// removeQuery takes an ended query out of the tables. Its attempts that are not started never are, whether or not the settings
-// allow cancellation: no store knows of them. The others are kept until their outcome is known.
+// removeQuery removes an ended query from the tables. Its attempts that are not started are withdrawn, whether or not the
+// settings allow cancellation, since no store has received them. Its other unfinished attempts are kept until they finish.
 func (b *Broker) removeQuery(q *activeQuery, now time.Time) {
 	delete(b.queriesByPolicyID, q.policyID)
 	delete(b.queriesBySubmission, q.Query)
@@ -94,7 +97,7 @@
 	}
 }
 
-// releasePart forgets a part whose query has ended and whose attempts are all finished.
+// releasePart removes a part from the tables if its query has ended and all attempts at it are finished.
 func (b *Broker) releasePart(p *activePart) {
 	unfinished := func(a *Attempt) bool { return !a.finished }
 	if !b.isOpen(p.query) && !slices.ContainsFunc(p.attempts, unfinished) {
@@ -102,10 +105,10 @@
 	}
 }
 
-// isOpen reports whether a query has had no final answer yet.
+// isOpen reports whether an admitted query has neither been answered nor canceled.
 func (b *Broker) isOpen(q *activeQuery) bool { return b.queriesByPolicyID[q.policyID] == q }
 
-// answeredParts returns the answers that have arrived, in the order of the parts.
+// answeredParts returns the results of the answered parts, in the order of the parts.
 func (q *activeQuery) answeredParts() []PartResult {
 	var results []PartResult
 	for _, p := range q.parts {
@@ -116,23 +119,23 @@
 	return results
 }
 
-// anyAttemptStarted reports whether a store may have run a part of the query.
+// anyAttemptStarted reports whether an attempt at any part was started, so that a store may have run it.
 func (q *activeQuery) anyAttemptStarted() bool {
 	return slices.ContainsFunc(q.parts, func(p *activePart) bool {
 		return slices.ContainsFunc(p.attempts, (*Attempt).started)
 	})
 }
 
-// failed reports whether a part has no answer and an attempt that ended in another way than by rejection.
+// failed reports whether a part has no answer and an attempt at it ended with another status than Rejected.
 func (p *activePart) failed() bool {
 	return !p.answered && slices.ContainsFunc(p.attempts, func(a *Attempt) bool {
 		return a.finished && a.status != policy.Rejected
 	})
 }
 
-// retryDeadline is when another attempt must have been started if earlier ones may have run, since stores recognize
-// duplicates for a limited time. The decisions observe that time too, but the attempt may then wait for a connection. The
-// zero time sets no limit.
+// retryDeadline returns the time before which a further attempt at the part must be started; zero if there is no limit.
+// There is one if the part is idempotent by key and an earlier attempt may have run, since stores recognize duplicates for a
+// limited time. The aggregator observes that time as well, but the attempt may then have to wait for a connection.
 func (p *activePart) retryDeadline() time.Time {
 	if p.query.class.Idempotency != policy.IdempotentByKey {
 		return time.Time{}
--- a/broker/query.go
+++ b/broker/query.go
@@ -7,29 +7,29 @@
 	"alderproxy/policy"
 )
 
-// Part is the share of a query that a single store answers.
+// Part is a part of a query. A single store answers it.
 type Part struct {
 	// Shard is the number of the shard that the part reads.
 	Shard int
 	// Weight is the part's share of a complete answer, from 0 to 1.
 	Weight float64
-	// CostHint is the client's estimate of the work in microseconds; 0 means none.
+	// CostHint is the client's estimate of the work in microseconds; 0 if there is none.
 	CostHint policy.Micros
-	// AffinityKey directs parts with the same key to the same replica; 0 means none.
+	// AffinityKey is equal for parts that should use the same replica; 0 if there is none. Package policy does not use it.
 	AffinityKey uint64
 }
 
-// Query is a client's query. It must not be changed after it was submitted.
+// Query is a client's query. It must not be changed after it has been submitted.
 type Query struct {
 	// ID differs for every request, including a client's retries.
 	ID string
 	// Class is the index of the query's class in the settings.
 	Class int
-	// IdempotencyKey is set for classes that are idempotent by key.
+	// IdempotencyKey is the client's key for classes that are idempotent by key.
 	IdempotencyKey string
 	// Payload is sent with every part, byte for byte as it was received.
 	Payload []byte
-	// Deadline is when the client stops waiting.
+	// Deadline is the time at which the client stops waiting.
 	Deadline time.Time
 	// Retry reports that the client marked the query as a retry.
 	Retry bool
@@ -37,13 +37,14 @@
 	Parts []Part
 	// Responder receives the final answer.
 	Responder Responder
-	// FrontData belongs to the front and its transport.
+	// FrontData is data of the front for its transport. The broker does not use it.
 	FrontData any
-	// Terms are those the query was parsed by; nil accepts whichever are in force at admission.
+	// Terms are the terms by which the query was parsed. The query is rejected as stale if they are not in force at its
+	// admission. If Terms is nil, any terms are accepted.
 	Terms *Terms
 
-	// canceled is set as soon as the client has left, so that an attempt that waits for its connection isn't started
-	// while the cancellation still waits for the event loop.
+	// canceled is set immediately when the query is canceled, so that an attempt that waits for a connection is not
+	// started before the event loop handles the cancellation.
 	canceled atomic.Bool
 }
 
@@ -57,9 +58,9 @@
 const (
 	// Served means that the response carries an answer.
 	Served Status = iota
-	// Rejected means that the query can be retried without risk of running twice.
+	// Rejected means that the query had no effect or may be run again, so that the client may retry it.
 	Rejected
-	// Failed means that the query failed and may have run.
+	// Failed means that the query failed and may have had an effect.
 	Failed
 )
 
@@ -71,17 +72,18 @@
 	Complete bool
 	// Parts are the answered parts of a served query, in the order of Query.Parts.
 	Parts []PartResult
-	// RetryAfter is how long the client of a rejected query should wait before it retries; 0 gives no advice.
+	// RetryAfter is the time that the client of a rejected query should wait before it retries; 0 if unspecified.
 	RetryAfter time.Duration
-	// DeadlineExceeded reports that a query was rejected or failed because its time was up.
+	// DeadlineExceeded reports that a query was rejected or failed because no time was left to answer it.
 	DeadlineExceeded bool
-	// PartsFailed reports that attempts of a rejected or failed query ended in other ways than by rejection.
+	// PartsFailed reports that the aggregator rejected or failed a query of which a part has no answer and an attempt that
+	// ended with another status than Rejected.
 	PartsFailed bool
-	// StaleTerms reports that a query was rejected because its terms are no longer in force: parse it again.
+	// StaleTerms reports that a query was rejected because its terms are not in force. It must be parsed again.
 	StaleTerms bool
 	// GateClosed reports that a query was rejected because the gate is closed.
 	GateClosed bool
-	// Version is that of the terms by which the query was admitted.
+	// Version is the version of the terms by which the query was admitted; 0 if it was not admitted.
 	Version uint64
 }
 
--- a/broker/terms.go
+++ b/broker/terms.go
@@ -8,24 +8,25 @@
 	"alderproxy/policy"
 )
 
-// ErrFetchPhaseUnsupported is returned for settings with classes that have a fetch phase after the first answer.
+// ErrFetchPhaseUnsupported is wrapped by the error for settings with a class that has a fetch phase.
 var ErrFetchPhaseUnsupported = errors.New("classes with a fetch phase are not supported")
 
-// Terms are the configuration by which queries are served. They must not be changed after they were handed to a broker.
+// Terms are one version of the configuration by which queries are served. They must not be changed after they have been
+// passed to a broker.
 type Terms struct {
-	// Version is that of the replicated configuration; 0 where there is none.
+	// Version is the version of the replicated configuration; 0 if there is no replicated configuration.
 	Version uint64
-	// Settings are those of the decisions.
+	// Settings are the settings of the aggregator.
 	Settings policy.Settings
-	// FrontData is what the front needs to parse queries.
+	// FrontData is data that the front needs to parse queries. The broker does not use it.
 	FrontData any
 }
 
-// Gate reports whether new queries may be admitted by the given terms now, and if not, after what time a client should
-// retry. It is called by the event loop and must not block.
+// Gate reports whether queries may be admitted by the given terms now and, if not, after what time clients should retry. It
+// is called by the event loop and must not block.
 type Gate func(*Terms) (open bool, retryAfter time.Duration)
 
-// Check returns an error if a broker cannot serve by the terms.
+// Check returns an error if a broker cannot serve queries by the terms.
 func (t *Terms) Check() error {
 	for _, class := range t.Settings.Classes {
 		if class.MaxFetchParts > 0 {
@@ -35,12 +36,12 @@
 	return t.Settings.Validate()
 }
 
-// Terms returns the terms by which queries are admitted now.
+// Terms returns the terms by which new queries are admitted.
 func (b *Broker) Terms() *Terms { return b.terms.Load() }
 
-// SetTerms makes the broker admit queries by other terms from now on. Queries that are open are answered by the terms of
-// their admission, and the statistics about stores are kept. If the terms fail Check, its error is returned and nothing
-// changes.
+// SetTerms replaces the terms by which new queries are admitted. Open queries keep their class's settings and the version of
+// the terms by which they were admitted, and the statistics of stores are kept. If the terms fail Check, SetTerms returns its
+// error and changes nothing.
 func (b *Broker) SetTerms(t *Terms) error {
 	if err := t.Check(); err != nil {
 		return err
--- a/broker/terms_test.go
+++ b/broker/terms_test.go
@@ -10,6 +10,7 @@
 	"alderproxy/policy"
 )
 
+// The broker cannot run a fetch phase, so a class with one must be an error at the start.
 func TestFetchPhaseIsUnsupported(t *testing.T) {
 	settings := newSettings(policy.Idempotent)
 	settings.Classes[0].MaxFetchParts = 1
@@ -17,8 +18,8 @@
 	assert.ErrorIs(t, err, ErrFetchPhaseUnsupported)
 }
 
-// When the terms change, an open query is answered by the terms of its admission, a query that was parsed by the old terms
-// and arrives later is rejected to be parsed again, and new queries are admitted by the new terms.
+// When the terms change, an open query must keep its class's settings and its version. A query that was parsed by the old
+// terms and is submitted later must be rejected as stale, and new queries must be admitted by the new terms.
 func TestSetTermsKeepsTermsOfOpenQueries(t *testing.T) {
 	b, transport := startBroker(t, newSettings(policy.Idempotent))
 	oldTerms := b.Terms()
@@ -42,13 +43,14 @@
 	response := <-admitted
 	assert.Equal(t, Served, response.Status)
 	assert.Equal(t, uint64(2), response.Version)
-	time.Sleep(60 * time.Millisecond) // past the timeout of the new class, which must not end the open query
+	time.Sleep(60 * time.Millisecond) // until after the new class's timeout, which must not end the open query
 	finishOK(a)
 	response = <-open
 	assert.Equal(t, Served, response.Status)
 	assert.Equal(t, uint64(0), response.Version)
 }
 
+// Terms with a fetch phase or invalid settings must be an error and leave the terms in force as they are.
 func TestInvalidTermsChangeNothing(t *testing.T) {
 	b, _ := startBroker(t, newSettings(policy.Idempotent))
 	oldTerms := b.Terms()
@@ -61,8 +63,8 @@
 	assert.Same(t, oldTerms, b.Terms())
 }
 
-// The gate is asked at the admission of each query, with the terms in force. A query that is open when the gate closes is
-// still answered.
+// The gate must be checked at the admission of each query, with the terms in force. A query that is open when the gate closes
+// must still be answered.
 func TestClosedGateRejectsNewQueriesOnly(t *testing.T) {
 	transport := newFakeTransport()
 	closed := make(chan bool, 1)
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -7,13 +7,13 @@
 	"alderproxy/policy"
 )
 
-// maxTimerWait is how long the event loop sleeps when no timer is set.
+// maxTimerWait is the maximum time for which the event loop sleeps if no timer is set.
 const maxTimerWait = time.Hour
 
-// notInHeap is the heap index of a timer that has fired or was canceled.
+// notInHeap is the heap index of a timer that has fired or has been canceled.
 const notInHeap = -1
 
-// timer is a callback at a point in time.
+// timer calls a function at a point in time.
 type timer struct {
 	at        time.Time
 	callback  func(now time.Time)
@@ -60,8 +60,8 @@
 	return added
 }
 
-// cancel removes a timer, which would otherwise keep its query in memory until it fires. A nil timer and one that has fired
-// are ignored.
+// cancel removes a timer, which would otherwise keep its query in memory until it fires. It ignores a nil timer and one that
+// has fired or been canceled.
 func (t *timerHeap) cancel(canceled *timer) {
 	if canceled != nil && canceled.heapIndex != notInHeap {
 		heap.Remove(t, canceled.heapIndex)
@@ -76,7 +76,7 @@
 	return max(0, t[0].at.Sub(now))
 }
 
-// popDue removes the earliest timer if it is due and returns its callback, else nil.
+// popDue removes the earliest timer and returns its callback. It returns nil if no timer is due.
 func (t *timerHeap) popDue(now time.Time) func(now time.Time) {
 	if len(*t) == 0 || (*t)[0].at.After(now) {
 		return nil
@@ -84,11 +84,11 @@
 	return heap.Pop(t).(*timer).callback
 }
 
-// policyTime converts a time to the decisions' clock: the system's time at the start of the broker, advanced by the
-// monotonic clock.
+// policyTime converts a time to the clock of the aggregator, which is the wall clock time at the start of the broker advanced
+// by the monotonic clock.
 func (b *Broker) policyTime(t time.Time) policy.Micros {
 	return b.epoch.UnixMicro() + t.Sub(b.epoch).Microseconds()
 }
 
-// duration converts the decisions' unit of time.
+// duration converts a duration of package policy.
 func duration(m policy.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -2,13 +2,13 @@
 
 import "alderproxy/policy"
 
-// Transport sends attempts to stores. The event loop calls its methods, so none may block. For every attempt that Send has
-// accepted and that was not canceled, the transport calls Attempt.Finish once. Finish and the callback of a health check
-// may wait for the event loop, so they must not be called from within a method of the transport.
+// Transport sends attempts to stores. The event loop calls its methods, so none may block. For every attempt that Send
+// accepted and that was not canceled, the transport calls Attempt.Finish once. Finish and the done function of CheckHealth
+// may wait for the event loop, so the methods of a transport must not call them synchronously.
 type Transport interface {
-	// Send starts attempts that share one call. If it returns an error, none of them is sent.
+	// Send queues attempts that share one call to a server. If it returns an error, none of them is sent.
 	Send(serverID uint32, call []*Attempt) error
-	// Cancel is called once nobody waits for an attempt any longer.
+	// Cancel cancels an attempt whose result is no longer needed.
 	Cancel(a *Attempt)
 	// CloseIdleConnections closes the idle connections to a server.
 	CloseIdleConnections(serverID uint32)
@@ -26,7 +26,7 @@
 	Body []byte
 }
 
-// Unanswered returns the result of an attempt or health check that no store has answered.
+// Unanswered returns the result, with the given status, of an attempt or health check that no store has answered.
 func Unanswered(status policy.Status) AttemptResult {
 	return AttemptResult{Status: status, Report: policy.NoLoadReport}
 }
