--- a/broker/admission.go
+++ b/broker/admission.go
@@ -71,8 +71,8 @@
 	return Response{}, false
 }
 
-// overloadRetryAfter returns the time after which clients should retry if the broker is full or drained; 0 if the settings
-// allow no such advice.
+// overloadRetryAfter returns the time after which clients should retry if the broker is full or drained; 0 if the
+// settings allow no such advice.
 func (b *Broker) overloadRetryAfter() time.Duration {
 	if !b.settings.SendRetryAfter {
 		return 0
@@ -80,8 +80,8 @@
 	return duration(b.settings.MaxRetryAfter)
 }
 
-// answerDeadline returns the time at which the aggregator ends a query at the latest: the client's deadline or, if the class
-// gives late answers no weight, the latency objective if that is earlier.
+// answerDeadline returns the time at which the aggregator ends a query at the latest: the client's deadline or, if the
+// class gives late answers no weight, the latency objective if that is earlier.
 func answerDeadline(submitted *Query, class policy.Class, now time.Time) time.Time {
 	objective := now.Add(duration(class.LatencyObjective))
 	if class.LateWeight <= 0 && objective.Before(submitted.Deadline) {
--- a/broker/attempt.go
+++ b/broker/attempt.go
@@ -17,8 +17,8 @@
 	ServerID uint32
 	// Deadline is the time at which the attempt times out.
 	Deadline time.Time
-	// RetryDeadline is the time before which the attempt must be started; zero if there is no such limit. It is set if the
-	// part is idempotent by key and may have run before, since stores recognize duplicates for a limited time only.
+	// RetryDeadline is the time before which the attempt must be started; zero if there is no such limit. It is set if
+	// the part is idempotent by key and may have run before, since stores recognize duplicates for a limited time only.
 	RetryDeadline time.Time
 
 	broker *Broker
@@ -45,8 +45,8 @@
 )
 
 // Start must be called before the first byte of the attempt is written. If it returns false, nothing may be written: the
-// attempt was withdrawn or already started, its query was canceled, or its Deadline or RetryDeadline has passed. An attempt
-// that was not started has never run, whatever its status.
+// attempt was withdrawn or already started, its query was canceled, or its Deadline or RetryDeadline has passed. An
+// attempt that was not started has never run, whatever its status.
 func (a *Attempt) Start() bool {
 	now := time.Now()
 	if a.Query.canceled.Load() || !now.Before(a.Deadline) {
@@ -58,8 +58,8 @@
 	return a.state.CompareAndSwap(attemptQueued, attemptStarted)
 }
 
-// Withdraw prevents an attempt from being started. It reports whether the attempt is withdrawn, by this call or an earlier
-// one. If it returns false, the attempt was started and may have run.
+// Withdraw prevents an attempt from being started. It reports whether the attempt is withdrawn, by this call or an
+// earlier one. If it returns false, the attempt was started and may have run.
 func (a *Attempt) Withdraw() (neverStarted bool) {
 	return a.state.CompareAndSwap(attemptQueued, attemptWithdrawn) || a.state.Load() == attemptWithdrawn
 }
--- a/broker/attempt_test.go
+++ b/broker/attempt_test.go
@@ -10,9 +10,9 @@
 	"alderproxy/policy"
 )
 
-// A client that disconnects after an attempt was ordered and before it is written must not cause a write, even if the event
-// loop has yet to handle the cancellation. The queued attempt must be withdrawn whether or not the settings allow stores to be
-// sent cancellations.
+// A client that disconnects after an attempt was ordered and before it is written must not cause a write, even if the
+// event loop has yet to handle the cancellation. The queued attempt must be withdrawn whether or not the settings allow
+// stores to be sent cancellations.
 func TestCanceledQueryStartsNoAttempt(t *testing.T) {
 	for _, allowCancel := range []bool{true, false} {
 		settings := newSettings(policy.Idempotent)
@@ -43,8 +43,8 @@
 	}
 }
 
-// Cancel must mark all queries as canceled before it posts the first cancellation, which blocks while the event loop is busy.
-// Otherwise attempts of the later queries could still be started.
+// Cancel must mark all queries as canceled before it posts the first cancellation, which blocks while the event loop is
+// busy. Otherwise attempts of the later queries could still be started.
 func TestCancelMarksAllQueriesBeforePosting(t *testing.T) {
 	transport := newFakeTransport()
 	blocked := make(chan *Attempt)
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -1,9 +1,10 @@
-// Package broker runs a policy.Aggregator, called the aggregator below. It admits queries, reports events to the aggregator,
-// sends the attempts that the aggregator orders, and answers the queries. The package is independent of any wire protocol.
+// Package broker runs a policy.Aggregator, called the aggregator below. It admits queries, reports events to the
+// aggregator, sends the attempts that the aggregator orders, and answers the queries. The package is independent of any
+// wire protocol.
 //
 // One goroutine, the event loop, owns the aggregator and all tables. Other goroutines send it messages through a bounded
-// queue. The event loop calls Transport, Responder and Gate, which must not block, so that a slow peer delays only its own
-// queries.
+// queue. The event loop calls Transport, Responder and Gate, which must not block, so that a slow peer delays only its
+// own queries.
 package broker
 
 import (
@@ -117,8 +118,9 @@
 	return b, nil
 }
 
-// Submit submits a query. The query's Responder receives exactly one final answer unless the query is canceled or the broker
-// is closed. Submit returns false if the broker was closed before it could take the query, which then gets no answer.
+// Submit submits a query. The query's Responder receives exactly one final answer unless the query is canceled or the
+// broker is closed. Submit returns false if the broker was closed before it could take the query, which then gets no
+// answer.
 func (b *Broker) Submit(q *Query) bool { return b.post(querySubmitted{q}) }
 
 // Cancel reports that the client no longer waits for some queries. Once it returns, no attempt at their parts is started,
--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -10,8 +10,8 @@
 	"alderproxy/policy"
 )
 
-// execute carries out the actions of one step in order. Attempts are sent last, and those to the same server share calls of
-// up to Settings.MaxBatchSize attempts.
+// execute carries out the actions of one step in order. Attempts are sent last, and those to the same server share calls
+// of up to Settings.MaxBatchSize attempts.
 func (b *Broker) execute(actions []policy.Action, now time.Time) {
 	var servers []uint32
 	attemptsByServer := map[uint32][]*Attempt{}
@@ -61,8 +61,8 @@
 	}
 }
 
-// newAttempt records an attempt that the aggregator ordered. If the attempt must not be sent, newAttempt reports it to the
-// aggregator as withdrawn and returns nil. It also returns nil if the part is unknown.
+// newAttempt records an attempt that the aggregator ordered. If the attempt must not be sent, newAttempt reports it to
+// the aggregator as withdrawn and returns nil. It also returns nil if the part is unknown.
 func (b *Broker) newAttempt(order policy.SendAttempt, now time.Time) *Attempt {
 	p := b.partsByPolicyID[order.PartID]
 	if p == nil {
@@ -102,7 +102,7 @@
 		return
 	}
 	if suppressed, due := b.sendErrorLog.Due(now); due {
-		b.log.WithError(err).WithFields(logrus.Fields{"server": serverID, "more": suppressed}).Warn("cannot send a call to a store")
+		b.log.WithError(err).WithFields(logrus.Fields{"server": serverID, "more": suppressed}).Warn("cannot send call to store")
 	}
 	for _, a := range call {
 		a.Withdraw()
@@ -143,8 +143,8 @@
 	b.releasePart(p)
 }
 
-// cancelAttempt cancels an unfinished attempt, which ends with the given status. If it timed out before it was started, it
-// ends with ConnectFailed instead.
+// cancelAttempt cancels an unfinished attempt, which ends with the given status. If it timed out before it was started,
+// it ends with ConnectFailed instead.
 func (b *Broker) cancelAttempt(a *Attempt, status policy.Status, now time.Time) {
 	if a.finished {
 		return
--- a/broker/lifecycle.go
+++ b/broker/lifecycle.go
@@ -9,8 +9,8 @@
 	"alderproxy/policy"
 )
 
-// deadlineToleranceTicks is the maximum number of ticks before its answer deadline at which a query ends and still counts as
-// one that exceeded the deadline. The aggregator ends queries shortly before their deadlines.
+// deadlineToleranceTicks is the maximum number of ticks before its answer deadline at which a query ends and still counts
+// as one that exceeded the deadline. The aggregator ends queries shortly before their deadlines.
 const deadlineToleranceTicks = 3
 
 // activeQuery is an admitted query.
@@ -57,8 +57,8 @@
 	q.Responder.Respond(response)
 }
 
-// expireQuery ends a query that is still open shortly before its deadline or at the deadline of a drain. The query fails if
-// its class is not Idempotent and a part may have run; otherwise it is rejected.
+// expireQuery ends a query that is still open shortly before its deadline or at the deadline of a drain. The query fails
+// if its class is not Idempotent and a part may have run; otherwise it is rejected.
 func (b *Broker) expireQuery(q *activeQuery, now time.Time) {
 	if !b.isOpen(q) {
 		return
@@ -80,7 +80,8 @@
 }
 
 // removeQuery removes an ended query from the tables. Its attempts that are not started are withdrawn, whether or not the
-// settings allow cancellation, since no store has received them. Its other unfinished attempts are kept until they finish.
+// settings allow cancellation, since no store has received them. Its other unfinished attempts are kept until they
+// finish.
 func (b *Broker) removeQuery(q *activeQuery, now time.Time) {
 	delete(b.queriesByPolicyID, q.policyID)
 	delete(b.queriesBySubmission, q.Query)
@@ -134,8 +135,8 @@
 }
 
 // retryDeadline returns the time before which a further attempt at the part must be started; zero if there is no limit.
-// There is one if the part is idempotent by key and an earlier attempt may have run, since stores recognize duplicates for a
-// limited time. The aggregator observes that time as well, but the attempt may then have to wait for a connection.
+// There is one if the part is idempotent by key and an earlier attempt may have run, since stores recognize duplicates
+// for a limited time. The aggregator observes that time as well, but the attempt may then have to wait for a connection.
 func (p *activePart) retryDeadline() time.Time {
 	if p.query.class.Idempotency != policy.IdempotentByKey {
 		return time.Time{}
--- a/broker/lifecycle_test.go
+++ b/broker/lifecycle_test.go
@@ -39,8 +39,8 @@
 	assert.Empty(t, b.partsByPolicyID, "parts in memory")
 }
 
-// At its deadline, a query that is idempotent by key must be rejected, and thereby may be retried, if none of its attempts was
-// started. If one was started, it may have run, so the query must fail.
+// At its deadline, a query that is idempotent by key must be rejected, and thereby may be retried, if none of its
+// attempts was started. If one was started, it may have run, so the query must fail.
 func TestTimeoutStatusDependsOnStart(t *testing.T) {
 	for started, want := range map[bool]Status{true: Failed, false: Rejected} {
 		b, transport := startBroker(t, newSettings(policy.IdempotentByKey))
@@ -58,7 +58,8 @@
 	}
 }
 
-// A query without an answer from a store must be ended by its deadline, and one that arrives after its deadline immediately.
+// A query without an answer from a store must be ended by its deadline, and one that arrives after its deadline
+// immediately.
 func TestResponseBeforeClientDeadline(t *testing.T) {
 	b, _ := startBroker(t, newSettings(policy.Idempotent))
 	q, received := submit(b, 100*time.Millisecond)
--- a/broker/query.go
+++ b/broker/query.go
@@ -15,7 +15,8 @@
 	Weight float64
 	// CostHint is the client's estimate of the work in microseconds; 0 if there is none.
 	CostHint policy.Micros
-	// AffinityKey is equal for parts that should use the same replica; 0 if there is none. Package policy does not use it.
+	// AffinityKey is equal for parts that should use the same replica; 0 if there is none. Package policy does not use
+	// it.
 	AffinityKey uint64
 }
 
@@ -76,8 +77,8 @@
 	RetryAfter time.Duration
 	// DeadlineExceeded reports that a query was rejected or failed because no time was left to answer it.
 	DeadlineExceeded bool
-	// PartsFailed reports that the aggregator rejected or failed a query of which a part has no answer and an attempt that
-	// ended with another status than Rejected.
+	// PartsFailed reports that the aggregator rejected or failed a query of which a part has no answer and an attempt
+	// that ended with another status than Rejected.
 	PartsFailed bool
 	// StaleTerms reports that a query was rejected because its terms are not in force. It must be parsed again.
 	StaleTerms bool
--- a/broker/terms.go
+++ b/broker/terms.go
@@ -22,8 +22,8 @@
 	FrontData any
 }
 
-// Gate reports whether queries may be admitted by the given terms now and, if not, after what time clients should retry. It
-// is called by the event loop and must not block.
+// Gate reports whether queries may be admitted by the given terms now and, if not, after what time clients should retry.
+// It is called by the event loop and must not block.
 type Gate func(*Terms) (open bool, retryAfter time.Duration)
 
 // Check returns an error if a broker cannot serve queries by the terms.
@@ -39,9 +39,9 @@
 // Terms returns the terms by which new queries are admitted.
 func (b *Broker) Terms() *Terms { return b.terms.Load() }
 
-// SetTerms replaces the terms by which new queries are admitted. Open queries keep their class's settings and the version of
-// the terms by which they were admitted, and the statistics of stores are kept. If the terms fail Check, SetTerms returns its
-// error and changes nothing.
+// SetTerms replaces the terms by which new queries are admitted. Open queries keep their class's settings and the version
+// of the terms by which they were admitted, and the statistics of stores are kept. If the terms fail Check, SetTerms
+// returns its error and changes nothing.
 func (b *Broker) SetTerms(t *Terms) error {
 	if err := t.Check(); err != nil {
 		return err
--- a/broker/terms_test.go
+++ b/broker/terms_test.go
@@ -63,8 +63,8 @@
 	assert.Same(t, oldTerms, b.Terms())
 }
 
-// The gate must be checked at the admission of each query, with the terms in force. A query that is open when the gate closes
-// must still be answered.
+// The gate must be checked at the admission of each query, with the terms in force. A query that is open when the gate
+// closes must still be answered.
 func TestClosedGateRejectsNewQueriesOnly(t *testing.T) {
 	transport := newFakeTransport()
 	closed := make(chan bool, 1)
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -60,8 +60,8 @@
 	return added
 }
 
-// cancel removes a timer, which would otherwise keep its query in memory until it fires. It ignores a nil timer and one that
-// has fired or been canceled.
+// cancel removes a timer, which would otherwise keep its query in memory until it fires. It ignores a nil timer and one
+// that has fired or been canceled.
 func (t *timerHeap) cancel(canceled *timer) {
 	if canceled != nil && canceled.heapIndex != notInHeap {
 		heap.Remove(t, canceled.heapIndex)
@@ -84,8 +84,8 @@
 	return heap.Pop(t).(*timer).callback
 }
 
-// policyTime converts a time to the clock of the aggregator, which is the wall clock time at the start of the broker advanced
-// by the monotonic clock.
+// policyTime converts a time to the clock of the aggregator, which is the wall clock time at the start of the broker
+// advanced by the monotonic clock.
 func (b *Broker) policyTime(t time.Time) policy.Micros {
 	return b.epoch.UnixMicro() + t.Sub(b.epoch).Microseconds()
 }
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -3,8 +3,8 @@
 import "alderproxy/policy"
 
 // Transport sends attempts to stores. The event loop calls its methods, so none may block. For every attempt that Send
-// accepted and that was not canceled, the transport calls Attempt.Finish once. Finish and the done function of CheckHealth
-// may wait for the event loop, so the methods of a transport must not call them synchronously.
+// accepted and that was not canceled, the transport calls Attempt.Finish once. Finish and the done function of
+// CheckHealth may wait for the event loop, so the methods of a transport must not call them synchronously.
 type Transport interface {
 	// Send queues attempts that share one call to a server. If it returns an error, none of them is sent.
 	Send(serverID uint32, call []*Attempt) error
--- a/storepool/close.go
+++ b/storepool/close.go
@@ -10,21 +10,22 @@
 	"alderproxy/policy"
 )
 
-// The causes for which the pool closes a connection itself.
+// The causes of a connection's end if the pool itself closes the connection.
 var (
 	errClosed = errors.New("connection closed by the pool")
-	errIdle   = errors.New("connection idle")
+	errIdle   = errors.New("connection idle or retired")
 )
 
-// fence withdraws the attempts that are not started. Nothing but cancellations is written to the connection afterwards.
+// fence withdraws the attempts that are not started. Queued or new requests other than cancellations are not written to
+// the connection any more.
 func (c *connection) fence() {
 	c.mu.Lock()
 	c.retired = true
 	c.fenced = true
 	var withdrawn []*broker.Attempt
-	for id, s := range c.inFlight {
-		if !s.written && s.Withdraw() { // the writer cannot start it any more
-			withdrawn = append(withdrawn, s.Attempt)
+	for id, inFlight := range c.inFlight {
+		if !inFlight.written && inFlight.Withdraw() { // the writer can no longer start it
+			withdrawn = append(withdrawn, inFlight.Attempt)
 			c.removeInFlightLocked(id)
 		}
 	}
@@ -34,7 +35,7 @@
 	}
 }
 
-// retire makes the connection accept nothing new and end once nothing is in flight.
+// retire makes the connection accept no new requests. The connection is closed once no attempts are in flight.
 func (c *connection) retire() {
 	c.mu.Lock()
 	c.retired = true
@@ -42,8 +43,10 @@
 	c.closeIfIdle(0)
 }
 
-// retireIdle retires an idle connection before it returns: the next Send, which must open another connection, may follow
-// before a close by another goroutine takes effect. A health check that is pending gets the time to end.
+// retireIdle retires and closes the connection unless attempts are in flight. If they are and the connection is
+// unresponsive, it is only retired. It is retired before retireIdle returns, since the next Send must open another
+// connection and may come before another goroutine has closed this one. Pending health checks and cancellations are given
+// the connect timeout to finish.
 func (c *connection) retireIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +55,7 @@
 	}
 	c.retired = true
 	if c.inFlightCount > 0 {
-		return // unresponsive: the attempts in flight end in their time
+		return // unresponsive: the attempts in flight end by their deadlines
 	}
 	if len(c.healthChecks) == 0 && len(c.writeQueue) == 0 {
 		go c.close(errIdle)
@@ -61,14 +64,14 @@
 	time.AfterFunc(c.pool.connectTimeout(), func() { c.close(errIdle) })
 }
 
-// isRetiredAndIdle reports that the connection is retired and has nothing left to do.
+// isRetiredAndIdle reports whether the connection is retired and nothing is pending on it.
 func (c *connection) isRetiredAndIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.retired && c.nothingPendingLocked()
 }
 
-// idleSince returns when an idle connection was last used, and whether it is idle.
+// idleSince returns the time at which the connection was last used, and whether it is open and idle.
 func (c *connection) idleSince() (lastUsed time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,27 +79,28 @@
 	return c.lastUsed, idle
 }
 
-// nothingPendingLocked reports that nothing is queued, in flight or to be answered.
+// nothingPendingLocked reports whether no request is queued or awaits an answer.
 func (c *connection) nothingPendingLocked() bool {
 	return c.inFlightCount == 0 && len(c.writeQueue) == 0 && len(c.healthChecks) == 0
 }
 
-// closeIfIdle closes the connection if no attempts are in flight and it is retired, unresponsive, or was not used for the
-// given time.
+// closeIfIdle closes the connection if no attempts are in flight, no requests are queued, and it is retired,
+// unresponsive, or has not been used for minIdleTime. Pending health checks do not prevent that.
 func (c *connection) closeIfIdle(minIdleTime time.Duration) {
 	c.mu.Lock()
-	obsolete := c.retired || time.Since(c.lastUsed) >= minIdleTime || c.unresponsiveLocked()
-	idle := c.inFlightCount == 0 && len(c.writeQueue) == 0 && obsolete
-	if idle {
-		c.retired = true // before the lock is released, so that no call is added meanwhile
+	mayClose := c.retired || time.Since(c.lastUsed) >= minIdleTime || c.unresponsiveLocked()
+	mustClose := c.inFlightCount == 0 && len(c.writeQueue) == 0 && mayClose
+	if mustClose {
+		c.retired = true // no call can be added once the lock is released
 	}
 	c.mu.Unlock()
-	if idle {
+	if mustClose {
 		c.close(errIdle)
 	}
 }
 
-// close closes the connection and finishes everything on it. An attempt that was not written completely has never run.
+// close closes the connection and finishes the requests on it, except attempts that the writer is writing. An attempt
+// that was not written completely has never run.
 func (c *connection) close(cause error) {
 	pending, closed := c.markClosed(cause)
 	if !closed {
@@ -110,32 +114,32 @@
 				"store": c.store.Name,
 				"out":   len(pending.attempts),
 				"more":  suppressed,
-			}).WithError(cause).Info("store connection ended")
+			}).WithError(cause).Info("store connection failed")
 		}
 	}
-	for _, e := range pending.attempts {
-		e.attempt.Finish(broker.Unanswered(e.status))
+	for _, outcome := range pending.attempts {
+		outcome.attempt.Finish(broker.Unanswered(outcome.status))
 	}
 	for _, check := range pending.healthChecks {
 		check.Finish(broker.Unanswered(pending.healthCheckStatus))
 	}
 }
 
-// unfinishedRequests are the attempts and health checks that end with a connection.
+// unfinishedRequests are the attempts and health checks that end when their connection is closed.
 type unfinishedRequests struct {
 	attempts          []attemptOutcome
 	healthChecks      []*healthCheck
 	healthCheckStatus policy.Status
 }
 
-// attemptOutcome is an attempt that ends with its connection.
+// attemptOutcome is the status with which an attempt ends when its connection is closed.
 type attemptOutcome struct {
 	attempt *broker.Attempt
 	status  policy.Status
 }
 
-// markClosed closes the connection's socket and takes over what is pending on it. It returns false if the connection was
-// closed before.
+// markClosed closes the connection's socket, and removes and returns the requests that end with it. It returns false if
+// the connection was closed before.
 func (c *connection) markClosed(cause error) (pending unfinishedRequests, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,16 +166,16 @@
 	return pending, true
 }
 
-// takeAttemptsLocked removes the attempts that end with the connection. One that is being written stays: its writer gets the
-// error and decides.
+// takeAttemptsLocked removes and returns the attempts that end with the connection. It leaves attempts that are being
+// written to the writer, which finishes them when the write returns.
 func (c *connection) takeAttemptsLocked() []attemptOutcome {
 	var outcomes []attemptOutcome
-	for id, s := range c.inFlight {
+	for id, inFlight := range c.inFlight {
 		switch {
-		case s.written:
-			outcomes = append(outcomes, attemptOutcome{s.Attempt, policy.ConnectionBroken})
-		case s.Withdraw():
-			outcomes = append(outcomes, attemptOutcome{s.Attempt, policy.ConnectFailed})
+		case inFlight.written:
+			outcomes = append(outcomes, attemptOutcome{inFlight.Attempt, policy.ConnectionBroken})
+		case inFlight.Withdraw():
+			outcomes = append(outcomes, attemptOutcome{inFlight.Attempt, policy.ConnectFailed})
 		default:
 			continue
 		}
--- a/storepool/connection.go
+++ b/storepool/connection.go
@@ -8,18 +8,19 @@
 	"alderproxy/broker"
 )
 
-// maxCanceledIDs is how many ids of canceled parts one connection remembers. With that many it accepts nothing new.
+// maxCanceledIDs is the maximum number of IDs of canceled parts that a connection remembers. At that number, it is
+// retired.
 const maxCanceledIDs = 512
 
-// connection is a connection to a store. One goroutine dials and writes and another reads, since an answer may arrive while
-// a write waits for a store that does not read.
+// connection is a connection to a store. One goroutine dials and writes and another one reads, since answers may arrive
+// while a write blocks because the store does not read.
 type connection struct {
 	pool      *Pool
 	store     Store
 	createdAt time.Time
-	// writeReady holds a value while the writer has yet to look at a new request.
+	// writeReady notifies the writer of new requests. It holds at most one notification.
 	writeReady chan struct{}
-	// closed is closed with the connection.
+	// closed is closed when the connection is.
 	closed chan struct{}
 
 	// mu guards everything below.
@@ -27,34 +28,36 @@
 	writeQueue []writeRequest
 	// netConn is nil until the connection is established.
 	netConn net.Conn
-	// closeCause is why the connection was closed; nil while it is open.
+	// closeCause is the reason for which the connection was closed; nil while it is open.
 	closeCause error
-	// retired means that nothing new is accepted, except cancellations.
+	// retired is set once no new requests other than cancellations are accepted.
 	retired bool
-	// fenced means that nothing in the write queue may be written either, except cancellations.
+	// fenced is set once queued requests other than cancellations must not be written either.
 	fenced bool
-	// inFlight holds the attempts that are queued or written, by the id of their part.
+	// inFlight holds the attempts that are queued or written, by WirePartID.
 	inFlight map[string]*inFlightAttempt
 	// inFlightCount is the number of attempts that are queued or written.
 	inFlightCount int
-	// canceledIDs are those of parts canceled after they were started. A late answer to one could be mistaken for that of
-	// another attempt with the same id.
+	// canceledIDs holds the IDs of parts that were canceled after their start and not answered. They are not sent again
+	// on this connection, as a late answer to the canceled attempt could be mistaken for one to the new attempt.
 	canceledIDs map[string]bool
-	// healthChecks are those that were written, in that order.
+	// healthChecks holds the written health checks that are not answered, the oldest first.
 	healthChecks []*healthCheck
-	// lastUsed is when something was last queued or answered.
+	// lastUsed is the time at which a call or health check was last queued or an attempt last answered.
 	lastUsed time.Time
-	// awaitingAnswerSince is since when an answer is due and nothing has been received; zero if none is due.
+	// awaitingAnswerSince is the time since which an answer has been awaited and no message received; zero if no answer
+	// is awaited. Cancellations leave it unchanged.
 	awaitingAnswerSince time.Time
 }
 
-// inFlightAttempt is an attempt on a connection.
+// inFlightAttempt is an attempt that is queued or written on a connection.
 type inFlightAttempt struct {
 	*broker.Attempt
-	// written means that the last byte was sent, so that the store may have run the attempt.
+	// written is set once the last byte was written, so that the store may have run the attempt.
 	written bool
 }
 
+// newConnection returns a connection that is not established yet.
 func newConnection(p *Pool, store Store) *connection {
 	now := time.Now()
 	return &connection{
@@ -69,13 +72,13 @@
 	}
 }
 
-// unresponsiveLocked reports that an answer is overdue. A broken network path looks like that, which TCP may not report for
-// long, and whatever else is written to such a connection is lost.
+// unresponsiveLocked reports whether an answer has been awaited for more than half the connect timeout. The network path
+// may be broken, which TCP may not detect for a long time. Anything written to the connection would then be lost.
 func (c *connection) unresponsiveLocked() bool {
 	return !c.awaitingAnswerSince.IsZero() && time.Since(c.awaitingAnswerSince) > c.pool.connectTimeout()/2
 }
 
-// tryEnqueue queues a request if the connection accepts it now and fulfills the requirement.
+// tryEnqueue queues a request if the connection accepts it now and meets the requirement. It reports whether it did.
 func (c *connection) tryEnqueue(request writeRequest, required requirement) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +106,7 @@
 	return true
 }
 
-// acceptsLocked reports whether the connection accepts new requests and fulfills the requirement.
+// acceptsLocked reports whether the connection accepts the request and meets the requirement.
 func (c *connection) acceptsLocked(request writeRequest, required requirement) bool {
 	if c.closeCause != nil || c.retired {
 		return false
@@ -117,8 +120,8 @@
 	return required < requireNoAttempts || c.inFlightCount == 0
 }
 
-// idleTooLongLocked reports that the store may have closed the connection by now although nobody has noticed yet, as after
-// the process was suspended.
+// idleTooLongLocked reports whether the connection has been idle for the idle limit or longer, for example because this
+// process was suspended. The store may have closed it already.
 func (c *connection) idleTooLongLocked() bool {
 	return c.netConn != nil && c.inFlightCount == 0 && time.Since(c.lastUsed) >= c.pool.idleLimit()
 }
@@ -128,18 +131,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := WirePartID(a)
-	if s := c.inFlight[id]; s == nil || s.Attempt != a {
+	if inFlight := c.inFlight[id]; inFlight == nil || inFlight.Attempt != a {
 		return false
 	}
 	c.removeInFlightLocked(id)
-	if a.Withdraw() { // the store knows nothing of it
+	if a.Withdraw() { // the store has not received it
 		return true
 	}
 	c.canceledIDs[id] = true
 	if len(c.canceledIDs) >= maxCanceledIDs {
 		c.retired = true
 	}
-	// Closing goes to another goroutine, since finishing other attempts may wait for the event loop that called this.
+	// Another goroutine closes the connection: close may wait for the event loop, which called this method.
 	if c.inFlightCount == 0 && (c.retired || c.unresponsiveLocked()) {
 		go c.close(errIdle) // the store may never answer
 		return true
@@ -149,11 +152,11 @@
 		go c.close(errClosed)
 		return true
 	}
-	c.enqueueLocked(writeRequest{cancelID: id}) // if the queue is full, the store doesn't read cancellations either
+	c.enqueueLocked(writeRequest{cancelID: id}) // if the queue is full, the store does not read, so the cancellation is dropped
 	return true
 }
 
-// removeInFlightLocked forgets an attempt on the connection.
+// removeInFlightLocked removes an attempt from the connection.
 func (c *connection) removeInFlightLocked(id string) {
 	delete(c.inFlight, id)
 	c.inFlightCount--
--- a/storepool/connection_test.go
+++ b/storepool/connection_test.go
@@ -9,31 +9,34 @@
 	"alderproxy/broker"
 )
 
-// A call that still waits for its connection when the store drains must not be written. It has not run, so another store may
-// run it at once, in a class that is idempotent by key too.
+// A call that still waits for its connection when the store drains must not be written. It must end as one that has not
+// run, so that it is retried at another store immediately, also in a class that is idempotent by key.
 func TestFenceWithdrawsQueuedCall(t *testing.T) {
 	attempts, _ := submitQuery(t)
 	a := <-attempts
 	c := unconnected(32)
 	require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
 	c.fence()
-	assert.False(t, a.Start(), "the call can still be written")
-	assert.False(t, c.tryEnqueue(writeRequest{cancelID: "x"}, requireCapacity), "new requests are accepted")
-	assert.NotSame(t, a, <-attempts)
+	assert.False(t, a.Start(), "the queued call can still be written")
+	assert.False(t, c.tryEnqueue(writeRequest{cancelID: "x"}, requireCapacity), "the connection accepts a new request")
+	assert.NotSame(t, a, <-attempts, "the part was not retried")
 }
 
+// A connection must reject attempts beyond its limit and a second attempt with the same ID, whose answer could not be
+// told from that to the first one. A cancellation must not affect another attempt with the same ID.
 func TestConnectionLimitsAttemptsAndIDs(t *testing.T) {
 	attempts, _ := submitQuery(t)
 	a := <-attempts
 	c := unconnected(1)
 	require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
-	assert.False(t, c.tryEnqueue(callOf(a), requireCapacity), "more attempts than the limit")
+	assert.False(t, c.tryEnqueue(callOf(a), requireCapacity), "accepted more attempts than MaxInFlight")
 	c.pool.SetLimits(limitsWith(9))
-	assert.False(t, c.tryEnqueue(callOf(a), requireCapacity), "two attempts with the same id")
-	assert.False(t, c.cancel(&broker.Attempt{Query: a.Query}), "canceled another attempt with the same id")
+	assert.False(t, c.tryEnqueue(callOf(a), requireCapacity), "accepted two attempts with the same ID")
+	assert.False(t, c.cancel(&broker.Attempt{Query: a.Query}), "canceled another attempt with the same ID")
 }
 
-// An attempt that was in flight when its connection closed has never run if it was not written, and may have run if it was.
+// When a connection is closed, its attempts that were not written must end as ones that have not run, and those that were
+// written as ones that may have run. Otherwise a written attempt could run twice.
 func TestCloseStatusDependsOnWrite(t *testing.T) {
 	for written, want := range map[bool]broker.Status{false: broker.Rejected, true: broker.Failed} {
 		attempts, received := submitQuery(t)
@@ -55,18 +58,19 @@
 	}
 }
 
-// An answer with an unknown id stands for one that will not come, and bytes that follow an answer while nothing else is in
-// flight answer nothing that was sent. Neither connection may be used any longer.
+// If a store answers with an unknown ID, some attempt gets no answer. If bytes follow the only outstanding answer, they
+// belong to no request and could be taken for the answer to the next one. In both cases the connection must not be used
+// any longer.
 func TestUnexpectedAnswersEndConnection(t *testing.T) {
 	attempts, _ := submitQuery(t)
 	a := <-attempts
 	c := unconnected(32)
 	require.True(t, c.tryEnqueue(callOf(a), requireCapacity))
-	c.dequeue() // as the writer would
+	c.dequeue() // in place of the writer
 	require.ErrorIs(t, c.handleMessage(Message{Kind: Answer, ID: "other"}, false), ErrMalformed)
 	c.canceledIDs["late"] = true
-	require.NoError(t, c.handleMessage(Message{Kind: Answer, ID: "late"}, true), "a late answer is no error")
-	require.NoError(t, c.closeCause)
+	require.NoError(t, c.handleMessage(Message{Kind: Answer, ID: "late"}, true), "the late answer is an error")
+	require.NoError(t, c.closeCause, "the connection was closed by the late answer")
 	require.NoError(t, c.handleMessage(Message{Kind: Answer, ID: WirePartID(a)}, true))
 	assert.Error(t, c.closeCause, "the connection is still open")
 }
--- a/storepool/endpoints.go
+++ b/storepool/endpoints.go
@@ -15,12 +15,12 @@
 	policy.Endpoint
 	// Name identifies the store.
 	Name string
-	// Addr is its TCP address, host:port.
+	// Addr is the store's TCP address, host:port.
 	Addr string
 }
 
-// Digest returns a value that is equal for lists with the same stores in the same states, in any order. Addresses are left
-// out, since they may differ between instances.
+// Digest returns a hash of the names, ring positions, zones and states of the listed stores. It does not depend on the
+// order of the list. Addresses are not included, since they may differ between instances.
 func Digest(list []Store) (sum uint64) {
 	for _, s := range list {
 		sum ^= xxhash.Sum64String(fmt.Sprintf("%s %d %d %d", s.Name, s.RingPosition, s.Zone, s.State))
@@ -32,14 +32,15 @@
 type storeConnections struct {
 	Store
 	connections []*connection
-	// brokenAt is when a connection last broke with attempts in flight.
+	// brokenAt is the time at which a connection last failed with attempts in flight.
 	brokenAt time.Time
+	// closeLog limits the rate of the log line for failed connections.
 	closeLog ratelog.Line
 }
 
-// UpdateEndpoints replaces the endpoint list. It must be called before the broker learns of the list. Calls that wait to be
-// written to a store that is draining or was removed are withdrawn at once, since a store must receive no call after the
-// list has changed, whenever the call was queued.
+// UpdateEndpoints replaces the endpoint list. It must be called before the broker receives the list. Queued calls to
+// stores that are draining, removed or replaced are withdrawn immediately: such a store must receive no call after the
+// change of the list, even if the call was queued before.
 func (p *Pool) UpdateEndpoints(list []Store) {
 	fenced, retired := p.replaceEndpoints(list)
 	for _, c := range fenced {
@@ -50,8 +51,8 @@
 	}
 }
 
-// replaceEndpoints stores the list and returns the connections that must not be written to any more, and those among them
-// that end as soon as nothing is in flight on them.
+// replaceEndpoints replaces the list. It returns the connections that must be fenced, and those among them that must also
+// be retired.
 func (p *Pool) replaceEndpoints(list []Store) (fenced, retired []*connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,8 +85,9 @@
 	return fenced, retired
 }
 
-// removeOutdated removes and returns the connections that lead to another process than the one that is listed now. A new
-// process knows nothing of them, and if the machine of the old one has vanished, they look open until they are written to.
+// removeOutdated removes and returns the connections to another process than the one that is listed now. The new process
+// does not have them, and if the machine of the old process has vanished, they appear to be open until they are written
+// to.
 func (st *storeConnections) removeOutdated(listed Store) (outdated []*connection) {
 	sameServer := st.Addr == listed.Addr && st.RingPosition == listed.RingPosition
 	if sameServer && st.StartedAt == listed.StartedAt {
--- a/storepool/endpoints_test.go
+++ b/storepool/endpoints_test.go
@@ -13,20 +13,20 @@
 	"alderproxy/policy"
 )
 
-// changed returns a list with a store to which a change was applied.
+// changed returns a list of one store, to which it has applied the change.
 func changed(s Store, change func(*Store)) []Store {
 	change(&s)
 	return []Store{s}
 }
 
-// Calls and health checks that wait, for a connection to be established or for a write to end, and that were ordered before
-// the endpoint list changed, must not be written once the list is in force. An attempt that was started is not affected: its
-// first byte was written in time.
+// Calls and health checks that were queued before a change of the endpoint list must not be written after it to a store
+// that is draining, removed or replaced. They may be queued because the connection is not established yet or another
+// write blocks. An attempt that was started before the change is not affected, since its first byte was written in time.
 func TestUpdateEndpointsStopsQueuedRequests(t *testing.T) {
 	ready := listedStore("a:1")
 	for name, c := range map[string]struct {
 		list         []Store
-		acceptsCalls bool // on new connections
+		acceptsCalls bool // the store accepts calls on new connections after the change
 	}{
 		"draining":                   {list: changed(ready, func(s *Store) { s.State = policy.Draining })},
 		"not listed":                 {},
@@ -51,22 +51,22 @@
 			assert.False(t, a.Start(), "the call can still be written")
 			assert.False(t, queued.tryEnqueue(callOf(&broker.Attempt{Query: a.Query, Shard: 9}), requireCapacity))
 			for request, ok := queued.dequeue(); ok; request, ok = queued.dequeue() {
-				_, err := queued.write(nil, request, nil) // a write would panic, as there is no socket
+				_, err := queued.write(nil, request, nil) // a write would panic, since there is no socket
 				require.NoError(t, err)
 			}
 			require.NotNil(t, checkResult, "the health check was not finished")
 			assert.Equal(t, policy.ConnectFailed, checkResult.Status)
-			assert.NotSame(t, a, <-attempts, "the attempt has not run and may be retried elsewhere at once")
+			assert.NotSame(t, a, <-attempts, "the part was not retried")
 			if !c.acceptsCalls {
-				assert.Error(t, p.Send(1, []*broker.Attempt{a}), "accepted a hedged request, or a retry ordered before the change")
+				assert.Error(t, p.Send(1, []*broker.Attempt{a}), "accepted a hedged request or a retry after the change")
 			}
 		})
 	}
 }
 
-// What is in flight at a store that leaves the list may never be answered, as when its machine has vanished. Once it is
-// canceled, and so is what was not written, the connection must be closed, whatever the change was. Otherwise every such
-// store would hold a descriptor forever.
+// A store that is removed, drained or replaced may never answer the attempts in flight, for example because its machine
+// has vanished. Its connection must be closed once these attempts are canceled or withdrawn. Otherwise each such store
+// would hold a descriptor forever.
 func TestRetiredConnectionIsClosedAfterCancel(t *testing.T) {
 	for name, change := range map[string]func(Store) []Store{
 		"not listed":    func(Store) []Store { return nil },
@@ -82,6 +82,8 @@
 	}
 }
 
+// testRetiredConnection applies a change of the endpoint list while an attempt is in flight, before or after it is
+// written, and checks that its connection is closed.
 func testRetiredConnection(t *testing.T, change func(Store) []Store, written bool) {
 	t.Helper()
 	server := testserver.NewFrameStore(t)
@@ -109,10 +111,11 @@
 	select {
 	case <-server.Closed:
 	case <-time.After(eventTimeout):
-		assert.Fail(t, "the connection stays open")
+		assert.Fail(t, "the connection is still open")
 	}
-	assert.Eventually(t, func() bool { return openConnections(p) == 0 }, eventTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return openConnections(p) == 0 }, eventTimeout, time.Millisecond,
+		"the pool still counts the connection")
 }
 
-// inOneHour is the start time of a process that is newer than every connection, in microseconds.
+// inOneHour returns the start time of a process that is newer than every connection, in microseconds.
 func inOneHour() policy.Micros { return time.Now().Add(time.Hour).UnixMicro() }
--- a/storepool/healthcheck.go
+++ b/storepool/healthcheck.go
@@ -14,10 +14,11 @@
 	done func(broker.AttemptResult)
 }
 
-// Finish reports the outcome. Every call after the first is ignored.
+// Finish reports the outcome. Calls after the first are ignored.
 func (h *healthCheck) Finish(result broker.AttemptResult) { h.once.Do(func() { h.done(result) }) }
 
-// CheckHealth requests a store's load report. It calls done from another goroutine, with the report or without an answer.
+// CheckHealth requests a store's load report. Another goroutine calls done once, with the report or with the status of
+// the failure.
 func (p *Pool) CheckHealth(serverID uint32, done func(broker.AttemptResult)) {
 	check := &healthCheck{done: done}
 	if len(p.codec.AppendHealthCheck(nil)) == 0 {
@@ -28,6 +29,6 @@
 		go check.Finish(broker.Unanswered(policy.ConnectFailed))
 		return
 	}
-	// The settings have no timeout for health checks, so the one for connecting applies.
+	// The settings have no timeout for health checks, so the connect timeout applies.
 	time.AfterFunc(p.connectTimeout(), func() { check.Finish(broker.Unanswered(policy.TimedOut)) })
 }
--- a/storepool/helpers_test.go
+++ b/storepool/helpers_test.go
@@ -16,10 +16,10 @@
 	"alderproxy/policy"
 )
 
-// eventTimeout is how long a test waits for something that must happen.
+// eventTimeout is the maximum time for which a test waits for an event that must occur.
 const eventTimeout = 5 * time.Second
 
-// attemptQueue is a broker.Transport that hands over the first attempt of each call.
+// attemptQueue is a broker.Transport that sends the first attempt of each call to a channel.
 type attemptQueue chan *broker.Attempt
 
 func (q attemptQueue) Send(_ uint32, call []*broker.Attempt) error {
@@ -33,13 +33,13 @@
 
 func (attemptQueue) CheckHealth(uint32, func(broker.AttemptResult)) {}
 
-// responses is a broker.Responder that passes on what it receives.
+// responses is a broker.Responder that sends each response to a channel.
 type responses chan broker.Response
 
 func (r responses) Respond(response broker.Response) { r <- response }
 
-// submitQuery submits a query to a new broker. The attempts of its only part come out of the first channel, each once the
-// one before it has ended, and the final answer out of the second.
+// submitQuery submits a query of one part to a new broker. The first channel receives the attempts at the part, each one
+// after the previous one has ended, and the second one the final answer.
 func submitQuery(t *testing.T) (attemptQueue, responses) {
 	t.Helper()
 	facts, err := platformsettings.ParseJSON(fmt.Appendf(nil, testserver.SettingsTemplate, testserver.SaveClass, 0, 15_000_000))
@@ -59,15 +59,15 @@
 	return attempts, received
 }
 
-// callOf returns a request to write one attempt.
+// callOf returns a request to write a call with one attempt.
 func callOf(a *broker.Attempt) writeRequest { return writeRequest{attempts: []*broker.Attempt{a}} }
 
-// limitsWith returns limits for connections that carry a number of attempts.
+// limitsWith returns limits with the given MaxInFlight.
 func limitsWith(maxInFlight int) Limits {
 	return Limits{ConnectTimeout: 250_000, IdleTimeout: 15_000_000, MaxInFlight: maxInFlight}
 }
 
-// unconnected returns a connection that is not established, in a pool without stores.
+// unconnected returns a connection that is not established, of a pool without stores.
 func unconnected(maxInFlight int) *connection {
 	return newConnection(New(limitsWith(maxInFlight), nil, testserver.DiscardLog()), Store{})
 }
@@ -77,9 +77,9 @@
 	return Store{Name: "s", Addr: addr, Endpoint: policy.Endpoint{ID: 1, State: policy.Ready, RingPosition: 2}}
 }
 
-// pausedDial is a Dial that waits to be released.
+// pausedDial provides a Dial that blocks until release is closed.
 type pausedDial struct {
-	started chan struct{}
+	started chan struct{} // receives a value when a dial starts
 	release chan struct{}
 }
 
@@ -93,14 +93,15 @@
 	return dialTCP(addr, limit)
 }
 
-// openConnections returns how many connections the pool counts.
+// openConnections returns the number of connections that the pool counts as open.
 func openConnections(p *Pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConnections
 }
 
-// callOnlyCodec is the part of the platform's codec that writes calls and cancellations.
+// callOnlyCodec writes calls and cancellations like the codec of package platform. It supports no health checks and
+// decodes no messages.
 type callOnlyCodec struct{}
 
 func (callOnlyCodec) AppendCall(to []byte, _ Store, call []*broker.Attempt, _ time.Time) []byte {
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -1,6 +1,6 @@
-// Package storepool is the transport to stores that the fronts share. It keeps pools of connections with their time limits,
-// stops writing to stores that are draining, and records which attempts were written and may have run. A Codec knows the
-// wire protocol.
+// Package storepool implements broker.Transport for all fronts. It pools the connections to stores and enforces their
+// limits, stops writing to stores that are draining or removed, and records which attempts were written and may have run.
+// A Codec implements the wire protocol.
 package storepool
 
 import (
@@ -20,13 +20,14 @@
 // Dial opens a connection to an address within a time limit.
 type Dial func(addr string, limit time.Duration) (net.Conn, error)
 
-// Pool holds the connections to every store and opens them as needed. It implements broker.Transport.
+// Pool holds the connections to all stores and opens them as needed. It implements broker.Transport.
 type Pool struct {
-	// ConnectionAllowance returns how many connections to all stores may be open now. Beyond it, the least recently used
-	// idle ones are closed. Nil sets no limit. It must be set before the first UpdateEndpoints.
+	// ConnectionAllowance returns the maximum number of connections to all stores that may be open now. While more are
+	// open, each new request closes the least recently used idle one. If it is nil, there is no limit. It must be set
+	// before the first UpdateEndpoints.
 	ConnectionAllowance func() int
-	// EndpointsStale reports that the endpoint list must not be relied on now. Calls then wait, within their deadline. Nil
-	// stands for a list that is always reliable. It must be set before the first UpdateEndpoints.
+	// EndpointsStale reports whether the endpoint list must not be relied on now. Calls then wait, within their deadline.
+	// If it is nil, the list is always reliable. It must be set before the first UpdateEndpoints.
 	EndpointsStale func() bool
 
 	limits atomic.Pointer[Limits]
@@ -37,10 +38,10 @@
 	mu     sync.Mutex
 	dial   Dial
 	stores map[uint32]*storeConnections
-	// retiring are the connections to stores that were removed from the list or have been replaced. They accept nothing
-	// new and end once nothing is in flight on them.
+	// retiring holds the open connections to store processes that were removed from the endpoint list or replaced. They
+	// accept no new requests and are closed once nothing is in flight on them.
 	retiring []*connection
-	// openConnections also counts connections whose descriptor is not released yet.
+	// openConnections is the number of connections, including closed ones whose descriptor may not be released yet.
 	openConnections int
 	closed          bool
 }
@@ -62,14 +63,14 @@
 	return dialer.DialContext(context.Background(), "tcp", addr)
 }
 
-// SetDialer replaces the function that opens connections, plain TCP at first, from now on.
+// SetDialer replaces the function that opens new connections. The initial one opens plain TCP connections.
 func (p *Pool) SetDialer(dial Dial) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dial = dial
 }
 
-// Cancel cancels an attempt at its store, or withdraws it if it was not started.
+// Cancel cancels an attempt at its store, or withdraws the attempt if it was not started.
 func (p *Pool) Cancel(a *broker.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +80,7 @@
 	cancelOnAny(p.retiring, a)
 }
 
-// cancelOnAny cancels an attempt if it is on one of the connections, and reports whether it is.
+// cancelOnAny cancels an attempt if it is on one of the connections. It reports whether it is.
 func cancelOnAny(connections []*connection, a *broker.Attempt) bool {
 	return slices.ContainsFunc(connections, func(c *connection) bool { return c.cancel(a) })
 }
@@ -97,14 +98,14 @@
 	}
 }
 
-// Close closes every connection. Nothing can be sent afterwards.
+// Close closes all connections. Afterwards nothing can be sent.
 func (p *Pool) Close() {
 	for _, c := range p.markClosed() {
 		c.close(errClosed)
 	}
 }
 
-// markClosed prevents new connections and returns all there are.
+// markClosed prevents new connections and returns the existing ones.
 func (p *Pool) markClosed() []*connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,8 +117,9 @@
 	return all
 }
 
-// removeConnection takes a closed connection out of the pool. broken reports that attempts in flight were lost. It returns the log
-// line for closed connections to the store, which is limited in rate, or nil if the store is no longer listed.
+// removeConnection removes a closed connection from the pool. attemptsLost reports whether the connection failed with
+// attempts in flight. The result is the rate-limited log line for failed connections to the store, or nil if the store is
+// not listed.
 func (p *Pool) removeConnection(closed *connection, attemptsLost bool) *ratelog.Line {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/storepool/pool_test.go
+++ b/storepool/pool_test.go
@@ -14,7 +14,7 @@
 	"alderproxy/internal/testserver"
 )
 
-// A store that closes every connection causes one log line per second, with the number of those suppressed.
+// A store that closes every connection must not flood the log: one line is written per ratelog.Interval.
 func TestClosedConnectionsAreLoggedAtLimitedRate(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	p := New(limitsWith(1), nil, log.WithField("test", true))
@@ -25,11 +25,12 @@
 		newConnection(p, store).close(io.ErrUnexpectedEOF)
 	}
 	maxLines := 1 + int(time.Since(startedAt)/ratelog.Interval)
-	assert.LessOrEqual(t, len(hook.AllEntries()), maxLines)
-	assert.NotEmpty(t, hook.AllEntries())
+	assert.LessOrEqual(t, len(hook.AllEntries()), maxLines, "more than one line per interval")
+	assert.NotEmpty(t, hook.AllEntries(), "closed connections are not logged")
 }
 
-// A connection that is closed during its dial holds a descriptor until the dial returns, and counts until then.
+// A connection that is closed during its dial holds a descriptor until the dial returns, so it must count as open until
+// then.
 func TestConnectionCountsUntilDialReturns(t *testing.T) {
 	server := testserver.NewFrameStore(t)
 	p := New(limitsWith(32), nil, testserver.DiscardLog())
@@ -40,7 +41,7 @@
 	require.NoError(t, p.Send(1, []*broker.Attempt{<-attempts}))
 	<-paused.started
 	p.Close()
-	assert.Equal(t, 1, openConnections(p))
+	assert.Equal(t, 1, openConnections(p), "the dial has not returned")
 	close(paused.release)
 	assert.Eventually(t, func() bool { return openConnections(p) == 0 }, eventTimeout, time.Millisecond)
 }
--- a/storepool/reader.go
+++ b/storepool/reader.go
@@ -14,14 +14,14 @@
 const (
 	// readBufferSize is the size of a connection's read buffer in bytes.
 	readBufferSize = 4 << 10
-	// idleChecksPerTimeout is how many times per idle limit a connection that receives nothing is inspected.
+	// idleChecksPerTimeout is the number of times per idle limit that a connection without incoming messages is checked.
 	idleChecksPerTimeout = 8
 )
 
-// resultReceiver is an attempt or health check that waits for its result.
+// resultReceiver is an attempt or health check that awaits its result.
 type resultReceiver interface{ Finish(broker.AttemptResult) }
 
-// readLoop handles messages until the connection ends.
+// readLoop handles messages until the connection is closed.
 func (c *connection) readLoop(netConn net.Conn) {
 	r := bufio.NewReaderSize(netConn, readBufferSize)
 	for {
@@ -36,7 +36,8 @@
 	}
 }
 
-// readMessage waits for a message. That none arrives is no error, since idle connections and slow stores look alike.
+// readMessage waits for a message and reads it. The wait has no time limit, since the connection may be idle or the store
+// may be slow, but closeIfIdle is called at intervals.
 func (c *connection) readMessage(netConn net.Conn, r *bufio.Reader) (Message, error) {
 	for {
 		netConn.SetReadDeadline(time.Now().Add(c.pool.idleLimit() / idleChecksPerTimeout))
@@ -47,17 +48,17 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return Message{}, err
 		}
-		// An idle connection must be closed before the inspection that would come too late.
+		// Close the connection one interval early, since the next check may come after the idle limit.
 		c.closeIfIdle(c.pool.idleLimit() * (idleChecksPerTimeout - 1) / idleChecksPerTimeout)
 	}
-	// A message that does not end, as with a wrong length, would block every answer behind it.
+	// An incomplete message, for example one with a wrong length, would block all answers after it.
 	netConn.SetReadDeadline(time.Now().Add(c.pool.connectTimeout()))
 	return c.pool.codec.Read(r)
 }
 
-// handleMessage passes a result to the attempt or health check that waits for it, and ignores results that nobody waits for
-// any longer. moreBuffered reports that further bytes were received. If nothing is in flight, they answer nothing that was
-// sent, so that the connection cannot be used any more.
+// handleMessage passes a result to the attempt or health check that awaits it. It ignores results of canceled attempts.
+// moreBuffered reports whether further bytes have been received. If no answer is outstanding, they belong to no request,
+// and the connection is retired.
 func (c *connection) handleMessage(m Message, moreBuffered bool) error {
 	var receiver resultReceiver
 	var err error
@@ -91,8 +92,9 @@
 	return nil
 }
 
-// answeredAttemptLocked removes and returns the attempt with the given id; an empty id stands for the only one. It returns
-// nil for an attempt that was canceled. An unknown id is an error, since the answer that it stands for will not come.
+// answeredAttemptLocked removes and returns the attempt with the given ID, or the only attempt if the ID is empty. It
+// returns nil for an attempt that was canceled. An unknown ID is an error, since some attempt will then not get its
+// answer.
 func (c *connection) answeredAttemptLocked(id string) (resultReceiver, error) {
 	if id == "" {
 		for only := range c.inFlight {
@@ -102,9 +104,9 @@
 	c.lastUsed = time.Now()
 	wasCanceled := c.canceledIDs[id]
 	delete(c.canceledIDs, id)
-	if s := c.inFlight[id]; s != nil {
+	if inFlight := c.inFlight[id]; inFlight != nil {
 		c.removeInFlightLocked(id)
-		return s, nil
+		return inFlight, nil
 	}
 	if wasCanceled {
 		return nil, nil
@@ -112,7 +114,7 @@
 	return nil, fmt.Errorf("%w: answer to an unknown part", ErrMalformed)
 }
 
-// nextHealthCheckLocked removes and returns the oldest health check that was written.
+// nextHealthCheckLocked removes and returns the oldest health check that was written and not answered.
 func (c *connection) nextHealthCheckLocked() (resultReceiver, error) {
 	if len(c.healthChecks) == 0 {
 		return nil, fmt.Errorf("%w: unrequested load report", ErrMalformed)
--- a/storepool/selection.go
+++ b/storepool/selection.go
@@ -10,42 +10,42 @@
 	"alderproxy/policy"
 )
 
-// The reasons for which a call cannot be sent.
+// The reasons for which a request cannot be sent.
 var (
-	// ErrNotReady means that the store is draining, unknown, or that the pool was closed.
-	ErrNotReady = errors.New("store accepts no new calls")
-	// ErrConnectionsBusy means that every connection that may be open to the store is at its limit.
-	ErrConnectionsBusy = errors.New("all connections are busy")
-	// ErrConnectionAllowance means that as many connections are open as the process may have.
-	ErrConnectionAllowance = errors.New("no capacity for another connection")
-	// ErrCallNotAccepted means that not even a new connection can carry the call.
-	ErrCallNotAccepted = errors.New("call exceeds the limits of a connection")
+	// ErrNotReady means that the store is not ready or not listed, or that the pool is closed.
+	ErrNotReady = errors.New("not ready or not listed, or the pool is closed")
+	// ErrConnectionsBusy means that no connection to the store accepts the request and that no more may be opened.
+	ErrConnectionsBusy = errors.New("no connection accepts the request and the connection limit is reached")
+	// ErrConnectionAllowance means that Pool.ConnectionAllowance permits no further connection.
+	ErrConnectionAllowance = errors.New("connection limit of the process is reached")
+	// ErrCallNotAccepted means that not even a new connection accepts the call, for example because MaxInFlight is 0.
+	ErrCallNotAccepted = errors.New("new connection does not accept the call")
 )
 
 const (
-	// isolationDuration is how long after a connection broke with attempts in flight the calls to that store use
-	// connections of their own: a reset ends everything on a connection, and another may follow.
+	// isolationDuration is the time, after a connection to a store failed with attempts in flight, during which each call
+	// to the store uses a connection without other attempts: a reset ends all requests on a connection and may recur.
 	isolationDuration = 10 * time.Second
-	// maxIsolatedConnections is how many connections to one store are opened to isolate calls or to avoid unresponsive
-	// connections. With that many, calls share the existing ones.
+	// maxIsolatedConnections is the number of connections to one store up to which connections are opened to isolate
+	// calls or to avoid unresponsive connections. At that number, requests use any existing connection with capacity.
 	maxIsolatedConnections = 8
 )
 
-// requirement is what a connection must fulfill to carry a request. Each includes those before it.
+// requirement is a condition that a connection must meet to carry a request. Each one includes those before it.
 type requirement uint8
 
 const (
-	requireCapacity   requirement = iota // fewer attempts in flight than the limit
+	requireCapacity   requirement = iota // for a call: fewer attempts in flight than the limit
 	requireResponsive                    // and no answer is overdue
 	requireNoAttempts                    // and no attempts are in flight
 )
 
-// Send queues a call on a connection with capacity or on a new one.
+// Send queues a call on an existing connection or on a new one.
 func (p *Pool) Send(serverID uint32, call []*broker.Attempt) error {
 	return p.enqueue(serverID, writeRequest{attempts: call})
 }
 
-// enqueue queues a request on an existing connection if one fits, else on a new one.
+// enqueue queues a request on an existing connection if one accepts it, else on a new one.
 func (p *Pool) enqueue(serverID uint32, request writeRequest) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,16 +64,16 @@
 		return nil
 	}
 	if limit := p.limits.Load().MaxConnections; limit > 0 && len(st.connections) >= limit {
-		return fmt.Errorf("store %s: %w: %d of %d", st.Name, ErrConnectionsBusy, len(st.connections), limit)
+		return fmt.Errorf("store %s: %w: %d of %d are open", st.Name, ErrConnectionsBusy, len(st.connections), limit)
 	}
 	if allowance <= 0 && !p.evictIdleLocked(st) {
-		return fmt.Errorf("store %s: %w beside %d", st.Name, ErrConnectionAllowance, p.openConnections)
+		return fmt.Errorf("store %s: %w: %d are open", st.Name, ErrConnectionAllowance, p.openConnections)
 	}
 	return p.enqueueOnNewLocked(st, request)
 }
 
-// enqueueOnExisting queues a request on a connection to the store that is open already, if one fits. The pool's lock is
-// held.
+// enqueueOnExisting queues a request on an existing connection to the store if one accepts it. It reports whether it did.
+// The caller holds the pool's lock.
 func (st *storeConnections) enqueueOnExisting(request writeRequest) bool {
 	required := requireResponsive
 	if request.attempts != nil && time.Since(st.brokenAt) < isolationDuration {
@@ -85,11 +85,12 @@
 	return len(st.connections) >= maxIsolatedConnections && st.enqueueOnAny(request, requireCapacity)
 }
 
+// enqueueOnAny queues a request on the first connection that accepts it and meets the requirement.
 func (st *storeConnections) enqueueOnAny(request writeRequest, required requirement) bool {
 	return slices.ContainsFunc(st.connections, func(c *connection) bool { return c.tryEnqueue(request, required) })
 }
 
-// enqueueOnNewLocked opens a connection for a request.
+// enqueueOnNewLocked queues a request on a new connection and starts to open that.
 func (p *Pool) enqueueOnNewLocked(st *storeConnections, request writeRequest) error {
 	c := newConnection(p, st.Store)
 	if !c.tryEnqueue(request, requireCapacity) {
@@ -101,7 +102,8 @@
 	return nil
 }
 
-// evictIdleLocked retires the least recently used idle connection to any store but one, and reports whether there was one.
+// evictIdleLocked closes the least recently used idle connection to any store other than the given one. It reports
+// whether there was one.
 func (p *Pool) evictIdleLocked(except *storeConnections) bool {
 	var oldest *connection
 	var oldestUse time.Time
--- a/storepool/writer.go
+++ b/storepool/writer.go
@@ -9,7 +9,7 @@
 	"alderproxy/policy"
 )
 
-// staleEndpointsPollInterval is how often a connection checks whether the endpoint list has become reliable.
+// staleEndpointsPollInterval is the interval at which a connection checks whether the endpoint list is reliable again.
 const staleEndpointsPollInterval = time.Millisecond
 
 // writeRequest is a message to write: a call, a health check, or the cancellation of a part.
@@ -19,10 +19,12 @@
 	cancelID    string
 }
 
-// maxWriteQueueLength limits the requests that wait on one connection: its calls and their cancellations, twice over.
+// maxWriteQueueLength returns the maximum number of requests that wait on a connection: two calls and two cancellations
+// for each attempt that may be in flight, and 16 more.
 func (c *connection) maxWriteQueueLength() int { return 4*c.pool.limits.Load().MaxInFlight + 16 }
 
-// enqueueLocked has a request written. It returns false if the queue is full, which means that the store does not read.
+// enqueueLocked queues a request to be written. It returns false if the queue is full, which means that the store does
+// not read.
 func (c *connection) enqueueLocked(request writeRequest) bool {
 	if len(c.writeQueue) >= c.maxWriteQueueLength() {
 		return false
@@ -30,17 +32,17 @@
 	c.writeQueue = append(c.writeQueue, request)
 	select {
 	case c.writeReady <- struct{}{}:
-	default: // the writer has been notified already
+	default: // a notification is pending
 	}
 	return true
 }
 
-// dequeue removes the next request to write.
+// dequeue removes and returns the next request to write, if there is one.
 func (c *connection) dequeue() (request writeRequest, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.writeQueue) == 0 {
-		c.writeQueue = nil // releases the memory of a burst
+		c.writeQueue = nil // releases the memory that a burst took
 		return request, false
 	}
 	request = c.writeQueue[0]
@@ -51,7 +53,7 @@
 
 // run establishes the connection and writes the queued requests until it is closed.
 func (c *connection) run(dial Dial) {
-	// A dial can't be interrupted, so the descriptor counts until the dial has returned.
+	// A dial cannot be interrupted, so the connection counts as open until the dial has returned.
 	defer c.pool.connectionReleased()
 	netConn, ok := c.connect(dial)
 	if !ok {
@@ -61,7 +63,7 @@
 	c.writeLoop(netConn)
 }
 
-// connect dials the store. It returns false if that failed or if the connection was closed meanwhile.
+// connect dials the store. It returns false if the dial fails or the connection is closed in the meantime.
 func (c *connection) connect(dial Dial) (net.Conn, bool) {
 	netConn, err := dial(c.store.Addr, c.pool.connectTimeout())
 	if err != nil {
@@ -96,8 +98,8 @@
 	}
 }
 
-// awaitRequest waits for the next request to write. It returns false once the connection is closed, which it does itself if
-// the connection is retired and has nothing left to do.
+// awaitRequest waits for the next request to write. It returns false once the connection is closed. It closes the
+// connection itself if that is retired and nothing is pending on it.
 func (c *connection) awaitRequest() (writeRequest, bool) {
 	for {
 		if request, ok := c.dequeue(); ok {
@@ -115,8 +117,8 @@
 	}
 }
 
-// awaitReliableEndpoints delays a call while the endpoint list must not be relied on. It returns false if the connection is
-// closed meanwhile.
+// awaitReliableEndpoints waits until the endpoint list may be relied on if the request is a call. It returns false if the
+// connection is closed in the meantime.
 func (c *connection) awaitReliableEndpoints(request writeRequest) bool {
 	if request.attempts == nil || c.pool.EndpointsStale == nil {
 		return true
@@ -131,7 +133,8 @@
 	return true
 }
 
-// write writes one request and returns the buffer that it used. Attempts whose last byte was not written have never run.
+// write writes one request, for which it reuses the buffer. It returns the buffer. Attempts whose last byte was not
+// written have never run.
 func (c *connection) write(netConn net.Conn, request writeRequest, buffer []byte) ([]byte, error) {
 	now := time.Now()
 	var started []*broker.Attempt
@@ -154,14 +157,15 @@
 	if request.cancelID == "" {
 		c.expectAnswer(now)
 	}
-	// A machine that has vanished reads nothing, so that a write could block forever once the send buffer is full.
+	// If the machine of the store has vanished, a write could block forever once the send buffer is full.
 	netConn.SetWriteDeadline(now.Add(c.pool.connectTimeout()))
 	written, err := netConn.Write(buffer)
 	c.recordWritten(started, written == len(buffer))
 	return buffer, err
 }
 
-// startHealthCheck records that a health check is written. It returns false if the connection must not be used for that.
+// startHealthCheck records that a health check is about to be written. It returns false if the connection is closed or
+// fenced, so that the check must not be written.
 func (c *connection) startHealthCheck(check *healthCheck) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +176,8 @@
 	return true
 }
 
-// startAttempts starts the attempts of a call and returns those that may be written.
+// startAttempts starts the attempts of a call and returns those that may be written. It withdraws and finishes the
+// others.
 func (c *connection) startAttempts(call []*broker.Attempt) []*broker.Attempt {
 	var started []*broker.Attempt
 	for _, a := range call {
@@ -185,11 +190,11 @@
 	return started
 }
 
-// finishWithdrawn ends an attempt that was queued and must not be written any more.
+// finishWithdrawn finishes a withdrawn attempt if it is still on the connection.
 func (c *connection) finishWithdrawn(a *broker.Attempt) {
 	c.mu.Lock()
-	s := c.inFlight[WirePartID(a)]
-	present := s != nil && s.Attempt == a
+	inFlight := c.inFlight[WirePartID(a)]
+	present := inFlight != nil && inFlight.Attempt == a
 	if present {
 		c.removeInFlightLocked(WirePartID(a))
 	}
@@ -199,7 +204,7 @@
 	}
 }
 
-// expectAnswer records that an answer is due from now on.
+// expectAnswer records that an answer is awaited from now on, if none has been awaited before.
 func (c *connection) expectAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,18 +213,18 @@
 	}
 }
 
-// recordWritten records whether the attempts of a call were written completely. It ends those that were not, or whose
-// connection was closed during the write.
+// recordWritten records whether the attempts of a call were written completely. It finishes the attempts if they were
+// not, or if the connection was closed during the write.
 func (c *connection) recordWritten(started []*broker.Attempt, complete bool) {
 	var lost []*broker.Attempt
 	c.mu.Lock()
 	for _, a := range started {
 		id := WirePartID(a)
-		s := c.inFlight[id]
-		if s == nil || s.Attempt != a {
-			continue // answered or canceled meanwhile
+		inFlight := c.inFlight[id]
+		if inFlight == nil || inFlight.Attempt != a {
+			continue // answered or canceled in the meantime
 		}
-		s.written = complete
+		inFlight.written = complete
 		if !complete || c.closeCause != nil {
 			delete(c.inFlight, id)
 			lost = append(lost, a)
