--- a/broker/admission.go
+++ b/broker/admission.go
@@ -71,7 +71,7 @@
 	return Response{}, false
 }
 
-// overloadRetryAfter returns the time after which clients should retry if the broker is full or drained; 0 if the
+// overloadRetryAfter returns the time after which clients should retry if the broker is full or shutting down; 0 if the
 // settings allow no such advice.
 func (b *Broker) overloadRetryAfter() time.Duration {
 	if !b.settings.SendRetryAfter {
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -119,7 +119,7 @@
 }
 
 // Submit submits a query. The query's Responder receives exactly one final answer unless the query is canceled or the
-// broker is closed. Submit returns false if the broker was closed before it could take the query, which then gets no
+// broker is closed. Submit returns false if the broker was closed before it accepted the query, which then gets no
 // answer.
 func (b *Broker) Submit(q *Query) bool { return b.post(querySubmitted{q}) }
 
--- a/broker/eventloop.go
+++ b/broker/eventloop.go
@@ -34,7 +34,7 @@
 )
 
 // post appends a message to the queue of the event loop. It blocks while the queue is full, which delays only the
-// connection that the caller serves. If the broker is closed, it may drop the message and returns false in that case.
+// connection that the caller serves. It returns false if it drops the message because the broker is closed.
 func (b *Broker) post(m message) bool {
 	select {
 	case b.messages <- m:
--- a/broker/lifecycle.go
+++ b/broker/lifecycle.go
@@ -9,8 +9,8 @@
 	"alderproxy/policy"
 )
 
-// deadlineToleranceTicks is the maximum number of ticks before its answer deadline at which a query ends and still counts
-// as one that exceeded the deadline. The aggregator ends queries shortly before their deadlines.
+// deadlineToleranceTicks is the length, in ticks, of the interval before a query's answer deadline in which a rejected or
+// failed query counts as having exceeded the deadline. The aggregator ends queries shortly before their deadlines.
 const deadlineToleranceTicks = 3
 
 // activeQuery is an admitted query.
--- a/broker/query.go
+++ b/broker/query.go
@@ -28,7 +28,7 @@
 	Class int
 	// IdempotencyKey is the client's key for classes that are idempotent by key.
 	IdempotencyKey string
-	// Payload is sent with every part, byte for byte as it was received.
+	// Payload is sent with every part, byte for byte.
 	Payload []byte
 	// Deadline is the time at which the client stops waiting.
 	Deadline time.Time
--- a/storepool/close.go
+++ b/storepool/close.go
@@ -10,7 +10,7 @@
 	"alderproxy/policy"
 )
 
-// The causes of a connection's end if the pool itself closes the connection.
+// The causes for which the pool itself closes a connection. They are not logged.
 var (
 	errClosed = errors.New("connection closed by the pool")
 	errIdle   = errors.New("connection idle or retired")
@@ -132,7 +132,7 @@
 	healthCheckStatus policy.Status
 }
 
-// attemptOutcome is the status with which an attempt ends when its connection is closed.
+// attemptOutcome is an attempt and the status with which it ends when its connection is closed.
 type attemptOutcome struct {
 	attempt *broker.Attempt
 	status  policy.Status
--- a/storepool/endpoints.go
+++ b/storepool/endpoints.go
@@ -86,7 +86,7 @@
 }
 
 // removeOutdated removes and returns the connections to another process than the one that is listed now. The new process
-// does not have them, and if the machine of the old process has vanished, they appear to be open until they are written
+// does not know them, and if the machine of the old process has vanished, they appear to be open until they are written
 // to.
 func (st *storeConnections) removeOutdated(listed Store) (outdated []*connection) {
 	sameServer := st.Addr == listed.Addr && st.RingPosition == listed.RingPosition
--- a/storepool/endpoints_test.go
+++ b/storepool/endpoints_test.go
@@ -34,7 +34,7 @@
 		"other ring position":        {changed(ready, func(s *Store) { s.RingPosition = 3 }), true},
 		"restarted":                  {changed(ready, func(s *Store) { s.StartedAt = inOneHour() }), true},
 		"other address and draining": {list: changed(ready, func(s *Store) { s.Addr, s.State = "b:1", policy.Draining })},
-		"replaced under its number":  {changed(ready, func(s *Store) { s.Name, s.Addr = "t", "c:1" }), true},
+		"other store, same number":   {changed(ready, func(s *Store) { s.Name, s.Addr = "t", "c:1" }), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			attempts, _ := submitQuery(t)
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -38,7 +38,7 @@
 	mu     sync.Mutex
 	dial   Dial
 	stores map[uint32]*storeConnections
-	// retiring holds the open connections to store processes that were removed from the endpoint list or replaced. They
+	// retiring holds the connections to store processes that were removed from the endpoint list or replaced. They
 	// accept no new requests and are closed once nothing is in flight on them.
 	retiring []*connection
 	// openConnections is the number of connections, including closed ones whose descriptor may not be released yet.
--- a/storepool/selection.go
+++ b/storepool/selection.go
@@ -53,11 +53,11 @@
 	if st == nil || st.State != policy.Ready || p.closed {
 		return fmt.Errorf("store %d: %w", serverID, ErrNotReady)
 	}
-	allowance := 1 // connections that may still be opened
+	remaining := 1 // connections that may still be opened
 	if p.ConnectionAllowance != nil {
-		allowance = p.ConnectionAllowance() - p.openConnections
+		remaining = p.ConnectionAllowance() - p.openConnections
 	}
-	if allowance < 0 {
+	if remaining < 0 {
 		p.evictIdleLocked(nil)
 	}
 	if st.enqueueOnExisting(request) {
@@ -66,7 +66,7 @@
 	if limit := p.limits.Load().MaxConnections; limit > 0 && len(st.connections) >= limit {
 		return fmt.Errorf("store %s: %w: %d of %d are open", st.Name, ErrConnectionsBusy, len(st.connections), limit)
 	}
-	if allowance <= 0 && !p.evictIdleLocked(st) {
+	if remaining <= 0 && !p.evictIdleLocked(st) {
 		return fmt.Errorf("store %s: %w: %d are open", st.Name, ErrConnectionAllowance, p.openConnections)
 	}
 	return p.enqueueOnNewLocked(st, request)
@@ -90,7 +90,7 @@
 	return slices.ContainsFunc(st.connections, func(c *connection) bool { return c.tryEnqueue(request, required) })
 }
 
-// enqueueOnNewLocked queues a request on a new connection and starts to open that.
+// enqueueOnNewLocked queues a request on a new connection and starts the goroutine that dials it.
 func (p *Pool) enqueueOnNewLocked(st *storeConnections, request writeRequest) error {
 	c := newConnection(p, st.Store)
 	if !c.tryEnqueue(request, requireCapacity) {
--- a/storepool/writer.go
+++ b/storepool/writer.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// awaitRequest waits for the next request to write. It returns false once the connection is closed. It closes the
-// connection itself if that is retired and nothing is pending on it.
+// awaitRequest waits for the next request to write. It returns false once the connection is closed. If the
+// connection is retired and nothing is pending on it, awaitRequest closes it.
 func (c *connection) awaitRequest() (writeRequest, bool) {
 	for {
 		if request, ok := c.dequeue(); ok {
@@ -133,7 +133,7 @@
 	return true
 }
 
-// write writes one request, for which it reuses the buffer. It returns the buffer. Attempts whose last byte was not
+// write encodes a request into the buffer, writes it and returns the buffer for reuse. Attempts whose last byte was not
 // written have never run.
 func (c *connection) write(netConn net.Conn, request writeRequest, buffer []byte) ([]byte, error) {
 	now := time.Now()
@@ -204,7 +204,7 @@
 	}
 }
 
-// expectAnswer records that an answer is awaited from now on, if none has been awaited before.
+// expectAnswer records that an answer is awaited from now on, unless one is awaited already.
 func (c *connection) expectAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
