--- a/storepool/close.go
+++ b/storepool/close.go
@@ -23,9 +23,9 @@
 	c.retired = true
 	c.fenced = true
 	var withdrawn []*broker.Attempt
-	for id, inFlight := range c.inFlight {
-		if !inFlight.written && inFlight.Withdraw() { // the writer can no longer start it
-			withdrawn = append(withdrawn, inFlight.Attempt)
+	for id, attempt := range c.inFlight {
+		if !attempt.written && attempt.Withdraw() { // the writer can no longer start it
+			withdrawn = append(withdrawn, attempt.Attempt)
 			c.removeInFlightLocked(id)
 		}
 	}
@@ -170,12 +170,12 @@
 // written to the writer, which finishes them when the write returns.
 func (c *connection) takeAttemptsLocked() []attemptOutcome {
 	var outcomes []attemptOutcome
-	for id, inFlight := range c.inFlight {
+	for id, attempt := range c.inFlight {
 		switch {
-		case inFlight.written:
-			outcomes = append(outcomes, attemptOutcome{inFlight.Attempt, policy.ConnectionBroken})
-		case inFlight.Withdraw():
-			outcomes = append(outcomes, attemptOutcome{inFlight.Attempt, policy.ConnectFailed})
+		case attempt.written:
+			outcomes = append(outcomes, attemptOutcome{attempt.Attempt, policy.ConnectionBroken})
+		case attempt.Withdraw():
+			outcomes = append(outcomes, attemptOutcome{attempt.Attempt, policy.ConnectFailed})
 		default:
 			continue
 		}
--- a/storepool/connection.go
+++ b/storepool/connection.go
@@ -131,7 +131,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := WirePartID(a)
-	if inFlight := c.inFlight[id]; inFlight == nil || inFlight.Attempt != a {
+	if attempt := c.inFlight[id]; attempt == nil || attempt.Attempt != a {
 		return false
 	}
 	c.removeInFlightLocked(id)
--- a/storepool/reader.go
+++ b/storepool/reader.go
@@ -104,9 +104,9 @@
 	c.lastUsed = time.Now()
 	wasCanceled := c.canceledIDs[id]
 	delete(c.canceledIDs, id)
-	if inFlight := c.inFlight[id]; inFlight != nil {
+	if attempt := c.inFlight[id]; attempt != nil {
 		c.removeInFlightLocked(id)
-		return inFlight, nil
+		return attempt, nil
 	}
 	if wasCanceled {
 		return nil, nil
--- a/storepool/writer.go
+++ b/storepool/writer.go
@@ -193,8 +193,8 @@
 // finishWithdrawn finishes a withdrawn attempt if it is still on the connection.
 func (c *connection) finishWithdrawn(a *broker.Attempt) {
 	c.mu.Lock()
-	inFlight := c.inFlight[WirePartID(a)]
-	present := inFlight != nil && inFlight.Attempt == a
+	attempt := c.inFlight[WirePartID(a)]
+	present := attempt != nil && attempt.Attempt == a
 	if present {
 		c.removeInFlightLocked(WirePartID(a))
 	}
@@ -220,11 +220,11 @@
 	c.mu.Lock()
 	for _, a := range started {
 		id := WirePartID(a)
-		inFlight := c.inFlight[id]
-		if inFlight == nil || inFlight.Attempt != a {
+		attempt := c.inFlight[id]
+		if attempt == nil || attempt.Attempt != a {
 			continue // answered or canceled in the meantime
 		}
-		inFlight.written = complete
+		attempt.written = complete
 		if !complete || c.closeCause != nil {
 			delete(c.inFlight, id)
 			lost = append(lost, a)
