--- a/broker/dispatch.go
+++ b/broker/dispatch.go
@@ -10,8 +10,8 @@
 	"alderproxy/policy"
 )
 
-// execute carries out the actions of one step in their order. Attempts are sent last, those to the same server in shared
-// calls.
+// execute carries out the actions of one step in order. Attempts are sent last, and those to the same server share calls
+// of up to Settings.MaxBatchSize attempts.
 func (b *Broker) execute(actions []policy.Action, now time.Time) {
 	var servers []uint32
 	attemptsByServer := map[uint32][]*Attempt{}
@@ -32,7 +32,7 @@
 	}
 	for _, server := range servers {
 		for call := range slices.Chunk(attemptsByServer[server], max(1, b.settings.MaxBatchSize)) {
-			b.send(server, call, now)
+			b.sendCall(server, call, now)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 func (b *Broker) executeAction(action policy.Action, now time.Time) {
 	switch action := action.(type) {
 	case policy.CancelAttempt:
-		if p := b.partsByID[action.PartID]; p != nil && action.AttemptIndex >= 0 && action.AttemptIndex < len(p.attempts) {
+		if p := b.partsByPolicyID[action.PartID]; p != nil && action.AttemptIndex >= 0 && action.AttemptIndex < len(p.attempts) {
 			b.cancelAttempt(p.attempts[action.AttemptIndex], policy.Canceled, now)
 		}
 	case policy.Answer:
@@ -61,12 +61,12 @@
 	}
 }
 
-// newAttempt records an attempt that the decisions ordered. It returns nil for one that must not be sent, which the
-// decisions then see as withdrawn.
+// newAttempt records an attempt that the aggregator ordered. If the attempt must not be sent, newAttempt reports it to
+// the aggregator as withdrawn and returns nil. It also returns nil if the part is unknown.
 func (b *Broker) newAttempt(order policy.SendAttempt, now time.Time) *Attempt {
-	p := b.partsByID[order.PartID]
+	p := b.partsByPolicyID[order.PartID]
 	if p == nil {
-		b.log.WithField("part", order.PartID).Error("decisions sent an attempt of an unknown part")
+		b.log.WithField("part", order.PartID).Error("cannot send an attempt at an unknown part")
 		return nil
 	}
 	deadline := now.Add(duration(order.Timeout))
@@ -76,16 +76,16 @@
 	a := &Attempt{
 		Query:         p.query.Query,
 		Shard:         p.spec.Shard,
-		Server:        order.ServerID,
+		ServerID:      order.ServerID,
 		Deadline:      deadline,
 		RetryDeadline: p.retryDeadline(),
 		broker:        b,
 		part:          p,
-		number:        len(p.attempts),
+		index:         len(p.attempts),
 		sentAt:        now,
 	}
 	p.attempts = append(p.attempts, a)
-	overLimit := b.settings.MaxAttempts > 0 && a.number >= b.settings.MaxAttempts
+	overLimit := b.settings.MaxAttempts > 0 && a.index >= b.settings.MaxAttempts
 	if overLimit || !b.isOpen(p.query) || !deadline.After(now) {
 		a.Withdraw()
 		b.finishAttempt(a, Unanswered(policy.Withdrawn), now)
@@ -95,14 +95,14 @@
 	return a
 }
 
-// send hands a call to the transport.
-func (b *Broker) send(server uint32, call []*Attempt, now time.Time) {
-	err := b.transport.Send(server, call)
+// sendCall passes a call to the transport. If that fails, its attempts end with the status ConnectFailed.
+func (b *Broker) sendCall(serverID uint32, call []*Attempt, now time.Time) {
+	err := b.transport.Send(serverID, call)
 	if err == nil {
 		return
 	}
 	if suppressed, due := b.sendErrorLog.Due(now); due {
-		b.log.WithError(err).WithFields(logrus.Fields{"server": server, "more": suppressed}).Warn("attempt not sent")
+		b.log.WithError(err).WithFields(logrus.Fields{"server": serverID, "more": suppressed}).Warn("cannot send call to store")
 	}
 	for _, a := range call {
 		a.Withdraw()
@@ -110,15 +110,16 @@
 	}
 }
 
-// checkHealth has the transport request a server's load report.
-func (b *Broker) checkHealth(server uint32, now time.Time) {
+// checkHealth has the transport request a server's load report. Only the first result counts.
+func (b *Broker) checkHealth(serverID uint32, now time.Time) {
 	var once sync.Once
-	b.transport.CheckHealth(server, func(result AttemptResult) {
-		once.Do(func() { b.post(healthCheckFinished{server, now, result}) })
+	b.transport.CheckHealth(serverID, func(result AttemptResult) {
+		once.Do(func() { b.post(healthCheckFinished{serverID, now, result}) })
 	})
 }
 
-// finishAttempt reports an attempt's outcome to the decisions. A later one is ignored: an answer may cross a timeout.
+// finishAttempt reports an attempt's outcome to the aggregator. Only the first outcome counts, since an answer may arrive
+// after a timeout.
 func (b *Broker) finishAttempt(a *Attempt, result AttemptResult, now time.Time) {
 	if a.finished {
 		return
@@ -132,9 +133,9 @@
 		p.body = result.Body
 	}
 	b.emit(policy.AttemptResult{
-		PartID:       p.id,
-		AttemptIndex: a.number,
-		ServerID:     a.Server,
+		PartID:       p.policyID,
+		AttemptIndex: a.index,
+		ServerID:     a.ServerID,
 		Status:       result.Status,
 		Elapsed:      now.Sub(a.sentAt).Microseconds(),
 		Report:       result.Report,
@@ -142,13 +143,14 @@
 	b.releasePart(p)
 }
 
-// cancelAttempt ends the wait for an attempt. The status is that of an attempt that was started.
+// cancelAttempt cancels an unfinished attempt, which ends with the given status. If it timed out before it was started,
+// it ends with ConnectFailed instead.
 func (b *Broker) cancelAttempt(a *Attempt, status policy.Status, now time.Time) {
 	if a.finished {
 		return
 	}
 	if a.Withdraw() && status == policy.TimedOut {
-		status = policy.ConnectFailed // it has waited for a connection all the time
+		status = policy.ConnectFailed // it has only waited for a connection
 	}
 	b.transport.Cancel(a)
 	b.finishAttempt(a, Unanswered(status), now)
