--- a/httpwire/exchange.go
+++ b/httpwire/exchange.go
@@ -58,7 +58,7 @@
 	cancelOnce  *sync.Once
 }
 
-// CancelWait ends AwaitClientGone. It may be called from any goroutine, more than once, and does not block.
+// CancelWait ends AwaitDisconnect. It may be called from any goroutine, more than once, and does not block.
 func (x *Exchange) CancelWait() {
 	x.cancelOnce.Do(func() {
 		close(x.canceled)
@@ -67,17 +67,17 @@
 	})
 }
 
-// ResetWait allows another AwaitClientGone after one that CancelWait has ended.
+// ResetWait allows another AwaitDisconnect after one that CancelWait has ended.
 func (x *Exchange) ResetWait() {
 	x.canceled = make(chan struct{})
 	x.deadlineSet = make(chan struct{})
 	x.cancelOnce = &sync.Once{}
 }
 
-// ClientGone reports, without blocking, whether the client has closed the connection already: a process that was held up
+// ClientDisconnected reports, without blocking, whether the client has closed the connection already: a process that was held up
 // reads requests late, and those of clients that have gone must not be forwarded. A close behind more pipelined bytes than
-// the buffer holds is not seen; AwaitClientGone reads past them.
-func (x *Exchange) ClientGone() bool {
+// the buffer holds is not seen; AwaitDisconnect reads past them.
+func (x *Exchange) ClientDisconnected() bool {
 	x.conn.SetReadDeadline(time.Now().Add(pollTimeout))
 	x.source.nonBlocking = true
 	defer func() { x.source.nonBlocking = false }()
@@ -88,9 +88,9 @@
 	return !errors.Is(err, errNoData) && !errors.Is(err, bufio.ErrBufferFull)
 }
 
-// AwaitClientGone blocks until the client closes the connection, and returns true, or until CancelWait was called, and
+// AwaitDisconnect blocks until the client closes the connection, and returns true, or until CancelWait was called, and
 // returns false.
-func (x *Exchange) AwaitClientGone() (gone bool) {
+func (x *Exchange) AwaitDisconnect() (gone bool) {
 	for {
 		x.conn.SetReadDeadline(time.Now().Add(pollTimeout))
 		if x.waitCanceled() { // its deadline may have been set before this one, or will be
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -27,7 +27,7 @@
 		if x.Path() == "/wait" {
 			gone <- false
 			go func() { <-release; x.CancelWait() }()
-			left := x.AwaitClientGone()
+			left := x.AwaitDisconnect()
 			if gone <- left; left {
 				return nil
 			}
@@ -212,7 +212,7 @@
 		taken, gone := make(chan struct{}), make(chan bool, 1)
 		s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 			close(taken)
-			gone <- x.AwaitClientGone()
+			gone <- x.AwaitDisconnect()
 			return nil
 		}}
 		startServing(t, s, g)
@@ -280,7 +280,7 @@
 	s := &httpwire.Server{Log: testserver.DiscardLog(), FirstRequestTimeout: 5 * time.Second, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
 			go func() { <-release; x.CancelWait() }()
-			x.AwaitClientGone()
+			x.AwaitDisconnect()
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
--- a/opensearch/item.go
+++ b/opensearch/item.go
@@ -96,7 +96,7 @@
 		if len(submitted) == 0 {
 			return items
 		}
-		if x.ClientGone() {
+		if x.ClientDisconnected() {
 			return nil
 		}
 		batch.unanswered.Store(int32(len(submitted)))
@@ -138,7 +138,7 @@
 			it.Respond(broker.Response{Status: broker.Rejected})
 		}
 	}
-	if x.AwaitClientGone() {
+	if x.AwaitDisconnect() {
 		f.broker.Cancel(queries...)
 		return true
 	}
