--- a/httpwire/accept.go
+++ b/httpwire/accept.go
@@ -17,7 +17,7 @@
 	readBufferSize = 4 << 10
 )
 
-type deadliner interface{ SetDeadline(t time.Time) error }
+type deadlineSetter interface{ SetDeadline(t time.Time) error }
 
 // Serve accepts connections until the listener or the server closes, and then closes the listener. Its error is always nil.
 func (s *Server) Serve(l net.Listener) error {
@@ -35,7 +35,7 @@
 		case stopped && !finalAccept:
 			// Closing the listener resets connections in the accept queue, together with their requests.
 			finalAccept = true
-			_ = l.(deadliner).SetDeadline(time.Now().Add(finalReadTimeout))
+			_ = l.(deadlineSetter).SetDeadline(time.Now().Add(finalReadTimeout))
 		case stopped:
 			// More may have come since that deadline if this process had to wait for a processor.
 			pending := acceptPending(l)
@@ -47,7 +47,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		default:
-			s.acceptFailed(err)
+			s.handleAcceptError(err)
 		}
 	}
 }
@@ -64,11 +64,11 @@
 	return true
 }
 
-// acceptFailed handles errors that are no reason to stop serving: descriptors have run out, or a connection ended early.
-func (s *Server) acceptFailed(err error) {
+// handleAcceptError handles errors that are no reason to stop serving: descriptors have run out, or a connection ended early.
+func (s *Server) handleAcceptError(err error) {
 	s.mu.Lock()
-	s.evict(0)
-	s.warnLimited("accept failed", err)
+	s.evictForNewConnection(0)
+	s.logRateLimited("accept failed", err)
 	s.mu.Unlock()
 	time.Sleep(acceptRetryInterval)
 }
@@ -76,64 +76,64 @@
 // startConnection serves a connection in a goroutine of its own, or rejects it where the bound is reached.
 func (s *Server) startConnection(conn net.Conn) {
 	now := time.Now()
-	source := newSource(conn)
+	pollConn := newPollConn(conn)
 	x := &Exchange{
 		conn:        conn,
-		source:      source,
-		reader:      bufio.NewReaderSize(source, readBufferSize),
+		pollConn:    pollConn,
+		reader:      bufio.NewReaderSize(pollConn, readBufferSize),
 		connectedAt: now,
 		stateSince:  now,
 	}
 	s.mu.Lock()
-	full := s.MaxConnections > 0 && !s.evict(s.MaxConnections)
-	drop := full && s.closing >= s.maxClosing()
-	if full {
-		s.warnLimited("client rejected", errTooManyConnections)
-		if !drop {
-			s.closing++
+	atLimit := s.MaxConnections > 0 && !s.evictForNewConnection(s.MaxConnections)
+	closeNow := atLimit && s.closingCount >= s.maxClosingConnections()
+	if atLimit {
+		s.logRateLimited("client rejected", errTooManyConnections)
+		if !closeNow {
+			s.closingCount++
 		}
 	} else {
 		s.connections[x] = struct{}{}
 	}
 	s.mu.Unlock()
 	switch {
-	case drop:
+	case closeNow:
 		conn.Close()
-	case full:
+	case atLimit:
 		go s.reject(x)
 	default:
 		s.active.Add(1)
-		go s.run(x)
+		go s.serveConnection(x)
 	}
 }
 
 // reject answers a connection beyond the bound.
 func (s *Server) reject(x *Exchange) {
-	s.respondAndClose(x, s.rejection(http.StatusServiceUnavailable, errTooManyConnections))
+	s.respondAndClose(x, s.rejectionReply(http.StatusServiceUnavailable, errTooManyConnections))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing--
+	s.closingCount--
 }
 
-// run serves a connection to its end.
-func (s *Server) run(x *Exchange) {
+// serveConnection serves a connection to its end.
+func (s *Server) serveConnection(x *Exchange) {
 	defer s.active.Done()
-	s.serve(x)
+	s.serveRequests(x)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removeConnection(x)
 	if x.evicted {
-		s.closing--
+		s.closingCount--
 	}
 }
 
 // acceptPending returns, without blocking, the connections in the accept queue of a listener.
 func acceptPending(l net.Listener) (pending []net.Conn) {
-	system, ok := l.(syscall.Conn)
+	sysConn, ok := l.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// body reads a body by its length, in chunks, or, where a message has neither and toEnd is set, up to the end of the
+// readBody reads a readBody by its length, in chunks, or, where a message has neither and toEnd is set, up to the end of the
 // stream. limit is in bytes.
-func (h *head) body(r *bufio.Reader, limit int, toEnd bool) ([]byte, error) {
+func (h *head) readBody(r *bufio.Reader, limit int, untilEOF bool) ([]byte, error) {
 	length, coding, err := h.framing()
 	switch {
 	case err != nil:
@@ -20,11 +20,11 @@
 	case coding != "" && (length != "" || !strings.EqualFold(coding, "chunked")):
 		return nil, fmt.Errorf("%w: transfer coding", ErrMalformed)
 	case coding != "":
-		return h.chunks(r, limit)
+		return h.readChunks(r, limit)
 	case length != "":
-		return bodyOfLength(r, length, limit)
-	case toEnd:
-		return bodyToEnd(r, limit)
+		return readBodyOfLength(r, length, limit)
+	case untilEOF:
+		return readBodyToEnd(r, limit)
 	}
 	return nil, nil
 }
@@ -52,7 +52,7 @@
 	return length, coding, nil
 }
 
-func bodyOfLength(r *bufio.Reader, length string, limit int) ([]byte, error) {
+func readBodyOfLength(r *bufio.Reader, length string, limit int) ([]byte, error) {
 	n, err := strconv.ParseUint(length, 10, 63)
 	if errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(limit) {
 		return nil, bodyTooLarge(limit)
@@ -63,7 +63,7 @@
 	return ReadN(r, nil, int64(n))
 }
 
-func bodyToEnd(r *bufio.Reader, limit int) ([]byte, error) {
+func readBodyToEnd(r *bufio.Reader, limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err == nil && len(body) > limit {
 		err = bodyTooLarge(limit)
@@ -92,11 +92,11 @@
 	return err
 }
 
-// chunks reads a chunked body and its trailers, which are dropped.
-func (h *head) chunks(r *bufio.Reader, limit int) ([]byte, error) {
+// readChunks reads a chunked body and its trailers, which are dropped.
+func (h *head) readChunks(r *bufio.Reader, limit int) ([]byte, error) {
 	var body []byte
 	for {
-		size, err := h.chunkSize(r, limit-len(body), limit)
+		size, err := h.readChunkSize(r, limit-len(body), limit)
 		if err != nil {
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 		if body, err = ReadN(r, body, size); err != nil {
 			return nil, err
 		}
-		text, err := h.line(r)
+		text, err := h.readLine(r)
 		if err != nil {
 			return nil, unexpectedEOF(err)
 		}
@@ -116,9 +116,9 @@
 	}
 }
 
-// chunkSize reads the line before a chunk, of which at most remaining bytes may come.
-func (h *head) chunkSize(r *bufio.Reader, remaining, limit int) (int64, error) {
-	text, err := h.line(r)
+// readChunkSize reads the line before a chunk, of which at most remaining bytes may come.
+func (h *head) readChunkSize(r *bufio.Reader, remaining, limit int) (int64, error) {
+	text, err := h.readLine(r)
 	if err != nil {
 		return 0, unexpectedEOF(err)
 	}
@@ -135,7 +135,7 @@
 
 func (h *head) skipTrailers(r *bufio.Reader) error {
 	for {
-		text, err := h.line(r)
+		text, err := h.readLine(r)
 		if err != nil {
 			return unexpectedEOF(err)
 		}
--- a/httpwire/eviction.go
+++ b/httpwire/eviction.go
@@ -38,10 +38,10 @@
 	return rankRecent
 }
 
-// evict closes a connection without an open request for a new one where half of the bound is reached, so that clients that
+// evictForNewConnection closes a connection without an open request for a new one where half of the bound is reached, so that clients that
 // keep connections without using them don't exclude others. It reports whether there are fewer connections than the bound
 // afterwards. The caller holds the lock.
-func (s *Server) evict(bound int) bool {
+func (s *Server) evictForNewConnection(bound int) bool {
 	if len(s.connections) < bound/2 {
 		return true
 	}
@@ -55,24 +55,24 @@
 			victimRank = rank
 		}
 	}
-	s.closeIdle(victim)
+	s.evictConnection(victim)
 	return len(s.connections) < bound
 }
 
-// closeIdle ends a connection, if any, from the goroutine of another one. Its own goroutine reads once more: a request that
+// evictConnection ends a connection, if any, from the goroutine of another one. Its own goroutine reads once more: a request that
 // has arrived is answered, and a close over unread bytes would reset the connection together with a response that is on its
 // way. Where too many connections are closing in that way, it is closed at once. The caller holds the lock.
-func (s *Server) closeIdle(x *Exchange) {
+func (s *Server) evictConnection(x *Exchange) {
 	if x == nil {
 		return
 	}
 	s.removeConnection(x)
-	if s.MaxConnections > 0 && s.closing >= s.maxClosing() {
+	if s.MaxConnections > 0 && s.closingCount >= s.maxClosingConnections() {
 		x.conn.Close()
 		return
 	}
 	x.evicted = true
-	s.closing++
+	s.closingCount++
 	if x.state == stateReading { // the part that was read can't be read again, and its goroutine may be held up
 		x.conn.SetReadDeadline(time.Now().Add(incompleteEvictionAge))
 	} else {
@@ -80,8 +80,8 @@
 	}
 }
 
-// maxClosing is how many connections beyond the bound may be closing at a time: each holds a descriptor.
-func (s *Server) maxClosing() int { return max(1, s.MaxConnections/8) }
+// maxClosingConnections is how many connections beyond the bound may be closing at a time: each holds a descriptor.
+func (s *Server) maxClosingConnections() int { return max(1, s.MaxConnections/8) }
 
 // removeConnection forgets a connection. The caller holds the lock.
 func (s *Server) removeConnection(x *Exchange) {
@@ -128,5 +128,5 @@
 			oldest = other
 		}
 	}
-	s.closeIdle(oldest)
+	s.evictConnection(oldest)
 }
--- a/httpwire/exchange.go
+++ b/httpwire/exchange.go
@@ -18,8 +18,8 @@
 	// (10 MB with usual settings) has to be read within some 50 ms, so that a client that closes after it is noticed, and a
 	// client that goes on sending has to leave processor time to others.
 	discardChunk = 512 << 10
-	// pollTimeout bounds one wait for the client to close. A wait that expires is repeated.
-	pollTimeout = time.Minute
+	// disconnectPollTimeout bounds one wait for the client to close. A wait that expires is repeated.
+	disconnectPollTimeout = time.Minute
 )
 
 // connState is the state of a connection.
@@ -40,7 +40,7 @@
 	Start time.Time // when the request's first byte had arrived
 
 	conn        net.Conn
-	source      *source
+	pollConn    *pollConn
 	reader      *bufio.Reader
 	connectedAt time.Time
 
@@ -50,12 +50,12 @@
 	evicted    bool // the connection closes for others: its present request is its last one
 
 	// Used by the connection's goroutine only.
-	expired bool // the idle timeout has passed, and the request arrived in the final read
+	idleExpired bool // the idle timeout has passed, and the request arrived in the final read
 
 	// Of one request.
-	canceled    chan struct{} // closed by CancelWait
-	deadlineSet chan struct{} // closed once CancelWait does not touch the read deadline any more
-	cancelOnce  *sync.Once
+	canceled   chan struct{} // closed by CancelWait
+	cancelDone chan struct{} // closed once CancelWait does not touch the read deadline any more
+	cancelOnce *sync.Once
 }
 
 // CancelWait ends AwaitDisconnect. It may be called from any goroutine, more than once, and does not block.
@@ -63,14 +63,14 @@
 	x.cancelOnce.Do(func() {
 		close(x.canceled)
 		x.conn.SetReadDeadline(pastDeadline)
-		close(x.deadlineSet)
+		close(x.cancelDone)
 	})
 }
 
 // ResetWait allows another AwaitDisconnect after one that CancelWait has ended.
 func (x *Exchange) ResetWait() {
 	x.canceled = make(chan struct{})
-	x.deadlineSet = make(chan struct{})
+	x.cancelDone = make(chan struct{})
 	x.cancelOnce = &sync.Once{}
 }
 
@@ -78,9 +78,9 @@
 // reads requests late, and those of clients that have gone must not be forwarded. A close behind more pipelined bytes than
 // the buffer holds is not seen; AwaitDisconnect reads past them.
 func (x *Exchange) ClientDisconnected() bool {
-	x.conn.SetReadDeadline(time.Now().Add(pollTimeout))
-	x.source.nonBlocking = true
-	defer func() { x.source.nonBlocking = false }()
+	x.conn.SetReadDeadline(time.Now().Add(disconnectPollTimeout))
+	x.pollConn.nonBlocking = true
+	defer func() { x.pollConn.nonBlocking = false }()
 	var err error
 	for err == nil {
 		_, err = x.reader.Peek(x.reader.Buffered() + 1)
@@ -92,7 +92,7 @@
 // returns false.
 func (x *Exchange) AwaitDisconnect() (gone bool) {
 	for {
-		x.conn.SetReadDeadline(time.Now().Add(pollTimeout))
+		x.conn.SetReadDeadline(time.Now().Add(disconnectPollTimeout))
 		if x.waitCanceled() { // its deadline may have been set before this one, or will be
 			return false
 		}
@@ -113,7 +113,7 @@
 func (x *Exchange) waitCanceled() bool {
 	select {
 	case <-x.canceled:
-		<-x.deadlineSet
+		<-x.cancelDone
 		return true
 	default:
 		return false
--- a/httpwire/head.go
+++ b/httpwire/head.go
@@ -13,16 +13,16 @@
 type head struct {
 	Header
 
-	startLine string
-	remaining int // bytes that the rest of the head may hold
+	startLine      string
+	remainingBytes int // bytes that the rest of the head may hold
 }
 
-// line reads one line, without its end, and counts it against the limit on the head.
-func (h *head) line(r *bufio.Reader) (string, error) {
+// readLine reads one readLine, without its end, and counts it against the limit on the head.
+func (h *head) readLine(r *bufio.Reader) (string, error) {
 	var text []byte
 	for {
 		piece, err := r.ReadSlice('\n')
-		if h.remaining -= len(piece); h.remaining < 0 {
+		if h.remainingBytes -= len(piece); h.remainingBytes < 0 {
 			return "", fmt.Errorf("%w: head over %d bytes", ErrTooLarge, MaxHead)
 		}
 		text = append(text, piece...)
@@ -43,10 +43,10 @@
 
 // readHead reads the start line and the header lines up to the empty line behind them.
 func readHead(r *bufio.Reader) (*head, error) {
-	h := &head{remaining: MaxHead}
+	h := &head{remainingBytes: MaxHead}
 	var err error
 	for empty := 0; h.startLine == ""; empty++ { // one empty line before a message is tolerated
-		if h.startLine, err = h.line(r); err != nil {
+		if h.startLine, err = h.readLine(r); err != nil {
 			return nil, err
 		}
 		if h.startLine == "" && empty > 0 {
@@ -54,7 +54,7 @@
 		}
 	}
 	for {
-		text, err := h.line(r)
+		text, err := h.readLine(r)
 		if err != nil {
 			return nil, unexpectedEOF(err)
 		}
@@ -62,7 +62,7 @@
 			return h, nil
 		}
 		name, value, ok := strings.Cut(text, ":")
-		if !ok || !isToken(name) || !isValue(value) {
+		if !ok || !isToken(name) || !isFieldValue(value) {
 			return nil, fmt.Errorf("%w: header line", ErrMalformed)
 		}
 		h.Header = append(h.Header, Field{name, strings.Trim(value, " \t")})
@@ -72,15 +72,15 @@
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
 			return false
 		}
 	}
 	return s != ""
 }
 
-func isValue(s string) bool {
+func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if s[i] < 0x20 && s[i] != '\t' || s[i] == 0x7f {
 			return false
@@ -89,17 +89,17 @@
 	return true
 }
 
-func isVersion(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
+func isSupportedVersion(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
 
-// closes reports whether the connection closes after the message.
-func (h *head) closes(version string) bool {
+// closesConnection reports whether the connection closesConnection after the message.
+func (h *head) closesConnection(version string) bool {
 	for _, f := range h.Header {
 		if strings.EqualFold(f.Name, "Connection") {
-			for _, word := range strings.Split(f.Value, ",") {
-				switch word = strings.TrimSpace(word); {
-				case strings.EqualFold(word, "close"):
+			for _, option := range strings.Split(f.Value, ",") {
+				switch option = strings.TrimSpace(option); {
+				case strings.EqualFold(option, "close"):
 					return true
-				case strings.EqualFold(word, "keep-alive"):
+				case strings.EqualFold(option, "keep-alive"):
 					return false
 				}
 			}
--- a/httpwire/source.go
+++ b/httpwire/pollconn.go
@@ -10,24 +10,24 @@
 // errNoData is the error of a read that does not block where nothing has arrived.
 var errNoData = errors.New("nothing has come yet")
 
-// source is a connection whose reads can be made not to block.
-type source struct {
+// pollConn is a connection whose reads can be made not to block.
+type pollConn struct {
 	net.Conn
 
 	raw         syscall.RawConn // nil: the connection has none
 	nonBlocking bool
 }
 
-func newSource(conn net.Conn) *source {
-	s := &source{Conn: conn}
-	if system, ok := conn.(syscall.Conn); ok {
-		s.raw, _ = system.SyscallConn()
+func newPollConn(conn net.Conn) *pollConn {
+	s := &pollConn{Conn: conn}
+	if sysConn, ok := conn.(syscall.Conn); ok {
+		s.raw, _ = sysConn.SyscallConn()
 	}
 	return s
 }
 
 // Read reads from the connection. In the mode that does not block its error is errNoData where nothing has arrived.
-func (s *source) Read(b []byte) (int, error) {
+func (s *pollConn) Read(b []byte) (int, error) {
 	if !s.nonBlocking {
 		return s.Conn.Read(b)
 	}
--- a/httpwire/request.go
+++ b/httpwire/request.go
@@ -14,11 +14,11 @@
 		return nil, err
 	}
 	words := strings.Split(h.startLine, " ")
-	if len(words) != 3 || !isToken(words[0]) || words[1] == "" || !isValue(words[1]) || !isVersion(words[2]) {
+	if len(words) != 3 || !isToken(words[0]) || words[1] == "" || !isFieldValue(words[1]) || !isSupportedVersion(words[2]) {
 		return nil, fmt.Errorf("%w: request line", ErrMalformed)
 	}
-	req := &Request{Method: words[0], Target: words[1], Header: h.Header, Close: h.closes(words[2])}
-	if req.Body, err = h.body(r, MaxBody, false); err != nil {
+	req := &Request{Method: words[0], Target: words[1], Header: h.Header, Close: h.closesConnection(words[2])}
+	if req.Body, err = h.readBody(r, MaxBody, false); err != nil {
 		return nil, err
 	}
 	return req, nil
--- a/httpwire/response.go
+++ b/httpwire/response.go
@@ -19,15 +19,15 @@
 	version, rest, _ := strings.Cut(h.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
-	if err != nil || len(code) != 3 || status < 100 || !isVersion(version) {
+	if err != nil || len(code) != 3 || status < 100 || !isSupportedVersion(version) {
 		return nil, fmt.Errorf("%w: status line", ErrMalformed)
 	}
-	resp := &Response{Status: status, Header: h.Header, Close: h.closes(version)}
+	resp := &Response{Status: status, Header: h.Header, Close: h.closesConnection(version)}
 	if status < 200 || status == 204 || status == 304 {
 		return resp, nil
 	}
 	framed := h.Get("Content-Length") != "" || h.Get("Transfer-Encoding") != ""
-	if resp.Body, err = h.body(r, limit, !framed); err != nil {
+	if resp.Body, err = h.readBody(r, limit, !framed); err != nil {
 		return nil, err
 	}
 	resp.Close = resp.Close || !framed
--- a/httpwire/server.go
+++ b/httpwire/server.go
@@ -51,12 +51,12 @@
 	// WriteTimeout is the time that writing a response may take; 0: 2 s.
 	WriteTimeout time.Duration
 
-	mu          sync.Mutex
-	connections map[*Exchange]struct{}
-	closing     int // connections beyond these that are rejected or were evicted
-	idleCount   int // of connections, those between requests
-	warnings    ratelog.Line
-	listener    net.Listener
+	mu           sync.Mutex
+	connections  map[*Exchange]struct{}
+	closingCount int // connections beyond these that are rejected or were evicted
+	idleCount    int // of connections, those between requests
+	warningLimit ratelog.Line
+	listener     net.Listener
 
 	keepAliveDisabled atomic.Bool // each response closes its connection
 	stopping          atomic.Bool // idle connections close at once
@@ -74,11 +74,11 @@
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.connections) + s.closing
+	return len(s.connections) + s.closingCount
 }
 
-// serve answers the requests on a connection until it closes.
-func (s *Server) serve(x *Exchange) {
+// serveRequests answers the requests on a connection until it closes.
+func (s *Server) serveRequests(x *Exchange) {
 	defer x.conn.Close()
 	for s.awaitRequest(x) {
 		if keep := s.serveRequest(x); !keep {
@@ -95,7 +95,7 @@
 	if x.Request, err = ReadRequest(x.reader); err != nil {
 		if status := StatusOf(err); status != 0 {
 			s.enterState(x, stateClosing)
-			s.respondAndClose(x, s.rejection(status, err))
+			s.respondAndClose(x, s.rejectionReply(status, err))
 		}
 		return false
 	}
@@ -104,17 +104,17 @@
 	if reply == nil {
 		return false
 	}
-	closing := s.closesAfterResponse(x)
-	response := AppendResponse(nil, reply.Status, reply.Header, reply.Body, closing)
+	closeAfter := s.closesAfterResponse(x)
+	response := AppendResponse(nil, reply.Status, reply.Header, reply.Body, closeAfter)
 	x.conn.SetWriteDeadline(deadlineAfter(s.WriteTimeout, defaultWriteTimeout))
 	if _, err := x.conn.Write(response); err != nil {
 		return false
 	}
-	if closing {
+	if closeAfter {
 		s.enterState(x, stateClosing)
 		linger(x)
 	}
-	return !closing
+	return !closeAfter
 }
 
 // awaitRequest waits for the first byte of a request and sets the deadline for reading the rest. False means that the
@@ -122,8 +122,8 @@
 func (s *Server) awaitRequest(x *Exchange) bool {
 	first := s.setIdleDeadline(x)
 	_, err := x.reader.Peek(1)
-	x.expired = errors.Is(err, os.ErrDeadlineExceeded)
-	if x.expired {
+	x.idleExpired = errors.Is(err, os.ErrDeadlineExceeded)
+	if x.idleExpired {
 		x.conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		_, err = x.reader.Peek(1)
 	}
@@ -133,7 +133,7 @@
 		return true
 	case !errors.Is(err, os.ErrDeadlineExceeded): // the client has closed the connection
 	case first && closedByServer: // a first request may be on its way, and must get an answer
-		s.respondAndClose(x, s.rejection(http.StatusServiceUnavailable, errConnectionEnds))
+		s.respondAndClose(x, s.rejectionReply(http.StatusServiceUnavailable, errConnectionEnds))
 	default:
 		linger(x)
 	}
@@ -190,7 +190,7 @@
 	return s.Handle(x)
 }
 
-func (s *Server) rejection(status int, err error) *Reply {
+func (s *Server) rejectionReply(status int, err error) *Reply {
 	body := []byte("{}")
 	if s.RejectionBody != nil {
 		body = s.RejectionBody(status, err)
@@ -198,16 +198,16 @@
 	return &Reply{Status: status, Body: body}
 }
 
-// warnLimited logs what clients can cause at most once a second. The caller holds the lock.
-func (s *Server) warnLimited(message string, err error) {
-	if more, due := s.warnings.Due(time.Now()); due {
-		s.Log.WithError(err).WithFields(logrus.Fields{"connections": len(s.connections), "more": more}).Warn(message)
+// logRateLimited logs what clients can cause at most once a second. The caller holds the lock.
+func (s *Server) logRateLimited(message string, err error) {
+	if omitted, due := s.warningLimit.Due(time.Now()); due {
+		s.Log.WithError(err).WithFields(logrus.Fields{"connections": len(s.connections), "more": omitted}).Warn(message)
 	}
 }
 
-func deadlineAfter(timeout, otherwise time.Duration) time.Time {
+func deadlineAfter(timeout, defaultTimeout time.Duration) time.Time {
 	if timeout <= 0 {
-		timeout = otherwise
+		timeout = defaultTimeout
 	}
 	return time.Now().Add(timeout)
 }
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -16,26 +16,26 @@
 	"alderproxy/internal/testserver"
 )
 
-// serving starts a server whose handler answers at once, but for /wait: that waits for the channel it returns, or
+// startServer starts a server whose handler answers at once, but for /wait: that waits for the channel it returns, or
 // until the client has left. gone tells which, after a first value when the request was taken.
-func serving(t *testing.T, s *httpwire.Server) (addr string, release chan struct{}, gone chan bool) {
+func startServer(t *testing.T, s *httpwire.Server) (addr string, release chan struct{}, disconnects chan bool) {
 	t.Helper()
 	l := listen(t)
-	release, gone = make(chan struct{}), make(chan bool, 16)
+	release, disconnects = make(chan struct{}), make(chan bool, 16)
 	s.Log = testserver.DiscardLog()
 	s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/wait" {
-			gone <- false
+			disconnects <- false
 			go func() { <-release; x.CancelWait() }()
-			left := x.AwaitDisconnect()
-			if gone <- left; left {
+			disconnected := x.AwaitDisconnect()
+			if disconnects <- disconnected; disconnected {
 				return nil
 			}
 		}
 		return &httpwire.Reply{Status: 200, Body: []byte("{}")}
 	}
 	startServing(t, s, l)
-	return l.Addr().String(), release, gone
+	return l.Addr().String(), release, disconnects
 }
 
 // startServing serves a listener until the test ends.
@@ -58,39 +58,39 @@
 	require.NoError(t, err)
 }
 
-func status(c *testserver.Client, target string) int {
+func requestStatus(c *testserver.Client, target string) int {
 	c.SendRequest("GET", target, "")
 	return c.ReadResponse().Status
 }
 
 // Clients that keep their connections for good must not crowd out new ones.
 func TestIdleConnectionIsEvictedForANewOne(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{MaxConnections: 4})
+	addr, _, _ := startServer(t, &httpwire.Server{MaxConnections: 4})
 	for range 12 {
-		assert.Equal(t, 200, status(testserver.Dial(t, addr), "/"))
+		assert.Equal(t, 200, requestStatus(testserver.Dial(t, addr), "/"))
 	}
 }
 
 // Clients that ask once and stay use up what clients may hold: beyond a bound the one idle longest ends, though nobody
 // new comes.
 func TestIdleConnectionsBeyondTheBoundAreClosed(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{MaxIdleConnections: 2})
+	addr, _, _ := startServer(t, &httpwire.Server{MaxIdleConnections: 2})
 	var clients []*testserver.Client
 	for range 3 {
 		c := testserver.Dial(t, addr)
-		require.Equal(t, 200, status(c, "/"))
+		require.Equal(t, 200, requestStatus(c, "/"))
 		clients = append(clients, c)
 	}
 	// Which one has lain idle longest the server's own goroutines settle, not the order of the answers.
-	type end struct {
+	type readResult struct {
 		client int
 		err    error
 	}
-	ends := make(chan end, len(clients))
+	results := make(chan readResult, len(clients))
 	for i, c := range clients {
-		go func() { _, err := c.Reader.Peek(1); ends <- end{i, err} }()
+		go func() { _, err := c.Reader.Peek(1); results <- readResult{i, err} }()
 	}
-	first := <-ends
+	first := <-results
 	require.ErrorIs(t, first.err, io.EOF)
 	for i, c := range clients {
 		if i != first.client {
@@ -98,25 +98,25 @@
 		}
 	}
 	for range clients[1:] {
-		e := <-ends
-		require.NoError(t, e.err)
-		assert.Equal(t, 200, clients[e.client].ReadResponse().Status)
+		result := <-results
+		require.NoError(t, result.err)
+		assert.Equal(t, 200, clients[result.client].ReadResponse().Status)
 	}
 }
 
 // A connection with an open request never yields: the new client is told.
 func TestConnectionWithAnOpenRequestIsNotEvicted(t *testing.T) {
-	addr, release, gone := serving(t, &httpwire.Server{MaxConnections: 2})
-	var held []*testserver.Client
+	addr, release, gone := startServer(t, &httpwire.Server{MaxConnections: 2})
+	var clients []*testserver.Client
 	for range 2 {
 		c := testserver.Dial(t, addr)
 		c.SendRequest("GET", "/wait", "")
 		<-gone // it is open
-		held = append(held, c)
+		clients = append(clients, c)
 	}
 	assert.Equal(t, 503, testserver.Dial(t, addr).ReadResponse().Status)
 	close(release)
-	for _, c := range held {
+	for _, c := range clients {
 		assert.Equal(t, 200, c.ReadResponse().Status)
 		assert.False(t, <-gone)
 	}
@@ -124,7 +124,7 @@
 
 // Who says nothing, or never ends what it sends, is owed an end within seconds.
 func TestConnectionWithoutARequestIsClosed(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
+	addr, _, _ := startServer(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
 		c := testserver.Dial(t, addr)
 		write(t, c, text)
@@ -136,7 +136,7 @@
 
 // Bytes sent ahead must not hide that a client has left.
 func TestDisconnectBehindPipelinedBytesIsDetected(t *testing.T) {
-	addr, release, gone := serving(t, &httpwire.Server{})
+	addr, release, gone := startServer(t, &httpwire.Server{})
 	defer close(release)
 	c := testserver.Dial(t, addr)
 	c.SendRequest("GET", "/wait", "")
@@ -153,7 +153,7 @@
 
 // A client still sending when it is turned away reads its error: a close on unread bytes would be a reset.
 func TestClientStillSendingReadsItsErrorResponse(t *testing.T) {
-	addr, _, _ := serving(t, &httpwire.Server{})
+	addr, _, _ := startServer(t, &httpwire.Server{})
 	c := testserver.Dial(t, addr)
 	piece := strings.Repeat("x", 1<<20)
 	_, err := c.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n"))
@@ -166,34 +166,34 @@
 	assert.Equal(t, 413, c.ReadResponse().Status)
 }
 
-func (g gated) ending() {
-	if g.end != nil {
-		g.once.Do(g.end)
+func (c hookedConn) runBeforeClose() {
+	if c.beforeClose != nil {
+		c.closeOnce.Do(c.beforeClose)
 	}
 }
 
 // Connections come between the server's last look for one and the close of its listener: they are served.
 func TestConnectionRightBeforeTheListenerClosesIsServed(t *testing.T) {
-	g := newGate(t, nil)
-	var late []*testserver.Client
-	looks := 0
-	g.none = func() {
-		if looks++; looks == 2 {
+	g := newHookedListener(t, nil)
+	var lateClients []*testserver.Client
+	acceptTimeouts := 0
+	g.afterAcceptTimeout = func() {
+		if acceptTimeouts++; acceptTimeouts == 2 {
 			for range 3 {
 				c := testserver.Dial(t, g.Addr().String())
 				c.SendRequest("GET", "/", "")
-				late = append(late, c)
+				lateClients = append(lateClients, c)
 			}
 		}
 	}
 	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(g) }()
-	require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
+	require.Equal(t, 200, requestStatus(testserver.Dial(t, g.Addr().String()), "/"))
 	s.Close()
 	require.NoError(t, <-done)
-	require.Len(t, late, 3)
-	for _, c := range late {
+	require.Len(t, lateClients, 3)
+	for _, c := range lateClients {
 		resp := c.ReadResponse()
 		assert.Equal(t, 200, resp.Status)
 		assert.True(t, resp.Close)
@@ -204,46 +204,46 @@
 // However much a client sends ahead, its leaving is seen; requests sent ahead are answered up to a bound, beyond it the
 // connection ends with the answer.
 func TestDisconnectBehindMuchPipelinedDataIsDetected(t *testing.T) {
-	for _, ahead := range []int{0, 3 << 10, 6 << 10, 15 << 10, 40 << 10, 1 << 20, 8 << 20} {
+	for _, pipelined := range []int{0, 3 << 10, 6 << 10, 15 << 10, 40 << 10, 1 << 20, 8 << 20} {
 		// Soon, too: an attempt that begins 0.1 s after the close is a fault. The server pauses 2 ms for each look that finds
-		// more than it keeps, so looks are counted, which no busy processor changes; each sets a deadline.
-		var looks atomic.Int32
-		g := newGate(t, &hooks{deadline: func(_ time.Time, set func()) { looks.Add(1); set() }})
-		taken, gone := make(chan struct{}), make(chan bool, 1)
+		// more than it keeps, so deadlines are counted, which no busy processor changes; each sets a deadline.
+		var deadlines atomic.Int32
+		g := newHookedListener(t, &hooks{aroundSetReadDeadline: func(_ time.Time, set func()) { deadlines.Add(1); set() }})
+		handling, disconnects := make(chan struct{}), make(chan bool, 1)
 		s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
-			close(taken)
-			gone <- x.AwaitDisconnect()
+			close(handling)
+			disconnects <- x.AwaitDisconnect()
 			return nil
 		}}
 		startServing(t, s, g)
 		c := testserver.Dial(t, g.Addr().String())
 		c.SendRequest("GET", "/", "")
-		<-taken
-		before := looks.Load()
-		_, err := c.Write([]byte(strings.Repeat("x", ahead)))
+		<-handling
+		before := deadlines.Load()
+		_, err := c.Write([]byte(strings.Repeat("x", pipelined)))
 		require.NoError(t, err)
 		c.Close()
 		select {
-		case left := <-gone:
-			assert.True(t, left, ahead)
+		case left := <-disconnects:
+			assert.True(t, left, pipelined)
 		case <-time.After(5 * time.Second):
-			assert.Fail(t, "not seen", ahead)
+			assert.Fail(t, "not seen", pipelined)
 		}
-		assert.Less(t, looks.Load()-before, int32(100/2), ahead)
+		assert.Less(t, deadlines.Load()-before, int32(100/2), pipelined)
 	}
-	for ahead, last := range map[int]bool{6 << 10: false, 200 << 10: true} {
-		addr, release, gone := serving(t, &httpwire.Server{})
+	for pipelined, closes := range map[int]bool{6 << 10: false, 200 << 10: true} {
+		addr, release, gone := startServer(t, &httpwire.Server{})
 		c := testserver.Dial(t, addr)
 		c.SendRequest("GET", "/wait", "")
 		<-gone
-		for n := 0; n < ahead; n += 1 << 10 {
+		for n := 0; n < pipelined; n += 1 << 10 {
 			c.SendRequest("GET", "/"+strings.Repeat("x", 1<<10), "")
 		}
 		time.AfterFunc(50*time.Millisecond, func() { close(release) }) // when does not matter to the outcome
-		for n := 0; n <= ahead; n += 1 << 10 {
+		for n := 0; n <= pipelined; n += 1 << 10 {
 			resp := c.ReadResponse()
 			assert.Equal(t, 200, resp.Status)
-			if assert.Equal(t, last, resp.Close, ahead); last {
+			if assert.Equal(t, closes, resp.Close, pipelined); closes {
 				break
 			}
 		}
@@ -253,24 +253,24 @@
 // The answer may be there before the wait for it begins. The deadline that ends a wait must then not strike the next
 // request on the connection.
 func TestCancelWaitDoesNotAffectTheNextRequest(t *testing.T) {
-	waking, rested, struck := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	waits, awake, strike := 0, sync.OnceFunc(func() { close(waking) }), sync.OnceFunc(func() { close(struck) })
-	g := newGate(t, &hooks{deadline: func(at time.Time, set func()) {
-		switch far := time.Until(at); {
-		case far < -time.Hour: // Wake ends the wait
-			awake()
+	canceling, nextDeadlineSet, cancelDeadlineSet := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	longDeadlines, signalCanceling, signalCancelDeadlineSet := 0, sync.OnceFunc(func() { close(canceling) }), sync.OnceFunc(func() { close(cancelDeadlineSet) })
+	g := newHookedListener(t, &hooks{aroundSetReadDeadline: func(at time.Time, set func()) {
+		switch remaining := time.Until(at); {
+		case remaining < -time.Hour: // Wake ends the wait
+			signalCanceling()
 			select {
-			case <-rested: // the next request is awaited already
+			case <-nextDeadlineSet: // the next request is awaited already
 			case <-time.After(100 * time.Millisecond): // it is not, until this has struck
 			}
 			set()
-			strike()
-		case far > 50*time.Second && far <= time.Minute: // the handler waits, or the connection rests
-			if waits++; waits == 1 {
-				<-waking
+			signalCancelDeadlineSet()
+		case remaining > 50*time.Second && remaining <= time.Minute: // the handler waits, or the connection rests
+			if longDeadlines++; longDeadlines == 1 {
+				<-canceling
 			}
-			if set(); waits == 2 {
-				close(rested)
+			if set(); longDeadlines == 2 {
+				close(nextDeadlineSet)
 			}
 		default:
 			set()
@@ -287,8 +287,8 @@
 	startServing(t, s, g)
 	c := testserver.Dial(t, g.Addr().String())
 	close(release)
-	assert.Equal(t, 200, status(c, "/wait"))
-	<-struck
+	assert.Equal(t, 200, requestStatus(c, "/wait"))
+	<-cancelDeadlineSet
 	c.SendRequest("GET", "/", "")
 	assert.False(t, c.ReadResponse().Close, "it struck the connection at rest")
 }
@@ -297,30 +297,36 @@
 // was taken: it is answered, as the connection's last.
 func TestRequestThatArrivedBeforeTheCloseIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
-		first bool // request of the connection
-		end   func(t *testing.T, s *httpwire.Server, addr string)
+		firstRequest    bool // request of the connection
+		closeConnection func(t *testing.T, s *httpwire.Server, addr string)
 	}{
-		"closes, resting":   {false, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
-		"closes, new":       {true, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
-		"yields, resting":   {false, func(t *testing.T, _ *httpwire.Server, addr string) { t.Helper(); status(testserver.Dial(t, addr), "/") }},
-		"too many, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) { t.Helper(); status(testserver.Dial(t, addr), "/") }},
+		"closes, resting": {false, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"closes, new":     {true, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"yields, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) {
+			t.Helper()
+			requestStatus(testserver.Dial(t, addr), "/")
+		}},
+		"too many, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) {
+			t.Helper()
+			requestStatus(testserver.Dial(t, addr), "/")
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hold, reached := make(chan struct{}), make(chan struct{}, 64)
-			reads, told := 0, make(chan struct{})
-			tell := sync.OnceFunc(func() { close(told) })
-			h := &hooks{end: tell, deadline: func(at time.Time, set func()) {
+			resumeRead, readBlocked := make(chan struct{}), make(chan struct{}, 64)
+			reads, closing := 0, make(chan struct{})
+			signalClosing := sync.OnceFunc(func() { close(closing) })
+			h := &hooks{beforeClose: signalClosing, aroundSetReadDeadline: func(at time.Time, set func()) {
 				if set(); time.Until(at) < -time.Hour {
-					tell()
+					signalClosing()
 				}
 			}}
-			h.read = func() {
-				if reads++; reads == 2 || c.first {
-					reached <- struct{}{}
-					<-hold
+			h.beforeRead = func() {
+				if reads++; reads == 2 || c.firstRequest {
+					readBlocked <- struct{}{}
+					<-resumeRead
 				}
 			}
-			g := newGate(t, h)
+			g := newHookedListener(t, h)
 			s := &httpwire.Server{Log: testserver.DiscardLog(), MaxConnections: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
 				return &httpwire.Reply{Status: 200}
 			}}
@@ -332,17 +338,17 @@
 			}
 			startServing(t, s, g)
 			cl := testserver.Dial(t, g.Addr().String())
-			if !c.first {
-				require.Equal(t, 200, status(cl, "/"))
+			if !c.firstRequest {
+				require.Equal(t, 200, requestStatus(cl, "/"))
 			}
-			<-reached
+			<-readBlocked
 			cl.SendRequest("GET", "/", "")
-			c.end(t, s, g.Addr().String())
+			c.closeConnection(t, s, g.Addr().String())
 			select {
-			case <-told:
+			case <-closing:
 			case <-time.After(5 * time.Second):
 			}
-			close(hold)
+			close(resumeRead)
 			resp := cl.ReadResponse()
 			assert.Equal(t, 200, resp.Status)
 			assert.True(t, resp.Close)
@@ -352,21 +358,21 @@
 
 // A connection yields whose request is read half, while its goroutine is held up and the rest comes: it is answered.
 func TestHalfReadRequestOfAnEvictedConnectionIsAnswered(t *testing.T) {
-	hold, reached, yielded := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	resumeRead, readBlocked, evicted := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	var reads int
-	var yields atomic.Bool
-	once := sync.OnceFunc(func() { close(yielded) })
-	g := newGate(t, &hooks{
-		read: func() {
+	var evicting atomic.Bool
+	signalEvicted := sync.OnceFunc(func() { close(evicted) })
+	g := newHookedListener(t, &hooks{
+		beforeRead: func() {
 			if reads++; reads == 2 {
-				close(reached)
-				<-hold
+				close(readBlocked)
+				<-resumeRead
 			}
 		},
-		end: once,
-		deadline: func(_ time.Time, set func()) {
-			if set(); yields.Load() {
-				once()
+		beforeClose: signalEvicted,
+		aroundSetReadDeadline: func(_ time.Time, set func()) {
+			if set(); evicting.Load() {
+				signalEvicted()
 			}
 		},
 	})
@@ -374,36 +380,36 @@
 	startServing(t, s, g)
 	cl := testserver.Dial(t, g.Addr().String())
 	write(t, cl, "GET / HTTP/1.1\r\n")
-	<-reached
-	yields.Store(true)
+	<-readBlocked
+	evicting.Store(true)
 	other := testserver.Dial(t, g.Addr().String())
-	<-yielded
+	<-evicted
 	write(t, cl, "\r\n")
 	time.Sleep(60 * time.Millisecond) // three times a last look
-	close(hold)
+	close(resumeRead)
 	assert.Equal(t, 200, cl.ReadResponse().Status)
-	assert.Equal(t, 200, status(other, "/"))
+	assert.Equal(t, 200, requestStatus(other, "/"))
 }
 
 // The system has accepted a connection, with its request, that the server has not when it closes.
 func TestConnectionInTheAcceptQueueIsServed(t *testing.T) {
-	hold := make(chan struct{})
-	g := newGate(t, nil)
-	g.accept = func() { <-hold }
+	resumeAccept := make(chan struct{})
+	g := newHookedListener(t, nil)
+	g.beforeAccept = func() { <-resumeAccept }
 	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(g) }()
-	hold <- struct{}{} // it serves, and accepts no more
+	resumeAccept <- struct{}{} // it serves, and accepts no more
 	first := testserver.Dial(t, g.Addr().String())
 	require.Eventually(t, func() bool {
 		select {
-		case hold <- struct{}{}:
+		case resumeAccept <- struct{}{}:
 			return true
 		default:
 			return false
 		}
 	}, 5*time.Second, time.Millisecond)
-	require.Equal(t, 200, status(first, "/"))
+	require.Equal(t, 200, requestStatus(first, "/"))
 	var late []*testserver.Client
 	for range 3 {
 		c := testserver.Dial(t, g.Addr().String())
@@ -411,7 +417,7 @@
 		late = append(late, c)
 	}
 	s.Close()
-	close(hold)
+	close(resumeAccept)
 	for _, c := range late {
 		assert.Equal(t, 200, c.ReadResponse().Status)
 	}
@@ -422,20 +428,20 @@
 // An answer is written that its client never reads, as the server closes: the others are served, and it ends with the time
 // that a write may take.
 func TestUnreadResponseDelaysNoOtherClient(t *testing.T) {
-	g := newGate(t, nil)
-	writes := make(chan struct{})
+	g := newHookedListener(t, nil)
+	handling := make(chan struct{})
 	s := &httpwire.Server{Log: testserver.DiscardLog(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/much" {
-			close(writes)
+			close(handling)
 			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than two systems' buffers hold
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
 	startServing(t, s, g)
 	other := testserver.Dial(t, g.Addr().String())
-	require.Equal(t, 200, status(other, "/"))
+	require.Equal(t, 200, requestStatus(other, "/"))
 	testserver.Dial(t, g.Addr().String()).SendRequest("GET", "/much", "")
-	<-writes
+	<-handling
 	other.SendRequest("GET", "/", "")
 	s.Close()
 	assert.Equal(t, 200, other.ReadResponse().Status)
@@ -450,32 +456,35 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var cl *testserver.Client
-			resting := make(chan struct{})
-			rests := sync.OnceFunc(func() { close(resting) })
-			h := &hooks{end: func() { cl.SendRequest("GET", "/late", "") }, deadline: func(at time.Time, set func()) {
+			idle := make(chan struct{})
+			signalIdle := sync.OnceFunc(func() { close(idle) })
+			h := &hooks{beforeClose: func() { cl.SendRequest("GET", "/late", "") }, aroundSetReadDeadline: func(at time.Time, set func()) {
 				if set(); time.Until(at) > 20*time.Second { // the last to be set before it rests
-					rests()
+					signalIdle()
 				}
 			}}
-			g := newGate(t, h)
-			served := make(chan string, 16)
+			g := newHookedListener(t, h)
+			servedPaths := make(chan string, 16)
 			s.Log = testserver.DiscardLog()
-			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply { served <- x.Path(); return &httpwire.Reply{Status: 200} }
+			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
+				servedPaths <- x.Path()
+				return &httpwire.Reply{Status: 200}
+			}
 			startServing(t, s, g)
 			cl = testserver.Dial(t, g.Addr().String())
-			require.Equal(t, 200, status(cl, "/"))
+			require.Equal(t, 200, requestStatus(cl, "/"))
 			switch name {
 			case "closes":
 				s.Close()
 			case "yields":
-				<-resting // else the second one may rest before it
-				require.Equal(t, 200, status(testserver.Dial(t, g.Addr().String()), "/"))
-				<-served
+				<-idle // else the second one may rest before it
+				require.Equal(t, 200, requestStatus(testserver.Dial(t, g.Addr().String()), "/"))
+				<-servedPaths
 			}
 			_, err := cl.Reader.Peek(1)
 			require.ErrorIs(t, err, io.EOF)
-			assert.Equal(t, "/", <-served)
-			assert.Empty(t, served)
+			assert.Equal(t, "/", <-servedPaths)
+			assert.Empty(t, servedPaths)
 		})
 	}
 }
--- a/httpwire/shutdown.go
+++ b/httpwire/shutdown.go
@@ -18,7 +18,7 @@
 	defer s.mu.Unlock()
 	s.keepAliveDisabled.Store(true)
 	s.stopping.Store(true)
-	if listener, ok := s.listener.(deadliner); ok {
+	if listener, ok := s.listener.(deadlineSetter); ok {
 		_ = listener.SetDeadline(pastDeadline) // Serve accepts once more before it closes the listener
 	} else if s.listener != nil {
 		s.listener.Close()
@@ -31,7 +31,7 @@
 }
 
 // Wait waits until every connection has ended, and reports whether that was within the limit.
-func (s *Server) Wait(limit time.Duration) bool {
+func (s *Server) Wait(timeout time.Duration) bool {
 	done := make(chan struct{})
 	go func() {
 		s.active.Wait()
@@ -40,7 +40,7 @@
 	select {
 	case <-done:
 		return true
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -49,5 +49,5 @@
 func (s *Server) closesAfterResponse(x *Exchange) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return x.Close || x.expired || x.evicted || s.keepAliveDisabled.Load()
+	return x.Close || x.idleExpired || x.evicted || s.keepAliveDisabled.Load()
 }
--- a/httpwire/write.go
+++ b/httpwire/write.go
@@ -10,33 +10,33 @@
 }
 
 // AppendResponse appends a response with a JSON body. closing announces that the connection closes after it.
-func AppendResponse(to []byte, status int, extra Header, body []byte, closing bool) []byte {
+func AppendResponse(to []byte, status int, header Header, body []byte, closeAfter bool) []byte {
 	reason := reasonPhrases[status]
 	if reason == "" {
 		reason = "Status"
 	}
 	to = fmt.Appendf(to, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n", status, reason)
-	return appendHeadersAndBody(to, extra, body, closing)
+	return appendHeadersAndBody(to, header, body, closeAfter)
 }
 
 // AppendRequest appends a request. A body that is not nil is sent as JSON.
-func AppendRequest(to []byte, method, target, host string, extra Header, body []byte) []byte {
+func AppendRequest(to []byte, method, target, host string, header Header, body []byte) []byte {
 	to = fmt.Appendf(to, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	if body == nil && method == "GET" {
-		for _, f := range extra {
+		for _, f := range header {
 			to = fmt.Appendf(to, "%s: %s\r\n", f.Name, f.Value)
 		}
 		return append(to, "\r\n"...)
 	}
 	to = append(to, "Content-Type: application/json\r\n"...)
-	return appendHeadersAndBody(to, extra, body, false)
+	return appendHeadersAndBody(to, header, body, false)
 }
 
-func appendHeadersAndBody(to []byte, extra Header, body []byte, closing bool) []byte {
-	for _, f := range extra {
+func appendHeadersAndBody(to []byte, header Header, body []byte, closeAfter bool) []byte {
+	for _, f := range header {
 		to = fmt.Appendf(to, "%s: %s\r\n", f.Name, f.Value)
 	}
-	if closing {
+	if closeAfter {
 		to = append(to, "Connection: close\r\n"...)
 	}
 	to = fmt.Appendf(to, "Content-Length: %d\r\n\r\n", len(body))
--- a/opensearch/codec.go
+++ b/opensearch/codec.go
@@ -20,12 +20,12 @@
 type codec struct{}
 
 // AppendCall appends the search of one part. The settings allow one part a call.
-func (codec) AppendCall(to []byte, store storepool.Store, call []*broker.Attempt, now time.Time) []byte {
-	attempt := call[0]
+func (codec) AppendCall(to []byte, store storepool.Store, attempts []*broker.Attempt, now time.Time) []byte {
+	attempt := attempts[0]
 	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false",
 		attempt.Query.FrontData.(*searchTarget).index, attempt.Shard, max(1, attempt.Deadline.Sub(now).Milliseconds()))
-	extra := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.PartID(attempt)}}
-	return httpwire.AppendRequest(to, http.MethodPost, target, store.Addr, extra, attempt.Query.Payload)
+	header := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.PartID(attempt)}}
+	return httpwire.AppendRequest(to, http.MethodPost, target, store.Addr, header, attempt.Query.Payload)
 }
 
 // AppendCancel appends nothing: a search is canceled by closing its connection.
@@ -41,17 +41,17 @@
 	if err != nil {
 		return storepool.Message{}, err
 	}
-	outcome := broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport}
+	result := broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport}
 	switch {
 	case resp.Status == http.StatusTooManyRequests:
-		outcome.Status = policy.Rejected
+		result.Status = policy.Rejected
 	case resp.Status == http.StatusOK:
 		if _, err := parseResult(resp.Body); err == nil {
-			outcome.Status = policy.OK
-			outcome.Body = resp.Body
+			result.Status = policy.OK
+			result.Body = resp.Body
 		}
 	case resp.Status < http.StatusOK:
 		return storepool.Message{}, fmt.Errorf("%w: status %d", storepool.ErrMalformed, resp.Status)
 	}
-	return storepool.Message{Kind: storepool.Answer, Closing: resp.Close, Result: outcome}, nil
+	return storepool.Message{Kind: storepool.Answer, Closing: resp.Close, Result: result}, nil
 }
--- a/opensearch/errors.go
+++ b/opensearch/errors.go
@@ -14,16 +14,16 @@
 
 // OpenSearch's names for kinds of errors.
 const (
-	kindIllegalArgument = "illegal_argument_exception"
-	kindParse           = "parse_exception"
-	kindParsing         = "parsing_exception"
-	kindIndexNotFound   = "index_not_found_exception"
-	kindSearchPhase     = "search_phase_execution_exception"
-	kindTimeout         = "timeout_exception"
-	kindRejected        = "rejected_execution_exception"
-	kindClusterBlock    = "cluster_block_exception"
-	kindMethod          = "method_not_allowed"
-	kindNotReady        = "not_ready"
+	errorTypeIllegalArgument  = "illegal_argument_exception"
+	errorTypeParse            = "parse_exception"
+	errorTypeParsing          = "parsing_exception"
+	errorTypeIndexNotFound    = "index_not_found_exception"
+	errorTypeSearchPhase      = "search_phase_execution_exception"
+	errorTypeTimeout          = "timeout_exception"
+	errorTypeRejected         = "rejected_execution_exception"
+	errorTypeClusterBlock     = "cluster_block_exception"
+	errorTypeMethodNotAllowed = "method_not_allowed"
+	errorTypeNotReady         = "not_ready"
 )
 
 var (
@@ -34,27 +34,27 @@
 // apiError is an error with its HTTP status and OpenSearch's name for its kind.
 type apiError struct {
 	status     int
-	kind       string
+	errorType  string
 	err        error
 	retryAfter time.Duration // 0: none is sent
 }
 
-func newError(status int, kind string, err error) *apiError {
-	return &apiError{status: status, kind: kind, err: err}
+func newError(status int, errorType string, err error) *apiError {
+	return &apiError{status: status, errorType: errorType, err: err}
 }
 
 func illegalArgument(err error) *apiError {
-	return newError(http.StatusBadRequest, kindIllegalArgument, err)
+	return newError(http.StatusBadRequest, errorTypeIllegalArgument, err)
 }
 
 // configStale rejects a search because the instance's configuration may have been replaced.
 func configStale(retryAfter time.Duration) *apiError {
-	return &apiError{status: http.StatusServiceUnavailable, kind: kindClusterBlock, err: errConfigStale, retryAfter: retryAfter}
+	return &apiError{status: http.StatusServiceUnavailable, errorType: errorTypeClusterBlock, err: errConfigStale, retryAfter: retryAfter}
 }
 
 func unsupported(feature string) error { return fmt.Errorf("[%s] is %w", feature, errUnsupported) }
 
-func (e *apiError) body() []byte { return appendError(nil, e.status, e.kind, e.err.Error()) }
+func (e *apiError) body() []byte { return appendError(nil, e.status, e.errorType, e.err.Error()) }
 
 func (e *apiError) reply() *httpwire.Reply {
 	return &httpwire.Reply{Status: e.status, Header: retryAfterHeader(e.retryAfter), Body: e.body()}
@@ -69,11 +69,11 @@
 }
 
 // appendError appends an error in OpenSearch's shape.
-func appendError(to []byte, status int, kind, reason string) []byte {
+func appendError(to []byte, status int, errorType, reason string) []byte {
 	quoted, err := json.Marshal(reason)
 	if err != nil { // a string can always be encoded
 		quoted = []byte(`""`)
 	}
 	return fmt.Appendf(to, `{"error":{"root_cause":[{"type":%q,"reason":%s}],"type":%q,"reason":%s},"status":%d}`,
-		kind, quoted, kind, quoted, status)
+		errorType, quoted, errorType, quoted, status)
 }
--- a/opensearch/front.go
+++ b/opensearch/front.go
@@ -19,7 +19,7 @@
 	ready            func() bool
 	replicatedConfig bool   // responses name the version of the shared document
 	queryIDPrefix    string // differs between any two starts of a front
-	queryCount       atomic.Uint64
+	lastQueryNumber  atomic.Uint64
 }
 
 // indices are the indices that can be searched, by name. They are the front's part of the broker's terms.
@@ -49,7 +49,7 @@
 	case operation != "_search" && operation != "_msearch" || len(segments) > 2:
 		return illegalArgument(fmt.Errorf("no handler found for uri [%s] and method [%s]", path, x.Method)).reply()
 	case x.Method != http.MethodGet && x.Method != http.MethodPost:
-		return newError(http.StatusMethodNotAllowed, kindMethod, fmt.Errorf("method [%s] is not allowed", x.Method)).reply()
+		return newError(http.StatusMethodNotAllowed, errorTypeMethodNotAllowed, fmt.Errorf("method [%s] is not allowed", x.Method)).reply()
 	}
 	indexName := ""
 	if len(segments) == 2 {
@@ -63,7 +63,7 @@
 
 func (f *front) handleHealthCheck() *httpwire.Reply {
 	if !f.ready() {
-		return newError(http.StatusServiceUnavailable, kindNotReady, errors.New("not ready")).reply()
+		return newError(http.StatusServiceUnavailable, errorTypeNotReady, errors.New("not ready")).reply()
 	}
 	return &httpwire.Reply{Status: http.StatusOK, Body: []byte(`{"ready":true}`)}
 }
--- a/opensearch/item.go
+++ b/opensearch/item.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// pending reports whether the item has to be submitted: for the first time, or again under other terms.
-func (it *searchItem) pending() bool {
+// needsSubmission reports whether the item has to be submitted: for the first time, or again under other terms.
+func (it *searchItem) needsSubmission() bool {
 	return it.failure == nil && (it.batch == nil || it.response.StaleTerms)
 }
 
@@ -54,16 +54,16 @@
 	}
 	index := t.FrontData.(indices)[indexName]
 	if len(index.shards) == 0 {
-		it.failure = newError(http.StatusNotFound, kindIndexNotFound, fmt.Errorf("no such index [%s]", indexName))
+		it.failure = newError(http.StatusNotFound, errorTypeIndexNotFound, fmt.Errorf("no such index [%s]", indexName))
 		return it
 	}
 	var err error
 	if it.searchRequest, err = parseSearch(body, params); err != nil {
-		kind := kindParsing
+		errorType := errorTypeParsing
 		if errors.Is(err, errUnsupported) {
-			kind = kindIllegalArgument
+			errorType = errorTypeIllegalArgument
 		}
-		it.failure = newError(http.StatusBadRequest, kind, err)
+		it.failure = newError(http.StatusBadRequest, errorType, err)
 		return it
 	}
 	timeout := time.Duration(t.Settings.Classes[index.class].Timeout) * time.Microsecond
@@ -71,7 +71,7 @@
 		timeout = min(timeout, it.timeout)
 	}
 	it.query = &broker.Query{
-		ID:        f.queryIDPrefix + strconv.FormatUint(f.queryCount.Add(1), 10),
+		ID:        f.queryIDPrefix + strconv.FormatUint(f.lastQueryNumber.Add(1), 10),
 		Class:     index.class,
 		Payload:   it.body,
 		Deadline:  x.Start.Add(timeout),
@@ -100,17 +100,17 @@
 			return nil
 		}
 		batch.unanswered.Store(int32(len(submitted)))
-		if gone := f.submitBatch(x, submitted); gone {
+		if disconnected := f.submitBatchAndWait(x, submitted); disconnected {
 			return nil
 		}
 		if !slices.ContainsFunc(submitted, func(it *searchItem) bool { return it.response.StaleTerms }) {
 			return items
 		}
 		x.ResetWait()
-		again, _ := parse(f.broker.Terms())
+		reparsed, _ := parse(f.broker.Terms())
 		for i, it := range items {
 			if it.failure == nil && it.response.StaleTerms {
-				items[i] = again[i]
+				items[i] = reparsed[i]
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	batch := &searchBatch{exchange: x}
 	var pending []*searchItem
 	for _, it := range items {
-		if it.pending() {
+		if it.needsSubmission() {
 			it.batch = batch
 			pending = append(pending, it)
 		}
@@ -129,8 +129,8 @@
 	return batch, pending
 }
 
-// submitBatch submits items and waits for their responses. It cancels them and returns true where the client has gone.
-func (f *front) submitBatch(x *httpwire.Exchange, items []*searchItem) (gone bool) {
+// submitBatchAndWait submits items and waits for their responses. It cancels them and returns true where the client has gone.
+func (f *front) submitBatchAndWait(x *httpwire.Exchange, items []*searchItem) (disconnected bool) {
 	var queries []*broker.Query
 	for _, it := range items {
 		queries = append(queries, it.query)
@@ -154,7 +154,7 @@
 	case response.Status == broker.Served:
 		body, err := it.merge(response.Parts, len(it.query.Parts), time.Since(x.Start).Milliseconds())
 		if err != nil {
-			return nil, newError(http.StatusBadGateway, kindSearchPhase, err)
+			return nil, newError(http.StatusBadGateway, errorTypeSearchPhase, err)
 		}
 		return body, nil
 	case response.GateClosed:
@@ -169,11 +169,11 @@
 func unservedError(response broker.Response) *apiError {
 	switch {
 	case response.DeadlineExceeded:
-		return newError(http.StatusGatewayTimeout, kindTimeout, errors.New("the query's deadline passed before all parts were answered"))
+		return newError(http.StatusGatewayTimeout, errorTypeTimeout, errors.New("the query's deadline passed before all parts were answered"))
 	case response.PartsFailed:
-		return newError(http.StatusServiceUnavailable, kindSearchPhase, errors.New("parts of the query failed"))
+		return newError(http.StatusServiceUnavailable, errorTypeSearchPhase, errors.New("parts of the query failed"))
 	case response.Status == broker.Rejected:
-		return newError(http.StatusTooManyRequests, kindRejected, errors.New("the broker admits no more queries now"))
+		return newError(http.StatusTooManyRequests, errorTypeRejected, errors.New("the broker admits no more queries now"))
 	}
-	return newError(http.StatusServiceUnavailable, kindSearchPhase, errors.New("the query failed"))
+	return newError(http.StatusServiceUnavailable, errorTypeSearchPhase, errors.New("the query failed"))
 }
--- a/opensearch/merge.go
+++ b/opensearch/merge.go
@@ -19,9 +19,9 @@
 
 // merge makes one response of the parts that were answered. Missing parts are counted as failed shards. took is in
 // milliseconds.
-func (s *searchRequest) merge(answered []broker.PartResult, parts int, took int64) ([]byte, error) {
+func (s *searchRequest) merge(answeredParts []broker.PartResult, parts int, took int64) ([]byte, error) {
 	var merged mergedResult
-	for _, part := range answered {
+	for _, part := range answeredParts {
 		result, err := parseResult(part.Body)
 		if err != nil {
 			return nil, fmt.Errorf("slice %d: %w", part.Shard, err)
@@ -38,7 +38,7 @@
 	last := min(s.from+s.size, len(merged.hits))
 	merged.hits = merged.hits[first:last]
 	body := fmt.Appendf(nil, `{"took":%d,"timed_out":false,"_shards":{"total":%d,"successful":%d,"skipped":0,"failed":%d},"hits":{`,
-		took, parts, len(answered), parts-len(answered))
+		took, parts, len(answeredParts), parts-len(answeredParts))
 	body = merged.appendHits(body)
 	return append(body, "}}"...), nil
 }
--- a/opensearch/multisearch.go
+++ b/opensearch/multisearch.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if _, err := f.parseMultiSearch(x, f.broker.Terms(), indexName); err != nil {
-		return newError(http.StatusBadRequest, kindParse, err).reply()
+		return newError(http.StatusBadRequest, errorTypeParse, err).reply()
 	}
 	items := f.submitAndWait(x, func(t *broker.Terms) ([]*searchItem, error) { return f.parseMultiSearch(x, t, indexName) })
 	if items == nil {
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -19,15 +19,15 @@
 	"alderproxy/storepool"
 )
 
-const docs = `
+const storedHits = `
 0 {"_id":"a","_score":1.5,"sort":[30,"x"]}
 0 {"_id":"b","_score":0.5,"sort":[10,"y"]}
 1 {"_id":"c","_score":1.0,"sort":[20,null]}
 1 {"_id":"d","_score":0.2,"sort":[10,"z"]}
 `
 
-// rig is a front over two stores that hold every slice.
-type rig struct {
+// testFront is a front over two stores that hold every slice.
+type testFront struct {
 	*Service
 	config *Config
 	stores [2]*testserver.Store
@@ -55,14 +55,14 @@
 slices = 0, 1
 `
 
-func startRig(t *testing.T, maxOpen int) *rig {
+func startTestFront(t *testing.T, maxOpen int) *testFront {
 	t.Helper()
-	r := &rig{config: &Config{
+	r := &testFront{config: &Config{
 		Listen: "127.0.0.1:0", MaxConnections: 256, InstanceCount: 1,
 		Limits: storepool.Limits{MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000, IdleTimeout: 15_000_000},
 	}}
 	for i := range r.stores {
-		r.stores[i] = testserver.NewSearchStore(t, docs)
+		r.stores[i] = testserver.NewSearchStore(t, storedHits)
 		r.config.Stores = append(r.config.Stores, storepool.Store{
 			Name: fmt.Sprint("s-", i), Addr: r.stores[i].Addr,
 			Endpoint: policy.Endpoint{ID: uint32(i + 1), State: policy.Ready, Capacity: 1},
@@ -75,7 +75,7 @@
 	return r
 }
 
-func (r *rig) terms(t *testing.T, version uint64, text string) *broker.Terms {
+func (r *testFront) terms(t *testing.T, version uint64, text string) *broker.Terms {
 	t.Helper()
 	d, err := document.Parse("test", text)
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 	return terms
 }
 
-func (r *rig) search(t *testing.T, target, body string) *testserver.Client {
+func (r *testFront) search(t *testing.T, target, body string) *testserver.Client {
 	t.Helper()
 	c := testserver.Dial(t, r.Addr())
 	c.SendRequest("POST", target, body)
@@ -123,7 +123,7 @@
 }
 
 func TestMerge(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, c := range []struct{ name, query, body, ids string }{
 		{"by score", "", `{"query":{"match_all":{}}}`, "acbd"},
 		{"empty body", "", ``, "acbd"},
@@ -147,7 +147,7 @@
 }
 
 func TestStoresGetTheQueryAsItCame(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	query := `{"match" : {"name":"éß \u00e9"}}`
 	require.Equal(t, 200, r.search(t, "/catalogue/_search", `{"from":5,"size":3,"query":`+query+`}`).ReadResponse().Status)
 	var part string
@@ -166,7 +166,7 @@
 		for both, want := range map[bool]int{false: c.OneReplicaStatus, true: c.OpenSearchStatus} {
 			t.Run(fmt.Sprintf("%s/both=%v", c.Fault, both), func(t *testing.T) {
 				t.Parallel()
-				r := startRig(t, 1000)
+				r := startTestFront(t, 1000)
 				for range 6 { // until the decisions know what is late
 					require.Equal(t, 200, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status)
 				}
@@ -193,7 +193,7 @@
 // A class that takes half of its parts is answered from these, and the answer tells of the failed shard.
 func TestPartialResponseCountsTheFailedShard(t *testing.T) {
 	for _, fault := range []testserver.Fault{testserver.ServerError, testserver.Partial, testserver.TimedOut} {
-		r := startRig(t, 1000)
+		r := startTestFront(t, 1000)
 		for _, s := range r.stores {
 			s.SetShardFault(1, fault)
 		}
@@ -207,7 +207,7 @@
 }
 
 func TestMultiSearchMixesClasses(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	resp := r.search(t, "/_msearch", strings.Join([]string{
 		`{"index":"catalogue"}`, `{"size":1}`,
 		`{"index":"nowhere"}`, `{}`,
@@ -231,7 +231,7 @@
 // Each item has a budget of its own: one that finds no room is refused while the other is out. The stores
 // say nothing, since a first item that was answered quickly would leave room for the second.
 func TestMultiSearchItemIsRejectedAlone(t *testing.T) {
-	r := startRig(t, 3)
+	r := startTestFront(t, 3)
 	for _, s := range r.stores {
 		s.SetFault(testserver.Unresponsive)
 	}
@@ -245,7 +245,7 @@
 
 // A change of terms takes effect at once, and what was taken before is answered as it was taken.
 func TestTermsChangeUnderWay(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.HoldAnswers())
@@ -274,7 +274,7 @@
 
 // Changes under load: every search has one answer, none of them refused for the change.
 func TestSearchesWhileTermsChangeQuickly(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, s := range r.stores { // what comes there is of no matter, and a full channel would hold the store up
 		go func() {
 			for range s.Requests {
@@ -315,8 +315,8 @@
 
 // Where the agreement does not hold, new searches are refused at once, with word when to come back.
 func TestClosedGate(t *testing.T) {
-	r := &rig{}
-	s := testserver.NewSearchStore(t, docs)
+	r := &testFront{}
+	s := testserver.NewSearchStore(t, storedHits)
 	r.config = &Config{Listen: "127.0.0.1:0", InstanceCount: 1, Limits: storepool.Limits{
 		MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000,
 		IdleTimeout: 15_000_000,
@@ -343,7 +343,7 @@
 }
 
 func TestShutdownAnswersAcceptedSearches(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.HoldAnswers())
@@ -367,7 +367,7 @@
 }
 
 func TestRejection(t *testing.T) {
-	r := startRig(t, 3)
+	r := startTestFront(t, 3)
 	for _, s := range r.stores {
 		defer s.HoldAnswers()()
 	}
@@ -383,7 +383,7 @@
 }
 
 func TestTimeoutOfTheQueryIsItsDeadline(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, s := range r.stores {
 		defer s.HoldAnswers()()
 	}
@@ -392,7 +392,7 @@
 }
 
 func TestClientThatDisconnectsCancelsItsSearches(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, s := range r.stores {
 		s.SetFault(testserver.Unresponsive)
 	}
@@ -404,7 +404,7 @@
 
 // A client leaves while its searches wait for a connection to come up: they never go out.
 func TestSearchesOfAClientThatDisconnectedAreNotSentOnALateConnection(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	began, hold := make(chan struct{}, 64), make(chan struct{})
 	r.pool.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
 		began <- struct{}{}
@@ -427,7 +427,7 @@
 
 // A process that was held up reads searches whose client has left meanwhile: see the platform's test of this name.
 func TestRequestReadAfterItsClientHasDisconnectedIsNotSent(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for target, body := range map[string]string{"/catalogue/_search": `{"size":7}`, "/_msearch": "{\"index\":\"catalogue\"}\n{\"size\":7}\n"} {
 		release := testserver.SendAndDisconnect(t, r.server.Handle, func(c *testserver.Client) { c.SendRequest("POST", target, body) })
 		assert.Equal(t, 200, r.search(t, "/catalogue/_search", `{"size":3}`).ReadResponse().Status)
@@ -441,7 +441,7 @@
 }
 
 func TestBadRequestsReachNoStore(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, c := range []struct {
 		target, body string
 		status       int
@@ -474,7 +474,7 @@
 
 // What an instance could not serve is named before it is asked to.
 func TestTermsThatThisFrontCannotServe(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for text, want := range map[string]string{
 		"[layout]\nslices = 2\ncells = 2\n[class a]\naim = 1s\ngive_up = 2s\n[index i]\nclass = a\nslices = 0-1\n": "index i: no store here holds slice 1",
 		"[layout]\nslices = 2\n": "Classes is empty",
--- a/opensearch/request.go
+++ b/opensearch/request.go
@@ -9,8 +9,8 @@
 	"alderproxy/internal/jsonscan"
 )
 
-// maxWindow bounds from + size, as OpenSearch's index.max_result_window does.
-const maxWindow = 10_000
+// maxResultWindow bounds from + size, as OpenSearch's index.max_result_window does.
+const maxResultWindow = 10_000
 
 // searchRequest is the part of a search that the front interprets. The rest goes to the stores as the bytes that came.
 type searchRequest struct {
@@ -21,9 +21,9 @@
 	body    []byte        // for the stores: from 0, as many hits as the merge may need
 }
 
-// passedThrough names the members of a search body that every store can be given and whose results can be merged. Others
+// forwardedMembers names the members of a search body that every store can be given and whose results can be merged. Others
 // would need a merge of their own, so they are rejected rather than merged wrongly.
-var passedThrough = map[string]bool{
+var forwardedMembers = map[string]bool{
 	"query": true, "_source": true, "fields": true, "stored_fields": true,
 	"docvalue_fields": true, "script_fields": true, "highlight": true, "post_filter": true, "min_score": true,
 	"version": true, "seq_no_primary_term": true, "explain": true, "track_total_hits": true,
@@ -47,12 +47,12 @@
 			return nil, err
 		}
 	}
-	window := s.from + s.size
-	if window > maxWindow {
-		return nil, fmt.Errorf("Result window is too large, from + size must be less than or equal to: [%d]", maxWindow) //nolint:revive,staticcheck // OpenSearch's own words
+	resultWindow := s.from + s.size
+	if resultWindow > maxResultWindow {
+		return nil, fmt.Errorf("Result window is too large, from + size must be less than or equal to: [%d]", maxResultWindow) //nolint:revive,staticcheck // OpenSearch's own words
 	}
 	s.body = appendMember(s.body, "from", []byte("0"))
-	s.body = appendMember(s.body, "size", strconv.AppendInt(nil, int64(window), 10))
+	s.body = appendMember(s.body, "size", strconv.AppendInt(nil, int64(resultWindow), 10))
 	s.body = append(s.body, '}')
 	return s, nil
 }
@@ -67,13 +67,13 @@
 	case "timeout":
 		var text string
 		if text, err = jsonscan.String(raw); err == nil {
-			s.timeout, err = parseTime(text)
+			s.timeout, err = parseTimeValue(text)
 		}
 	case "sort":
 		s.sort, err = parseSort(raw)
 		s.body = appendMember(s.body, key, raw)
 	default:
-		if !passedThrough[key] {
+		if !forwardedMembers[key] {
 			return unsupported(key)
 		}
 		s.body = appendMember(s.body, key, raw)
@@ -92,7 +92,7 @@
 	case "size":
 		s.size, err = parseCount([]byte(value))
 	case "timeout":
-		s.timeout, err = parseTime(value)
+		s.timeout, err = parseTimeValue(value)
 	case "pretty", "human", "typed_keys":
 	default:
 		return unsupported("parameter " + name)
@@ -116,8 +116,8 @@
 // parseCount reads a number of hits.
 func parseCount(raw []byte) (int, error) {
 	count, err := jsonscan.Int(raw)
-	if err == nil && (count < 0 || count > maxWindow) {
-		err = fmt.Errorf("%d is not between 0 and %d", count, maxWindow)
+	if err == nil && (count < 0 || count > maxResultWindow) {
+		err = fmt.Errorf("%d is not between 0 and %d", count, maxResultWindow)
 	}
 	return int(count), err
 }
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -16,8 +16,8 @@
 	"alderproxy/storepool"
 )
 
-// closeTimeout is how long clients may take to read their responses after the last query has ended.
-const closeTimeout = 200 * time.Millisecond
+// responseTimeout is how long clients may take to read their responses after the last query has ended.
+const responseTimeout = 200 * time.Millisecond
 
 // Service is a running front with a broker of its own over its own stores.
 type Service struct {
@@ -52,7 +52,7 @@
 		Handle:         f.handle,
 		Log:            log,
 		MaxConnections: c.MaxConnections,
-		RejectionBody:  func(status int, err error) []byte { return appendError(nil, status, kindParse, err.Error()) },
+		RejectionBody:  func(status int, err error) []byte { return appendError(nil, status, errorTypeParse, err.Error()) },
 	}
 	go func() {
 		if err := s.server.Serve(s.listener); err != nil {
@@ -96,7 +96,7 @@
 	time.Sleep(time.Until(serveUntil))
 	s.server.Close()
 	<-s.broker.Drain(cutoff)
-	s.server.Wait(time.Until(cutoff.Add(closeTimeout)))
+	s.server.Wait(time.Until(cutoff.Add(responseTimeout)))
 	s.broker.Close()
 	s.pool.Close()
 }
--- a/opensearch/terms.go
+++ b/opensearch/terms.go
@@ -39,40 +39,40 @@
 		}
 	}
 	served := indices{}
-	for _, definition := range d.Indices {
-		if err := c.checkIndex(terms.Settings, definition); err != nil {
+	for _, indexConfig := range d.Indices {
+		if err := c.checkIndex(terms.Settings, indexConfig); err != nil {
 			return nil, err
 		}
-		isClass := func(class policy.Class) bool { return class.Name == definition.Class }
-		served[definition.Name] = index{class: slices.IndexFunc(terms.Settings.Classes, isClass), shards: definition.Shards}
+		isClass := func(class policy.Class) bool { return class.Name == indexConfig.Class }
+		served[indexConfig.Name] = index{class: slices.IndexFunc(terms.Settings.Classes, isClass), shards: indexConfig.Shards}
 	}
 	terms.FrontData = served
 	return terms, nil
 }
 
 // checkIndex returns an error where no store holds one of an index's shards.
-func (c *Config) checkIndex(settings policy.Settings, definition document.Index) error {
-	for _, shard := range definition.Shards {
+func (c *Config) checkIndex(settings policy.Settings, indexConfig document.Index) error {
+	for _, shard := range indexConfig.Shards {
 		holdsShard := func(store storepool.Store) bool {
 			distance := ((store.RingPosition-shard)%settings.RingSize + settings.RingSize) % settings.RingSize
 			return distance < settings.ReplicationFactor
 		}
 		if !slices.ContainsFunc(c.Stores, holdsShard) {
-			return fmt.Errorf("index %s: no store here holds slice %d", definition.Name, shard)
+			return fmt.Errorf("index %s: no store here holds slice %d", indexConfig.Name, shard)
 		}
 	}
 	return nil
 }
 
-// unknownTick is the tick of an instance without terms, in microseconds.
-const unknownTick = 5000
+// unknownTermsTick is the tick of an instance without terms, in microseconds.
+const unknownTermsTick = 5000
 
 // UnknownTerms returns the terms of an instance that does not know the shared document yet. They have no index, so every
 // query is rejected.
 func UnknownTerms() *broker.Terms {
 	settings := policy.Settings{
 		InstanceCount:     1,
-		Tick:              unknownTick,
+		Tick:              unknownTermsTick,
 		Shards:            1,
 		RingSize:          1,
 		ReplicationFactor: 1,
--- a/opensearch/timevalue.go
+++ b/opensearch/timevalue.go
@@ -24,8 +24,8 @@
 	{"d", 24 * time.Hour},
 }
 
-// parseTime reads a time value such as 500ms. A value of more than a day counts as a day.
-func parseTime(text string) (time.Duration, error) {
+// parseTimeValue reads a time value such as 500ms. A value of more than a day counts as a day.
+func parseTimeValue(text string) (time.Duration, error) {
 	for _, unit := range timeUnits {
 		if digits, ok := strings.CutSuffix(text, unit.suffix); ok {
 			n, err := strconv.ParseUint(digits, 10, 32)
