--- a/httpwire/accept.go
+++ b/httpwire/accept.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// acceptRetryInterval is the pause after an accept that failed.
+	// acceptRetryInterval is the delay after a failed accept.
 	acceptRetryInterval = 10 * time.Millisecond
-	// readBufferSize is a connection's buffer at first, in bytes.
+	// readBufferSize is the initial size of a connection's read buffer, in bytes.
 	readBufferSize = 4 << 10
 )
 
@@ -33,11 +33,11 @@
 		case err == nil:
 			s.startConnection(conn)
 		case stopped && !finalAccept:
-			// Closing the listener resets connections in the accept queue, together with their requests.
+			// Closing the listener would reset the connections in the accept queue, whose requests may have arrived already.
 			finalAccept = true
 			_ = l.(deadlineSetter).SetDeadline(time.Now().Add(finalReadTimeout))
 		case stopped:
-			// More may have come since that deadline if this process had to wait for a processor.
+			// More connections may have arrived after that deadline, while this goroutine waited to be scheduled.
 			pending := acceptPending(l)
 			l.Close()
 			for _, conn := range pending {
@@ -52,6 +52,7 @@
 	}
 }
 
+// startServing registers the listener, and reports false if the server was closed before.
 func (s *Server) startServing(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +65,8 @@
 	return true
 }
 
-// handleAcceptError handles errors that are no reason to stop serving: descriptors have run out, or a connection ended early.
+// handleAcceptError handles an error after which the server goes on accepting: the process is out of file descriptors, or the
+// connection was aborted before it was accepted. It evicts a connection to free a descriptor.
 func (s *Server) handleAcceptError(err error) {
 	s.mu.Lock()
 	s.evictForNewConnection(0)
@@ -73,7 +75,8 @@
 	time.Sleep(acceptRetryInterval)
 }
 
-// startConnection serves a connection in a goroutine of its own, or rejects it where the bound is reached.
+// startConnection serves a connection in a goroutine of its own, or rejects it if the limit is reached and none can be evicted.
+// If too many connections are closing already, it closes a rejected one without a response.
 func (s *Server) startConnection(conn net.Conn) {
 	now := time.Now()
 	pollConn := newPollConn(conn)
@@ -88,7 +91,7 @@
 	atLimit := s.MaxConnections > 0 && !s.evictForNewConnection(s.MaxConnections)
 	closeNow := atLimit && s.closingCount >= s.maxClosingConnections()
 	if atLimit {
-		s.logRateLimited("client rejected", errTooManyConnections)
+		s.logRateLimited("client connection rejected", errTooManyConnections)
 		if !closeNow {
 			s.closingCount++
 		}
@@ -107,7 +110,7 @@
 	}
 }
 
-// reject answers a connection beyond the bound.
+// reject responds to a connection beyond the limit with a 503 and closes it.
 func (s *Server) reject(x *Exchange) {
 	s.respondAndClose(x, s.rejectionReply(http.StatusServiceUnavailable, errTooManyConnections))
 	s.mu.Lock()
@@ -115,7 +118,7 @@
 	s.closingCount--
 }
 
-// serveConnection serves a connection to its end.
+// serveConnection serves a connection until it is closed, and then removes it from the server's connections.
 func (s *Server) serveConnection(x *Exchange) {
 	defer s.active.Done()
 	s.serveRequests(x)
@@ -127,7 +130,7 @@
 	}
 }
 
-// acceptPending returns, without blocking, the connections in the accept queue of a listener.
+// acceptPending accepts the connections in a listener's accept queue without blocking.
 func acceptPending(l net.Listener) (pending []net.Conn) {
 	sysConn, ok := l.(syscall.Conn)
 	if !ok {
@@ -137,7 +140,7 @@
 	if err != nil {
 		return nil
 	}
-	_ = raw.Control(func(fd uintptr) { // it fails where the listener is closed: nothing is pending then
+	_ = raw.Control(func(fd uintptr) { // it fails if the listener is closed, when nothing is pending
 		for {
 			accepted, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			switch {
@@ -150,7 +153,7 @@
 			if conn, err := net.FileConn(file); err == nil {
 				pending = append(pending, conn)
 			}
-			_ = file.Close() // FileConn has a descriptor of its own
+			_ = file.Close() // FileConn has duplicated the descriptor
 		}
 	})
 	return pending
--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// readBody reads a readBody by its length, in chunks, or, where a message has neither and toEnd is set, up to the end of the
-// stream. limit is in bytes.
+// readBody reads a body that has a length or is chunked. If it is neither, it reads up to the end of the stream if untilEOF is
+// set, and returns no body otherwise. limit is the maximum size of the body in bytes.
 func (h *head) readBody(r *bufio.Reader, limit int, untilEOF bool) ([]byte, error) {
 	length, coding, err := h.framing()
 	switch {
@@ -29,8 +29,8 @@
 	return nil, nil
 }
 
-// framing returns the values of Content-Length and Transfer-Encoding; empty: the message has no such line. Differing
-// lengths are refused: peers that each believe another one would see different messages.
+// framing returns the values of Content-Length and Transfer-Encoding, or empty strings for headers that the message lacks. It
+// rejects differing lengths: peers that each trusted another one would see different messages.
 func (h *head) framing() (length, coding string, err error) {
 	for _, f := range h.Header {
 		switch {
@@ -75,8 +75,8 @@
 	return fmt.Errorf("%w: body over %d bytes", ErrTooLarge, limit)
 }
 
-// ReadN appends the next n bytes. Memory is allocated as they come, not by the announced length. Its error is
-// io.ErrUnexpectedEOF where the stream ends before.
+// ReadN appends the next n bytes of a stream to a slice. It allocates memory as bytes arrive, since a peer may announce a length
+// that it never sends. If the stream ends early, it returns io.ErrUnexpectedEOF.
 func ReadN(r io.Reader, to []byte, n int64) ([]byte, error) {
 	buf := bytes.NewBuffer(to)
 	if _, err := io.CopyN(buf, r, n); err != nil {
@@ -85,6 +85,7 @@
 	return buf.Bytes(), nil
 }
 
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, and any other error unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -92,7 +93,7 @@
 	return err
 }
 
-// readChunks reads a chunked body and its trailers, which are dropped.
+// readChunks reads a chunked body, and discards its trailers.
 func (h *head) readChunks(r *bufio.Reader, limit int) ([]byte, error) {
 	var body []byte
 	for {
@@ -116,7 +117,8 @@
 	}
 }
 
-// readChunkSize reads the line before a chunk, of which at most remaining bytes may come.
+// readChunkSize reads the size line of a chunk, and rejects a chunk of more than remaining bytes. limit is the limit on the whole
+// body, for the error.
 func (h *head) readChunkSize(r *bufio.Reader, remaining, limit int) (int64, error) {
 	text, err := h.readLine(r)
 	if err != nil {
--- a/httpwire/doc.go
+++ b/httpwire/doc.go
@@ -1,3 +1,4 @@
-// Package httpwire reads and writes HTTP/1.1 messages on buffered streams, and serves them with one goroutine a connection.
-// Bodies have a length or are chunked, and are kept as the bytes that came. It knows no routes.
+// Package httpwire reads and writes HTTP/1.1 messages on buffered streams, and serves them with one goroutine per connection.
+// Bodies are read completely, whether they have a length, are chunked or end with the stream, and are not interpreted. Routing
+// is up to the server's handler.
 package httpwire
--- a/httpwire/eviction.go
+++ b/httpwire/eviction.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// idleEvictionAge is how long a connection has been idle when it may be closed for a new one below the bound.
+	// idleEvictionAge is the idle time after which a connection may be evicted although the limit is not reached.
 	idleEvictionAge = 2200 * time.Millisecond
-	// incompleteEvictionAge is how long a client has sent nothing, or only a part of its request, when its connection may be
-	// closed for a new one at the bound.
+	// incompleteEvictionAge is the time without a complete request after which a connection is evicted at the limit before those
+	// that are idle. It is also the time that an evicted connection has to complete a request of which a part has arrived.
 	incompleteEvictionAge = 250 * time.Millisecond
 )
 
-// evictionRank orders the connections that may be closed for a new one; the lowest is closed first.
+// evictionRank is a connection's rank in the order of eviction. The lowest is evicted first.
 type evictionRank int
 
 const (
-	rankLongIdle evictionRank = iota
-	rankClosing
-	rankIncomplete
-	rankIdle
-	rankRecent
-	rankNever
+	rankLongIdle   evictionRank = iota // idle for idleEvictionAge; the only rank that is evicted below the limit
+	rankClosing                        // its last response has been written
+	rankIncomplete                     // without a complete request for incompleteEvictionAge
+	rankIdle                           // idle for less than idleEvictionAge
+	rankRecent                         // without a complete request, for less than incompleteEvictionAge
+	rankNever                          // not evicted
 )
 
-func (s *Server) evictionRank(x *Exchange, bound int) evictionRank {
+// evictionRank returns the rank of a connection under a limit on the number of connections. The caller holds the lock.
+func (s *Server) evictionRank(x *Exchange, limit int) evictionRank {
 	switch age := time.Since(x.stateSince); {
 	case x.state == stateIdle && age >= idleEvictionAge:
 		return rankLongIdle
-	case len(s.connections) < bound || x.state == stateOpen:
+	case len(s.connections) < limit || x.state == stateOpen:
 		return rankNever
 	case x.state == stateClosing:
 		return rankClosing
@@ -38,17 +39,18 @@
 	return rankRecent
 }
 
-// evictForNewConnection closes a connection without an open request for a new one where half of the bound is reached, so that clients that
-// keep connections without using them don't exclude others. It reports whether there are fewer connections than the bound
-// afterwards. The caller holds the lock.
-func (s *Server) evictForNewConnection(bound int) bool {
-	if len(s.connections) < bound/2 {
+// evictForNewConnection evicts the connection of the lowest rank, if any may be evicted, once half of the limit on connections
+// is reached. Clients that keep connections without using them would otherwise exclude others. With a limit of 0 it evicts any
+// connection without an open request. It reports whether there are fewer connections than the limit afterwards. The caller
+// holds the lock.
+func (s *Server) evictForNewConnection(limit int) bool {
+	if len(s.connections) < limit/2 {
 		return true
 	}
 	var victim *Exchange
 	victimRank := rankNever
 	for x := range s.connections {
-		rank := s.evictionRank(x, bound)
+		rank := s.evictionRank(x, limit)
 		older := victim != nil && rank == victimRank && x.stateSince.Before(victim.stateSince)
 		if rank < victimRank || rank < rankNever && older {
 			victim = x
@@ -56,12 +58,13 @@
 		}
 	}
 	s.evictConnection(victim)
-	return len(s.connections) < bound
+	return len(s.connections) < limit
 }
 
-// evictConnection ends a connection, if any, from the goroutine of another one. Its own goroutine reads once more: a request that
-// has arrived is answered, and a close over unread bytes would reset the connection together with a response that is on its
-// way. Where too many connections are closing in that way, it is closed at once. The caller holds the lock.
+// evictConnection removes a connection, which may be nil, from the server's connections and ends the wait of its goroutine,
+// which then closes it. That goroutine reads once more: a request that has arrived must be answered, and a close with unread
+// bytes would reset the connection and lose a response that is on its way. If too many connections are closing already, this
+// one is closed at once. The caller holds the lock.
 func (s *Server) evictConnection(x *Exchange) {
 	if x == nil {
 		return
@@ -73,17 +76,18 @@
 	}
 	x.evicted = true
 	s.closingCount++
-	if x.state == stateReading { // the part that was read can't be read again, and its goroutine may be held up
+	if x.state == stateReading { // a past deadline would fail a request that was read in part, even if the rest has arrived since
 		x.conn.SetReadDeadline(time.Now().Add(incompleteEvictionAge))
 	} else {
 		x.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// maxClosingConnections is how many connections beyond the bound may be closing at a time: each holds a descriptor.
+// maxClosingConnections returns the maximum number of rejected or evicted connections that may be closing at a time. Each holds a
+// file descriptor beyond MaxConnections.
 func (s *Server) maxClosingConnections() int { return max(1, s.MaxConnections/8) }
 
-// removeConnection forgets a connection. The caller holds the lock.
+// removeConnection removes a connection, if present, from the server's connections. The caller holds the lock.
 func (s *Server) removeConnection(x *Exchange) {
 	if _, present := s.connections[x]; !present {
 		return
@@ -108,15 +112,15 @@
 	x.stateSince = time.Now()
 }
 
-// enterState is setState for callers that don't hold the lock.
+// enterState is like setState, but takes the lock.
 func (s *Server) enterState(x *Exchange, state connState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setState(x, state)
 }
 
-// setIdle marks a connection as idle, and closes the one that has been idle longest if there are too many. The caller holds
-// the lock.
+// setIdle marks a connection as idle. If there are more than MaxIdleConnections, it evicts the one that has been idle longest.
+// The caller holds the lock.
 func (s *Server) setIdle(x *Exchange) {
 	s.setState(x, stateIdle)
 	if s.MaxIdleConnections <= 0 || s.idleCount <= s.MaxIdleConnections {
--- a/httpwire/exchange.go
+++ b/httpwire/exchange.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxPipelinedBytes is how much a client may send before the response to its open request and still have it read as
-	// requests.
+	// maxPipelinedBytes is the size of the buffer for what a client sends while its request is open. Once it is
+	// full, all of that is discarded instead of being read as requests.
 	maxPipelinedBytes = 16 << 10
-	// discardChunk is how many bytes beyond that are discarded between two pauses. What the socket buffers of both sides hold
-	// (10 MB with usual settings) has to be read within some 50 ms, so that a client that closes after it is noticed, and a
-	// client that goes on sending has to leave processor time to others.
+	// discardChunk is the number of bytes that are discarded between two pauses. It is large enough that what the socket buffers
+	// of both sides hold (10 MB with usual settings) is read within some 50 ms, so that a close behind it is noticed in time.
+	// The pauses leave processor time to others if a client keeps sending.
 	discardChunk = 512 << 10
-	// disconnectPollTimeout bounds one wait for the client to close. A wait that expires is repeated.
+	// disconnectPollTimeout limits one wait for the client's disconnect. A wait that expires is repeated.
 	disconnectPollTimeout = time.Minute
 )
 
@@ -26,18 +26,18 @@
 type connState uint8
 
 const (
-	stateNew     connState = iota // nothing has arrived
+	stateNew     connState = iota // no request has arrived
 	stateReading                  // a request is being read
-	stateOpen                     // a request waits for its response; the connection is never evicted
+	stateOpen                     // a request awaits its response; the connection is not evicted
 	stateIdle                     // between requests
 	stateClosing                  // the last response has been written
 )
 
-// Exchange is a connection together with its present request.
+// Exchange is a connection with its current request. It is reused for the connection's next request.
 type Exchange struct {
 	*Request
 
-	Start time.Time // when the request's first byte had arrived
+	Start time.Time // the time at which the request's first byte was read
 
 	conn        net.Conn
 	pollConn    *pollConn
@@ -47,18 +47,18 @@
 	// Guarded by the server's lock.
 	state      connState
 	stateSince time.Time
-	evicted    bool // the connection closes for others: its present request is its last one
+	evicted    bool // closed by the server because there are too many; a request that still arrives is its last
 
 	// Used by the connection's goroutine only.
-	idleExpired bool // the idle timeout has passed, and the request arrived in the final read
+	waitExpired bool // the wait for a request reached its deadline; one that arrives in the final read is the last
 
-	// Of one request.
+	// Set by ResetWait for each request.
 	canceled   chan struct{} // closed by CancelWait
-	cancelDone chan struct{} // closed once CancelWait does not touch the read deadline any more
+	cancelDone chan struct{} // closed once CancelWait has set the read deadline
 	cancelOnce *sync.Once
 }
 
-// CancelWait ends AwaitDisconnect. It may be called from any goroutine, more than once, and does not block.
+// CancelWait makes AwaitDisconnect return false. It may be called from any goroutine and more than once, and does not block.
 func (x *Exchange) CancelWait() {
 	x.cancelOnce.Do(func() {
 		close(x.canceled)
@@ -67,16 +67,16 @@
 	})
 }
 
-// ResetWait allows another AwaitDisconnect after one that CancelWait has ended.
+// ResetWait prepares for another AwaitDisconnect after CancelWait.
 func (x *Exchange) ResetWait() {
 	x.canceled = make(chan struct{})
 	x.cancelDone = make(chan struct{})
 	x.cancelOnce = &sync.Once{}
 }
 
-// ClientDisconnected reports, without blocking, whether the client has closed the connection already: a process that was held up
-// reads requests late, and those of clients that have gone must not be forwarded. A close behind more pipelined bytes than
-// the buffer holds is not seen; AwaitDisconnect reads past them.
+// ClientDisconnected reports, without blocking, whether the client has already closed the connection. A process that was
+// suspended reads requests late, and must not forward those of clients that have disconnected. A close behind more pipelined
+// bytes than the buffer holds is not detected; AwaitDisconnect reads past them.
 func (x *Exchange) ClientDisconnected() bool {
 	x.conn.SetReadDeadline(time.Now().Add(disconnectPollTimeout))
 	x.pollConn.nonBlocking = true
@@ -88,12 +88,12 @@
 	return !errors.Is(err, errNoData) && !errors.Is(err, bufio.ErrBufferFull)
 }
 
-// AwaitDisconnect blocks until the client closes the connection, and returns true, or until CancelWait was called, and
-// returns false.
-func (x *Exchange) AwaitDisconnect() (gone bool) {
+// AwaitDisconnect blocks until the client closes the connection and returns true, or until CancelWait is called and returns
+// false.
+func (x *Exchange) AwaitDisconnect() (disconnected bool) {
 	for {
 		x.conn.SetReadDeadline(time.Now().Add(disconnectPollTimeout))
-		if x.waitCanceled() { // its deadline may have been set before this one, or will be
+		if x.waitCanceled() { // the deadline just set may have replaced that of CancelWait
 			return false
 		}
 		err := x.readAhead()
@@ -109,7 +109,8 @@
 	}
 }
 
-// waitCanceled reports whether CancelWait was called, and waits until it has set its deadline.
+// waitCanceled reports whether CancelWait was called. If so, it waits until CancelWait has set the read deadline, which would
+// otherwise end a later read.
 func (x *Exchange) waitCanceled() bool {
 	select {
 	case <-x.canceled:
@@ -120,8 +121,8 @@
 	}
 }
 
-// readAhead reads on past the bytes that the client has pipelined, which would hide that it closes the connection. Its
-// error is that of the connection.
+// readAhead waits for bytes behind those that the client has pipelined, which would hide a disconnect. It keeps them for the next
+// requests up to maxPipelinedBytes, and discards them beyond that. Its error is that of the connection.
 func (x *Exchange) readAhead() error {
 	_, err := x.reader.Peek(x.reader.Buffered() + 1)
 	switch {
@@ -131,7 +132,7 @@
 		x.reader = bufio.NewReaderSize(x.reader, maxPipelinedBytes)
 		return nil
 	}
-	x.Close = true // the bytes are lost as requests: the connection closes after the open one's response
+	x.Close = true // requests are discarded, so the connection must close after the response to the open one
 	_, err = io.CopyN(io.Discard, x.reader, discardChunk)
 	time.Sleep(lingerInterval)
 	return err
--- a/httpwire/head.go
+++ b/httpwire/head.go
@@ -14,10 +14,10 @@
 	Header
 
 	startLine      string
-	remainingBytes int // bytes that the rest of the head may hold
+	remainingBytes int // the part of MaxHead that is left for further lines
 }
 
-// readLine reads one readLine, without its end, and counts it against the limit on the head.
+// readLine reads one line and returns it without its line ending. It counts the line against MaxHead.
 func (h *head) readLine(r *bufio.Reader) (string, error) {
 	var text []byte
 	for {
@@ -45,7 +45,7 @@
 func readHead(r *bufio.Reader) (*head, error) {
 	h := &head{remainingBytes: MaxHead}
 	var err error
-	for empty := 0; h.startLine == ""; empty++ { // one empty line before a message is tolerated
+	for empty := 0; h.startLine == ""; empty++ { // one empty line before the start line is accepted
 		if h.startLine, err = h.readLine(r); err != nil {
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 
 func isSupportedVersion(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
 
-// closesConnection reports whether the connection closesConnection after the message.
+// closesConnection reports whether the connection closes after the message, by its Connection headers or else by its version.
 func (h *head) closesConnection(version string) bool {
 	for _, f := range h.Header {
 		if strings.EqualFold(f.Name, "Connection") {
--- a/httpwire/hooks_test.go
+++ b/httpwire/hooks_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// hooks tell of calls on a connection, and hold them up. Each may be nil.
+// hooks are functions that run before or around calls on a connection, and can delay them. Each may be nil.
 type hooks struct {
-	aroundSetReadDeadline func(at time.Time, set func()) // around SetReadDeadline
-	beforeRead            func()                         // before Read
-	beforeClose           func()                         // before CloseWrite or Close, whichever comes first
+	aroundSetReadDeadline func(at time.Time, set func()) // in place of SetReadDeadline; set makes the call
+	beforeRead            func()
+	beforeClose           func() // before the first CloseWrite or Close
 	closeOnce             sync.Once
 }
 
-// hookedConn is a connection of the server's with hooks before and after what the server does to it.
+// hookedConn is a connection accepted by the server whose calls run hooks.
 type hookedConn struct {
 	*net.TCPConn
 	*hooks
@@ -42,11 +42,11 @@
 
 func (c hookedConn) Close() error { c.runBeforeClose(); return c.TCPConn.Close() }
 
-// hookedListener is a listener whose connections have hooks, the first of them its own.
+// hookedListener is a listener whose first connection has the given hooks, and whose others have none.
 type hookedListener struct {
 	*net.TCPListener
-	beforeAccept       func() // before Accept
-	afterAcceptTimeout func() // after an Accept that found nothing in its time
+	beforeAccept       func()
+	afterAcceptTimeout func() // after an Accept that reached its deadline
 	firstHooks         *hooks
 }
 
@@ -68,7 +68,7 @@
 	return hookedConn{c.(*net.TCPConn), h}, nil
 }
 
-func newHookedListener(t *testing.T, first *hooks) *hookedListener {
+func newHookedListener(t *testing.T, firstHooks *hooks) *hookedListener {
 	t.Helper()
-	return &hookedListener{TCPListener: listen(t).(*net.TCPListener), firstHooks: first}
+	return &hookedListener{TCPListener: listen(t).(*net.TCPListener), firstHooks: firstHooks}
 }
--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -19,34 +19,34 @@
 		err              error
 	}{
 		{"length", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcd", "abc", false, nil},
-		{"bare line ends", "POST /a HTTP/1.1\nContent-Length: 3\n\nabc", "abc", false, nil},
-		{"empty line before", "\r\nGET /a HTTP/1.1\r\n\r\n", "", false, nil},
-		{"chunks", "POST /a HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n2;x=y\r\nab\r\n1 \r\nc\r\n0\r\nT: u\r\n\r\n", "abc", false, nil},
+		{"line endings without CR", "POST /a HTTP/1.1\nContent-Length: 3\n\nabc", "abc", false, nil},
+		{"empty line before the start line", "\r\nGET /a HTTP/1.1\r\n\r\n", "", false, nil},
+		{"chunked", "POST /a HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n2;x=y\r\nab\r\n1 \r\nc\r\n0\r\nT: u\r\n\r\n", "abc", false, nil},
 		{"close", "GET /a HTTP/1.1\r\nConnection: x, Close\r\n\r\n", "", true, nil},
-		{"old version", "GET /a HTTP/1.0\r\n\r\n", "", true, nil},
-		{"old version kept", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "", false, nil},
-		{"nothing", "", "", false, io.EOF},
-		{"cut line", "GET /a HT", "", false, io.ErrUnexpectedEOF},
-		{"cut head", "GET /a HTTP/1.1\r\nA: b\r\n", "", false, io.ErrUnexpectedEOF},
-		{"cut body", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "", false, io.ErrUnexpectedEOF},
-		{"cut chunk", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, io.ErrUnexpectedEOF},
-		{"no words", "nonsense\r\n\r\n", "", false, ErrMalformed},
-		{"other version", "GET /a HTTP/2.0\r\n\r\n", "", false, ErrMalformed},
-		{"bad name", "GET /a HTTP/1.1\r\nA b: c\r\n\r\n", "", false, ErrMalformed},
-		{"folded line", "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n", "", false, ErrMalformed},
-		{"control character", "GET /a HTTP/1.1\r\nA: b\x00\r\n\r\n", "", false, ErrMalformed},
-		{"two lengths", "POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "", false, ErrMalformed},
-		{"length and chunks", "POST /a HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "", false, ErrMalformed},
+		{"HTTP/1.0", "GET /a HTTP/1.0\r\n\r\n", "", true, nil},
+		{"HTTP/1.0 with keep-alive", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "", false, nil},
+		{"end of the stream", "", "", false, io.EOF},
+		{"incomplete request line", "GET /a HT", "", false, io.ErrUnexpectedEOF},
+		{"incomplete head", "GET /a HTTP/1.1\r\nA: b\r\n", "", false, io.ErrUnexpectedEOF},
+		{"incomplete body", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", "", false, io.ErrUnexpectedEOF},
+		{"incomplete chunk", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, io.ErrUnexpectedEOF},
+		{"malformed request line", "nonsense\r\n\r\n", "", false, ErrMalformed},
+		{"unsupported version", "GET /a HTTP/2.0\r\n\r\n", "", false, ErrMalformed},
+		{"space in a header name", "GET /a HTTP/1.1\r\nA b: c\r\n\r\n", "", false, ErrMalformed},
+		{"folded header line", "GET /a HTTP/1.1\r\nA: b\r\n c\r\n\r\n", "", false, ErrMalformed},
+		{"control character in a header", "GET /a HTTP/1.1\r\nA: b\x00\r\n\r\n", "", false, ErrMalformed},
+		{"differing lengths", "POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "", false, ErrMalformed},
+		{"length and chunked", "POST /a HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "", false, ErrMalformed},
 		{"negative length", "POST /a HTTP/1.1\r\nContent-Length: -3\r\n\r\n", "", false, ErrMalformed},
 		{"signed length", "POST /a HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", "", false, ErrMalformed},
 		{"unknown coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "", false, ErrMalformed},
-		{"no chunk size", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n", "", false, ErrMalformed},
-		{"chunk too long", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "", false, ErrMalformed},
+		{"empty chunk size", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n", "", false, ErrMalformed},
+		{"chunk longer than its size", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "", false, ErrMalformed},
 		{"large body", "POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", "", false, ErrTooLarge},
-		{"endless length", "POST /a HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "", false, ErrTooLarge},
+		{"length over 64 bits", "POST /a HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "", false, ErrTooLarge},
 		{"large chunk", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", "", false, ErrTooLarge},
 		{"large head", "GET /a HTTP/1.1\r\nA: " + long + "\r\n\r\n", "", false, ErrTooLarge},
-		{"large line", "GET /" + long, "", false, ErrTooLarge},
+		{"large request line", "GET /" + long, "", false, ErrTooLarge},
 	} {
 		req, err := ReadRequest(bufio.NewReader(strings.NewReader(c.text)))
 		require.ErrorIs(t, err, c.err, c.name)
@@ -65,12 +65,12 @@
 		err              error
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", "ab", false, nil},
-		{"no reason", "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", "", false, nil},
-		{"to the end", "HTTP/1.1 200 OK\r\n\r\nabc", "abc", true, nil},
+		{"no reason phrase", "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", "", false, nil},
+		{"body to the end of the stream", "HTTP/1.1 200 OK\r\n\r\nabc", "abc", true, nil},
 		{"no body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, nil},
-		{"no status", "HTTP/1.1 OK\r\n\r\n", "", false, ErrMalformed},
-		{"large", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", "", false, ErrTooLarge},
-		{"large to the end", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", MaxBody+1), "", false, ErrTooLarge},
+		{"no status code", "HTTP/1.1 OK\r\n\r\n", "", false, ErrMalformed},
+		{"large body", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", "", false, ErrTooLarge},
+		{"large body to the end of the stream", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", MaxBody+1), "", false, ErrTooLarge},
 	} {
 		resp, err := ReadResponse(bufio.NewReader(strings.NewReader(c.text)))
 		require.ErrorIs(t, err, c.err, c.name)
@@ -93,7 +93,7 @@
 	})
 }
 
-// An answer without a length ends with an orderly end of the connection; a reset on the way is none.
+// Guards against a response without a length that counts as complete although the connection was reset.
 func TestResponseWithoutLengthThatIsResetIsIncomplete(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -106,7 +106,7 @@
 		r := bufio.NewReader(nc)
 		_, err = peer.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"version\":1"))
 		require.NoError(t, err)
-		_, err = r.Peek(30) // it has come
+		_, err = r.Peek(30) // the response has arrived
 		require.NoError(t, err)
 		if reset {
 			require.NoError(t, peer.(*net.TCPConn).SetLinger(0))
--- a/httpwire/linger.go
+++ b/httpwire/linger.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// The limits on what a client may send after its last response. With these a body of 60 MB is read in about two seconds,
-// and many clients that go on sending leave processor time to others.
+// Limits on the reading of what a client sends after its last response. With these values a body of 60 MB is read in about two
+// seconds, and many clients that keep sending leave processor time to the others.
 const (
 	lingerTimeout     = 3 * time.Second
 	lingerReadTimeout = 250 * time.Millisecond
-	lingerChunk       = 64 << 10 // bytes read between two pauses
+	lingerChunk       = 64 << 10 // bytes read between two pauses of lingerInterval
 	lingerInterval    = 2 * time.Millisecond
 )
 
-// respondAndClose writes a last response and closes the connection.
+// respondAndClose writes the last response on a connection and closes it.
 func (s *Server) respondAndClose(x *Exchange, reply *Reply) {
 	x.conn.SetWriteDeadline(deadlineAfter(s.WriteTimeout, defaultWriteTimeout))
 	if _, err := x.conn.Write(AppendResponse(nil, reply.Status, reply.Header, reply.Body, true)); err == nil {
@@ -23,8 +23,9 @@
 	x.conn.Close()
 }
 
-// linger shuts down the sending side of a connection and discards what comes until the client has shut down its own side:
-// closing over unread bytes would reset the connection, and the client could lose a response that it has yet to read.
+// linger shuts down the sending side of a connection, and reads and discards until the client has shut down its own side, has
+// sent nothing for lingerReadTimeout, or lingerTimeout has passed. Closing a connection with unread bytes would reset it, and
+// the client could lose a response that it has not read yet.
 func linger(x *Exchange) {
 	tcp, ok := x.conn.(interface{ CloseWrite() error })
 	if !ok || tcp.CloseWrite() != nil {
--- a/httpwire/message.go
+++ b/httpwire/message.go
@@ -8,19 +8,20 @@
 	"strings"
 )
 
-// The limits on a message, in bytes: MaxBody on its body, MaxHead on its start line and header lines together.
+// Limits on a message, in bytes: MaxBody on its body, MaxHead on its start line and header lines together. The size lines and
+// trailers of a chunked body count towards MaxHead.
 const (
 	MaxBody = 64 << 10
 	MaxHead = 16 << 10
 )
 
-// Errors that a peer can cause by what it sends. Any other error is that of the stream.
+// Errors that a peer causes by what it sends. Any other error comes from the stream.
 var (
 	ErrMalformed = errors.New("malformed HTTP message")
 	ErrTooLarge  = errors.New("HTTP message too large")
 )
 
-// StatusOf returns the status of the response to a message that could not be read, or 0 where none is due.
+// StatusOf returns the status of the response to a request that could not be read, or 0 if there is no response to send.
 func StatusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrTooLarge):
@@ -36,10 +37,11 @@
 // Field is one header line.
 type Field struct{ Name, Value string }
 
-// Header holds header lines in the order in which they came.
+// Header is the header lines of a message in their order.
 type Header []Field
 
-// Get returns the value of the first line with a name, in any case of letters; empty: there is none.
+// Get returns the value of the first line with the given name, or an empty string if there is none. Names are compared without
+// regard to case.
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -49,7 +51,7 @@
 	return ""
 }
 
-// Request is a request as it came.
+// Request is a request as received. A chunked body is decoded.
 type Request struct {
 	Method string
 	Target string
@@ -64,13 +66,13 @@
 	return path
 }
 
-// Response is a response as it came.
+// Response is a response as received. A chunked body is decoded.
 type Response struct {
 	Status int
 	Header Header
 	Body   []byte
-	Close  bool // the connection closes after it
+	Close  bool // the connection closes after the response
 }
 
-// ErrorBody returns a JSON object with the text of an error.
+// ErrorBody returns a JSON object that holds the text of an error.
 func ErrorBody(err error) []byte { return fmt.Appendf(nil, "{\"error\":%q}", err.Error()) }
--- a/httpwire/pollconn.go
+++ b/httpwire/pollconn.go
@@ -7,14 +7,14 @@
 	"syscall"
 )
 
-// errNoData is the error of a read that does not block where nothing has arrived.
-var errNoData = errors.New("nothing has come yet")
+// errNoData is returned by a non-blocking read if no data has arrived.
+var errNoData = errors.New("no data has arrived")
 
-// pollConn is a connection whose reads can be made not to block.
+// pollConn is a connection whose reads can be made non-blocking.
 type pollConn struct {
 	net.Conn
 
-	raw         syscall.RawConn // nil: the connection has none
+	raw         syscall.RawConn // nil if the connection gives no access to its descriptor
 	nonBlocking bool
 }
 
@@ -26,7 +26,7 @@
 	return s
 }
 
-// Read reads from the connection. In the mode that does not block its error is errNoData where nothing has arrived.
+// Read reads from the connection. If nonBlocking is set and no data has arrived, it returns errNoData.
 func (s *pollConn) Read(b []byte) (int, error) {
 	if !s.nonBlocking {
 		return s.Conn.Read(b)
@@ -38,7 +38,7 @@
 	var err error
 	closed := s.raw.Read(func(fd uintptr) bool {
 		n, err = readOnce(int(fd), b)
-		return true // don't wait until the descriptor is readable
+		return true // don't wait for the descriptor to become readable
 	})
 	switch {
 	case closed != nil:
@@ -53,7 +53,7 @@
 	return n, nil
 }
 
-// readOnce reads a descriptor, again where a signal interrupted the call.
+// readOnce calls read on a descriptor, and repeats the call if a signal interrupted it.
 func readOnce(fd int, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, b)
--- a/httpwire/request.go
+++ b/httpwire/request.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ReadRequest reads one request. Its error is io.EOF where the peer has closed the connection between requests, or wraps
-// ErrMalformed, ErrTooLarge or the error of the stream.
+// ReadRequest reads one request. Its error is io.EOF if the peer has closed the connection before the request, or else wraps
+// ErrMalformed, ErrTooLarge or the error of the stream; io.ErrUnexpectedEOF means that the stream ended within the request.
 func ReadRequest(r *bufio.Reader) (*Request, error) {
 	h, err := readHead(r)
 	if err != nil {
--- a/httpwire/response.go
+++ b/httpwire/response.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// ReadResponse reads one response to a request with another method than HEAD. Its errors are those of ReadRequest.
+// ReadResponse reads one response to a request whose method is not HEAD. Its errors are those of ReadRequest.
 func ReadResponse(r *bufio.Reader) (*Response, error) { return ReadResponseUpTo(r, MaxBody) }
 
-// ReadResponseUpTo is ReadResponse with a given limit on the body, in bytes, in place of MaxBody.
+// ReadResponseUpTo is ReadResponse with the given limit on the body, in bytes, instead of MaxBody.
 func ReadResponseUpTo(r *bufio.Reader, limit int) (*Response, error) {
 	h, err := readHead(r)
 	if err != nil {
--- a/httpwire/server.go
+++ b/httpwire/server.go
@@ -15,7 +15,7 @@
 	"alderproxy/internal/ratelog"
 )
 
-// The timeouts of a server that sets none.
+// Defaults for the timeouts that a Server leaves at 0.
 const (
 	defaultFirstRequestTimeout = 10 * time.Second
 	defaultIdleTimeout         = time.Minute
@@ -28,42 +28,47 @@
 	errConnectionEnds     = errors.New("the connection ends")
 )
 
-// Server serves HTTP with one goroutine a connection. Its exported fields are set before Serve.
+// Server serves HTTP with one goroutine per connection. Its exported fields must not be changed once Serve was called.
 type Server struct {
-	// Handle answers a request. A nil reply means that the client has gone: the connection closes.
+	// Handle answers a request. If it returns nil, because the client has disconnected, the connection is closed without a
+	// response.
 	Handle func(*Exchange) *Reply
-	// RejectionBody returns the body of the response to a request that could not be read; nil: an empty JSON object.
+	// RejectionBody returns the body of a response that the server sends without calling Handle: to a request that could not
+	// be read, or on a connection that is rejected or closed before its first request. nil means an empty JSON object.
 	RejectionBody func(status int, err error) []byte
 	Log           *logrus.Entry
-	// MaxConnections bounds the open connections; 0: there is no bound. Beyond half of it connections that have been idle for
-	// a while are closed for new ones, at the bound any without an open request. Where there is none, the new connection is
-	// answered with 503.
+	// MaxConnections is the maximum number of open connections; 0 means no limit. From half of it on, each new connection
+	// evicts one that has been idle for idleEvictionAge, if there is one. At the limit it evicts any that has no open request;
+	// if all have one, the new connection is rejected with a 503. Connections that were evicted or rejected don't count towards
+	// the limit while they close, and are closed at once if too many of them are closing; see maxClosingConnections.
 	MaxConnections int
-	// MaxIdleConnections bounds the connections between requests; 0: only MaxConnections does. Beyond it the one that has
-	// been idle longest is closed at once: clients have limits of their own, which connections that are kept use up.
+	// MaxIdleConnections is the maximum number of connections between requests; 0 means no limit but MaxConnections. Beyond it
+	// the connection that has been idle longest is closed at once: clients limit their connections too, and idle ones count
+	// towards their limits.
 	MaxIdleConnections int
-	// FirstRequestTimeout is the time from connecting until the first request has been read completely; 0: 10 s.
+	// FirstRequestTimeout limits the time from accepting a connection until its first request has been read completely; 0 means
+	// 10 s.
 	FirstRequestTimeout time.Duration
-	// IdleTimeout is the time from a response to the first byte of the next request; 0: a minute.
+	// IdleTimeout limits the time from a response to the first byte of the next request; 0 means one minute.
 	IdleTimeout time.Duration
-	// ReadTimeout is the time from the first byte of a later request until it has been read completely; 0: 10 s.
+	// ReadTimeout limits the time from the first byte of a later request until it has been read completely; 0 means 10 s.
 	ReadTimeout time.Duration
-	// WriteTimeout is the time that writing a response may take; 0: 2 s.
+	// WriteTimeout limits the time that writing a response takes; 0 means 2 s.
 	WriteTimeout time.Duration
 
 	mu           sync.Mutex
 	connections  map[*Exchange]struct{}
-	closingCount int // connections beyond these that are rejected or were evicted
-	idleCount    int // of connections, those between requests
+	closingCount int // rejected or evicted connections that are still closing; they are not in connections
+	idleCount    int // the number of connections in stateIdle
 	warningLimit ratelog.Line
 	listener     net.Listener
 
-	keepAliveDisabled atomic.Bool // each response closes its connection
-	stopping          atomic.Bool // idle connections close at once
+	keepAliveDisabled atomic.Bool // each connection closes after its next response
+	stopping          atomic.Bool // Close was called
 	active            sync.WaitGroup
 }
 
-// Reply is the response that a handler gives.
+// Reply is the response that a handler returns.
 type Reply struct {
 	Status int
 	Header Header
@@ -77,7 +82,7 @@
 	return len(s.connections) + s.closingCount
 }
 
-// serveRequests answers the requests on a connection until it closes.
+// serveRequests answers the requests on a connection one after the other, and then closes it.
 func (s *Server) serveRequests(x *Exchange) {
 	defer x.conn.Close()
 	for s.awaitRequest(x) {
@@ -87,7 +92,7 @@
 	}
 }
 
-// serveRequest reads and answers one request, and reports whether another one may follow on the connection.
+// serveRequest reads and answers one request, and reports whether the connection stays open for another one.
 func (s *Server) serveRequest(x *Exchange) (keep bool) {
 	x.Start = time.Now()
 	x.ResetWait()
@@ -117,13 +122,13 @@
 	return !closeAfter
 }
 
-// awaitRequest waits for the first byte of a request and sets the deadline for reading the rest. False means that the
-// connection closes, and that nothing that arrives on it is read as a request any more.
+// awaitRequest waits for the first byte of a request, sets the deadline for reading the rest and returns true. It returns false
+// if the connection must be closed; what arrives from then on is not read as a request.
 func (s *Server) awaitRequest(x *Exchange) bool {
 	first := s.setIdleDeadline(x)
 	_, err := x.reader.Peek(1)
-	x.idleExpired = errors.Is(err, os.ErrDeadlineExceeded)
-	if x.idleExpired {
+	x.waitExpired = errors.Is(err, os.ErrDeadlineExceeded)
+	if x.waitExpired {
 		x.conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		_, err = x.reader.Peek(1)
 	}
@@ -131,8 +136,8 @@
 	switch {
 	case err == nil:
 		return true
-	case !errors.Is(err, os.ErrDeadlineExceeded): // the client has closed the connection
-	case first && closedByServer: // a first request may be on its way, and must get an answer
+	case !errors.Is(err, os.ErrDeadlineExceeded): // the client has disconnected
+	case first && closedByServer: // the client may be sending its first request, which must get a response
 		s.respondAndClose(x, s.rejectionReply(http.StatusServiceUnavailable, errConnectionEnds))
 	default:
 		linger(x)
@@ -140,8 +145,8 @@
 	return false
 }
 
-// setIdleDeadline sets the deadline for the first byte of the next request, and reports whether it is the first one of the
-// connection.
+// setIdleDeadline sets the deadline for the first byte of the next request, and marks the connection as idle if it has had a
+// request before. It reports whether the next request is the connection's first.
 func (s *Server) setIdleDeadline(x *Exchange) (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,8 +164,8 @@
 	return first
 }
 
-// enterReading changes the state after the wait for a request, sets the deadline for reading the rest of one that has
-// arrived, and reports whether the server closes the connection.
+// enterReading changes the state of a connection after the wait for a request. If a request has arrived, it sets the deadline
+// for reading the rest. It reports whether the server has stopped or has evicted the connection.
 func (s *Server) enterReading(x *Exchange, first, arrived bool) (closedByServer bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +184,7 @@
 	return closedByServer
 }
 
-// handle calls the handler. One that panics costs its own client a 500 and does not affect others.
+// handle calls the handler. If it panics, its client receives a 500 and the server continues.
 func (s *Server) handle(x *Exchange) (reply *Reply) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -190,6 +195,7 @@
 	return s.Handle(x)
 }
 
+// rejectionReply returns a response that the server sends without calling the handler.
 func (s *Server) rejectionReply(status int, err error) *Reply {
 	body := []byte("{}")
 	if s.RejectionBody != nil {
@@ -198,13 +204,15 @@
 	return &Reply{Status: status, Body: body}
 }
 
-// logRateLimited logs what clients can cause at most once a second. The caller holds the lock.
+// logRateLimited logs a warning that clients can cause. At most one such warning a second is written, whatever its message. The
+// caller holds the lock.
 func (s *Server) logRateLimited(message string, err error) {
 	if omitted, due := s.warningLimit.Due(time.Now()); due {
 		s.Log.WithError(err).WithFields(logrus.Fields{"connections": len(s.connections), "more": omitted}).Warn(message)
 	}
 }
 
+// deadlineAfter returns the time after a timeout from now, or after the default if the timeout is not set.
 func deadlineAfter(timeout, defaultTimeout time.Duration) time.Time {
 	if timeout <= 0 {
 		timeout = defaultTimeout
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -16,8 +16,8 @@
 	"alderproxy/internal/testserver"
 )
 
-// startServer starts a server whose handler answers at once, but for /wait: that waits for the channel it returns, or
-// until the client has left. gone tells which, after a first value when the request was taken.
+// startServer starts a server that answers at once, except for /wait: its handler waits until release is closed or the client
+// disconnects. disconnects receives false when the handler begins to wait, and then whether the client has disconnected.
 func startServer(t *testing.T, s *httpwire.Server) (addr string, release chan struct{}, disconnects chan bool) {
 	t.Helper()
 	l := listen(t)
@@ -58,12 +58,13 @@
 	require.NoError(t, err)
 }
 
+// requestStatus sends a GET request and returns the status of the response.
 func requestStatus(c *testserver.Client, target string) int {
 	c.SendRequest("GET", target, "")
 	return c.ReadResponse().Status
 }
 
-// Clients that keep their connections for good must not crowd out new ones.
+// Guards against clients that keep idle connections open and thereby exclude new ones.
 func TestIdleConnectionIsEvictedForANewOne(t *testing.T) {
 	addr, _, _ := startServer(t, &httpwire.Server{MaxConnections: 4})
 	for range 12 {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Clients that ask once and stay use up what clients may hold: beyond a bound the one idle longest ends, though nobody
-// new comes.
+// Guards against idle connections beyond MaxIdleConnections, which count towards the limits of their clients. The one that has
+// been idle longest is closed even if there is no new connection.
 func TestIdleConnectionsBeyondTheBoundAreClosed(t *testing.T) {
 	addr, _, _ := startServer(t, &httpwire.Server{MaxIdleConnections: 2})
 	var clients []*testserver.Client
@@ -81,7 +82,7 @@
 		require.Equal(t, 200, requestStatus(c, "/"))
 		clients = append(clients, c)
 	}
-	// Which one has lain idle longest the server's own goroutines settle, not the order of the answers.
+	// The order in which the server's goroutines mark connections as idle decides, which may differ from that of the responses.
 	type readResult struct {
 		client int
 		err    error
@@ -104,25 +105,25 @@
 	}
 }
 
-// A connection with an open request never yields: the new client is told.
+// Guards against the eviction of a connection with an open request. If all have one, the new client is rejected with a 503.
 func TestConnectionWithAnOpenRequestIsNotEvicted(t *testing.T) {
-	addr, release, gone := startServer(t, &httpwire.Server{MaxConnections: 2})
+	addr, release, disconnects := startServer(t, &httpwire.Server{MaxConnections: 2})
 	var clients []*testserver.Client
 	for range 2 {
 		c := testserver.Dial(t, addr)
 		c.SendRequest("GET", "/wait", "")
-		<-gone // it is open
+		<-disconnects // the request is open
 		clients = append(clients, c)
 	}
 	assert.Equal(t, 503, testserver.Dial(t, addr).ReadResponse().Status)
 	close(release)
 	for _, c := range clients {
 		assert.Equal(t, 200, c.ReadResponse().Status)
-		assert.False(t, <-gone)
+		assert.False(t, <-disconnects)
 	}
 }
 
-// Who says nothing, or never ends what it sends, is owed an end within seconds.
+// Guards against connections that stay open although their client sends no request, or never completes one.
 func TestConnectionWithoutARequestIsClosed(t *testing.T) {
 	addr, _, _ := startServer(t, &httpwire.Server{FirstRequestTimeout: 30 * time.Millisecond})
 	for text, want := range map[string]string{"": "", "GET / HTTP/1.1\r\nA: b": "HTTP/1.1 408"} {
@@ -134,24 +135,25 @@
 	}
 }
 
-// Bytes sent ahead must not hide that a client has left.
+// Guards against a disconnect that is not detected because the client has pipelined another request.
 func TestDisconnectBehindPipelinedBytesIsDetected(t *testing.T) {
-	addr, release, gone := startServer(t, &httpwire.Server{})
+	addr, release, disconnects := startServer(t, &httpwire.Server{})
 	defer close(release)
 	c := testserver.Dial(t, addr)
 	c.SendRequest("GET", "/wait", "")
 	c.SendRequest("GET", "/", "")
-	<-gone // it is open
+	<-disconnects // the request is open
 	c.Close()
 	select {
-	case left := <-gone:
-		assert.True(t, left)
+	case disconnected := <-disconnects:
+		assert.True(t, disconnected)
 	case <-time.After(5 * time.Second):
-		assert.Fail(t, "not seen")
+		assert.Fail(t, "the disconnect was not detected")
 	}
 }
 
-// A client still sending when it is turned away reads its error: a close on unread bytes would be a reset.
+// Guards against an error response that is lost by a reset: closing the connection while the client is still sending would
+// leave unread bytes.
 func TestClientStillSendingReadsItsErrorResponse(t *testing.T) {
 	addr, _, _ := startServer(t, &httpwire.Server{})
 	c := testserver.Dial(t, addr)
@@ -166,21 +168,22 @@
 	assert.Equal(t, 413, c.ReadResponse().Status)
 }
 
+// runBeforeClose runs the hook for the first CloseWrite or Close.
 func (c hookedConn) runBeforeClose() {
 	if c.beforeClose != nil {
 		c.closeOnce.Do(c.beforeClose)
 	}
 }
 
-// Connections come between the server's last look for one and the close of its listener: they are served.
+// Guards against the loss of connections that arrive between the server's last Accept and the close of its listener.
 func TestConnectionRightBeforeTheListenerClosesIsServed(t *testing.T) {
-	g := newHookedListener(t, nil)
+	listener := newHookedListener(t, nil)
 	var lateClients []*testserver.Client
 	acceptTimeouts := 0
-	g.afterAcceptTimeout = func() {
+	listener.afterAcceptTimeout = func() {
 		if acceptTimeouts++; acceptTimeouts == 2 {
 			for range 3 {
-				c := testserver.Dial(t, g.Addr().String())
+				c := testserver.Dial(t, listener.Addr().String())
 				c.SendRequest("GET", "/", "")
 				lateClients = append(lateClients, c)
 			}
@@ -188,8 +191,8 @@
 	}
 	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(g) }()
-	require.Equal(t, 200, requestStatus(testserver.Dial(t, g.Addr().String()), "/"))
+	go func() { done <- s.Serve(listener) }()
+	require.Equal(t, 200, requestStatus(testserver.Dial(t, listener.Addr().String()), "/"))
 	s.Close()
 	require.NoError(t, <-done)
 	require.Len(t, lateClients, 3)
@@ -201,22 +204,23 @@
 	assert.True(t, s.Wait(5*time.Second))
 }
 
-// However much a client sends ahead, its leaving is seen; requests sent ahead are answered up to a bound, beyond it the
-// connection ends with the answer.
+// Guards against a disconnect that is detected late or not at all because the client has pipelined data, however much. Pipelined
+// requests are answered up to a limit; beyond it the connection closes after the response to the open request.
 func TestDisconnectBehindMuchPipelinedDataIsDetected(t *testing.T) {
 	for _, pipelined := range []int{0, 3 << 10, 6 << 10, 15 << 10, 40 << 10, 1 << 20, 8 << 20} {
-		// Soon, too: an attempt that begins 0.1 s after the close is a fault. The server pauses 2 ms for each look that finds
-		// more than it keeps, so deadlines are counted, which no busy processor changes; each sets a deadline.
+		// The disconnect must be detected within 0.1 s: no attempt may begin later than that. The server sets a deadline for each
+		// read, and pauses for 2 ms after each that discards data. Counting the deadlines, at 2 ms each, measures the time
+		// independently of the load on the machine.
 		var deadlines atomic.Int32
-		g := newHookedListener(t, &hooks{aroundSetReadDeadline: func(_ time.Time, set func()) { deadlines.Add(1); set() }})
+		listener := newHookedListener(t, &hooks{aroundSetReadDeadline: func(_ time.Time, set func()) { deadlines.Add(1); set() }})
 		handling, disconnects := make(chan struct{}), make(chan bool, 1)
 		s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 			close(handling)
 			disconnects <- x.AwaitDisconnect()
 			return nil
 		}}
-		startServing(t, s, g)
-		c := testserver.Dial(t, g.Addr().String())
+		startServing(t, s, listener)
+		c := testserver.Dial(t, listener.Addr().String())
 		c.SendRequest("GET", "/", "")
 		<-handling
 		before := deadlines.Load()
@@ -224,22 +228,22 @@
 		require.NoError(t, err)
 		c.Close()
 		select {
-		case left := <-disconnects:
-			assert.True(t, left, pipelined)
+		case disconnected := <-disconnects:
+			assert.True(t, disconnected, pipelined)
 		case <-time.After(5 * time.Second):
-			assert.Fail(t, "not seen", pipelined)
+			assert.Fail(t, "the disconnect was not detected", pipelined)
 		}
 		assert.Less(t, deadlines.Load()-before, int32(100/2), pipelined)
 	}
 	for pipelined, closes := range map[int]bool{6 << 10: false, 200 << 10: true} {
-		addr, release, gone := startServer(t, &httpwire.Server{})
+		addr, release, disconnects := startServer(t, &httpwire.Server{})
 		c := testserver.Dial(t, addr)
 		c.SendRequest("GET", "/wait", "")
-		<-gone
+		<-disconnects
 		for n := 0; n < pipelined; n += 1 << 10 {
 			c.SendRequest("GET", "/"+strings.Repeat("x", 1<<10), "")
 		}
-		time.AfterFunc(50*time.Millisecond, func() { close(release) }) // when does not matter to the outcome
+		time.AfterFunc(50*time.Millisecond, func() { close(release) }) // the result does not depend on the delay
 		for n := 0; n <= pipelined; n += 1 << 10 {
 			resp := c.ReadResponse()
 			assert.Equal(t, 200, resp.Status)
@@ -250,22 +254,22 @@
 	}
 }
 
-// The answer may be there before the wait for it begins. The deadline that ends a wait must then not strike the next
-// request on the connection.
+// Guards against a CancelWait that affects the connection's next request. This can happen if the response is ready before
+// AwaitDisconnect is called, as CancelWait sets a read deadline in the past.
 func TestCancelWaitDoesNotAffectTheNextRequest(t *testing.T) {
 	canceling, nextDeadlineSet, cancelDeadlineSet := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	longDeadlines, signalCanceling, signalCancelDeadlineSet := 0, sync.OnceFunc(func() { close(canceling) }), sync.OnceFunc(func() { close(cancelDeadlineSet) })
-	g := newHookedListener(t, &hooks{aroundSetReadDeadline: func(at time.Time, set func()) {
+	listener := newHookedListener(t, &hooks{aroundSetReadDeadline: func(at time.Time, set func()) {
 		switch remaining := time.Until(at); {
-		case remaining < -time.Hour: // Wake ends the wait
+		case remaining < -time.Hour: // set by CancelWait
 			signalCanceling()
 			select {
-			case <-nextDeadlineSet: // the next request is awaited already
-			case <-time.After(100 * time.Millisecond): // it is not, until this has struck
+			case <-nextDeadlineSet: // the server already waits for the next request
+			case <-time.After(100 * time.Millisecond): // the server waits, as it must, until this deadline is set
 			}
 			set()
 			signalCancelDeadlineSet()
-		case remaining > 50*time.Second && remaining <= time.Minute: // the handler waits, or the connection rests
+		case remaining > 50*time.Second && remaining <= time.Minute: // set by AwaitDisconnect, or when the connection becomes idle
 			if longDeadlines++; longDeadlines == 1 {
 				<-canceling
 			}
@@ -284,29 +288,29 @@
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
-	startServing(t, s, g)
-	c := testserver.Dial(t, g.Addr().String())
+	startServing(t, s, listener)
+	c := testserver.Dial(t, listener.Addr().String())
 	close(release)
 	assert.Equal(t, 200, requestStatus(c, "/wait"))
 	<-cancelDeadlineSet
 	c.SendRequest("GET", "/", "")
-	assert.False(t, c.ReadResponse().Close, "it struck the connection at rest")
+	assert.False(t, c.ReadResponse().Close, "CancelWait ended the wait for the next request")
 }
 
-// A connection yields, or the server closes, in the moment in which a whole request has come that was not read yet. It
-// was taken: it is answered, as the connection's last.
+// Guards against the loss of a request that has arrived completely, but was not read yet, when the server closes or evicts its
+// connection. It must be answered, as the last on the connection.
 func TestRequestThatArrivedBeforeTheCloseIsAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
-		firstRequest    bool // request of the connection
+		firstRequest    bool // whether the request is the connection's first
 		closeConnection func(t *testing.T, s *httpwire.Server, addr string)
 	}{
-		"closes, resting": {false, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
-		"closes, new":     {true, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
-		"yields, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) {
+		"server closes, idle connection": {false, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"server closes, new connection":  {true, func(_ *testing.T, s *httpwire.Server, _ string) { s.Close() }},
+		"eviction at MaxConnections": {false, func(t *testing.T, _ *httpwire.Server, addr string) {
 			t.Helper()
 			requestStatus(testserver.Dial(t, addr), "/")
 		}},
-		"too many, resting": {false, func(t *testing.T, _ *httpwire.Server, addr string) {
+		"eviction at MaxIdleConnections": {false, func(t *testing.T, _ *httpwire.Server, addr string) {
 			t.Helper()
 			requestStatus(testserver.Dial(t, addr), "/")
 		}},
@@ -326,24 +330,24 @@
 					<-resumeRead
 				}
 			}
-			g := newHookedListener(t, h)
+			listener := newHookedListener(t, h)
 			s := &httpwire.Server{Log: testserver.DiscardLog(), MaxConnections: 16, Handle: func(*httpwire.Exchange) *httpwire.Reply {
 				return &httpwire.Reply{Status: 200}
 			}}
 			switch {
-			case strings.HasPrefix(name, "yields"):
+			case strings.HasPrefix(name, "eviction at MaxConnections"):
 				s.MaxConnections = 1
-			case strings.HasPrefix(name, "too many"):
+			case strings.HasPrefix(name, "eviction at MaxIdleConnections"):
 				s.MaxIdleConnections = 1
 			}
-			startServing(t, s, g)
-			cl := testserver.Dial(t, g.Addr().String())
+			startServing(t, s, listener)
+			cl := testserver.Dial(t, listener.Addr().String())
 			if !c.firstRequest {
 				require.Equal(t, 200, requestStatus(cl, "/"))
 			}
 			<-readBlocked
 			cl.SendRequest("GET", "/", "")
-			c.closeConnection(t, s, g.Addr().String())
+			c.closeConnection(t, s, listener.Addr().String())
 			select {
 			case <-closing:
 			case <-time.After(5 * time.Second):
@@ -356,13 +360,14 @@
 	}
 }
 
-// A connection yields whose request is read half, while its goroutine is held up and the rest comes: it is answered.
+// Guards against the loss of a request whose connection is evicted when only a part was read, and whose rest arrives while the
+// connection's goroutine is not scheduled.
 func TestHalfReadRequestOfAnEvictedConnectionIsAnswered(t *testing.T) {
 	resumeRead, readBlocked, evicted := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	var reads int
 	var evicting atomic.Bool
 	signalEvicted := sync.OnceFunc(func() { close(evicted) })
-	g := newHookedListener(t, &hooks{
+	listener := newHookedListener(t, &hooks{
 		beforeRead: func() {
 			if reads++; reads == 2 {
 				close(readBlocked)
@@ -377,30 +382,30 @@
 		},
 	})
 	s := &httpwire.Server{Log: testserver.DiscardLog(), MaxConnections: 1, Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
-	startServing(t, s, g)
-	cl := testserver.Dial(t, g.Addr().String())
+	startServing(t, s, listener)
+	cl := testserver.Dial(t, listener.Addr().String())
 	write(t, cl, "GET / HTTP/1.1\r\n")
 	<-readBlocked
 	evicting.Store(true)
-	other := testserver.Dial(t, g.Addr().String())
+	other := testserver.Dial(t, listener.Addr().String())
 	<-evicted
 	write(t, cl, "\r\n")
-	time.Sleep(60 * time.Millisecond) // three times a last look
+	time.Sleep(60 * time.Millisecond) // three times finalReadTimeout
 	close(resumeRead)
 	assert.Equal(t, 200, cl.ReadResponse().Status)
 	assert.Equal(t, 200, requestStatus(other, "/"))
 }
 
-// The system has accepted a connection, with its request, that the server has not when it closes.
+// Guards against the loss of connections, with their requests, that are in the listener's accept queue when the server closes.
 func TestConnectionInTheAcceptQueueIsServed(t *testing.T) {
 	resumeAccept := make(chan struct{})
-	g := newHookedListener(t, nil)
-	g.beforeAccept = func() { <-resumeAccept }
+	listener := newHookedListener(t, nil)
+	listener.beforeAccept = func() { <-resumeAccept }
 	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(g) }()
-	resumeAccept <- struct{}{} // it serves, and accepts no more
-	first := testserver.Dial(t, g.Addr().String())
+	go func() { done <- s.Serve(listener) }()
+	resumeAccept <- struct{}{} // Serve has begun; its next Accept blocks
+	first := testserver.Dial(t, listener.Addr().String())
 	require.Eventually(t, func() bool {
 		select {
 		case resumeAccept <- struct{}{}:
@@ -412,7 +417,7 @@
 	require.Equal(t, 200, requestStatus(first, "/"))
 	var late []*testserver.Client
 	for range 3 {
-		c := testserver.Dial(t, g.Addr().String())
+		c := testserver.Dial(t, listener.Addr().String())
 		c.SendRequest("GET", "/", "")
 		late = append(late, c)
 	}
@@ -425,22 +430,22 @@
 	assert.True(t, s.Wait(5*time.Second))
 }
 
-// An answer is written that its client never reads, as the server closes: the others are served, and it ends with the time
-// that a write may take.
+// Guards against a client that does not read its response and thereby delays other clients, or the shutdown of the server beyond
+// WriteTimeout.
 func TestUnreadResponseDelaysNoOtherClient(t *testing.T) {
-	g := newHookedListener(t, nil)
+	listener := newHookedListener(t, nil)
 	handling := make(chan struct{})
 	s := &httpwire.Server{Log: testserver.DiscardLog(), WriteTimeout: 300 * time.Millisecond, Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		if x.Path() == "/much" {
 			close(handling)
-			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than two systems' buffers hold
+			return &httpwire.Reply{Status: 200, Body: make([]byte, 64<<20)} // more than the socket buffers of both sides hold
 		}
 		return &httpwire.Reply{Status: 200}
 	}}
-	startServing(t, s, g)
-	other := testserver.Dial(t, g.Addr().String())
+	startServing(t, s, listener)
+	other := testserver.Dial(t, listener.Addr().String())
 	require.Equal(t, 200, requestStatus(other, "/"))
-	testserver.Dial(t, g.Addr().String()).SendRequest("GET", "/much", "")
+	testserver.Dial(t, listener.Addr().String()).SendRequest("GET", "/much", "")
 	<-handling
 	other.SendRequest("GET", "/", "")
 	s.Close()
@@ -448,37 +453,37 @@
 	assert.True(t, s.Wait(5*time.Second))
 }
 
-// A request that comes in the very moment of the end is not answered and not passed on, and its client can tell: the
-// connection ends in order, where a close over what was not read would reset it.
+// Guards against a request that is served, or whose connection is reset, although it arrives while the server closes the
+// connection. Its client must see an orderly end of the connection, which means that the request was not served.
 func TestRequestThatCrossesTheCloseIsNotServed(t *testing.T) {
 	for name, s := range map[string]*httpwire.Server{
-		"idle for long": {IdleTimeout: 30 * time.Millisecond}, "closes": {}, "yields": {MaxIdleConnections: 1},
+		"idle timeout": {IdleTimeout: 30 * time.Millisecond}, "server closes": {}, "eviction": {MaxIdleConnections: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var cl *testserver.Client
 			idle := make(chan struct{})
 			signalIdle := sync.OnceFunc(func() { close(idle) })
 			h := &hooks{beforeClose: func() { cl.SendRequest("GET", "/late", "") }, aroundSetReadDeadline: func(at time.Time, set func()) {
-				if set(); time.Until(at) > 20*time.Second { // the last to be set before it rests
+				if set(); time.Until(at) > 20*time.Second { // the idle timeout, set when the connection has become idle
 					signalIdle()
 				}
 			}}
-			g := newHookedListener(t, h)
+			listener := newHookedListener(t, h)
 			servedPaths := make(chan string, 16)
 			s.Log = testserver.DiscardLog()
 			s.Handle = func(x *httpwire.Exchange) *httpwire.Reply {
 				servedPaths <- x.Path()
 				return &httpwire.Reply{Status: 200}
 			}
-			startServing(t, s, g)
-			cl = testserver.Dial(t, g.Addr().String())
+			startServing(t, s, listener)
+			cl = testserver.Dial(t, listener.Addr().String())
 			require.Equal(t, 200, requestStatus(cl, "/"))
 			switch name {
-			case "closes":
+			case "server closes":
 				s.Close()
-			case "yields":
-				<-idle // else the second one may rest before it
-				require.Equal(t, 200, requestStatus(testserver.Dial(t, g.Addr().String()), "/"))
+			case "eviction":
+				<-idle // otherwise the second connection may become idle first
+				require.Equal(t, 200, requestStatus(testserver.Dial(t, listener.Addr().String()), "/"))
 				<-servedPaths
 			}
 			_, err := cl.Reader.Peek(1)
--- a/httpwire/shutdown.go
+++ b/httpwire/shutdown.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// pastDeadline is a deadline that ends a wait at once.
+// pastDeadline is a deadline that ends a blocked call at once.
 var pastDeadline = time.Unix(1, 0)
 
-// finalReadTimeout is how long a connection that is about to close is still read, counted from when its goroutine runs: a
-// request that has arrived is accepted, and is answered.
+// finalReadTimeout limits the last read on a connection, or the last accept on a listener, before it is closed. It starts when
+// the goroutine runs, so that a request that has arrived by then is answered even if the goroutine was scheduled late.
 const finalReadTimeout = 20 * time.Millisecond
 
-// DisableKeepAlive has every connection close after its next response.
+// DisableKeepAlive makes every connection close after its next response.
 func (s *Server) DisableKeepAlive() { s.keepAliveDisabled.Store(true) }
 
-// Close stops listening and ends each connection as soon as it is idle. It does not wait for that; see Wait.
+// Close stops listening, closes idle connections and makes each of the others close after its next response. It does not wait
+// for that; see Wait.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,7 +31,8 @@
 	}
 }
 
-// Wait waits until every connection has ended, and reports whether that was within the limit.
+// Wait waits until Serve has returned and every connection that was not rejected is closed. It returns false if the timeout
+// passes before.
 func (s *Server) Wait(timeout time.Duration) bool {
 	done := make(chan struct{})
 	go func() {
@@ -45,9 +47,9 @@
 	}
 }
 
-// closesAfterResponse reports whether a connection closes after the response to its open request.
+// closesAfterResponse reports whether a connection must be closed after the response to its open request.
 func (s *Server) closesAfterResponse(x *Exchange) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return x.Close || x.idleExpired || x.evicted || s.keepAliveDisabled.Load()
+	return x.Close || x.waitExpired || x.evicted || s.keepAliveDisabled.Load()
 }
--- a/httpwire/write.go
+++ b/httpwire/write.go
@@ -2,6 +2,7 @@
 
 import "fmt"
 
+// reasonPhrases are the reason phrases of the statuses that are sent.
 var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict",
@@ -9,7 +10,8 @@
 	503: "Service Unavailable", 504: "Gateway Timeout",
 }
 
-// AppendResponse appends a response with a JSON body. closing announces that the connection closes after it.
+// AppendResponse appends a response with a JSON body. If closeAfter is set, it announces that the connection closes after the
+// response.
 func AppendResponse(to []byte, status int, header Header, body []byte, closeAfter bool) []byte {
 	reason := reasonPhrases[status]
 	if reason == "" {
@@ -19,7 +21,7 @@
 	return appendHeadersAndBody(to, header, body, closeAfter)
 }
 
-// AppendRequest appends a request. A body that is not nil is sent as JSON.
+// AppendRequest appends a request with a JSON body. A GET request whose body is nil has no Content-Type and no Content-Length.
 func AppendRequest(to []byte, method, target, host string, header Header, body []byte) []byte {
 	to = fmt.Appendf(to, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	if body == nil && method == "GET" {
