--- a/opensearch/codec.go
+++ b/opensearch/codec.go
@@ -12,14 +12,14 @@
 	"alderproxy/storepool"
 )
 
-// maxResponseBytes bounds the body of a store's response.
+// maxResponseBytes is the maximum size of the body of a store's response.
 const maxResponseBytes = 4 << 20
 
-// codec writes searches to stores and reads their responses. HTTP/1.1 carries one search at a time on a connection, so
+// codec encodes searches for stores and decodes their responses. An HTTP/1.1 connection carries one search at a time, so
 // responses need no ids, and a search is canceled by closing its connection.
 type codec struct{}
 
-// AppendCall appends the search of one part. The settings allow one part a call.
+// AppendCall appends the search of one part. The settings allow only one part per call.
 func (codec) AppendCall(to []byte, store storepool.Store, attempts []*broker.Attempt, now time.Time) []byte {
 	attempt := attempts[0]
 	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false",
@@ -31,11 +31,11 @@
 // AppendCancel appends nothing: a search is canceled by closing its connection.
 func (codec) AppendCancel(to []byte, _ string) []byte { return to }
 
-// AppendHealthCheck appends nothing: the API has no cheap request for a load report.
+// AppendHealthCheck appends nothing: the API has no cheap request that returns a load report.
 func (codec) AppendHealthCheck(to []byte) []byte { return to }
 
-// Read reads a response. A success whose body names a failed shard is a server error, as is any other status but 429, which
-// means that the store has rejected the search before it ran.
+// Read reads a response. A status 429 means that the store rejected the search before running it. A 200 whose body does
+// not hold a complete result, see parseResult, is a server error, as is any higher status. A status below 200 is malformed.
 func (codec) Read(r *bufio.Reader) (storepool.Message, error) {
 	resp, err := httpwire.ReadResponseUpTo(r, maxResponseBytes)
 	if err != nil {
--- a/opensearch/doc.go
+++ b/opensearch/doc.go
@@ -1,3 +1,3 @@
-// Package opensearch is the front for OpenSearch-style queries (_search, _msearch), with the transport to stores that speak
-// the same API. Its queries go through a broker of its own, by the same decisions and rules as the platform's.
+// Package opensearch is the front for OpenSearch-style queries (_search, _msearch), with the codec for stores that have the
+// same API. Its queries are served by a broker of its own, by the same decisions and rules as those of package platform.
 package opensearch
--- a/opensearch/errors.go
+++ b/opensearch/errors.go
@@ -12,7 +12,7 @@
 	"alderproxy/httpwire"
 )
 
-// OpenSearch's names for kinds of errors.
+// OpenSearch's names for the types of errors.
 const (
 	errorTypeIllegalArgument  = "illegal_argument_exception"
 	errorTypeParse            = "parse_exception"
@@ -31,12 +31,12 @@
 	errConfigStale = errors.New("this instance cannot tell that its configuration is the agreed one")
 )
 
-// apiError is an error with its HTTP status and OpenSearch's name for its kind.
+// apiError is an error of a request or of one search, with the HTTP status and the error type of its response.
 type apiError struct {
 	status     int
 	errorType  string
 	err        error
-	retryAfter time.Duration // 0: none is sent
+	retryAfter time.Duration // 0 means that the response has no Retry-After
 }
 
 func newError(status int, errorType string, err error) *apiError {
@@ -47,20 +47,22 @@
 	return newError(http.StatusBadRequest, errorTypeIllegalArgument, err)
 }
 
-// configStale rejects a search because the instance's configuration may have been replaced.
+// configStale returns the error of a search that is rejected because the instance's configuration may have been replaced.
 func configStale(retryAfter time.Duration) *apiError {
 	return &apiError{status: http.StatusServiceUnavailable, errorType: errorTypeClusterBlock, err: errConfigStale, retryAfter: retryAfter}
 }
 
+// unsupported returns an error that names a feature of OpenSearch which the front does not have.
 func unsupported(feature string) error { return fmt.Errorf("[%s] is %w", feature, errUnsupported) }
 
+// body returns the error in OpenSearch's JSON form.
 func (e *apiError) body() []byte { return appendError(nil, e.status, e.errorType, e.err.Error()) }
 
 func (e *apiError) reply() *httpwire.Reply {
 	return &httpwire.Reply{Status: e.status, Header: retryAfterHeader(e.retryAfter), Body: e.body()}
 }
 
-// retryAfterHeader returns the Retry-After header in whole seconds, rounded up; nil where there is none to send.
+// retryAfterHeader returns the Retry-After header in whole seconds, rounded up, or nil if retryAfter is not positive.
 func retryAfterHeader(retryAfter time.Duration) httpwire.Header {
 	if retryAfter <= 0 {
 		return nil
@@ -68,7 +70,7 @@
 	return httpwire.Header{{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(retryAfter.Seconds())))}}
 }
 
-// appendError appends an error in OpenSearch's shape.
+// appendError appends an error in OpenSearch's JSON form.
 func appendError(to []byte, status int, errorType, reason string) []byte {
 	quoted, err := json.Marshal(reason)
 	if err != nil { // a string can always be encoded
--- a/opensearch/front.go
+++ b/opensearch/front.go
@@ -13,25 +13,25 @@
 	"alderproxy/httpwire"
 )
 
-// front answers searches.
+// front answers the requests of clients.
 type front struct {
 	broker           *broker.Broker
 	ready            func() bool
-	replicatedConfig bool   // responses name the version of the shared document
-	queryIDPrefix    string // differs between any two starts of a front
+	replicatedConfig bool   // the terms come from the replicated configuration; responses name its version
+	queryIDPrefix    string // differs between any two starts of the front
 	lastQueryNumber  atomic.Uint64
 }
 
-// indices are the indices that can be searched, by name. They are the front's part of the broker's terms.
+// indices maps the names of the indices that can be searched to their configuration. It is the FrontData of the broker's terms.
 type indices map[string]index
 
-// index says which class the queries of an index belong to and which shards hold it.
+// index is the configuration of one index: the class of its queries and the shards that hold it.
 type index struct {
 	class  int
 	shards []int
 }
 
-// searchTarget is the front's data of a query: the index that its parts search.
+// searchTarget is the FrontData of a query: the name of the index that its parts search.
 type searchTarget struct{ index string }
 
 // handle answers one request.
@@ -85,7 +85,8 @@
 	return &httpwire.Reply{Status: http.StatusOK, Header: f.versionHeader(items), Body: body}
 }
 
-// versionHeader returns the header with the version of the shared document by which a request was answered.
+// versionHeader returns the header with the version of the replicated configuration by which a request was answered. It is that
+// of the first search's response. The result is nil if there is none.
 func (f *front) versionHeader(items []*searchItem) httpwire.Header {
 	if !f.replicatedConfig || len(items) == 0 || items[0].failure != nil || items[0].response.Version == 0 {
 		return nil
@@ -93,6 +94,7 @@
 	return httpwire.Header{{Name: "X-Config-Version", Value: strconv.FormatUint(items[0].response.Version, 10)}}
 }
 
+// parseParams returns the parameters of a URL's query string, and an error if one of them is repeated.
 func parseParams(raw string) (map[string]string, error) {
 	parsed, err := url.ParseQuery(raw)
 	if err != nil {
--- a/opensearch/item.go
+++ b/opensearch/item.go
@@ -13,26 +13,27 @@
 	"alderproxy/httpwire"
 )
 
-// unknownConfigRetryAfter is the Retry-After of searches before any version of the shared document is known.
+// unknownConfigRetryAfter is the Retry-After of searches that arrive before the instance knows any version of the replicated
+// configuration.
 const unknownConfigRetryAfter = time.Second
 
-// searchItem is one search of a request: its query and the query's response, or why it has none.
+// searchItem is one search of a request, with its query and the query's response, or with the error that prevents a query.
 type searchItem struct {
 	*searchRequest
 
 	query    *broker.Query
 	response broker.Response
 	failure  *apiError
-	batch    *searchBatch // nil: not submitted yet
+	batch    *searchBatch // nil if the item was not submitted yet
 }
 
-// searchBatch is the searches that a request waits for. The last response ends the wait.
+// searchBatch is the searches of a request that are submitted together. The last response ends the wait for them.
 type searchBatch struct {
 	exchange   *httpwire.Exchange
 	unanswered atomic.Int32
 }
 
-// Respond takes the query's response. It does not block.
+// Respond implements broker.Responder. It does not block.
 func (it *searchItem) Respond(response broker.Response) {
 	it.response = response
 	if it.batch.unanswered.Add(-1) == 0 {
@@ -40,15 +41,15 @@
 	}
 }
 
-// needsSubmission reports whether the item has to be submitted: for the first time, or again under other terms.
+// needsSubmission reports whether the item must be submitted, for the first time or again because its terms are stale.
 func (it *searchItem) needsSubmission() bool {
 	return it.failure == nil && (it.batch == nil || it.response.StaleTerms)
 }
 
-// newItem makes an item of a search. What is wrong with it is the item's failure.
+// newItem parses a search by the given terms. An error becomes the item's failure.
 func (f *front) newItem(x *httpwire.Exchange, t *broker.Terms, indexName string, body []byte, params map[string]string) *searchItem {
 	it := &searchItem{}
-	if f.replicatedConfig && t.Version == 0 { // whether the index exists is not known yet
+	if f.replicatedConfig && t.Version == 0 { // the instance does not know yet which indices exist
 		it.failure = configStale(unknownConfigRetryAfter)
 		return it
 	}
@@ -86,9 +87,9 @@
 	return it
 }
 
-// submitAndWait parses the request by the present terms, submits its items and waits until all have their response. Where
-// the terms changed meanwhile, so that the broker rejects an item, that item is parsed and submitted again. The result is
-// nil where the client has gone.
+// submitAndWait parses a request by the current terms, submits its items and waits until all have their responses. If the broker
+// rejects an item because the terms have changed since, that item is parsed and submitted again. The result is nil if the
+// client has disconnected.
 func (f *front) submitAndWait(x *httpwire.Exchange, parse func(*broker.Terms) ([]*searchItem, error)) []*searchItem {
 	items, _ := parse(f.broker.Terms())
 	for {
@@ -116,7 +117,7 @@
 	}
 }
 
-// newBatch returns a batch of the items that have to be submitted.
+// newBatch returns a batch and those of the items that must be submitted in it.
 func newBatch(x *httpwire.Exchange, items []*searchItem) (*searchBatch, []*searchItem) {
 	batch := &searchBatch{exchange: x}
 	var pending []*searchItem
@@ -129,7 +130,8 @@
 	return batch, pending
 }
 
-// submitBatchAndWait submits items and waits for their responses. It cancels them and returns true where the client has gone.
+// submitBatchAndWait submits items and waits for their responses. If the client disconnects before, it cancels them and returns
+// true.
 func (f *front) submitBatchAndWait(x *httpwire.Exchange, items []*searchItem) (disconnected bool) {
 	var queries []*broker.Query
 	for _, it := range items {
@@ -145,7 +147,7 @@
 	return false
 }
 
-// render returns the body of an item's response, or its error.
+// render returns the body of an item's response, or the error to respond with.
 func (f *front) render(x *httpwire.Exchange, it *searchItem) ([]byte, *apiError) {
 	response := it.response
 	switch {
@@ -165,7 +167,7 @@
 	return nil, failure
 }
 
-// unservedError returns the error of a query that was rejected or failed.
+// unservedError returns the error for a query that was rejected or has failed.
 func unservedError(response broker.Response) *apiError {
 	switch {
 	case response.DeadlineExceeded:
--- a/opensearch/merge.go
+++ b/opensearch/merge.go
@@ -7,7 +7,7 @@
 	"alderproxy/broker"
 )
 
-// mergedResult is the results of several stores.
+// mergedResult is the combined result of several stores.
 type mergedResult struct {
 	hits        []hit
 	total       int64
@@ -17,8 +17,8 @@
 	hasMaxScore bool
 }
 
-// merge makes one response of the parts that were answered. Missing parts are counted as failed shards. took is in
-// milliseconds.
+// merge returns the body of one response that combines the parts that were answered. parts is the number of parts of the query;
+// those without an answer are counted as failed shards. took is in milliseconds.
 func (s *searchRequest) merge(answeredParts []broker.PartResult, parts int, took int64) ([]byte, error) {
 	var merged mergedResult
 	for _, part := range answeredParts {
@@ -55,7 +55,7 @@
 	}
 }
 
-// appendHits appends the members of the response's hits object.
+// appendHits appends the members of the response's hits object, with its list of hits.
 func (m *mergedResult) appendHits(body []byte) []byte {
 	if m.hasTotal {
 		relation := "eq"
--- a/opensearch/multisearch.go
+++ b/opensearch/multisearch.go
@@ -12,10 +12,10 @@
 	"alderproxy/internal/jsonscan"
 )
 
-// maxSearches bounds the searches of one multi-search.
+// maxSearches is the maximum number of searches in one multi-search.
 const maxSearches = 100
 
-// handleMultiSearch answers a multi-search, in which each item has a class, a query, limits and a status of its own.
+// handleMultiSearch answers a multi-search. Each of its searches is a query of its own, with its own class, admission and status.
 func (f *front) handleMultiSearch(x *httpwire.Exchange, indexName string, params map[string]string) *httpwire.Reply {
 	for key := range params {
 		if key != "pretty" && key != "human" && key != "typed_keys" {
@@ -48,10 +48,11 @@
 	return &httpwire.Reply{Status: http.StatusOK, Header: append(retryAfterHeader(retryAfter), f.versionHeader(items)...), Body: body}
 }
 
-// parseMultiSearch reads pairs of lines: a header that may name the index, then a search body.
+// parseMultiSearch parses the body of a multi-search, which is pairs of lines: a header that may name the index, and a search
+// body.
 func (f *front) parseMultiSearch(x *httpwire.Exchange, t *broker.Terms, indexName string) ([]*searchItem, error) {
 	if !bytes.HasSuffix(x.Body, []byte("\n")) {
-		return nil, errors.New("The msearch request must be terminated by a newline [\\n]") //nolint:revive,staticcheck // OpenSearch's own words
+		return nil, errors.New("The msearch request must be terminated by a newline [\\n]") //nolint:revive,staticcheck // OpenSearch's wording
 	}
 	lines := bytes.Split(bytes.TrimSuffix(x.Body, []byte("\n")), []byte("\n"))
 	if len(lines)%2 != 0 {
@@ -78,13 +79,13 @@
 	return items, nil
 }
 
-// searchHeader is the header line of one search.
+// searchHeader is the header line of one search in a multi-search.
 type searchHeader struct {
 	index       string
-	unsupported error // names what the front does not support
+	unsupported error // nil unless the header needs a feature that the front does not have
 }
 
-// parseSearchHeader reads a header line, which may be empty. The index that the path names is the default.
+// parseSearchHeader parses a header line, which may be empty. If it names no index, defaultIndex applies.
 func parseSearchHeader(line []byte, defaultIndex string) (searchHeader, error) {
 	header := searchHeader{index: defaultIndex}
 	text := bytes.TrimSpace(line)
@@ -101,7 +102,7 @@
 	return header, err
 }
 
-// parseIndex reads the name of an index, or a list with one name.
+// parseIndex parses the name of an index, or a list of names. A list of more than one is unsupported.
 func (h *searchHeader) parseIndex(raw []byte) (err error) {
 	if raw[0] != '[' {
 		h.index, err = jsonscan.String(raw)
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -19,6 +19,7 @@
 	"alderproxy/storepool"
 )
 
+// storedHits are the hits of the test stores: the number of a shard and the hit's JSON.
 const storedHits = `
 0 {"_id":"a","_score":1.5,"sort":[30,"x"]}
 0 {"_id":"b","_score":0.5,"sort":[10,"y"]}
@@ -26,14 +27,14 @@
 1 {"_id":"d","_score":0.2,"sort":[10,"z"]}
 `
 
-// testFront is a front over two stores that hold every slice.
+// testFront is a front with two stores that hold every shard.
 type testFront struct {
 	*Service
 	config *Config
 	stores [2]*testserver.Store
 }
 
-// documentTemplate are the shared sections of all tests.
+// documentTemplate is the document of most tests, without its max_open.
 const documentTemplate = `
 [layout]
 slices = 2
@@ -91,7 +92,7 @@
 	return c
 }
 
-// responseBody is what the tests look at in a response.
+// responseBody is the part of a response's body that the tests check.
 type responseBody struct {
 	Status int
 	Error  struct{ Type, Reason string }
@@ -109,6 +110,7 @@
 	Responses []responseBody
 }
 
+// ids returns the ids of the hits, concatenated.
 func (a responseBody) ids() (ids string) {
 	for _, h := range a.Hits.Hits {
 		ids += h.ID
@@ -129,8 +131,8 @@
 		{"empty body", "", ``, "acbd"},
 		{"size", "", `{"size":2}`, "ac"},
 		{"from and size", "", `{"from":1,"size":2}`, "cb"},
-		{"the URL wins", "?size=1&from=3", `{"size":2}`, "d"},
-		{"beyond the end", "", `{"from":9}`, ""},
+		{"parameters of the URL take precedence", "?size=1&from=3", `{"size":2}`, "d"},
+		{"from beyond the last hit", "", `{"from":9}`, ""},
 		{"sort ascending", "", `{"sort":["price","name"]}`, "bdca"},
 		{"sort descending", "", `{"sort":[{"price":"desc"},{"name":{"order":"desc"}}]}`, "acdb"},
 		{"missing last", "", `{"sort":[{"x":{"missing":"_last"}}],"track_total_hits":true}`, "bdca"},
@@ -159,15 +161,15 @@
 	assert.Contains(t, part, "\n"+`{"query":`+query+`,"from":0,"size":8}`)
 }
 
-// The same faults as on the platform's path, with the same outcomes. A success status with a failed shard or a
-// time-out in it is a missing part and never a whole answer.
+// Guards against a fault of a store that spoils a response although another replica has no fault, or that yields a wrong status
+// if all have it. A 200 with a failed shard or a timeout in it must count as a missing part, not as an answer.
 func TestFaults(t *testing.T) {
 	for _, c := range testserver.FaultCases {
 		for both, want := range map[bool]int{false: c.OneReplicaStatus, true: c.OpenSearchStatus} {
 			t.Run(fmt.Sprintf("%s/both=%v", c.Fault, both), func(t *testing.T) {
 				t.Parallel()
 				r := startTestFront(t, 1000)
-				for range 6 { // until the decisions know what is late
+				for range 6 { // enough latencies to decide when an attempt is late
 					require.Equal(t, 200, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status)
 				}
 				r.stores[0].SetFault(c.Fault)
@@ -190,7 +192,7 @@
 	}
 }
 
-// A class that takes half of its parts is answered from these, and the answer tells of the failed shard.
+// Guards against a partial response that does not count the shard that failed, in a class for which half of the parts suffice.
 func TestPartialResponseCountsTheFailedShard(t *testing.T) {
 	for _, fault := range []testserver.Fault{testserver.ServerError, testserver.Partial, testserver.TimedOut} {
 		r := startTestFront(t, 1000)
@@ -228,8 +230,8 @@
 	}
 }
 
-// Each item has a budget of its own: one that finds no room is refused while the other is out. The stores
-// say nothing, since a first item that was answered quickly would leave room for the second.
+// Guards against a multi-search that is rejected as a whole when only one of its searches exceeds max_open. The stores don't
+// respond, since a first search that is answered quickly would make room for the second.
 func TestMultiSearchItemIsRejectedAlone(t *testing.T) {
 	r := startTestFront(t, 3)
 	for _, s := range r.stores {
@@ -243,14 +245,14 @@
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
 }
 
-// A change of terms takes effect at once, and what was taken before is answered as it was taken.
-func TestTermsChangeUnderWay(t *testing.T) {
+// Guards against a change of terms that does not apply to the next search, or that affects a search admitted before.
+func TestTermsChangeDuringASearch(t *testing.T) {
 	r := startTestFront(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.HoldAnswers())
 	}
-	before := r.search(t, "/catalogue/_search", `{}`)
+	pending := r.search(t, "/catalogue/_search", `{}`)
 	testserver.NextRequest(t, r.stores[0])
 	require.NoError(t, r.SetTerms(r.terms(t, 2, `
 [layout]
@@ -263,19 +265,19 @@
 class = sales/lookup
 slices = 0-1
 `)))
-	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status, "the index is no more")
+	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status, "the index has been removed")
 	for _, f := range release {
 		f()
 	}
-	assert.Equal(t, 200, before.ReadResponse().Status)
+	assert.Equal(t, 200, pending.ReadResponse().Status)
 	assert.Equal(t, 200, r.search(t, "/sales/_search", `{}`).ReadResponse().Status)
 	assert.Equal(t, uint64(2), r.Version())
 }
 
-// Changes under load: every search has one answer, none of them refused for the change.
+// Guards against searches that are lost or rejected because the terms change while they are parsed and submitted.
 func TestSearchesWhileTermsChangeQuickly(t *testing.T) {
 	r := startTestFront(t, 1000)
-	for _, s := range r.stores { // what comes there is of no matter, and a full channel would hold the store up
+	for _, s := range r.stores { // not checked, but a full channel would block the store
 		go func() {
 			for range s.Requests {
 			}
@@ -284,36 +286,36 @@
 	done := make(chan map[int]int)
 	for range 4 {
 		go func() {
-			c, count := testserver.Dial(t, r.Addr()), map[int]int{}
+			c, statuses := testserver.Dial(t, r.Addr()), map[int]int{}
 			for range 100 {
 				c.SendRequest("POST", "/_msearch", "{\"index\":\"catalogue\"}\n{}\n{\"index\":\"families\"}\n{}\n")
-				var a responseBody
-				assert.NoError(t, json.Unmarshal(c.ReadResponse().Body, &a))
-				for _, item := range a.Responses {
-					count[item.Status]++
+				var response responseBody
+				assert.NoError(t, json.Unmarshal(c.ReadResponse().Body, &response))
+				for _, item := range response.Responses {
+					statuses[item.Status]++
 				}
 			}
-			done <- count
+			done <- statuses
 		}()
 	}
-	sum, version := map[int]int{}, uint64(1)
-	for n := 0; n < 4; {
+	totals, version := map[int]int{}, uint64(1)
+	for finished := 0; finished < 4; {
 		select {
-		case count := <-done:
-			n++
-			for status, k := range count {
-				sum[status] += k
+		case statuses := <-done:
+			finished++
+			for status, responses := range statuses {
+				totals[status] += responses
 			}
 		case <-time.After(time.Millisecond):
 			version++
 			require.NoError(t, r.SetTerms(r.terms(t, version, fmt.Sprintf(documentTemplate, 500+version%2))))
 		}
 	}
-	assert.Equal(t, map[int]int{200: 800}, sum)
-	assert.Greater(t, version, uint64(20), "the test saw no changes")
+	assert.Equal(t, map[int]int{200: 800}, totals)
+	assert.Greater(t, version, uint64(20), "too few changes of the terms during the searches")
 }
 
-// Where the agreement does not hold, new searches are refused at once, with word when to come back.
+// Guards against searches that are admitted while the gate is closed. They must be rejected at once, with a Retry-After.
 func TestClosedGate(t *testing.T) {
 	r := &testFront{}
 	s := testserver.NewSearchStore(t, storedHits)
@@ -354,7 +356,7 @@
 	now := time.Now()
 	go func() { r.Shutdown(now.Add(300*time.Millisecond), now.Add(2*time.Second)); close(stopped) }()
 	require.Eventually(t, r.draining.Load, 5*time.Second, time.Millisecond)
-	late := testserver.Dial(t, r.Addr()) // still served for a moment
+	late := testserver.Dial(t, r.Addr()) // accepted until serveUntil
 	late.SendRequest("GET", "/healthz", "")
 	assert.Equal(t, 503, late.ReadResponse().Status)
 	for _, f := range release {
@@ -402,21 +404,21 @@
 	<-r.stores[0].Closed
 }
 
-// A client leaves while its searches wait for a connection to come up: they never go out.
+// Guards against searches that are sent although their client has disconnected while they waited for a connection to a store.
 func TestSearchesOfAClientThatDisconnectedAreNotSentOnALateConnection(t *testing.T) {
 	r := startTestFront(t, 1000)
-	began, hold := make(chan struct{}, 64), make(chan struct{})
+	dialing, resumeDial := make(chan struct{}, 64), make(chan struct{})
 	r.pool.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
-		began <- struct{}{}
-		<-hold
+		dialing <- struct{}{}
+		<-resumeDial
 		return (&net.Dialer{Timeout: limit}).Dial("tcp", addr)
 	})
 	c := r.search(t, "/_msearch", "{\"index\":\"catalogue\"}\n{\"size\":7}\n{\"index\":\"families\"}\n{\"size\":7}\n")
-	<-began
+	<-dialing
 	c.Close()
 	require.Eventually(t, func() bool { return r.server.Connections() == 0 }, 5*time.Second, time.Millisecond)
 	next := r.search(t, "/catalogue/_search", `{"size":3}`)
-	close(hold)
+	close(resumeDial)
 	assert.Equal(t, 200, next.ReadResponse().Status)
 	for _, s := range r.stores {
 		for len(s.Requests) > 0 {
@@ -425,7 +427,8 @@
 	}
 }
 
-// A process that was held up reads searches whose client has left meanwhile: see the platform's test of this name.
+// Guards against searches that are sent although their client disconnected before the request was read, which can happen when
+// the process was suspended.
 func TestRequestReadAfterItsClientHasDisconnectedIsNotSent(t *testing.T) {
 	r := startTestFront(t, 1000)
 	for target, body := range map[string]string{"/catalogue/_search": `{"size":7}`, "/_msearch": "{\"index\":\"catalogue\"}\n{\"size\":7}\n"} {
@@ -445,7 +448,7 @@
 	for _, c := range []struct {
 		target, body string
 		status       int
-		kind         string
+		errorType    string
 	}{
 		{"/nowhere/_search", `{}`, 404, "index_not_found_exception"},
 		{"/_search", `{}`, 404, "index_not_found_exception"},
@@ -466,13 +469,13 @@
 	} {
 		resp := r.search(t, c.target, c.body).ReadResponse()
 		assert.Equal(t, c.status, resp.Status, "%s %.30s", c.target, c.body)
-		assert.Equal(t, c.kind, decode(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
+		assert.Equal(t, c.errorType, decode(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
 	}
 	assert.Empty(t, r.stores[0].Requests)
 	assert.Empty(t, r.stores[1].Requests)
 }
 
-// What an instance could not serve is named before it is asked to.
+// Guards against terms that are accepted although the front cannot serve them. The error must say why.
 func TestTermsThatThisFrontCannotServe(t *testing.T) {
 	r := startTestFront(t, 1000)
 	for text, want := range map[string]string{
--- a/opensearch/request.go
+++ b/opensearch/request.go
@@ -9,20 +9,20 @@
 	"alderproxy/internal/jsonscan"
 )
 
-// maxResultWindow bounds from + size, as OpenSearch's index.max_result_window does.
+// maxResultWindow is the maximum of from + size, as OpenSearch's index.max_result_window is.
 const maxResultWindow = 10_000
 
-// searchRequest is the part of a search that the front interprets. The rest goes to the stores as the bytes that came.
+// searchRequest is the part of a search that the front interprets, and the body that it sends to the stores.
 type searchRequest struct {
 	from    int
 	size    int
 	sort    []sortKey
-	timeout time.Duration // 0: none was given
-	body    []byte        // for the stores: from 0, as many hits as the merge may need
+	timeout time.Duration // 0 if the search names none
+	body    []byte        // sent to the stores: asks for hits from 0 on, as many as the merge may need
 }
 
-// forwardedMembers names the members of a search body that every store can be given and whose results can be merged. Others
-// would need a merge of their own, so they are rejected rather than merged wrongly.
+// forwardedMembers is the set of members of a search body that are sent to every store unchanged, and whose results can be
+// merged. Others would need a merge of their own, so they are rejected rather than merged wrongly.
 var forwardedMembers = map[string]bool{
 	"query": true, "_source": true, "fields": true, "stored_fields": true,
 	"docvalue_fields": true, "script_fields": true, "highlight": true, "post_filter": true, "min_score": true,
@@ -30,10 +30,10 @@
 	"track_scores": true,
 }
 
-// defaultSize is the number of hits where a search names none.
+// defaultSize is the number of hits of a search that names none, as in OpenSearch.
 const defaultSize = 10
 
-// parseSearch reads a search body and the parameters of its URL, which take precedence.
+// parseSearch parses a search body and the parameters of its URL, which take precedence over the body.
 func parseSearch(body []byte, params map[string]string) (*searchRequest, error) {
 	s := &searchRequest{size: defaultSize, body: []byte{'{'}}
 	if len(bytes.TrimSpace(body)) == 0 {
@@ -49,7 +49,7 @@
 	}
 	resultWindow := s.from + s.size
 	if resultWindow > maxResultWindow {
-		return nil, fmt.Errorf("Result window is too large, from + size must be less than or equal to: [%d]", maxResultWindow) //nolint:revive,staticcheck // OpenSearch's own words
+		return nil, fmt.Errorf("Result window is too large, from + size must be less than or equal to: [%d]", maxResultWindow) //nolint:revive,staticcheck // OpenSearch's wording
 	}
 	s.body = appendMember(s.body, "from", []byte("0"))
 	s.body = appendMember(s.body, "size", strconv.AppendInt(nil, int64(resultWindow), 10))
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// parseMember reads one member of a search body.
+// parseMember parses one member of a search body.
 func (s *searchRequest) parseMember(key string, raw []byte) (err error) {
 	switch key {
 	case "from":
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// parseParam reads one parameter of the URL.
+// parseParam parses one parameter of the URL.
 func (s *searchRequest) parseParam(name, value string) (err error) {
 	switch name {
 	case "from":
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// appendMember appends a member to a JSON object that has been begun.
+// appendMember appends a member to a JSON object, of which to holds the opening brace and any members before.
 func appendMember(to []byte, key string, raw []byte) []byte {
 	if len(to) > 1 {
 		to = append(to, ',')
@@ -113,7 +113,7 @@
 	return append(to, raw...)
 }
 
-// parseCount reads a number of hits.
+// parseCount parses a number of hits.
 func parseCount(raw []byte) (int, error) {
 	count, err := jsonscan.Int(raw)
 	if err == nil && (count < 0 || count > maxResultWindow) {
--- a/opensearch/result.go
+++ b/opensearch/result.go
@@ -7,7 +7,7 @@
 	"alderproxy/internal/jsonscan"
 )
 
-// errPartMissing is wrapped by every reason for which a part is missing from a response with a success status.
+// errPartMissing is wrapped by the errors for responses that do not hold a complete result.
 var errPartMissing = errors.New("part is missing from a store's answer")
 
 // storeResult is the part of a store's response that the merge interprets.
@@ -19,22 +19,22 @@
 	maxScore    float64
 	hasMaxScore bool
 
-	failure      []byte // the error in the response; nil: none
+	failure      []byte // the response's error; nil if it has none
 	failedShards int64
 	timedOut     bool
 	hasShards    bool
 	hasHits      bool
 }
 
-// hit is one document, kept as the bytes that came.
+// hit is one document that was found: its JSON as received, and the values by which it is sorted.
 type hit struct {
 	raw   []byte
 	score float64
 	sort  [][]byte
 }
 
-// parseResult reads the response to a search. One with a failed shard, a timeout or an error in it gives an error that
-// wraps errPartMissing, whatever its status: an incomplete result must not pass for a complete one.
+// parseResult parses the body of a store's response. If the body reports an error, a failed shard or a timeout, or lacks its
+// shards or hits, it returns an error that wraps errPartMissing: an incomplete result must not be taken for a complete one.
 func parseResult(body []byte) (*storeResult, error) {
 	r := &storeResult{}
 	if err := jsonscan.Object(body, r.parseMember); err != nil {
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -16,10 +16,11 @@
 	"alderproxy/storepool"
 )
 
-// responseTimeout is how long clients may take to read their responses after the last query has ended.
+// responseTimeout limits the time that Shutdown waits after its cutoff for the last responses to be written and the connections to
+// be closed.
 const responseTimeout = 200 * time.Millisecond
 
-// Service is a running front with a broker of its own over its own stores.
+// Service is a running front with its own broker and its own stores.
 type Service struct {
 	broker   *broker.Broker
 	pool     *storepool.Pool
@@ -28,8 +29,8 @@
 	draining atomic.Bool
 }
 
-// Start starts the front by terms that Config.Terms has returned. When it returns, clients can connect. A gate says that the
-// terms come from the replicated configuration; nil: they are this instance's own.
+// Start starts a front that serves by terms which Config.Terms has returned. When it returns, clients can connect. A gate that is
+// not nil means that the terms come from the replicated configuration rather than from the instance's own document.
 func Start(c *Config, terms *broker.Terms, gate broker.Gate, log *logrus.Entry) (*Service, error) {
 	s := &Service{pool: storepool.New(c.Limits, codec{}, log)}
 	s.pool.UpdateEndpoints(c.Stores)
@@ -44,7 +45,7 @@
 	s.broker.UpdateEndpoints(endpoints)
 	if s.listener, err = new(net.ListenConfig).Listen(context.Background(), "tcp", c.Listen); err != nil {
 		s.broker.Close()
-		return nil, fmt.Errorf("opensearch: listen: %w", err)
+		return nil, fmt.Errorf("opensearch: cannot listen for clients: %w", err)
 	}
 	f := &front{broker: s.broker, replicatedConfig: gate != nil, queryIDPrefix: randomPrefix()}
 	f.ready = func() bool { return s.admits(gate) }
@@ -63,14 +64,14 @@
 	return s, nil
 }
 
-// randomPrefix returns a prefix of query ids that no other start of a front has.
+// randomPrefix returns a random prefix for the ids of queries. Other starts of a front have different ones.
 func randomPrefix() string {
 	var prefix [8]byte
-	_, _ = rand.Read(prefix[:]) // never fails, as its documentation says
+	_, _ = rand.Read(prefix[:]) // documented never to return an error
 	return fmt.Sprintf("%x-", prefix)
 }
 
-// admits reports whether queries are admitted now.
+// admits reports whether new queries are admitted now.
 func (s *Service) admits(gate broker.Gate) bool {
 	open := true
 	if gate != nil {
@@ -79,17 +80,17 @@
 	return open && !s.draining.Load()
 }
 
-// SetTerms has the front admit queries by other terms from now on. Queries that were admitted before keep theirs.
+// SetTerms makes the front admit queries by other terms from now on. Queries that were admitted before keep their terms.
 func (s *Service) SetTerms(t *broker.Terms) error { return s.broker.SetTerms(t) }
 
-// Version returns the version of the present terms.
+// Version returns the version of the current terms.
 func (s *Service) Version() uint64 { return s.broker.Terms().Version }
 
-// Addr returns the address on which clients are served.
+// Addr returns the address on which the front listens for clients.
 func (s *Service) Addr() string { return s.listener.Addr().String() }
 
-// Shutdown ends the front gracefully: new connections are accepted until serveUntil, and every admitted query has its
-// response by cutoff. It returns once that is done.
+// Shutdown stops the front gracefully. New connections are accepted until serveUntil, and every admitted query has its response
+// by cutoff. Shutdown blocks until the front has stopped.
 func (s *Service) Shutdown(serveUntil, cutoff time.Time) {
 	s.draining.Store(true)
 	s.server.DisableKeepAlive()
--- a/opensearch/sort.go
+++ b/opensearch/sort.go
@@ -9,14 +9,14 @@
 	"alderproxy/internal/jsonscan"
 )
 
-// sortKey is one key of a sort.
+// sortKey is one key of a search's sort order.
 type sortKey struct {
 	field        string
 	descending   bool
 	missingFirst bool
 }
 
-// parseSort reads a sort in any of its forms: a name, an object, or a list of these.
+// parseSort parses a sort in any of its forms: the name of a field, an object, or a list of these.
 func parseSort(raw []byte) ([]sortKey, error) {
 	var keys []sortKey
 	appendKeys := func(raw []byte) (err error) {
@@ -40,7 +40,7 @@
 	return keys, nil
 }
 
-// appendSortKeys reads the name of a field, or an object with one key for each field.
+// appendSortKeys parses the name of a field, or an object with a member for each field, and appends the sort keys.
 func appendSortKeys(keys []sortKey, raw []byte) ([]sortKey, error) {
 	if raw[0] == '"' {
 		name, err := jsonscan.String(raw)
@@ -55,12 +55,12 @@
 	return keys, err
 }
 
-// newSortKey returns a key in the field's default order.
+// newSortKey returns a key with the field's default order: descending for _score, else ascending.
 func newSortKey(field string) sortKey {
 	return sortKey{field: field, descending: field == "_score"}
 }
 
-// parse reads the order of a key, or an object with its options.
+// parse parses the order of a key, or an object with its options.
 func (k *sortKey) parse(raw []byte) error {
 	if raw[0] == '"' {
 		return k.parseOrder(raw)
@@ -71,7 +71,7 @@
 			return k.parseOrder(raw)
 		case "missing":
 			k.missingFirst = string(raw) == `"_first"`
-		case "mode", "unmapped_type", "format", "numeric_type": // the stores apply these
+		case "mode", "unmapped_type", "format", "numeric_type": // applied by the stores
 		default:
 			return unsupported("sort option " + option)
 		}
@@ -88,7 +88,7 @@
 	return err
 }
 
-// compare orders hits as the query asks: by its sort, or else by falling score.
+// compare compares hits by the search's sort, or by descending score if it has none.
 func (s *searchRequest) compare(x, y hit) int {
 	if len(s.sort) == 0 {
 		return cmp.Compare(y.score, x.score)
@@ -101,7 +101,8 @@
 	return 0
 }
 
-// compare orders two sort values. Missing ones come last unless the key has them come first, in either order.
+// compare compares two sort values of the key. Missing values come last, or first if missingFirst is set, whether the order is
+// ascending or descending.
 func (k *sortKey) compare(a, b []byte) int {
 	missingA, missingB := string(a) == "null", string(b) == "null"
 	switch {
@@ -118,8 +119,8 @@
 	return compareValues(a, b)
 }
 
-// compareValues compares sort values. Integers are compared as such: dates in nanoseconds and long ids differ where
-// floating-point numbers do not.
+// compareValues compares two sort values. Integers are compared as integers, since dates in nanoseconds and long ids that differ
+// can be equal as floating-point numbers.
 func compareValues(a, b []byte) int {
 	if a[0] == '"' || b[0] == '"' {
 		x, errX := jsonscan.String(a)
@@ -142,10 +143,10 @@
 	return cmp.Compare(x, y)
 }
 
-// maxIntegerDigits is how many decimal digits always fit into an int64.
+// maxIntegerDigits is the number of decimal digits that always fit into an int64.
 const maxIntegerDigits = 18
 
-// parseInteger reads an integer without fraction or exponent.
+// parseInteger parses a number without fraction and exponent, and reports whether raw is one of at most maxIntegerDigits digits.
 func parseInteger(raw []byte) (v int64, ok bool) {
 	digits, negative := bytes.CutPrefix(raw, []byte("-"))
 	if len(digits) == 0 || len(digits) > maxIntegerDigits {
--- a/opensearch/terms.go
+++ b/opensearch/terms.go
@@ -10,20 +10,20 @@
 	"alderproxy/storepool"
 )
 
-// Config is the configuration of the front itself. What it serves by comes from a document; see Terms.
+// Config is the configuration of the front on this instance. Its classes and indices come from a document; see Terms.
 type Config struct {
 	Listen         string
-	MaxConnections int // of clients
+	MaxConnections int // the maximum number of client connections
 	Limits         storepool.Limits
 	Stores         []storepool.Store
-	InstanceIndex  int // of this instance among those that share the stores' capacity
-	InstanceCount  int
-	// Quota returns the present index and count; nil: InstanceIndex and InstanceCount hold.
+	InstanceIndex  int // the index of this instance among those that share the stores' capacity
+	InstanceCount  int // the number of those instances
+	// Quota returns the current index and count. If it is nil, InstanceIndex and InstanceCount apply.
 	Quota func() (index, count int)
 }
 
-// Terms returns the terms by which the front serves a version of the document; version 0: the instance's own document. An
-// error says why it cannot.
+// Terms returns the terms by which the front serves a version of the document; version 0 is the instance's own document. It
+// returns an error if the front cannot serve it.
 func (c *Config) Terms(version uint64, d *document.Document) (*broker.Terms, error) {
 	instanceIndex, instanceCount := c.InstanceIndex, c.InstanceCount
 	if c.Quota != nil {
@@ -35,7 +35,7 @@
 	}
 	for _, store := range c.Stores {
 		if store.RingPosition >= terms.Settings.RingSize {
-			return nil, fmt.Errorf("store %s is in cell %d, and the layout has %d", store.Name, store.RingPosition, terms.Settings.RingSize)
+			return nil, fmt.Errorf("store %s is in cell %d, but the layout has only %d cells", store.Name, store.RingPosition, terms.Settings.RingSize)
 		}
 	}
 	served := indices{}
@@ -50,7 +50,7 @@
 	return terms, nil
 }
 
-// checkIndex returns an error where no store holds one of an index's shards.
+// checkIndex returns an error if one of an index's shards is held by no store.
 func (c *Config) checkIndex(settings policy.Settings, indexConfig document.Index) error {
 	for _, shard := range indexConfig.Shards {
 		holdsShard := func(store storepool.Store) bool {
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// unknownTermsTick is the tick of an instance without terms, in microseconds.
+// unknownTermsTick is the tick, in microseconds, of an instance that does not know the replicated configuration yet.
 const unknownTermsTick = 5000
 
-// UnknownTerms returns the terms of an instance that does not know the shared document yet. They have no index, so every
-// query is rejected.
+// UnknownTerms returns the terms of an instance that does not know the replicated configuration yet. They have no index, so
+// every search is rejected.
 func UnknownTerms() *broker.Terms {
 	settings := policy.Settings{
 		InstanceCount:     1,
--- a/opensearch/timevalue.go
+++ b/opensearch/timevalue.go
@@ -13,7 +13,7 @@
 	duration time.Duration
 }
 
-// timeUnits are in an order in which no suffix hides a longer one.
+// timeUnits are the units in an order in which each suffix is tried before its own suffixes, such as ms before s.
 var timeUnits = []timeUnit{
 	{"nanos", time.Nanosecond},
 	{"micros", time.Microsecond},
@@ -24,7 +24,7 @@
 	{"d", 24 * time.Hour},
 }
 
-// parseTimeValue reads a time value such as 500ms. A value of more than a day counts as a day.
+// parseTimeValue parses a time value such as 500ms. A time longer than a day counts as a day.
 func parseTimeValue(text string) (time.Duration, error) {
 	for _, unit := range timeUnits {
 		if digits, ok := strings.CutSuffix(text, unit.suffix); ok {
