--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -30,7 +30,7 @@
 }
 
 // framing returns the values of Content-Length and Transfer-Encoding, or empty strings for headers that the message lacks. It
-// rejects differing lengths: peers that each trusted another one would see different messages.
+// rejects differing lengths, since peers that use different ones would see different messages.
 func (h *head) framing() (length, coding string, err error) {
 	for _, f := range h.Header {
 		switch {
@@ -75,8 +75,8 @@
 	return fmt.Errorf("%w: body over %d bytes", ErrTooLarge, limit)
 }
 
-// ReadN appends the next n bytes of a stream to a slice. It allocates memory as bytes arrive, since a peer may announce a length
-// that it never sends. If the stream ends early, it returns io.ErrUnexpectedEOF.
+// ReadN appends the next n bytes of a stream to a slice. It allocates memory as bytes arrive, since a peer may announce a
+// length that it never sends. If the stream ends early, it returns io.ErrUnexpectedEOF.
 func ReadN(r io.Reader, to []byte, n int64) ([]byte, error) {
 	buf := bytes.NewBuffer(to)
 	if _, err := io.CopyN(buf, r, n); err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// readChunkSize reads the size line of a chunk, and rejects a chunk of more than remaining bytes. limit is the limit on the whole
-// body, for the error.
+// readChunkSize reads the size line of a chunk, and rejects a chunk of more than remaining bytes. limit is the limit on the
+// whole body, for the error.
 func (h *head) readChunkSize(r *bufio.Reader, remaining, limit int) (int64, error) {
 	text, err := h.readLine(r)
 	if err != nil {
--- a/httpwire/eviction.go
+++ b/httpwire/eviction.go
@@ -5,8 +5,9 @@
 const (
 	// idleEvictionAge is the idle time after which a connection may be evicted although the limit is not reached.
 	idleEvictionAge = 2200 * time.Millisecond
-	// incompleteEvictionAge is the time without a complete request after which a connection is evicted at the limit before those
-	// that are idle. It is also the time that an evicted connection has to complete a request of which a part has arrived.
+	// incompleteEvictionAge is the time without a complete request after which a connection is evicted at the limit before
+	// those that are idle. It is also the time that an evicted connection has to complete a request of which a part has
+	// arrived.
 	incompleteEvictionAge = 250 * time.Millisecond
 )
 
@@ -15,7 +16,7 @@
 
 const (
 	rankLongIdle   evictionRank = iota // idle for idleEvictionAge; the only rank that is evicted below the limit
-	rankClosing                        // its last response has been written
+	rankClosing                        // no further request is read from it
 	rankIncomplete                     // without a complete request for incompleteEvictionAge
 	rankIdle                           // idle for less than idleEvictionAge
 	rankRecent                         // without a complete request, for less than incompleteEvictionAge
@@ -40,9 +41,9 @@
 }
 
 // evictForNewConnection evicts the connection of the lowest rank, if any may be evicted, once half of the limit on connections
-// is reached. Clients that keep connections without using them would otherwise exclude others. With a limit of 0 it evicts any
-// connection without an open request. It reports whether there are fewer connections than the limit afterwards. The caller
-// holds the lock.
+// is reached. Clients that keep connections without using them would otherwise exclude others. With a limit of 0 every
+// connection without an open request may be evicted. It reports whether there are fewer connections than the limit afterwards.
+// The caller holds the lock.
 func (s *Server) evictForNewConnection(limit int) bool {
 	if len(s.connections) < limit/2 {
 		return true
@@ -83,8 +84,8 @@
 	}
 }
 
-// maxClosingConnections returns the maximum number of rejected or evicted connections that may be closing at a time. Each holds a
-// file descriptor beyond MaxConnections.
+// maxClosingConnections returns the maximum number of rejected or evicted connections that may be closing at a time. Each
+// holds a file descriptor beyond MaxConnections.
 func (s *Server) maxClosingConnections() int { return max(1, s.MaxConnections/8) }
 
 // removeConnection removes a connection, if present, from the server's connections. The caller holds the lock.
--- a/httpwire/exchange.go
+++ b/httpwire/exchange.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxPipelinedBytes is the size of the buffer for what a client sends while its request is open. Once it is
-	// full, all of that is discarded instead of being read as requests.
+	// maxPipelinedBytes is the size of the buffer for what a client sends while its request is open. Once it is full, all of
+	// that is discarded instead of being read as requests.
 	maxPipelinedBytes = 16 << 10
-	// discardChunk is the number of bytes that are discarded between two pauses. It is large enough that what the socket buffers
-	// of both sides hold (10 MB with usual settings) is read within some 50 ms, so that a close behind it is noticed in time.
-	// The pauses leave processor time to others if a client keeps sending.
+	// discardChunk is the number of bytes that are discarded between two pauses. It is large enough that what the socket
+	// buffers of both sides hold (10 MB with usual settings) is read within some 50 ms, so that a close behind it is noticed
+	// in time. The pauses leave processor time to others if a client keeps sending.
 	discardChunk = 512 << 10
 	// disconnectPollTimeout limits one wait for the client's disconnect. A wait that expires is repeated.
 	disconnectPollTimeout = time.Minute
@@ -30,7 +30,7 @@
 	stateReading                  // a request is being read
 	stateOpen                     // a request awaits its response; the connection is not evicted
 	stateIdle                     // between requests
-	stateClosing                  // the last response has been written
+	stateClosing                  // no further request is read
 )
 
 // Exchange is a connection with its current request. It is reused for the connection's next request.
@@ -121,8 +121,8 @@
 	}
 }
 
-// readAhead waits for bytes behind those that the client has pipelined, which would hide a disconnect. It keeps them for the next
-// requests up to maxPipelinedBytes, and discards them beyond that. Its error is that of the connection.
+// readAhead waits for bytes behind those that the client has pipelined, which would hide a disconnect. It keeps them for the
+// next requests up to maxPipelinedBytes, and discards them beyond that. Its error is that of the connection.
 func (x *Exchange) readAhead() error {
 	_, err := x.reader.Peek(x.reader.Buffered() + 1)
 	switch {
--- a/httpwire/linger.go
+++ b/httpwire/linger.go
@@ -23,9 +23,9 @@
 	x.conn.Close()
 }
 
-// linger shuts down the sending side of a connection, and reads and discards until the client has shut down its own side, has
-// sent nothing for lingerReadTimeout, or lingerTimeout has passed. Closing a connection with unread bytes would reset it, and
-// the client could lose a response that it has not read yet.
+// linger shuts down the sending side of a connection, and discards what arrives until the client has shut down its own side,
+// sends less than lingerChunk bytes within lingerReadTimeout, or lingerTimeout has passed. Closing a connection with unread
+// bytes would reset it, and the client could lose a response that it has not read yet.
 func linger(x *Exchange) {
 	tcp, ok := x.conn.(interface{ CloseWrite() error })
 	if !ok || tcp.CloseWrite() != nil {
--- a/httpwire/server.go
+++ b/httpwire/server.go
@@ -28,7 +28,7 @@
 	errConnectionEnds     = errors.New("the connection ends")
 )
 
-// Server serves HTTP with one goroutine per connection. Its exported fields must not be changed once Serve was called.
+// Server serves HTTP with one goroutine per connection. Its exported fields must not be changed after Serve was called.
 type Server struct {
 	// Handle answers a request. If it returns nil, because the client has disconnected, the connection is closed without a
 	// response.
@@ -38,7 +38,7 @@
 	RejectionBody func(status int, err error) []byte
 	Log           *logrus.Entry
 	// MaxConnections is the maximum number of open connections; 0 means no limit. From half of it on, each new connection
-	// evicts one that has been idle for idleEvictionAge, if there is one. At the limit it evicts any that has no open request;
+	// evicts one that has been idle for idleEvictionAge, if there is one. At the limit it evicts one that has no open request;
 	// if all have one, the new connection is rejected with a 503. Connections that were evicted or rejected don't count towards
 	// the limit while they close, and are closed at once if too many of them are closing; see maxClosingConnections.
 	MaxConnections int
--- a/httpwire/server_test.go
+++ b/httpwire/server_test.go
@@ -204,13 +204,13 @@
 	assert.True(t, s.Wait(5*time.Second))
 }
 
-// Guards against a disconnect that is detected late or not at all because the client has pipelined data, however much. Pipelined
-// requests are answered up to a limit; beyond it the connection closes after the response to the open request.
+// Guards against a disconnect that is detected late or not at all because the client has pipelined data, however much.
+// Pipelined requests are answered up to a limit; beyond it the connection closes after the response to the open request.
 func TestDisconnectBehindMuchPipelinedDataIsDetected(t *testing.T) {
 	for _, pipelined := range []int{0, 3 << 10, 6 << 10, 15 << 10, 40 << 10, 1 << 20, 8 << 20} {
-		// The disconnect must be detected within 0.1 s: no attempt may begin later than that. The server sets a deadline for each
-		// read, and pauses for 2 ms after each that discards data. Counting the deadlines, at 2 ms each, measures the time
-		// independently of the load on the machine.
+		// The disconnect must be detected within 0.1 s: no attempt may begin later than that. The server sets a deadline for
+		// each read, and pauses for 2 ms after each that discards data. Counting the deadlines, at 2 ms each, measures the
+		// time independently of the load on the machine.
 		var deadlines atomic.Int32
 		listener := newHookedListener(t, &hooks{aroundSetReadDeadline: func(_ time.Time, set func()) { deadlines.Add(1); set() }})
 		handling, disconnects := make(chan struct{}), make(chan bool, 1)
@@ -404,7 +404,7 @@
 	s := &httpwire.Server{Log: testserver.DiscardLog(), Handle: func(*httpwire.Exchange) *httpwire.Reply { return &httpwire.Reply{Status: 200} }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(listener) }()
-	resumeAccept <- struct{}{} // Serve has begun; its next Accept blocks
+	resumeAccept <- struct{}{} // Serve has begun, and may accept one connection
 	first := testserver.Dial(t, listener.Addr().String())
 	require.Eventually(t, func() bool {
 		select {
@@ -430,8 +430,8 @@
 	assert.True(t, s.Wait(5*time.Second))
 }
 
-// Guards against a client that does not read its response and thereby delays other clients, or the shutdown of the server beyond
-// WriteTimeout.
+// Guards against a client that does not read its response and thereby delays other clients, or the shutdown of the server
+// beyond WriteTimeout.
 func TestUnreadResponseDelaysNoOtherClient(t *testing.T) {
 	listener := newHookedListener(t, nil)
 	handling := make(chan struct{})
--- a/opensearch/codec.go
+++ b/opensearch/codec.go
@@ -35,7 +35,7 @@
 func (codec) AppendHealthCheck(to []byte) []byte { return to }
 
 // Read reads a response. A status 429 means that the store rejected the search before running it. A 200 whose body does
-// not hold a complete result, see parseResult, is a server error, as is any higher status. A status below 200 is malformed.
+// not hold a complete result (see parseResult) is a server error, as is any higher status. A status below 200 is malformed.
 func (codec) Read(r *bufio.Reader) (storepool.Message, error) {
 	resp, err := httpwire.ReadResponseUpTo(r, maxResponseBytes)
 	if err != nil {
--- a/opensearch/item.go
+++ b/opensearch/item.go
@@ -87,9 +87,9 @@
 	return it
 }
 
-// submitAndWait parses a request by the current terms, submits its items and waits until all have their responses. If the broker
-// rejects an item because the terms have changed since, that item is parsed and submitted again. The result is nil if the
-// client has disconnected.
+// submitAndWait parses a request by the current terms, submits its items and waits until all have their responses. If the
+// broker rejects an item because the terms have changed since, that item is parsed and submitted again. The result is nil if
+// the client has disconnected.
 func (f *front) submitAndWait(x *httpwire.Exchange, parse func(*broker.Terms) ([]*searchItem, error)) []*searchItem {
 	items, _ := parse(f.broker.Terms())
 	for {
--- a/opensearch/multisearch.go
+++ b/opensearch/multisearch.go
@@ -15,7 +15,8 @@
 // maxSearches is the maximum number of searches in one multi-search.
 const maxSearches = 100
 
-// handleMultiSearch answers a multi-search. Each of its searches is a query of its own, with its own class, admission and status.
+// handleMultiSearch answers a multi-search. Each of its searches is a query of its own, with its own class, admission and
+// status.
 func (f *front) handleMultiSearch(x *httpwire.Exchange, indexName string, params map[string]string) *httpwire.Reply {
 	for key := range params {
 		if key != "pretty" && key != "human" && key != "typed_keys" {
--- a/opensearch/service.go
+++ b/opensearch/service.go
@@ -16,8 +16,8 @@
 	"alderproxy/storepool"
 )
 
-// responseTimeout limits the time that Shutdown waits after its cutoff for the last responses to be written and the connections to
-// be closed.
+// responseTimeout limits the time that Shutdown waits after its cutoff for the last responses to be written and the
+// connections to be closed.
 const responseTimeout = 200 * time.Millisecond
 
 // Service is a running front with its own broker and its own stores.
@@ -29,8 +29,8 @@
 	draining atomic.Bool
 }
 
-// Start starts a front that serves by terms which Config.Terms has returned. When it returns, clients can connect. A gate that is
-// not nil means that the terms come from the replicated configuration rather than from the instance's own document.
+// Start starts a front that serves by terms which Config.Terms has returned. When it returns, clients can connect. A gate that
+// is not nil means that the terms come from the replicated configuration rather than from the instance's own document.
 func Start(c *Config, terms *broker.Terms, gate broker.Gate, log *logrus.Entry) (*Service, error) {
 	s := &Service{pool: storepool.New(c.Limits, codec{}, log)}
 	s.pool.UpdateEndpoints(c.Stores)
--- a/opensearch/sort.go
+++ b/opensearch/sort.go
@@ -119,8 +119,8 @@
 	return compareValues(a, b)
 }
 
-// compareValues compares two sort values. Integers are compared as integers, since dates in nanoseconds and long ids that differ
-// can be equal as floating-point numbers.
+// compareValues compares two sort values. Integers are compared as integers, since dates in nanoseconds and long ids that
+// differ can be equal as floating-point numbers.
 func compareValues(a, b []byte) int {
 	if a[0] == '"' || b[0] == '"' {
 		x, errX := jsonscan.String(a)
@@ -146,7 +146,8 @@
 // maxIntegerDigits is the number of decimal digits that always fit into an int64.
 const maxIntegerDigits = 18
 
-// parseInteger parses a number without fraction and exponent, and reports whether raw is one of at most maxIntegerDigits digits.
+// parseInteger parses a number without fraction and exponent, and reports whether raw is one of at most maxIntegerDigits
+// digits.
 func parseInteger(raw []byte) (v int64, ok bool) {
 	digits, negative := bytes.CutPrefix(raw, []byte("-"))
 	if len(digits) == 0 || len(digits) > maxIntegerDigits {
