--- a/opensearch/codec.go
+++ b/opensearch/codec.go
@@ -12,46 +12,46 @@
 	"alderproxy/storepool"
 )
 
-// maxResponseBytes bounds the body of a store's response.
+// maxResponseBytes is the maximum size of the body of a store's response.
 const maxResponseBytes = 4 << 20
 
-// codec writes searches to stores and reads their responses. HTTP/1.1 carries one search at a time on a connection, so
+// codec encodes searches for stores and decodes their responses. An HTTP/1.1 connection carries one search at a time, so
 // responses need no ids, and a search is canceled by closing its connection.
 type codec struct{}
 
-// AppendCall appends the search of one part. The settings allow one part a call.
-func (codec) AppendCall(to []byte, store storepool.Store, call []*broker.Attempt, now time.Time) []byte {
-	attempt := call[0]
+// AppendCall appends the search of one part. The settings allow only one part per call.
+func (codec) AppendCall(to []byte, store storepool.Store, attempts []*broker.Attempt, now time.Time) []byte {
+	attempt := attempts[0]
 	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false",
 		attempt.Query.FrontData.(*searchTarget).index, attempt.Shard, max(1, attempt.Deadline.Sub(now).Milliseconds()))
-	extra := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.WirePartID(attempt)}}
-	return httpwire.AppendRequest(to, http.MethodPost, target, store.Addr, extra, attempt.Query.Payload)
+	header := httpwire.Header{{Name: "X-Opaque-Id", Value: storepool.WirePartID(attempt)}}
+	return httpwire.AppendRequest(to, http.MethodPost, target, store.Addr, header, attempt.Query.Payload)
 }
 
 // AppendCancel appends nothing: a search is canceled by closing its connection.
 func (codec) AppendCancel(to []byte, _ string) []byte { return to }
 
-// AppendHealthCheck appends nothing: the API has no cheap request for a load report.
+// AppendHealthCheck appends nothing: the API has no cheap request that returns a load report.
 func (codec) AppendHealthCheck(to []byte) []byte { return to }
 
-// Read reads a response. A success whose body names a failed shard is a server error, as is any other status but 429, which
-// means that the store has rejected the search before it ran.
+// Read reads a response. A status 429 means that the store rejected the search before running it. A 200 whose body does
+// not hold a complete result (see parseResult) is a server error, as is any higher status. A status below 200 is malformed.
 func (codec) Read(r *bufio.Reader) (storepool.Message, error) {
 	resp, err := httpwire.ReadResponseUpTo(r, maxResponseBytes)
 	if err != nil {
 		return storepool.Message{}, err
 	}
-	outcome := broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport}
+	result := broker.AttemptResult{Status: policy.ServerError, Report: policy.NoLoadReport}
 	switch {
 	case resp.Status == http.StatusTooManyRequests:
-		outcome.Status = policy.Rejected
+		result.Status = policy.Rejected
 	case resp.Status == http.StatusOK:
 		if _, err := parseResult(resp.Body); err == nil {
-			outcome.Status = policy.OK
-			outcome.Body = resp.Body
+			result.Status = policy.OK
+			result.Body = resp.Body
 		}
 	case resp.Status < http.StatusOK:
 		return storepool.Message{}, fmt.Errorf("%w: status %d", storepool.ErrMalformed, resp.Status)
 	}
-	return storepool.Message{Kind: storepool.Answer, Closing: resp.Close, Result: outcome}, nil
+	return storepool.Message{Kind: storepool.Answer, Closing: resp.Close, Result: result}, nil
 }
--- a/opensearch/opensearch_test.go
+++ b/opensearch/opensearch_test.go
@@ -19,21 +19,22 @@
 	"alderproxy/storepool"
 )
 
-const docs = `
+// storedHits are the hits of the test stores: the number of a shard and the hit's JSON.
+const storedHits = `
 0 {"_id":"a","_score":1.5,"sort":[30,"x"]}
 0 {"_id":"b","_score":0.5,"sort":[10,"y"]}
 1 {"_id":"c","_score":1.0,"sort":[20,null]}
 1 {"_id":"d","_score":0.2,"sort":[10,"z"]}
 `
 
-// rig is a front over two stores that hold every slice.
-type rig struct {
+// testFront is a front with two stores that hold every shard.
+type testFront struct {
 	*Service
 	config *Config
 	stores [2]*testserver.Store
 }
 
-// documentTemplate are the shared sections of all tests.
+// documentTemplate is the document of most tests, without its max_open.
 const documentTemplate = `
 [layout]
 slices = 2
@@ -55,14 +56,14 @@
 slices = 0, 1
 `
 
-func startRig(t *testing.T, maxOpen int) *rig {
+func startTestFront(t *testing.T, maxOpen int) *testFront {
 	t.Helper()
-	r := &rig{config: &Config{
+	r := &testFront{config: &Config{
 		Listen: "127.0.0.1:0", MaxConnections: 256, InstanceCount: 1,
 		Limits: storepool.Limits{MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000, IdleTimeout: 15_000_000},
 	}}
 	for i := range r.stores {
-		r.stores[i] = testserver.NewSearchStore(t, docs)
+		r.stores[i] = testserver.NewSearchStore(t, storedHits)
 		r.config.Stores = append(r.config.Stores, storepool.Store{
 			Name: fmt.Sprint("s-", i), Addr: r.stores[i].Addr,
 			Endpoint: policy.Endpoint{ID: uint32(i + 1), State: policy.Ready, Capacity: 1},
@@ -75,7 +76,7 @@
 	return r
 }
 
-func (r *rig) terms(t *testing.T, version uint64, text string) *broker.Terms {
+func (r *testFront) terms(t *testing.T, version uint64, text string) *broker.Terms {
 	t.Helper()
 	d, err := document.Parse("test", text)
 	require.NoError(t, err)
@@ -84,14 +85,14 @@
 	return terms
 }
 
-func (r *rig) search(t *testing.T, target, body string) *testserver.Client {
+func (r *testFront) search(t *testing.T, target, body string) *testserver.Client {
 	t.Helper()
 	c := testserver.Dial(t, r.Addr())
 	c.SendRequest("POST", target, body)
 	return c
 }
 
-// responseBody is what the tests look at in a response.
+// responseBody is the part of a response's body that the tests check.
 type responseBody struct {
 	Status int
 	Error  struct{ Type, Reason string }
@@ -109,6 +110,7 @@
 	Responses []responseBody
 }
 
+// ids returns the ids of the hits, concatenated.
 func (a responseBody) ids() (ids string) {
 	for _, h := range a.Hits.Hits {
 		ids += h.ID
@@ -123,14 +125,14 @@
 }
 
 func TestMerge(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, c := range []struct{ name, query, body, ids string }{
 		{"by score", "", `{"query":{"match_all":{}}}`, "acbd"},
 		{"empty body", "", ``, "acbd"},
 		{"size", "", `{"size":2}`, "ac"},
 		{"from and size", "", `{"from":1,"size":2}`, "cb"},
-		{"the URL wins", "?size=1&from=3", `{"size":2}`, "d"},
-		{"beyond the end", "", `{"from":9}`, ""},
+		{"parameters of the URL take precedence", "?size=1&from=3", `{"size":2}`, "d"},
+		{"from beyond the last hit", "", `{"from":9}`, ""},
 		{"sort ascending", "", `{"sort":["price","name"]}`, "bdca"},
 		{"sort descending", "", `{"sort":[{"price":"desc"},{"name":{"order":"desc"}}]}`, "acdb"},
 		{"missing last", "", `{"sort":[{"x":{"missing":"_last"}}],"track_total_hits":true}`, "bdca"},
@@ -147,7 +149,7 @@
 }
 
 func TestStoresGetTheQueryAsItCame(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	query := `{"match" : {"name":"éß \u00e9"}}`
 	require.Equal(t, 200, r.search(t, "/catalogue/_search", `{"from":5,"size":3,"query":`+query+`}`).ReadResponse().Status)
 	var part string
@@ -159,15 +161,15 @@
 	assert.Contains(t, part, "\n"+`{"query":`+query+`,"from":0,"size":8}`)
 }
 
-// The same faults as on the platform's path, with the same outcomes. A success status with a failed shard or a
-// time-out in it is a missing part and never a whole answer.
+// Guards against a fault of a store that spoils a response although another replica has no fault, or that yields a wrong status
+// if all have it. A 200 with a failed shard or a timeout in it must count as a missing part, not as an answer.
 func TestFaults(t *testing.T) {
 	for _, c := range testserver.FaultCases {
 		for both, want := range map[bool]int{false: c.OneReplicaStatus, true: c.OpenSearchStatus} {
 			t.Run(fmt.Sprintf("%s/both=%v", c.Fault, both), func(t *testing.T) {
 				t.Parallel()
-				r := startRig(t, 1000)
-				for range 6 { // until the decisions know what is late
+				r := startTestFront(t, 1000)
+				for range 6 { // enough latencies to decide when an attempt is late
 					require.Equal(t, 200, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status)
 				}
 				r.stores[0].SetFault(c.Fault)
@@ -190,10 +192,10 @@
 	}
 }
 
-// A class that takes half of its parts is answered from these, and the answer tells of the failed shard.
+// Guards against a partial response that does not count the shard that failed, in a class for which half of the parts suffice.
 func TestPartialResponseCountsTheFailedShard(t *testing.T) {
 	for _, fault := range []testserver.Fault{testserver.ServerError, testserver.Partial, testserver.TimedOut} {
-		r := startRig(t, 1000)
+		r := startTestFront(t, 1000)
 		for _, s := range r.stores {
 			s.SetShardFault(1, fault)
 		}
@@ -207,7 +209,7 @@
 }
 
 func TestMultiSearchMixesClasses(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	resp := r.search(t, "/_msearch", strings.Join([]string{
 		`{"index":"catalogue"}`, `{"size":1}`,
 		`{"index":"nowhere"}`, `{}`,
@@ -228,10 +230,10 @@
 	}
 }
 
-// Each item has a budget of its own: one that finds no room is refused while the other is out. The stores
-// say nothing, since a first item that was answered quickly would leave room for the second.
+// Guards against a multi-search that is rejected as a whole when only one of its searches exceeds max_open. The stores don't
+// respond, since a first search that is answered quickly would make room for the second.
 func TestMultiSearchItemIsRejectedAlone(t *testing.T) {
-	r := startRig(t, 3)
+	r := startTestFront(t, 3)
 	for _, s := range r.stores {
 		s.SetFault(testserver.Unresponsive)
 	}
@@ -243,14 +245,14 @@
 	assert.Equal(t, "2", resp.Header.Get("Retry-After"))
 }
 
-// A change of terms takes effect at once, and what was taken before is answered as it was taken.
-func TestTermsChangeUnderWay(t *testing.T) {
-	r := startRig(t, 1000)
+// Guards against a change of terms that does not apply to the next search, or that affects a search admitted before.
+func TestTermsChangeDuringASearch(t *testing.T) {
+	r := startTestFront(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.HoldAnswers())
 	}
-	before := r.search(t, "/catalogue/_search", `{}`)
+	pending := r.search(t, "/catalogue/_search", `{}`)
 	testserver.NextRequest(t, r.stores[0])
 	require.NoError(t, r.SetTerms(r.terms(t, 2, `
 [layout]
@@ -263,22 +265,22 @@
 class = sales/lookup
 slices = 0-1
 `)))
-	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status, "the index is no more")
+	assert.Equal(t, 404, r.search(t, "/catalogue/_search", `{}`).ReadResponse().Status, "the index has been removed")
 	for _, f := range release {
 		f()
 	}
-	assert.Equal(t, 200, before.ReadResponse().Status)
+	assert.Equal(t, 200, pending.ReadResponse().Status)
 	assert.Equal(t, 200, r.search(t, "/sales/_search", `{}`).ReadResponse().Status)
 	assert.Equal(t, uint64(2), r.Version())
 }
 
-// Changes under load: every search has one answer, none of them refused for the change.
+// Guards against searches that are lost or rejected because the terms change while they are parsed and submitted.
 func TestSearchesWhileTermsChangeQuickly(t *testing.T) {
-	// Times that no pause of a busy machine reaches: otherwise an honest 429 or 504 would fail the test.
+	// A busy machine does not reach these times; otherwise a correct 429 or 504 would fail the test.
 	text := strings.NewReplacer("600ms", "20s", "2s", "30s").Replace(documentTemplate)
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	require.NoError(t, r.SetTerms(r.terms(t, 1, fmt.Sprintf(text, 1000))))
-	for _, s := range r.stores { // what comes there is of no matter, and a full channel would hold the store up
+	for _, s := range r.stores { // not checked, but a full channel would block the store
 		go func() {
 			for range s.Requests {
 			}
@@ -287,39 +289,39 @@
 	done := make(chan map[int]int)
 	for range 4 {
 		go func() {
-			c, count := testserver.Dial(t, r.Addr()), map[int]int{}
+			c, statuses := testserver.Dial(t, r.Addr()), map[int]int{}
 			for range 100 {
 				c.SendRequest("POST", "/_msearch", "{\"index\":\"catalogue\"}\n{}\n{\"index\":\"families\"}\n{}\n")
-				var a responseBody
-				assert.NoError(t, json.Unmarshal(c.ReadResponse().Body, &a))
-				for _, item := range a.Responses {
-					count[item.Status]++
+				var response responseBody
+				assert.NoError(t, json.Unmarshal(c.ReadResponse().Body, &response))
+				for _, item := range response.Responses {
+					statuses[item.Status]++
 				}
 			}
-			done <- count
+			done <- statuses
 		}()
 	}
-	sum, version := map[int]int{}, uint64(1)
-	for n := 0; n < 4; {
+	totals, version := map[int]int{}, uint64(1)
+	for finished := 0; finished < 4; {
 		select {
-		case count := <-done:
-			n++
-			for status, k := range count {
-				sum[status] += k
+		case statuses := <-done:
+			finished++
+			for status, responses := range statuses {
+				totals[status] += responses
 			}
 		case <-time.After(time.Millisecond):
 			version++
 			require.NoError(t, r.SetTerms(r.terms(t, version, fmt.Sprintf(text, 500+version%2))))
 		}
 	}
-	assert.Equal(t, map[int]int{200: 800}, sum)
-	assert.Greater(t, version, uint64(20), "the test saw no changes")
+	assert.Equal(t, map[int]int{200: 800}, totals)
+	assert.Greater(t, version, uint64(20), "too few changes of the terms during the searches")
 }
 
-// Where the agreement does not hold, new searches are refused at once, with word when to come back.
+// Guards against searches that are admitted while the gate is closed. They must be rejected at once, with a Retry-After.
 func TestClosedGate(t *testing.T) {
-	r := &rig{}
-	s := testserver.NewSearchStore(t, docs)
+	r := &testFront{}
+	s := testserver.NewSearchStore(t, storedHits)
 	r.config = &Config{Listen: "127.0.0.1:0", InstanceCount: 1, Limits: storepool.Limits{
 		MaxInFlight: 1, MaxConnections: 16, ConnectTimeout: 250_000,
 		IdleTimeout: 15_000_000,
@@ -346,7 +348,7 @@
 }
 
 func TestShutdownAnswersAcceptedSearches(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	var release []func()
 	for _, s := range r.stores {
 		release = append(release, s.HoldAnswers())
@@ -357,7 +359,7 @@
 	now := time.Now()
 	go func() { r.Shutdown(now.Add(300*time.Millisecond), now.Add(2*time.Second)); close(stopped) }()
 	require.Eventually(t, r.draining.Load, 5*time.Second, time.Millisecond)
-	late := testserver.Dial(t, r.Addr()) // still served for a moment
+	late := testserver.Dial(t, r.Addr()) // accepted until serveUntil
 	late.SendRequest("GET", "/healthz", "")
 	assert.Equal(t, 503, late.ReadResponse().Status)
 	for _, f := range release {
@@ -370,7 +372,7 @@
 }
 
 func TestRejection(t *testing.T) {
-	r := startRig(t, 3)
+	r := startTestFront(t, 3)
 	for _, s := range r.stores {
 		defer s.HoldAnswers()()
 	}
@@ -386,7 +388,7 @@
 }
 
 func TestTimeoutOfTheQueryIsItsDeadline(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, s := range r.stores {
 		defer s.HoldAnswers()()
 	}
@@ -395,7 +397,7 @@
 }
 
 func TestClientThatDisconnectsCancelsItsSearches(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, s := range r.stores {
 		s.SetFault(testserver.Unresponsive)
 	}
@@ -405,21 +407,21 @@
 	<-r.stores[0].Closed
 }
 
-// A client leaves while its searches wait for a connection to come up: they never go out.
+// Guards against searches that are sent although their client has disconnected while they waited for a connection to a store.
 func TestSearchesOfAClientThatDisconnectedAreNotSentOnALateConnection(t *testing.T) {
-	r := startRig(t, 1000)
-	began, hold := make(chan struct{}, 64), make(chan struct{})
+	r := startTestFront(t, 1000)
+	dialing, resumeDial := make(chan struct{}, 64), make(chan struct{})
 	r.pool.SetDialer(func(addr string, limit time.Duration) (net.Conn, error) {
-		began <- struct{}{}
-		<-hold
+		dialing <- struct{}{}
+		<-resumeDial
 		return (&net.Dialer{Timeout: limit}).Dial("tcp", addr)
 	})
 	c := r.search(t, "/_msearch", "{\"index\":\"catalogue\"}\n{\"size\":7}\n{\"index\":\"families\"}\n{\"size\":7}\n")
-	<-began
+	<-dialing
 	c.Close()
 	require.Eventually(t, func() bool { return r.server.Connections() == 0 }, 5*time.Second, time.Millisecond)
 	next := r.search(t, "/catalogue/_search", `{"size":3}`)
-	close(hold)
+	close(resumeDial)
 	assert.Equal(t, 200, next.ReadResponse().Status)
 	for _, s := range r.stores {
 		for len(s.Requests) > 0 {
@@ -428,9 +430,10 @@
 	}
 }
 
-// A process that was held up reads searches whose client has left meanwhile: see the platform's test of this name.
+// Guards against searches that are sent although their client disconnected before the request was read, which can happen when
+// the process was suspended.
 func TestRequestReadAfterItsClientHasDisconnectedIsNotSent(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for target, body := range map[string]string{"/catalogue/_search": `{"size":7}`, "/_msearch": "{\"index\":\"catalogue\"}\n{\"size\":7}\n"} {
 		release := testserver.SendAndDisconnect(t, r.server.Handle, func(c *testserver.Client) { c.SendRequest("POST", target, body) })
 		assert.Equal(t, 200, r.search(t, "/catalogue/_search", `{"size":3}`).ReadResponse().Status)
@@ -444,11 +447,11 @@
 }
 
 func TestBadRequestsReachNoStore(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for _, c := range []struct {
 		target, body string
 		status       int
-		kind         string
+		errorType    string
 	}{
 		{"/nowhere/_search", `{}`, 404, "index_not_found_exception"},
 		{"/_search", `{}`, 404, "index_not_found_exception"},
@@ -469,15 +472,15 @@
 	} {
 		resp := r.search(t, c.target, c.body).ReadResponse()
 		assert.Equal(t, c.status, resp.Status, "%s %.30s", c.target, c.body)
-		assert.Equal(t, c.kind, decode(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
+		assert.Equal(t, c.errorType, decode(t, resp.Body).Error.Type, "%s %.30s", c.target, c.body)
 	}
 	assert.Empty(t, r.stores[0].Requests)
 	assert.Empty(t, r.stores[1].Requests)
 }
 
-// What an instance could not serve is named before it is asked to.
+// Guards against terms that are accepted although the front cannot serve them. The error must say why.
 func TestTermsThatThisFrontCannotServe(t *testing.T) {
-	r := startRig(t, 1000)
+	r := startTestFront(t, 1000)
 	for text, want := range map[string]string{
 		"[layout]\nslices = 2\ncells = 2\n[class a]\naim = 1s\ngive_up = 2s\n[index i]\nclass = a\nslices = 0-1\n": "index i: no store here holds slice 1",
 		"[layout]\nslices = 2\n": "Classes is empty",
