--- a/broker/broker.go
+++ b/broker/broker.go
@@ -76,8 +76,8 @@
 	timers timerHeap
 	// drainDeadline is when a drain ends every open query; zero while there is none.
 	drainDeadline time.Time
-	expiryLog     ratelog.Line
-	sendErrorLog  ratelog.Line
+	expiryLog     ratelog.Limiter
+	sendErrorLog  ratelog.Limiter
 }
 
 // New checks the terms and starts a broker. It returns the error of Terms.Check or of policy.New.
--- a/httpwire/server.go
+++ b/httpwire/server.go
@@ -55,7 +55,7 @@
 	connections map[*Exchange]struct{}
 	closing     int // connections beyond these that are rejected or were evicted
 	idleCount   int // of connections, those between requests
-	warnings    ratelog.Line
+	warnings    ratelog.Limiter
 	listener    net.Listener
 
 	keepAliveDisabled atomic.Bool // each response closes its connection
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -9,15 +9,15 @@
 // Interval is the least time between two lines of one Line.
 const Interval = time.Second
 
-// Line is one kind of log line. Its zero value is ready, and any goroutine may use it.
-type Line struct {
+// Limiter is one kind of log line. Its zero value is ready, and any goroutine may use it.
+type Limiter struct {
 	mu      sync.Mutex
 	next    time.Time // from when on the line may be written again
 	omitted int
 }
 
 // Due reports whether the line may be written now, and how many lines were omitted since the last one.
-func (l *Line) Due(now time.Time) (omitted int, due bool) {
+func (l *Limiter) Due(now time.Time) (omitted int, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Before(l.next) {
--- a/peer/endpoint.go
+++ b/peer/endpoint.go
@@ -33,7 +33,7 @@
 	config   Config
 	listener net.Listener // nil: answers no calls
 	handlers map[byte]Handler
-	warning  ratelog.Line
+	warning  ratelog.Limiter
 
 	mu             sync.Mutex
 	idle           map[Target][]*clientConn // most recently used last
--- a/raftnode/raft_log.go
+++ b/raftnode/raft_log.go
@@ -14,7 +14,7 @@
 // many, and all others as debug lines.
 type raftLogWriter struct {
 	log    *logrus.Entry
-	errors ratelog.Line
+	errors ratelog.Limiter
 }
 
 // newRaftLogger returns a logger for Raft that writes to the instance's log.
--- a/storepool/endpoints.go
+++ b/storepool/endpoints.go
@@ -34,7 +34,7 @@
 	connections []*connection
 	// brokenAt is when a connection last broke with attempts in flight.
 	brokenAt time.Time
-	closeLog ratelog.Line
+	closeLog ratelog.Limiter
 }
 
 // UpdateEndpoints replaces the endpoint list. It must be called before the broker learns of the list. Calls that wait to be
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -118,7 +118,7 @@
 
 // remove takes a closed connection out of the pool. broken reports that attempts in flight were lost. It returns the log
 // line for closed connections to the store, which is limited in rate, or nil if the store is no longer listed.
-func (p *Pool) remove(closed *connection, broken bool) *ratelog.Line {
+func (p *Pool) remove(closed *connection, broken bool) *ratelog.Limiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.retiring, closed); i >= 0 {
