--- a/peer/client.go
+++ b/peer/client.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	conn.lastCall++
-	answer, err := conn.call(Frame{Kind: kind, Call: conn.lastCall, Body: body}, stream, deadline)
+	answer, err := conn.call(Frame{Kind: kind, CallID: conn.lastCall, Body: body}, stream, deadline)
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -76,7 +76,7 @@
 		return Frame{}, err
 	}
 	if stream != nil {
-		if err := writeStream(c, request.Call, stream); err != nil {
+		if err := writeStream(c, request.CallID, stream); err != nil {
 			return Frame{}, err
 		}
 	}
@@ -86,10 +86,10 @@
 			return Frame{}, err
 		}
 		isAnswer := answer.Kind == frameResult || answer.Kind == frameError
-		if answer.Call > request.Call || !isAnswer {
-			return Frame{}, fmt.Errorf("%w: answers call %d with kind %d", ErrFrame, answer.Call, answer.Kind)
+		if answer.CallID > request.CallID || !isAnswer {
+			return Frame{}, fmt.Errorf("%w: answers call %d with kind %d", ErrInvalidFrame, answer.CallID, answer.Kind)
 		}
-		if answer.Call == request.Call {
+		if answer.CallID == request.CallID {
 			return answer, nil
 		}
 		// A smaller id is a duplicate of an earlier answer.
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// MaxFrame is the largest payload of a frame, in bytes.
-const MaxFrame = 8 << 20
+// MaxBodySize is the largest payload of a frame, in bytes.
+const MaxBodySize = 8 << 20
 
 // Sizes of the fields of a frame's header, in bytes: payload length, kind and call id, in this order.
 const (
@@ -31,19 +31,19 @@
 
 // Frame is one message on a connection.
 type Frame struct {
-	Kind byte
-	Call uint64 // id of the call that the frame belongs to; 0 in a handshake
-	Body []byte
+	Kind   byte
+	CallID uint64 // id of the call that the frame belongs to; 0 in a handshake
+	Body   []byte
 }
 
-// ErrFrame is wrapped by the errors about frames that violate the protocol.
-var ErrFrame = errors.New("malformed frame")
+// ErrInvalidFrame is wrapped by the errors about frames that violate the protocol.
+var ErrInvalidFrame = errors.New("malformed frame")
 
 // Append appends the encoded frame to a buffer.
 func (f Frame) Append(buffer []byte) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(f.Body)))
 	buffer = append(buffer, f.Kind)
-	buffer = binary.BigEndian.AppendUint64(buffer, f.Call)
+	buffer = binary.BigEndian.AppendUint64(buffer, f.CallID)
 	return append(buffer, f.Body...)
 }
 
@@ -55,8 +55,8 @@
 		return Frame{}, err
 	}
 	length := binary.BigEndian.Uint32(header[:frameLengthSize])
-	if length > MaxFrame {
-		return Frame{}, fmt.Errorf("%w: %d bytes", ErrFrame, length)
+	if length > MaxBodySize {
+		return Frame{}, fmt.Errorf("%w: %d bytes", ErrInvalidFrame, length)
 	}
 	var body bytes.Buffer
 	if _, err := io.CopyN(&body, r, int64(length)); err != nil {
@@ -66,8 +66,8 @@
 		return Frame{}, err
 	}
 	return Frame{
-		Kind: header[frameLengthSize],
-		Call: binary.BigEndian.Uint64(header[frameLengthSize+frameKindSize:]),
-		Body: body.Bytes(),
+		Kind:   header[frameLengthSize],
+		CallID: binary.BigEndian.Uint64(header[frameLengthSize+frameKindSize:]),
+		Body:   body.Bytes(),
 	}, nil
 }
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -11,7 +11,7 @@
 
 // The bytes on the wire are part of the protocol: instances of different versions talk to each other.
 func TestFrameEncoding(t *testing.T) {
-	encoded := Frame{Kind: 0x1f, Call: 0x0102, Body: []byte("abc")}.Append([]byte("before"))
+	encoded := Frame{Kind: 0x1f, CallID: 0x0102, Body: []byte("abc")}.Append([]byte("before"))
 	assert.Equal(t, "before\x00\x00\x00\x03\x1f\x00\x00\x00\x00\x00\x00\x01\x02abc", string(encoded))
 	kinds := []byte{frameHello, frameStreamChunk, frameResult, frameError}
 	assert.Equal(t, []byte{0x01, 0x02, 0x80, 0x81}, kinds)
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -78,7 +78,7 @@
 	}
 	var hello Hello
 	if frame.Kind != frameHello || json.Unmarshal(frame.Body, &hello) != nil || hello.Proto != protocolVersion {
-		return hello, fmt.Errorf("%w: no valid handshake message", ErrFrame)
+		return hello, fmt.Errorf("%w: no valid handshake message", ErrInvalidFrame)
 	}
 	return hello, nil
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -113,10 +113,10 @@
 	}
 	handler := e.handlers[request.Kind]
 	if handler == nil {
-		return fmt.Errorf("%w: kind %d from %s", ErrFrame, request.Kind, clientID)
+		return fmt.Errorf("%w: kind %d from %s", ErrInvalidFrame, request.Kind, clientID)
 	}
-	body, err := handler(clientID, request.Body, &streamReader{frames: reader, call: request.Call})
-	answer := newAnswer(request.Call, body, err)
+	body, err := handler(clientID, request.Body, &streamReader{frames: reader, call: request.CallID})
+	answer := newAnswer(request.CallID, body, err)
 	conn.SetWriteDeadline(time.Now().Add(answerTimeout))
 	if _, err := conn.Write(answer.Append(nil)); err != nil {
 		return fmt.Errorf("to %s: %w", clientID, err)
@@ -126,12 +126,12 @@
 
 // newAnswer returns the frame that answers a call with what its handler returned.
 func newAnswer(call uint64, body []byte, err error) Frame {
-	answer := Frame{Kind: frameResult, Call: call, Body: body}
+	answer := Frame{Kind: frameResult, CallID: call, Body: body}
 	if err != nil {
 		answer.Kind = frameError
 		answer.Body = []byte(err.Error())
 	}
-	if len(answer.Body) > MaxFrame {
+	if len(answer.Body) > MaxBodySize {
 		answer.Kind = frameError
 		answer.Body = []byte("the answer is too long")
 	}
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -21,7 +21,7 @@
 			return err
 		}
 		binary.BigEndian.PutUint64(buffer, sequence)
-		chunk := Frame{Kind: frameStreamChunk, Call: call, Body: buffer[:streamSequenceSize+length]}
+		chunk := Frame{Kind: frameStreamChunk, CallID: call, Body: buffer[:streamSequenceSize+length]}
 		if _, err := w.Write(chunk.Append(nil)); err != nil {
 			return err
 		}
@@ -63,13 +63,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if frame.Kind != frameStreamChunk || frame.Call != s.call || len(frame.Body) < streamSequenceSize {
-		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrFrame)
+	if frame.Kind != frameStreamChunk || frame.CallID != s.call || len(frame.Body) < streamSequenceSize {
+		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrInvalidFrame)
 	}
 	sequence, chunk := binary.BigEndian.Uint64(frame.Body), frame.Body[streamSequenceSize:]
 	switch {
 	case sequence > s.sequence:
-		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrFrame)
+		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrInvalidFrame)
 	case sequence < s.sequence:
 		return nil, nil
 	case len(chunk) == 0:
--- a/peer/stream_test.go
+++ b/peer/stream_test.go
@@ -12,7 +12,7 @@
 func TestStreamReader(t *testing.T) {
 	const call = 7
 	chunk := func(sequence byte, text string) Frame {
-		return Frame{Kind: frameStreamChunk, Call: call, Body: append([]byte{0, 0, 0, 0, 0, 0, 0, sequence}, text...)}
+		return Frame{Kind: frameStreamChunk, CallID: call, Body: append([]byte{0, 0, 0, 0, 0, 0, 0, sequence}, text...)}
 	}
 	for name, test := range map[string]struct {
 		frames  []Frame
@@ -23,8 +23,8 @@
 		"duplicates": {[]Frame{chunk(0, "ab"), chunk(0, "ab"), chunk(1, "c"), chunk(1, "c"), chunk(2, "")}, "abc", false},
 		"missing":    {[]Frame{chunk(0, "ab"), chunk(2, "")}, "ab", true},
 		"truncated":  {[]Frame{chunk(0, "ab")}, "ab", true},
-		"other call": {[]Frame{{Kind: frameStreamChunk, Call: call + 1, Body: make([]byte, 9)}}, "", true},
-		"too short":  {[]Frame{{Kind: frameStreamChunk, Call: call}}, "", true},
+		"other call": {[]Frame{{Kind: frameStreamChunk, CallID: call + 1, Body: make([]byte, 9)}}, "", true},
+		"too short":  {[]Frame{{Kind: frameStreamChunk, CallID: call}}, "", true},
 	} {
 		var wire []byte
 		for _, frame := range test.frames {
