--- a/gossip/counts.go
+++ b/gossip/counts.go
@@ -60,26 +60,26 @@
 	defer n.mu.Unlock()
 	n.lastDropErr = err
 	n.lastDropFrom = from
-	n.dropped.add(err)
+	n.dropCounts.add(err)
 }
 
 // dropLog limits the rate of log messages about dropped datagrams.
 type dropLog struct {
-	logged   DropCounts
-	loggedAt time.Time
+	loggedCounts DropCounts
+	loggedAt     time.Time
 }
 
 // logDrops logs the counts of dropped datagrams if they have changed and the last log message is old enough.
 func (n *Node) logDrops(log *dropLog) {
 	n.mu.Lock()
-	dropped := n.dropped
+	dropped := n.dropCounts
 	err := n.lastDropErr
 	from := n.lastDropFrom
 	n.mu.Unlock()
-	if dropped == log.logged || time.Since(log.loggedAt) < dropLogInterval {
+	if dropped == log.loggedCounts || time.Since(log.loggedAt) < dropLogInterval {
 		return
 	}
-	log.logged = dropped
+	log.loggedCounts = dropped
 	log.loggedAt = time.Now()
 	n.config.Log.WithFields(logrus.Fields{
 		"malformed":    dropped.Malformed,
--- a/gossip/error_queue.go
+++ b/gossip/error_queue.go
@@ -25,7 +25,7 @@
 	// Control fails on a closed socket only, which has no errors to read.
 	_ = n.rawConn.Control(func(fd uintptr) { destinations = readErrorQueue(int(fd)) })
 	for _, destination := range destinations {
-		n.enqueue(membership.PortUnreachable{Addr: destination}, destination)
+		n.enqueueReceived(membership.PortUnreachable{Addr: destination}, destination)
 	}
 }
 
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -60,7 +60,7 @@
 
 	mu           sync.Mutex
 	viewChanged  chan struct{} // closed when the view changes
-	dropped      DropCounts
+	dropCounts   DropCounts
 	lastDropErr  error
 	lastDropFrom netip.AddrPort
 }
@@ -123,12 +123,12 @@
 }
 
 // PublishFact publishes or withdraws a fact of this member; see membership.FactKey.
-func (n *Node) PublishFact(fact membership.PublishFact) { n.command(fact) }
+func (n *Node) PublishFact(fact membership.PublishFact) { n.enqueueCommand(fact) }
 
 // Leave announces the planned departure of this member. The node answers until it is closed.
-func (n *Node) Leave() { n.command(membership.Leave{}) }
+func (n *Node) Leave() { n.enqueueCommand(membership.Leave{}) }
 
-func (n *Node) command(event membership.Event) {
+func (n *Node) enqueueCommand(event membership.Event) {
 	select {
 	case n.commands <- event:
 	case <-n.stopping:
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -32,12 +32,12 @@
 			n.recordDrop(from, err)
 			continue
 		}
-		n.enqueue(membership.MessageReceived{From: from, Message: message}, from)
+		n.enqueueReceived(membership.MessageReceived{From: from, Message: message}, from)
 	}
 }
 
-// enqueue queues an event from the network, or drops it if the queue is full.
-func (n *Node) enqueue(event membership.Event, from netip.AddrPort) {
+// enqueueReceived queues an event from the network, or drops it if the queue is full.
+func (n *Node) enqueueReceived(event membership.Event, from netip.AddrPort) {
 	select {
 	case n.received <- event:
 	default:
--- a/gossip/run.go
+++ b/gossip/run.go
@@ -62,7 +62,7 @@
 		n.carryOut(action, &counts)
 	}
 	n.mu.Lock()
-	counts.DropCounts = n.dropped
+	counts.DropCounts = n.dropCounts
 	n.mu.Unlock()
 	counts.Duplicates = n.group.Duplicates()
 	n.counts.Store(&counts)
@@ -73,7 +73,7 @@
 	case membership.SendMessage:
 		n.send(action, counts)
 	case membership.ViewChanged:
-		n.changeView(action.View)
+		n.publishView(action.View)
 	case membership.NameTaken:
 		n.nameTakenBy.Store(&action.OwnerAddr)
 		n.config.Log.WithField("by", action.OwnerAddr.String()).Error("another instance has this one's name: it is no member until it starts again under another")
@@ -99,8 +99,8 @@
 	counts.SentBytes += uint64(len(datagram))
 }
 
-// changeView publishes a new view and notifies those who wait for a change.
-func (n *Node) changeView(view membership.View) {
+// publishView publishes a new view and notifies those who wait for a change.
+func (n *Node) publishView(view membership.View) {
 	previous := n.view.Swap(&view)
 	n.mu.Lock()
 	close(n.viewChanged)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -12,9 +12,9 @@
 func Now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil { // it does not fail on Linux
-		return time.Since(startedAt).Microseconds()
+		return time.Since(processStart).Microseconds()
 	}
 	return t.Nano() / 1000
 }
 
-var startedAt = time.Now()
+var processStart = time.Now()
--- a/peer/client.go
+++ b/peer/client.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	clientReadBuffer = 64 << 10 // bytes
-	maxIdleConns     = 4        // connections kept open to one instance
-	maxIdleTime      = idleTimeout / 2
-	// livenessWait bounds the read that shows whether an idle connection is still open.
-	livenessWait = 50 * time.Microsecond
+	clientReadBufferSize = 64 << 10 // bytes
+	maxIdleConns         = 4        // connections kept open to one instance
+	maxIdleTime          = idleTimeout / 2
+	// livenessTimeout bounds the read that shows whether an idle connection is still open.
+	livenessTimeout = 50 * time.Microsecond
 )
 
 // Errors of calls.
@@ -34,9 +34,9 @@
 // clientConn is a connection that this instance dialed. One goroutine at a time uses it.
 type clientConn struct {
 	net.Conn
-	reader   *bufio.Reader
-	lastCall uint64    // id of the newest call
-	lastUsed time.Time // end of the newest call
+	reader     *bufio.Reader
+	lastCallID uint64    // id of the newest call
+	lastUsed   time.Time // end of the newest call
 }
 
 // Call makes a call and returns the result. stream, if not nil, is sent behind the body. The other instance may have
@@ -47,17 +47,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	conn.lastCall++
-	answer, err := conn.call(Frame{Kind: kind, CallID: conn.lastCall, Body: body}, stream, deadline)
+	conn.lastCallID++
+	response, err := conn.call(Frame{Kind: kind, CallID: conn.lastCallID, Body: body}, stream, deadline)
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
 	e.release(target, conn)
-	if answer.Kind == frameError {
-		return nil, fmt.Errorf("%w: %s", ErrRemote, answer.Body)
+	if response.Kind == frameError {
+		return nil, fmt.Errorf("%w: %s", ErrRemote, response.Body)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
 // Identify returns the handshake message of the instance at an address.
@@ -81,16 +81,16 @@
 		}
 	}
 	for {
-		answer, err := ReadFrame(c.reader)
+		response, err := ReadFrame(c.reader)
 		if err != nil {
 			return Frame{}, err
 		}
-		isAnswer := answer.Kind == frameResult || answer.Kind == frameError
-		if answer.CallID > request.CallID || !isAnswer {
-			return Frame{}, fmt.Errorf("%w: answers call %d with kind %d", ErrInvalidFrame, answer.CallID, answer.Kind)
+		isResponse := response.Kind == frameResult || response.Kind == frameError
+		if response.CallID > request.CallID || !isResponse {
+			return Frame{}, fmt.Errorf("%w: answers call %d with kind %d", ErrInvalidFrame, response.CallID, response.Kind)
 		}
-		if answer.CallID == request.CallID {
-			return answer, nil
+		if response.CallID == request.CallID {
+			return response, nil
 		}
 		// A smaller id is a duplicate of an earlier answer.
 	}
@@ -113,11 +113,11 @@
 	if e.closed {
 		return nil, net.ErrClosed
 	}
-	for len(e.idle[target]) > 0 {
-		conns := e.idle[target]
+	for len(e.idleConns[target]) > 0 {
+		conns := e.idleConns[target]
 		last := len(conns) - 1
 		conn := conns[last]
-		e.idle[target] = conns[:last]
+		e.idleConns[target] = conns[:last]
 		if time.Since(conn.lastUsed) < maxIdleTime && conn.alive() {
 			return conn, nil
 		}
@@ -128,7 +128,7 @@
 
 // alive reports whether an idle connection is open as far as this side knows. It hardly waits.
 func (c *clientConn) alive() bool {
-	c.SetReadDeadline(time.Now().Add(livenessWait))
+	c.SetReadDeadline(time.Now().Add(livenessTimeout))
 	_, err := c.reader.Peek(1)
 	var netError net.Error
 	return err == nil || errors.As(err, &netError) && netError.Timeout()
@@ -138,12 +138,12 @@
 func (e *Endpoint) release(target Target, conn *clientConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || len(e.idle[target]) >= maxIdleConns {
+	if e.closed || len(e.idleConns[target]) >= maxIdleConns {
 		conn.Close()
 		return
 	}
 	conn.lastUsed = time.Now()
-	e.idle[target] = append(e.idle[target], conn)
+	e.idleConns[target] = append(e.idleConns[target], conn)
 }
 
 // dial opens a connection and completes the handshake. It returns the server's handshake message.
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, Hello{}, err
 	}
-	conn := &clientConn{Conn: netConn, reader: bufio.NewReaderSize(netConn, clientReadBuffer)}
+	conn := &clientConn{Conn: netConn, reader: bufio.NewReaderSize(netConn, clientReadBufferSize)}
 	server, err := e.clientHandshake(conn, target, deadline)
 	if err != nil {
 		conn.Close()
--- a/peer/endpoint.go
+++ b/peer/endpoint.go
@@ -33,11 +33,11 @@
 	config   Config
 	listener net.Listener // nil: answers no calls
 	handlers map[byte]Handler
-	warning  ratelog.Limiter
+	warnings ratelog.Limiter
 
 	mu             sync.Mutex
-	idle           map[Target][]*clientConn // most recently used last
-	accepted       map[net.Conn]bool
+	idleConns      map[Target][]*clientConn // most recently used last
+	acceptedConns  map[net.Conn]bool
 	nonMemberConns int // accepted connections of instances that are no members
 	closed         bool
 	goroutines     sync.WaitGroup
@@ -46,9 +46,9 @@
 // New returns an endpoint that makes calls and answers none.
 func New(config Config) *Endpoint {
 	return &Endpoint{
-		config:   config,
-		idle:     map[Target][]*clientConn{},
-		accepted: map[net.Conn]bool{},
+		config:        config,
+		idleConns:     map[Target][]*clientConn{},
+		acceptedConns: map[net.Conn]bool{},
 	}
 }
 
@@ -79,15 +79,15 @@
 	if e.listener != nil {
 		e.listener.Close()
 	}
-	for conn := range e.accepted {
+	for conn := range e.acceptedConns {
 		conn.Close()
 	}
-	for _, conns := range e.idle {
+	for _, conns := range e.idleConns {
 		for _, conn := range conns {
 			conn.Close()
 		}
 	}
-	e.idle = map[Target][]*clientConn{}
+	e.idleConns = map[Target][]*clientConn{}
 }
 
 // warn logs what any peer can cause, with a bounded rate.
@@ -98,7 +98,7 @@
 	if closed {
 		return
 	}
-	if _, due := e.warning.Due(time.Now()); due {
+	if _, due := e.warnings.Due(time.Now()); due {
 		e.config.Log.WithError(err).Warn(message)
 	}
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -15,8 +15,8 @@
 const (
 	frameLengthSize = 4
 	frameKindSize   = 1
-	frameCallSize   = 8
-	frameHeaderSize = frameLengthSize + frameKindSize + frameCallSize
+	frameCallIDSize = 8
+	frameHeaderSize = frameLengthSize + frameKindSize + frameCallIDSize
 )
 
 // Frame kinds of the protocol itself. The kinds between frameStreamChunk and frameResult are kinds of calls.
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -23,10 +23,10 @@
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"proto":1,"group":"g","from":"a","to":"b","nonce":"n","proof":"p","error":"e"}`, string(encoded))
 	endpoint := New(Config{Key: []byte("key")})
-	const answersProof = "d124ee10cddc43dde93cf35fbff325366741f676cc202c1698e50fd1e8a6cbf1"
-	const dialsProof = "dcc0870f6aac68637882f1caaa93dc89706ecb4a68a19dabe3fc5cd388b84f19"
-	assert.Equal(t, answersProof, endpoint.proof(serverProof, "nonces"))
-	assert.Equal(t, dialsProof, endpoint.proof(clientProof, "nonces"))
+	const wantServerProof = "d124ee10cddc43dde93cf35fbff325366741f676cc202c1698e50fd1e8a6cbf1"
+	const wantClientProof = "dcc0870f6aac68637882f1caaa93dc89706ecb4a68a19dabe3fc5cd388b84f19"
+	assert.Equal(t, wantServerProof, endpoint.proof(serverProof, "nonces"))
+	assert.Equal(t, wantClientProof, endpoint.proof(clientProof, "nonces"))
 }
 
 func FuzzReadFrame(f *testing.F) {
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -115,15 +115,15 @@
 	if err != nil {
 		return "", err
 	}
-	answer := Hello{Proto: protocolVersion, Group: e.config.Group(), From: e.config.ID, Nonce: newNonce()}
-	answer.Error = e.rejection(client, answer.Group)
-	nonces := client.Nonce + answer.Nonce
-	answer.Proof = e.proof(serverProof, nonces)
-	if err := writeHello(conn, answer); err != nil {
+	response := Hello{Proto: protocolVersion, Group: e.config.Group(), From: e.config.ID, Nonce: newNonce()}
+	response.Error = e.rejectionReason(client, response.Group)
+	nonces := client.Nonce + response.Nonce
+	response.Proof = e.proof(serverProof, nonces)
+	if err := writeHello(conn, response); err != nil {
 		return "", err
 	}
-	if answer.Error != "" {
-		return "", fmt.Errorf("%w: from %s: %s", ErrHandshakeRejected, client.From, answer.Error)
+	if response.Error != "" {
+		return "", fmt.Errorf("%w: from %s: %s", ErrHandshakeRejected, client.From, response.Error)
 	}
 	confirmation, err := readHello(r)
 	if err != nil {
@@ -135,8 +135,8 @@
 	return client.From, nil
 }
 
-// rejection returns why a client's first message is rejected by an instance of a group, or an empty string.
-func (e *Endpoint) rejection(client Hello, group string) string {
+// rejectionReason returns why a client's first message is rejected by an instance of a group, or an empty string.
+func (e *Endpoint) rejectionReason(client Hello, group string) string {
 	switch {
 	case client.To != "" && client.To != e.config.ID:
 		return fmt.Sprintf("%s is meant and %s is here", client.To, e.config.ID)
--- a/peer/server.go
+++ b/peer/server.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// serverReadBuffer is small, in bytes, because there may be thousands of connections. Longer reads bypass it.
-	serverReadBuffer  = 4 << 10
-	idleTimeout       = 30 * time.Second // of a connection without a call
-	serverCallTimeout = 30 * time.Second // from the first byte of a call until its stream has been read
-	answerTimeout     = 2 * time.Second  // to write an answer
-	acceptRetryDelay  = 10 * time.Millisecond
+	// serverReadBufferSize is small, in bytes, because there may be thousands of connections. Longer reads bypass it.
+	serverReadBufferSize = 4 << 10
+	idleTimeout          = 30 * time.Second // of a connection without a call
+	serverCallTimeout    = 30 * time.Second // from the first byte of a call until its stream has been read
+	responseTimeout      = 2 * time.Second  // to write an answer
+	acceptRetryDelay     = 10 * time.Millisecond
 )
 
 const (
@@ -51,10 +51,10 @@
 func (e *Endpoint) register(conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || len(e.accepted) >= maxConns {
+	if e.closed || len(e.acceptedConns) >= maxConns {
 		return false
 	}
-	e.accepted[conn] = true
+	e.acceptedConns[conn] = true
 	e.goroutines.Add(1)
 	return true
 }
@@ -62,7 +62,7 @@
 func (e *Endpoint) unregister(conn net.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.accepted, conn)
+	delete(e.acceptedConns, conn)
 }
 
 func (e *Endpoint) handleConnection(conn net.Conn) {
@@ -76,7 +76,7 @@
 
 // serve answers the calls on a connection until it ends.
 func (e *Endpoint) serve(conn net.Conn) error {
-	reader := bufio.NewReaderSize(conn, serverReadBuffer)
+	reader := bufio.NewReaderSize(conn, serverReadBufferSize)
 	clientID, err := e.serverHandshake(conn, reader)
 	if errors.Is(err, io.EOF) {
 		return nil // a client's Identify ends here
@@ -85,10 +85,10 @@
 		return err
 	}
 	if e.config.IsMember != nil && !e.config.IsMember(clientID) {
-		if !e.reserveNonMember() {
+		if !e.reserveNonMemberConn() {
 			return fmt.Errorf("%w: from %s: too many connections of instances that are no members", ErrHandshakeRejected, clientID)
 		}
-		defer e.releaseNonMember()
+		defer e.releaseNonMemberConn()
 	}
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTimeout))
@@ -115,31 +115,31 @@
 	if handler == nil {
 		return fmt.Errorf("%w: kind %d from %s", ErrInvalidFrame, request.Kind, clientID)
 	}
-	body, err := handler(clientID, request.Body, &streamReader{frames: reader, call: request.CallID})
-	answer := newAnswer(request.CallID, body, err)
-	conn.SetWriteDeadline(time.Now().Add(answerTimeout))
-	if _, err := conn.Write(answer.Append(nil)); err != nil {
+	body, err := handler(clientID, request.Body, &streamReader{frames: reader, callID: request.CallID})
+	response := newResponse(request.CallID, body, err)
+	conn.SetWriteDeadline(time.Now().Add(responseTimeout))
+	if _, err := conn.Write(response.Append(nil)); err != nil {
 		return fmt.Errorf("to %s: %w", clientID, err)
 	}
 	return nil
 }
 
-// newAnswer returns the frame that answers a call with what its handler returned.
-func newAnswer(call uint64, body []byte, err error) Frame {
-	answer := Frame{Kind: frameResult, CallID: call, Body: body}
+// newResponse returns the frame that answers a call with what its handler returned.
+func newResponse(callID uint64, body []byte, err error) Frame {
+	response := Frame{Kind: frameResult, CallID: callID, Body: body}
 	if err != nil {
-		answer.Kind = frameError
-		answer.Body = []byte(err.Error())
+		response.Kind = frameError
+		response.Body = []byte(err.Error())
 	}
-	if len(answer.Body) > MaxBodySize {
-		answer.Kind = frameError
-		answer.Body = []byte("the answer is too long")
+	if len(response.Body) > MaxBodySize {
+		response.Kind = frameError
+		response.Body = []byte("the answer is too long")
 	}
-	return answer
+	return response
 }
 
-// reserveNonMember reports whether an instance that is no member may have one more connection, and counts it if so.
-func (e *Endpoint) reserveNonMember() bool {
+// reserveNonMemberConn reports whether an instance that is no member may have one more connection, and counts it if so.
+func (e *Endpoint) reserveNonMemberConn() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.nonMemberConns >= maxNonMemberConns {
@@ -149,7 +149,7 @@
 	return true
 }
 
-func (e *Endpoint) releaseNonMember() {
+func (e *Endpoint) releaseNonMemberConn() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.nonMemberConns--
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -13,7 +13,7 @@
 )
 
 // writeStream sends a call's stream in chunks.
-func writeStream(w io.Writer, call uint64, stream io.Reader) error {
+func writeStream(w io.Writer, callID uint64, stream io.Reader) error {
 	buffer := make([]byte, streamSequenceSize+streamChunkSize)
 	for sequence := uint64(0); ; sequence++ {
 		length, err := io.ReadFull(stream, buffer[streamSequenceSize:])
@@ -21,7 +21,7 @@
 			return err
 		}
 		binary.BigEndian.PutUint64(buffer, sequence)
-		chunk := Frame{Kind: frameStreamChunk, CallID: call, Body: buffer[:streamSequenceSize+length]}
+		chunk := Frame{Kind: frameStreamChunk, CallID: callID, Body: buffer[:streamSequenceSize+length]}
 		if _, err := w.Write(chunk.Append(nil)); err != nil {
 			return err
 		}
@@ -34,11 +34,11 @@
 // streamReader reads a call's stream from its chunks. Duplicates of earlier chunks are skipped; a missing chunk is an
 // error.
 type streamReader struct {
-	frames   io.Reader
-	call     uint64
-	sequence uint64 // of the next chunk
-	unread   []byte // of the current chunk
-	err      error  // sticky
+	frames       io.Reader
+	callID       uint64
+	nextSequence uint64 // of the next chunk
+	unread       []byte // of the current chunk
+	err          error  // sticky
 }
 
 // Read implements io.Reader.
@@ -63,18 +63,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if frame.Kind != frameStreamChunk || frame.CallID != s.call || len(frame.Body) < streamSequenceSize {
+	if frame.Kind != frameStreamChunk || frame.CallID != s.callID || len(frame.Body) < streamSequenceSize {
 		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrInvalidFrame)
 	}
 	sequence, chunk := binary.BigEndian.Uint64(frame.Body), frame.Body[streamSequenceSize:]
 	switch {
-	case sequence > s.sequence:
+	case sequence > s.nextSequence:
 		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrInvalidFrame)
-	case sequence < s.sequence:
+	case sequence < s.nextSequence:
 		return nil, nil
 	case len(chunk) == 0:
 		return nil, io.EOF
 	}
-	s.sequence++
+	s.nextSequence++
 	return chunk, nil
 }
--- a/peer/stream_test.go
+++ b/peer/stream_test.go
@@ -10,9 +10,9 @@
 
 // A duplicate chunk is skipped, and a missing chunk is an error and not the end of the stream.
 func TestStreamReader(t *testing.T) {
-	const call = 7
+	const callID = 7
 	chunk := func(sequence byte, text string) Frame {
-		return Frame{Kind: frameStreamChunk, CallID: call, Body: append([]byte{0, 0, 0, 0, 0, 0, 0, sequence}, text...)}
+		return Frame{Kind: frameStreamChunk, CallID: callID, Body: append([]byte{0, 0, 0, 0, 0, 0, 0, sequence}, text...)}
 	}
 	for name, test := range map[string]struct {
 		frames  []Frame
@@ -23,14 +23,14 @@
 		"duplicates": {[]Frame{chunk(0, "ab"), chunk(0, "ab"), chunk(1, "c"), chunk(1, "c"), chunk(2, "")}, "abc", false},
 		"missing":    {[]Frame{chunk(0, "ab"), chunk(2, "")}, "ab", true},
 		"truncated":  {[]Frame{chunk(0, "ab")}, "ab", true},
-		"other call": {[]Frame{{Kind: frameStreamChunk, CallID: call + 1, Body: make([]byte, 9)}}, "", true},
-		"too short":  {[]Frame{{Kind: frameStreamChunk, CallID: call}}, "", true},
+		"other call": {[]Frame{{Kind: frameStreamChunk, CallID: callID + 1, Body: make([]byte, 9)}}, "", true},
+		"too short":  {[]Frame{{Kind: frameStreamChunk, CallID: callID}}, "", true},
 	} {
 		var wire []byte
 		for _, frame := range test.frames {
 			wire = frame.Append(wire)
 		}
-		got, err := io.ReadAll(&streamReader{frames: bytes.NewReader(wire), call: call})
+		got, err := io.ReadAll(&streamReader{frames: bytes.NewReader(wire), callID: callID})
 		assert.Equal(t, test.want, string(got), name)
 		assert.Equal(t, test.wantErr, err != nil, name)
 	}
