--- a/peer/client.go
+++ b/peer/client.go
@@ -11,23 +11,25 @@
 
 const (
 	clientReadBufferSize = 64 << 10 // bytes
-	maxIdleConns         = 4        // connections kept open to one instance
-	maxIdleTime          = idleTimeout / 2
-	// livenessTimeout bounds the read that shows whether an idle connection is still open.
+	maxIdleConns         = 4        // idle connections kept open per target
+	// maxIdleTime is the time after which an idle connection is no longer used. It is shorter than idleTimeout, after
+	// which the server closes the connection.
+	maxIdleTime = idleTimeout / 2
+	// livenessTimeout limits the read that checks whether an idle connection is still open.
 	livenessTimeout = 50 * time.Microsecond
 )
 
 // Errors of calls.
 var (
-	// ErrNotSent is wrapped by errors of calls that the other instance has not received.
-	ErrNotSent = errors.New("never sent")
-	// ErrRemote is wrapped by errors that the other instance's handler returned.
-	ErrRemote = errors.New("the other instance says")
+	// ErrNotSent is wrapped by the errors of calls that failed before the request was sent.
+	ErrNotSent = errors.New("request not sent")
+	// ErrRemote is wrapped by the errors that the other instance sent in place of a result, such as its handler's.
+	ErrRemote = errors.New("remote error")
 )
 
-// Target is the instance that a call goes to.
+// Target is the destination of a call.
 type Target struct {
-	ID   string // empty: any instance at the address
+	ID   string // id of the instance; empty accepts any instance at the address
 	Addr string // host:port
 }
 
@@ -35,17 +37,17 @@
 type clientConn struct {
 	net.Conn
 	reader     *bufio.Reader
-	lastCallID uint64    // id of the newest call
-	lastUsed   time.Time // end of the newest call
+	lastCallID uint64    // id of the most recent call
+	lastUsed   time.Time // time at which the most recent call ended
 }
 
-// Call makes a call and returns the result. stream, if not nil, is sent behind the body. The other instance may have
-// handled the call unless the error is an ErrNotSent.
+// Call makes a call of the given kind and returns the body of the response. stream, if not nil, is sent after the body.
+// Unless the error wraps ErrNotSent, the other instance may have handled the call.
 func (e *Endpoint) Call(target Target, kind byte, body []byte, stream io.Reader, timeout time.Duration) ([]byte, error) {
 	deadline := time.Now().Add(timeout)
 	conn, err := e.connection(target, deadline)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, target.Addr, err)
 	}
 	conn.lastCallID++
 	response, err := conn.call(Frame{Kind: kind, CallID: conn.lastCallID, Body: body}, stream, deadline)
@@ -60,7 +62,7 @@
 	return response.Body, nil
 }
 
-// Identify returns the handshake message of the instance at an address.
+// Identify performs a handshake with the instance at an address and returns that instance's handshake message.
 func (e *Endpoint) Identify(addr string, timeout time.Duration) (Hello, error) {
 	conn, hello, err := e.dial(Target{Addr: addr}, time.Now().Add(timeout))
 	if err == nil {
@@ -69,7 +71,7 @@
 	return hello, err
 }
 
-// call sends a request and reads its answer: a result or an error frame.
+// call sends a request and returns its response, a result or an error frame.
 func (c *clientConn) call(request Frame, stream io.Reader, deadline time.Time) (Frame, error) {
 	c.SetDeadline(deadline)
 	if _, err := c.Write(request.Append(nil)); err != nil {
@@ -87,16 +89,16 @@
 		}
 		isResponse := response.Kind == frameResult || response.Kind == frameError
 		if response.CallID > request.CallID || !isResponse {
-			return Frame{}, fmt.Errorf("%w: answers call %d with kind %d", ErrInvalidFrame, response.CallID, response.Kind)
+			return Frame{}, fmt.Errorf("%w: expected a response to call %d, got a frame of kind %d for call %d", ErrInvalidFrame, request.CallID, response.Kind, response.CallID)
 		}
 		if response.CallID == request.CallID {
 			return response, nil
 		}
-		// A smaller id is a duplicate of an earlier answer.
+		// A response with a smaller id is a duplicate of an earlier call's.
 	}
 }
 
-// connection returns an idle connection or dials one.
+// connection returns an idle connection to the target, or dials a new one.
 func (e *Endpoint) connection(target Target, deadline time.Time) (*clientConn, error) {
 	conn, err := e.idleConnection(target)
 	if conn != nil || err != nil {
@@ -106,7 +108,8 @@
 	return conn, err
 }
 
-// idleConnection returns the most recently used idle connection that is still open, or nil.
+// idleConnection returns the most recently used idle connection to the target that is still usable, or nil if there is
+// none. It closes the unusable ones that it finds. It fails if the endpoint is closed.
 func (e *Endpoint) idleConnection(target Target) (*clientConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,7 +129,8 @@
 	return nil, nil
 }
 
-// alive reports whether an idle connection is open as far as this side knows. It hardly waits.
+// alive reports whether an idle connection is open as far as this side can tell: whether a read returns data, or times
+// out after livenessTimeout.
 func (c *clientConn) alive() bool {
 	c.SetReadDeadline(time.Now().Add(livenessTimeout))
 	_, err := c.reader.Peek(1)
@@ -134,7 +138,7 @@
 	return err == nil || errors.As(err, &netError) && netError.Timeout()
 }
 
-// release keeps a connection for further calls, or closes it if there are enough.
+// release makes a connection available to further calls, or closes it if there are maxIdleConns idle ones already.
 func (e *Endpoint) release(target Target, conn *clientConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,7 +150,8 @@
 	e.idleConns[target] = append(e.idleConns[target], conn)
 }
 
-// dial opens a connection and completes the handshake. It returns the server's handshake message.
+// dial opens a connection and completes the handshake. It also returns the server's handshake message, as far as it was
+// received.
 func (e *Endpoint) dial(target Target, deadline time.Time) (*clientConn, Hello, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	netConn, err := dialer.Dial("tcp", target.Addr)
--- a/peer/endpoint.go
+++ b/peer/endpoint.go
@@ -1,5 +1,6 @@
-// Package peer carries calls between the instances of a group over TCP. Frames follow a handshake, in which each side
-// gives its id and its group, names the instance that it wants and proves that it knows the group's key.
+// Package peer carries RPCs between the instances of a group over TCP. A connection starts with a handshake: both sides
+// state their ids and groups, the client names the instance that it wants to reach, and each side proves that it knows
+// the group's key if there is one. Frames with requests and responses follow.
 package peer
 
 import (
@@ -13,37 +14,39 @@
 	"alderproxy/internal/ratelog"
 )
 
-// Handler answers a call of one kind. clientID is the caller's id, stream is what the caller sent behind the body; it
-// must not be read after the handler has returned. The caller gets the text of an error as an ErrRemote.
+// Handler handles a call of one kind and returns the body of the response. clientID is the caller's id. stream returns
+// the bytes that the caller sends after the request. It must not be read after the handler has returned, nor for kinds
+// of calls without a stream. The caller receives the text of an error, wrapped in ErrRemote.
 type Handler func(clientID string, body []byte, stream io.Reader) ([]byte, error)
 
 // Config configures an Endpoint.
 type Config struct {
-	ID    string        // of this instance
-	Group func() string // this instance's current group; empty: a member of no group yet
-	Key   []byte        // shared by the group; empty: the group has no key
+	ID    string        // id of this instance
+	Group func() string // returns the group of this instance; empty before it has joined one
+	Key   []byte        // shared secret of the group; empty if the group has none
 	Log   *logrus.Entry
-	// IsMember reports whether an instance with a valid handshake is a member of the group. Connections of other instances
-	// have a limit of their own, so that members always find a free connection. Nil: every instance counts as a member.
+	// IsMember reports whether an instance that has completed the handshake is a member of the group. Connections from
+	// other instances have a separate limit, which leaves capacity for members. If IsMember is nil, every instance is
+	// treated as a member.
 	IsMember func(id string) bool
 }
 
-// Endpoint makes calls to other instances and answers theirs. It is safe for concurrent use.
+// Endpoint makes calls to other instances and serves calls from them. It is safe for concurrent use.
 type Endpoint struct {
 	config   Config
-	listener net.Listener // nil: answers no calls
+	listener net.Listener // nil if the endpoint serves no calls
 	handlers map[byte]Handler
 	warnings ratelog.Limiter
 
 	mu             sync.Mutex
 	idleConns      map[Target][]*clientConn // most recently used last
 	acceptedConns  map[net.Conn]bool
-	nonMemberConns int // accepted connections of instances that are no members
+	nonMemberConns int // accepted connections from instances that are not members
 	closed         bool
 	goroutines     sync.WaitGroup
 }
 
-// New returns an endpoint that makes calls and answers none.
+// New returns an endpoint that makes calls and serves none.
 func New(config Config) *Endpoint {
 	return &Endpoint{
 		config:        config,
@@ -52,8 +55,8 @@
 	}
 }
 
-// Listen returns an endpoint that makes calls and answers those that arrive at a listener. handlers has the handler of
-// each kind of call. The endpoint closes the listener.
+// Listen returns an endpoint that makes calls and serves the calls that arrive at the listener, with the handler of
+// their kind. The endpoint takes ownership of the listener.
 func Listen(config Config, listener net.Listener, handlers map[byte]Handler) *Endpoint {
 	e := New(config)
 	e.listener = listener
@@ -63,10 +66,11 @@
 	return e
 }
 
-// Addr returns the address of the listener.
+// Addr returns the address of the listener. The endpoint must have been created by Listen.
 func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
 
-// Close closes all connections and waits until all handlers have returned.
+// Close closes the listener and all accepted and idle connections, and waits until all handlers have returned. It does
+// not interrupt calls of this instance that are in progress; their connections are closed when they end.
 func (e *Endpoint) Close() {
 	e.closeConnections()
 	e.goroutines.Wait()
@@ -90,7 +94,7 @@
 	e.idleConns = map[Target][]*clientConn{}
 }
 
-// warn logs what any peer can cause, with a bounded rate.
+// warn logs an error that a peer can cause, at a limited rate. It logs nothing once the endpoint is closed.
 func (e *Endpoint) warn(message string, err error) {
 	e.mu.Lock()
 	closed := e.closed
--- a/peer/endpoint_test.go
+++ b/peer/endpoint_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Kinds of calls that the endpoints of these tests answer.
+// Kinds of calls in these tests. The endpoints of newTestEndpoint have handlers for all but callUnknown.
 const (
 	callEcho        = 0x10
 	callCountStream = 0x11
@@ -34,7 +34,7 @@
 	return listener
 }
 
-// newTestEndpoint starts an endpoint that answers all kinds but callUnknown.
+// newTestEndpoint starts an endpoint that serves all kinds of calls but callUnknown. It is closed when the test ends.
 func newTestEndpoint(t *testing.T, id, group, key string) *Endpoint {
 	t.Helper()
 	config := Config{
@@ -57,10 +57,13 @@
 	return endpoint
 }
 
+// endlessReader is a stream without an end.
 type endlessReader struct{}
 
 func (endlessReader) Read(buffer []byte) (int, error) { return len(buffer), nil }
 
+// A connection must remain usable after a call, with and without a stream, and after a handler's error. Callers must be
+// able to distinguish the error of a handler from a request that was not sent.
 func TestCalls(t *testing.T) {
 	a, b := newTestEndpoint(t, "a", "g", "k"), newTestEndpoint(t, "b", "g", "k")
 	target := Target{ID: "b", Addr: b.Addr()}
@@ -84,13 +87,15 @@
 	assert.Equal(t, "b", hello.From)
 }
 
+// A client with an outdated address, or the group or key of another group, must not reach the instance that it has
+// dialed. An instance without a group must be accepted, as it could not join one otherwise.
 func TestHandshakeRejects(t *testing.T) {
 	b := newTestEndpoint(t, "b", "g", "k")
 	for name, client := range map[string]struct{ id, group, key, target string }{
-		"another instance is wanted": {"a", "g", "k", "c"},
-		"another group":              {"a", "h", "k", "b"},
-		"another key":                {"a", "g", "wrong", "b"},
-		"no key":                     {"a", "g", "", "b"},
+		"another target instance": {"a", "g", "k", "c"},
+		"another group":           {"a", "h", "k", "b"},
+		"another key":             {"a", "g", "wrong", "b"},
+		"no key":                  {"a", "g", "", "b"},
 	} {
 		a := newTestEndpoint(t, client.id, client.group, client.key)
 		_, err := a.Call(Target{ID: client.target, Addr: b.Addr()}, callEcho, nil, nil, time.Second)
@@ -102,6 +107,8 @@
 	assert.NoError(t, err)
 }
 
+// Input that violates the protocol (an HTTP request, a handshake message without a version, a body length of 4 GiB)
+// must end its own connection and have no effect on others.
 func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
 	b := newTestEndpoint(t, "b", "g", "k")
 	for _, input := range []string{
@@ -115,7 +122,7 @@
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		_, err = io.WriteString(conn, input)
 		require.NoError(t, err)
-		_, _ = io.Copy(io.Discard, conn) // ends with the connection, perhaps by a reset
+		_, _ = io.Copy(io.Discard, conn) // returns when the endpoint closes the connection, possibly with a reset
 		conn.Close()
 	}
 	a := newTestEndpoint(t, "a", "g", "k")
@@ -123,7 +130,8 @@
 	assert.NoError(t, err)
 }
 
-// All followers of a large group may use one voter: its members must still find a free connection.
+// If all followers of a large group depend on one voter, their connections must not use up those that the other members
+// need to reach it.
 func TestNonMemberLimitKeepsCapacityForMembers(t *testing.T) {
 	const followers = 1024
 	group := func() string { return "g" }
@@ -149,7 +157,7 @@
 	}
 	endpoint.mu.Lock()
 	assert.Equal(t, followers, endpoint.nonMemberConns)
-	endpoint.nonMemberConns = maxNonMemberConns // as if each follower had its second connection
+	endpoint.nonMemberConns = maxNonMemberConns // as if each follower had a second connection
 	endpoint.mu.Unlock()
 	require.Error(t, callFrom("follower-beyond-the-limit"))
 	assert.NoError(t, callFrom("member"))
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bytes on the wire are part of the protocol: instances of different versions talk to each other.
+// Instances of different versions communicate, so a change of the frame encoding would make them reject each other's
+// frames.
 func TestFrameEncoding(t *testing.T) {
 	encoded := Frame{Kind: 0x1f, CallID: 0x0102, Body: []byte("abc")}.Append([]byte("before"))
 	assert.Equal(t, "before\x00\x00\x00\x03\x1f\x00\x00\x00\x00\x00\x00\x01\x02abc", string(encoded))
@@ -17,6 +18,7 @@
 	assert.Equal(t, []byte{0x01, 0x02, 0x80, 0x81}, kinds)
 }
 
+// A change of a JSON key, or of the input of a proof, would break handshakes between instances of different versions.
 func TestHelloEncoding(t *testing.T) {
 	hello := Hello{Proto: protocolVersion, Group: "g", From: "a", To: "b", Nonce: "n", Proof: "p", Error: "e"}
 	encoded, err := json.Marshal(hello)
@@ -29,6 +31,7 @@
 	assert.Equal(t, wantClientProof, endpoint.proof(clientProof, "nonces"))
 }
 
+// No input may make ReadFrame panic or return a body longer than the input, whatever length the header announces.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(Frame{frameHello, 1, []byte("x")}.Append(nil))
 	f.Add([]byte("\x00\x7f\xff\xff\x01"))
@@ -40,7 +43,7 @@
 				return
 			}
 			if len(frame.Body) > len(input) {
-				t.Fatal("the frame is longer than the input")
+				t.Fatalf("body of %d bytes is longer than the input of %d bytes", len(frame.Body), len(input))
 			}
 		}
 	})
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// The handshake has three messages: the client's identity and the instance that it wants, the server's identity with
-// its proof of the key, and the client's proof.
+// The handshake consists of three messages: the client's identity and the instance that it wants to reach, the server's
+// identity with the server's proof that it knows the key, and the client's proof.
 
 // Hello is a message of the handshake.
 type Hello struct {
 	Proto int    `json:"proto"`           // protocol version
-	Group string `json:"group,omitempty"` // empty: a member of no group yet
+	Group string `json:"group,omitempty"` // group of the sender; empty before it has joined one, and in the last message
 	From  string `json:"from"`            // id of the sender
-	To    string `json:"to,omitempty"`    // id of the wanted instance; empty: any
+	To    string `json:"to,omitempty"`    // id of the instance that the client wants to reach; in the first message, empty accepts any
 	Nonce string `json:"nonce,omitempty"`
-	Proof string `json:"proof,omitempty"` // HMAC of both nonces under the group's key
-	Error string `json:"error,omitempty"` // why the server rejects the client
+	Proof string `json:"proof,omitempty"` // see Endpoint.proof; empty in the first message or without a key
+	Error string `json:"error,omitempty"` // reason why the server rejects the client
 }
 
 const (
@@ -34,7 +34,7 @@
 	nonceSize        = 16 // bytes
 )
 
-// proofLabel keeps a proof of one side from being replayed as the other side's.
+// proofLabel is authenticated along with the nonces, so that one side's proof cannot be replayed as the other side's.
 type proofLabel string
 
 const (
@@ -42,11 +42,13 @@
 	clientProof proofLabel = "dials"
 )
 
-// ErrHandshakeRejected is wrapped by the errors of a handshake in which a side is not the wanted instance, belongs to
-// another group or does not know the group's key.
-var ErrHandshakeRejected = errors.New("handshake refused")
+// ErrHandshakeRejected is wrapped by the errors of a handshake in which the server is not the wanted instance, a side
+// belongs to another group or fails to prove that it knows the group's key, or the server has no free connection for an
+// instance that is not a member.
+var ErrHandshakeRejected = errors.New("handshake rejected")
 
-// proof returns the HMAC of the nonces in hex, or an empty string for a group without a key.
+// proof returns the HMAC-SHA256 of the label and the nonces of both sides under the group's key, in hex. It returns an
+// empty string if there is no key.
 func (e *Endpoint) proof(label proofLabel, nonces string) string {
 	if len(e.config.Key) == 0 {
 		return ""
@@ -78,12 +80,13 @@
 	}
 	var hello Hello
 	if frame.Kind != frameHello || json.Unmarshal(frame.Body, &hello) != nil || hello.Proto != protocolVersion {
-		return hello, fmt.Errorf("%w: no valid handshake message", ErrInvalidFrame)
+		return hello, fmt.Errorf("%w: not a handshake message of protocol version %d", ErrInvalidFrame, protocolVersion)
 	}
 	return hello, nil
 }
 
-// clientHandshake introduces this instance on a connection that it dialed. It returns the server's message.
+// clientHandshake performs the client's side of the handshake on a dialed connection. It returns the server's message,
+// as far as it was received.
 func (e *Endpoint) clientHandshake(conn *clientConn, target Target, deadline time.Time) (Hello, error) {
 	conn.SetDeadline(earlier(deadline, time.Now().Add(handshakeTimeout)))
 	nonce := newNonce()
@@ -98,17 +101,17 @@
 	nonces := nonce + server.Nonce
 	switch {
 	case server.Error != "":
-		return server, fmt.Errorf("%w: %s", ErrHandshakeRejected, server.Error)
+		return server, fmt.Errorf("%w by %s: %s", ErrHandshakeRejected, server.From, server.Error)
 	case target.ID != "" && server.From != target.ID:
-		return server, fmt.Errorf("%w: %s answers in the place of %s", ErrHandshakeRejected, server.From, target.ID)
+		return server, fmt.Errorf("%w: the instance at %s is %s, not %s", ErrHandshakeRejected, target.Addr, server.From, target.ID)
 	case len(e.config.Key) > 0 && !hmac.Equal([]byte(server.Proof), []byte(e.proof(serverProof, nonces))):
-		return server, fmt.Errorf("%w: %s does not know the group's key", ErrHandshakeRejected, server.From)
+		return server, fmt.Errorf("%w: server %s failed to prove that it knows the group's key", ErrHandshakeRejected, server.From)
 	}
 	return server, writeHello(conn, Hello{Proto: protocolVersion, From: e.config.ID, Proof: e.proof(clientProof, nonces)})
 }
 
-// serverHandshake checks the client of an accepted connection and returns its id. The error is io.EOF if the client
-// left without a message or after the server's.
+// serverHandshake performs the server's side of the handshake on an accepted connection and returns the client's id. It
+// returns io.EOF if the client closed the connection instead of sending its first message or its proof.
 func (e *Endpoint) serverHandshake(conn net.Conn, r *bufio.Reader) (clientID string, err error) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	client, err := readHello(r)
@@ -123,19 +126,20 @@
 		return "", err
 	}
 	if response.Error != "" {
-		return "", fmt.Errorf("%w: from %s: %s", ErrHandshakeRejected, client.From, response.Error)
+		return "", fmt.Errorf("%w: client %s: %s", ErrHandshakeRejected, client.From, response.Error)
 	}
 	confirmation, err := readHello(r)
 	if err != nil {
 		return "", err
 	}
 	if !hmac.Equal([]byte(confirmation.Proof), []byte(e.proof(clientProof, nonces))) {
-		return "", fmt.Errorf("%w: %s does not know the group's key", ErrHandshakeRejected, client.From)
+		return "", fmt.Errorf("%w: client %s failed to prove that it knows the group's key", ErrHandshakeRejected, client.From)
 	}
 	return client.From, nil
 }
 
-// rejectionReason returns why a client's first message is rejected by an instance of a group, or an empty string.
+// rejectionReason returns the reason why this instance, which belongs to the given group, rejects a client's first
+// message. It returns an empty string if the message is accepted.
 func (e *Endpoint) rejectionReason(client Hello, group string) string {
 	switch {
 	case client.To != "" && client.To != e.config.ID:
--- a/peer/server.go
+++ b/peer/server.go
@@ -10,23 +10,26 @@
 )
 
 const (
-	// serverReadBufferSize is small, in bytes, because there may be thousands of connections. Longer reads bypass it.
+	// serverReadBufferSize is the size of a connection's read buffer, in bytes. It is small because there may be
+	// thousands of connections; longer reads bypass the buffer.
 	serverReadBufferSize = 4 << 10
-	idleTimeout          = 30 * time.Second // of a connection without a call
-	serverCallTimeout    = 30 * time.Second // from the first byte of a call until its stream has been read
-	responseTimeout      = 2 * time.Second  // to write an answer
-	acceptRetryDelay     = 10 * time.Millisecond
+	idleTimeout          = 30 * time.Second      // time without a call after which a connection is closed
+	serverCallTimeout    = 30 * time.Second      // limit from the first byte of a call until its stream has been read
+	responseTimeout      = 2 * time.Second       // limit to write a response
+	acceptRetryDelay     = 10 * time.Millisecond // after an error of the listener
 )
 
 const (
-	// maxNonMemberConns is enough for two connections of each of 1,024 followers, which may all have one voter left.
+	// maxNonMemberConns is the maximum number of accepted connections from instances that are not members. It allows
+	// two for each of 1,024 followers, which may all depend on a single remaining voter.
 	maxNonMemberConns = 2 * 1024
-	// maxMemberConns is enough for 64 members with maxIdleConns connections each.
+	// maxMemberConns is the number of connections reserved for members: maxIdleConns for each of 64 members.
 	maxMemberConns = 64 * maxIdleConns
-	// maxConns bounds all accepted connections.
+	// maxConns is the maximum number of accepted connections.
 	maxConns = maxNonMemberConns + maxMemberConns
 )
 
+// accept accepts connections and serves each in a goroutine of its own, until the listener is closed.
 func (e *Endpoint) accept() {
 	defer e.goroutines.Done()
 	for {
@@ -35,7 +38,7 @@
 			return
 		}
 		if err != nil {
-			e.warn("peer not accepted", err)
+			e.warn("cannot accept peer connection", err)
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -47,7 +50,8 @@
 	}
 }
 
-// register reports whether there is capacity for a connection, and counts it and its goroutine if so.
+// register adds a connection to the accepted ones and its goroutine to those that Close waits for. It returns false if
+// the endpoint is closed or already has maxConns accepted connections.
 func (e *Endpoint) register(conn net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,32 +72,33 @@
 func (e *Endpoint) handleConnection(conn net.Conn) {
 	defer e.goroutines.Done()
 	if err := e.serve(conn); err != nil {
-		e.warn("peer connection ended", err)
+		e.warn("peer connection failed", err)
 	}
 	conn.Close()
 	e.unregister(conn)
 }
 
-// serve answers the calls on a connection until it ends.
+// serve performs the handshake and serves the calls on a connection until the connection ends. It returns nil if the
+// client closed the connection before or during the handshake, or if no further call arrived.
 func (e *Endpoint) serve(conn net.Conn) error {
 	reader := bufio.NewReaderSize(conn, serverReadBufferSize)
 	clientID, err := e.serverHandshake(conn, reader)
 	if errors.Is(err, io.EOF) {
-		return nil // a client's Identify ends here
+		return nil // the client sent no message, or rejected this instance
 	}
 	if err != nil {
-		return err
+		return fmt.Errorf("client at %s: %w", conn.RemoteAddr(), err)
 	}
 	if e.config.IsMember != nil && !e.config.IsMember(clientID) {
 		if !e.reserveNonMemberConn() {
-			return fmt.Errorf("%w: from %s: too many connections of instances that are no members", ErrHandshakeRejected, clientID)
+			return fmt.Errorf("%w: client %s: too many connections from instances that are not members (maximum %d)", ErrHandshakeRejected, clientID, maxNonMemberConns)
 		}
 		defer e.releaseNonMemberConn()
 	}
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		if _, err := reader.Peek(1); err != nil {
-			return nil // ended between two calls
+			return nil // closed or idle for idleTimeout
 		}
 		if err := e.serveFrame(conn, reader, clientID); err != nil {
 			return err
@@ -101,30 +106,31 @@
 	}
 }
 
-// serveFrame reads a frame and answers it if it is a call.
+// serveFrame reads a frame. If it is a request, serveFrame calls its handler and writes the response.
 func (e *Endpoint) serveFrame(conn net.Conn, reader *bufio.Reader, clientID string) error {
 	conn.SetDeadline(time.Now().Add(serverCallTimeout))
 	request, err := ReadFrame(reader)
 	if err != nil {
-		return fmt.Errorf("from %s: %w", clientID, err)
+		return fmt.Errorf("cannot read frame from %s: %w", clientID, err)
 	}
 	if request.Kind == frameStreamChunk {
-		return nil // a duplicate, or of a stream that its handler did not read to the end
+		return nil // a duplicate, or part of a stream that its handler did not read to the end
 	}
 	handler := e.handlers[request.Kind]
 	if handler == nil {
-		return fmt.Errorf("%w: kind %d from %s", ErrInvalidFrame, request.Kind, clientID)
+		return fmt.Errorf("%w: no handler for kind %d from %s", ErrInvalidFrame, request.Kind, clientID)
 	}
 	body, err := handler(clientID, request.Body, &streamReader{frames: reader, callID: request.CallID})
 	response := newResponse(request.CallID, body, err)
 	conn.SetWriteDeadline(time.Now().Add(responseTimeout))
 	if _, err := conn.Write(response.Append(nil)); err != nil {
-		return fmt.Errorf("to %s: %w", clientID, err)
+		return fmt.Errorf("cannot write response to %s: %w", clientID, err)
 	}
 	return nil
 }
 
-// newResponse returns the frame that answers a call with what its handler returned.
+// newResponse returns the response to a call from what its handler returned: a result, or an error if the handler failed
+// or the body is larger than MaxBodySize.
 func newResponse(callID uint64, body []byte, err error) Frame {
 	response := Frame{Kind: frameResult, CallID: callID, Body: body}
 	if err != nil {
@@ -138,7 +144,8 @@
 	return response
 }
 
-// reserveNonMemberConn reports whether an instance that is no member may have one more connection, and counts it if so.
+// reserveNonMemberConn counts a connection from an instance that is not a member. It returns false, and counts nothing,
+// if there are already maxNonMemberConns of them.
 func (e *Endpoint) reserveNonMemberConn() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	streamChunkSize    = 256 << 10 // bytes of the stream in one chunk, at most
-	streamSequenceSize = 8         // bytes of the sequence number before them
+	streamChunkSize    = 256 << 10 // maximum bytes of the stream in one chunk
+	streamSequenceSize = 8         // bytes of the sequence number at the start of a chunk
 )
 
-// writeStream sends a call's stream in chunks.
+// writeStream sends a call's stream in chunks, with an empty one at the end.
 func writeStream(w io.Writer, callID uint64, stream io.Reader) error {
 	buffer := make([]byte, streamSequenceSize+streamChunkSize)
 	for sequence := uint64(0); ; sequence++ {
@@ -31,14 +31,14 @@
 	}
 }
 
-// streamReader reads a call's stream from its chunks. Duplicates of earlier chunks are skipped; a missing chunk is an
-// error.
+// streamReader is an io.Reader of a call's stream. It skips duplicates of earlier chunks and fails if a chunk is
+// missing.
 type streamReader struct {
 	frames       io.Reader
 	callID       uint64
-	nextSequence uint64 // of the next chunk
-	unread       []byte // of the current chunk
-	err          error  // sticky
+	nextSequence uint64 // sequence number of the next chunk
+	unread       []byte // rest of the current chunk
+	err          error  // permanent; returned once unread is empty
 }
 
 // Read implements io.Reader.
@@ -54,22 +54,23 @@
 	return n, nil
 }
 
-// nextChunk returns the bytes of the next chunk, none for a duplicate, and io.EOF at the chunk that ends the stream.
+// nextChunk reads a chunk and returns its bytes. For a duplicate it returns none; for the empty chunk that ends the
+// stream it returns io.EOF.
 func (s *streamReader) nextChunk() ([]byte, error) {
 	frame, err := ReadFrame(s.frames)
 	if errors.Is(err, io.EOF) {
-		return nil, io.ErrUnexpectedEOF // the connection ended, and not the stream
+		return nil, io.ErrUnexpectedEOF // the connection ended before the stream
 	}
 	if err != nil {
 		return nil, err
 	}
 	if frame.Kind != frameStreamChunk || frame.CallID != s.callID || len(frame.Body) < streamSequenceSize {
-		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrInvalidFrame)
+		return nil, fmt.Errorf("%w: expected a stream chunk of call %d, got %d bytes of kind %d for call %d", ErrInvalidFrame, s.callID, len(frame.Body), frame.Kind, frame.CallID)
 	}
 	sequence, chunk := binary.BigEndian.Uint64(frame.Body), frame.Body[streamSequenceSize:]
 	switch {
 	case sequence > s.nextSequence:
-		return nil, fmt.Errorf("%w: a piece of the stream is missing", ErrInvalidFrame)
+		return nil, fmt.Errorf("%w: stream of call %d continues with chunk %d, chunk %d is missing", ErrInvalidFrame, s.callID, sequence, s.nextSequence)
 	case sequence < s.nextSequence:
 		return nil, nil
 	case len(chunk) == 0:
--- a/peer/stream_test.go
+++ b/peer/stream_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A duplicate chunk is skipped, and a missing chunk is an error and not the end of the stream.
+// A duplicate chunk must not repeat its bytes in the stream. A missing chunk must be an error: if it were taken for the
+// end of the stream, a truncated stream would be accepted as complete.
 func TestStreamReader(t *testing.T) {
 	const callID = 7
 	chunk := func(sequence byte, text string) Frame {
