--- a/gossip/counts.go
+++ b/gossip/counts.go
@@ -10,35 +10,36 @@
 	"alderproxy/membership"
 )
 
-// dropLogInterval is the minimum time between two log messages about dropped datagrams.
+// dropLogInterval is the minimum time between two log lines about dropped datagrams.
 const dropLogInterval = 10 * time.Second
 
-// errQueueFull means that a datagram was dropped because the receive queue was full.
+// errQueueFull is the error for an event from the network that was dropped because the receive queue was full.
 var errQueueFull = errors.New("receive queue is full")
 
-// DatagramCounts counts the datagrams of a node since its start.
+// DatagramCounts holds the numbers of datagrams that a node has sent and received since its start.
 type DatagramCounts struct {
 	Sent      uint64 `json:"sent"`
 	SentBytes uint64 `json:"sent_bytes"`
-	// Received counts the messages that were handed to the protocol.
+	// Received is the number of valid messages passed to the protocol.
 	Received uint64 `json:"came"`
-	// SendErrors counts the datagrams that the kernel rejected.
+	// SendErrors is the number of datagrams that could not be sent, each after a second attempt.
 	SendErrors uint64 `json:"unsent"`
-	// Duplicates counts received messages that had no effect; see membership.Group.Duplicates.
+	// Duplicates is the number of received messages without effect; see membership.Group.Duplicates.
 	Duplicates int `json:"repeats"`
 	DropCounts
 }
 
-// DropCounts counts the received datagrams that were dropped, by cause.
+// DropCounts holds the numbers of received datagrams that were dropped, by cause.
 type DropCounts struct {
 	Malformed       uint64 `json:"malformed"`
 	OtherGroup      uint64 `json:"foreign"`
 	Unauthenticated uint64 `json:"unproven"`
 	UnknownVersion  uint64 `json:"unknown_form"`
-	QueueFull       uint64 `json:"flooded"`
+	// QueueFull includes errors of sent datagrams that could not be queued for the protocol.
+	QueueFull uint64 `json:"flooded"`
 }
 
-// add counts a datagram that was dropped because of an error.
+// add counts a dropped datagram by the error that describes the cause.
 func (c *DropCounts) add(err error) {
 	switch {
 	case errors.Is(err, membership.ErrOtherGroup):
@@ -54,7 +55,7 @@
 	}
 }
 
-// recordDrop records a dropped datagram for the counts and the log.
+// recordDrop counts a dropped datagram and keeps its cause and address for the log.
 func (n *Node) recordDrop(from netip.AddrPort, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,13 +64,14 @@
 	n.dropCounts.add(err)
 }
 
-// dropLog limits the rate of log messages about dropped datagrams.
+// dropLog is the state that limits the rate of log lines about dropped datagrams.
 type dropLog struct {
-	loggedCounts DropCounts
-	loggedAt     time.Time
+	loggedCounts DropCounts // at the last log line
+	loggedAt     time.Time  // time of the last log line
 }
 
-// logDrops logs the counts of dropped datagrams if they have changed and the last log message is old enough.
+// logDrops logs the counts of dropped datagrams if they have changed since the last log line and dropLogInterval has
+// passed.
 func (n *Node) logDrops(log *dropLog) {
 	n.mu.Lock()
 	dropped := n.dropCounts
--- a/gossip/doc.go
+++ b/gossip/doc.go
@@ -1,3 +1,3 @@
-// Package gossip is the UDP transport of the group membership protocol and the node around it: it runs the socket and
-// the clock for the state machine of package membership and carries out the actions that this returns.
+// Package gossip runs the group membership protocol over UDP. Its Node passes received datagrams and the current time
+// to the state machine of package membership and carries out the actions that the state machine returns.
 package gossip
--- a/gossip/error_queue.go
+++ b/gossip/error_queue.go
@@ -8,28 +8,30 @@
 	"alderproxy/membership"
 )
 
-// controlBufferSize is the size of the buffer for the control messages of the socket's error queue, in bytes.
+// controlBufferSize is the size of the buffer for a control message from the socket's error queue, in bytes.
 const controlBufferSize = 512
 
-// enableErrorQueue has the kernel queue the ICMP errors of sent datagrams with their destinations. A port unreachable
-// error proves that a process is gone. Where the kernel does not support this, only suspicion timeouts detect it.
+// enableErrorQueue makes the kernel queue the ICMP errors of sent datagrams together with their destinations. A port
+// unreachable error shows that no process listens at the destination, long before the suspicion timeout would. If the
+// kernel does not support the option, a process that has ended is detected by the suspicion timeout alone.
 func (n *Node) enableErrorQueue() {
 	_ = n.rawConn.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_RECVERR, 1)
 	})
 }
 
-// drainErrorQueue reads the socket's error queue without blocking and queues its errors for the protocol.
+// drainErrorQueue reads the socket's error queue without blocking and queues a PortUnreachable event for each error.
 func (n *Node) drainErrorQueue() {
 	var destinations []netip.AddrPort
-	// Control fails on a closed socket only, which has no errors to read.
+	// Control fails only if the socket is closed; then there are no errors to read.
 	_ = n.rawConn.Control(func(fd uintptr) { destinations = readErrorQueue(int(fd)) })
 	for _, destination := range destinations {
 		n.enqueueReceived(membership.PortUnreachable{Addr: destination}, destination)
 	}
 }
 
-// readErrorQueue returns the destinations of the datagrams that have an error in a socket's error queue.
+// readErrorQueue removes up to receiveQueueSize errors from the error queue of a socket and returns the IPv4
+// destinations of the datagrams that caused them.
 func readErrorQueue(fd int) []netip.AddrPort {
 	var destinations []netip.AddrPort
 	control := make([]byte, controlBufferSize)
--- a/gossip/log.go
+++ b/gossip/log.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// changeJoined is the value of the log field "what" for members that joined or restarted.
+	// changeJoined is the value of the log field "what" for members that joined, returned or restarted.
 	changeJoined = "came"
-	// maxLoggedNames bounds the names of members in one log message.
+	// maxLoggedNames is the maximum number of member names in a log line.
 	maxLoggedNames = 20
 )
 
-// logViewChange logs how the view changed. Each change of another member is logged by its reporter only.
+// logViewChange logs the differences between two views: a change of trust, and the changes of the members that this one
+// reports, so that in a large group each change is logged once.
 func (n *Node) logViewChange(previous, current membership.View) {
 	if previous.Version > 0 && previous.Trusted != current.Trusted {
 		n.logTrustChange(current)
@@ -33,20 +34,22 @@
 			"count":   len(names),
 			"alive":   current.PresentCount(),
 			"view":    current.Version,
-		}).Info("fleet changed")
+		}).Info("membership changed")
 	}
 }
 
+// logTrustChange logs that this node's view became trusted or untrusted.
 func (n *Node) logTrustChange(view membership.View) {
 	log := n.config.Log.WithFields(logrus.Fields{"view": view.Version, "alive": view.PresentCount()})
 	if view.Trusted {
-		log.Info("the view of the fleet is trusted again")
+		log.Info("membership view is trusted again")
 	} else {
-		log.Warn("this instance may be cut off: its view of the fleet stands still")
+		log.Warn("membership view is not trusted: this instance may be isolated and declares no other member dead")
 	}
 }
 
-// changesToReport returns the names of the changed members whose reporter is this one, by the kind of change.
+// changesToReport returns the names of the other members that joined, left or died between two views and whose reporter
+// is this member, by the value of the log field "what".
 func (n *Node) changesToReport(previous, current membership.View) map[string][]string {
 	self := membership.IDFromName(n.config.Member.Name)
 	changes := map[string][]string{}
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -17,26 +17,28 @@
 )
 
 const (
-	// receiveQueueSize bounds the events that were received and wait for the protocol. More are dropped, so that a flood
-	// cannot exhaust the memory.
+	// receiveQueueSize is the maximum number of events from the network that wait for the protocol. Further ones are
+	// dropped, so that a flood of datagrams cannot exhaust the memory.
 	receiveQueueSize = 1024
-	// commandQueueSize bounds the events of this process that wait for the protocol. More block their senders.
+	// commandQueueSize is the maximum number of events from this process that wait for the protocol. Further ones block
+	// the caller.
 	commandQueueSize = 64
-	// ioTimeout is the deadline of one read from or of the writes of one step to the socket.
+	// ioTimeout limits each read from the socket, and all writes of one step together.
 	ioTimeout = 250 * time.Millisecond
 )
 
 // Config is the configuration of a Node.
 type Config struct {
-	// Member configures the protocol. A Generation or RandomSeed of 0 is replaced by a suitable value.
+	// Member configures the protocol. A Generation of 0 is replaced by one derived from the current time, a RandomSeed
+	// of 0 by a random one.
 	Member membership.Config
 	// Group is the name of the group. Datagrams of other groups are dropped.
 	Group string
-	// Key is the shared secret that authenticates the group's datagrams; empty is none.
+	// Key is the shared secret that authenticates the group's datagrams; empty if there is none.
 	Key []byte
-	// Conn is the socket. The node closes it.
+	// Conn is the socket. Node.Close closes it.
 	Conn *net.UDPConn
-	// Clock returns the monotonic time; nil is clock.Now.
+	// Clock returns the monotonic time; nil stands for clock.Now.
 	Clock func() membership.Micros
 	Log   *logrus.Entry
 }
@@ -45,27 +47,27 @@
 type Node struct {
 	config  Config
 	codec   *membership.Codec
-	group   *membership.Group // used by the goroutine of run only
+	group   *membership.Group // used only by the goroutine that executes run
 	rawConn syscall.RawConn
 
 	view        atomic.Pointer[membership.View]
 	counts      atomic.Pointer[DatagramCounts]
-	nameTakenBy atomic.Pointer[netip.AddrPort] // nil: the name is this member's
+	nameTakenBy atomic.Pointer[netip.AddrPort] // address of the other member that owns this one's name; nil if none
 
-	received         chan membership.Event // from the network
-	commands         chan membership.Event // from this process, never dropped
+	received         chan membership.Event // events from the network
+	commands         chan membership.Event // events from this process, never dropped while the node runs
 	snapshotRequests chan chan membership.View
 	stopping         chan struct{}
 	goroutines       sync.WaitGroup
 
 	mu           sync.Mutex
-	viewChanged  chan struct{} // closed when the view changes
+	viewChanged  chan struct{} // closed and replaced when the view changes
 	dropCounts   DropCounts
 	lastDropErr  error
 	lastDropFrom netip.AddrPort
 }
 
-// Open starts a node. It returns an error if the configuration is invalid or the socket unusable.
+// Open starts a node. It returns an error if the configuration is invalid or the socket cannot be used.
 func Open(config Config) (*Node, error) {
 	if config.Member.Generation == 0 {
 		config.Member.Generation = generationAt(time.Now())
@@ -103,8 +105,8 @@
 	return n, nil
 }
 
-// Close stops the node and closes its socket without an announcement to the group; call Leave before for a planned
-// departure.
+// Close stops the node and closes its socket without notifying the group. For a planned departure call Leave some time
+// before. Close must be called only once.
 func (n *Node) Close() error {
 	close(n.stopping)
 	err := n.config.Conn.Close()
@@ -115,7 +117,7 @@
 // View returns the current view, which must not be modified.
 func (n *Node) View() *membership.View { return n.view.Load() }
 
-// ViewChanged returns a channel that is closed when the view changes from the current one.
+// ViewChanged returns a channel that is closed at the next change of the view. To miss no change, call it before View.
 func (n *Node) ViewChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,9 +127,11 @@
 // PublishFact publishes or withdraws a fact of this member; see membership.FactKey.
 func (n *Node) PublishFact(fact membership.PublishFact) { n.enqueueCommand(fact) }
 
-// Leave announces the planned departure of this member. The node answers until it is closed.
+// Leave announces the planned departure of this member to the group. The node keeps running until it is closed.
 func (n *Node) Leave() { n.enqueueCommand(membership.Leave{}) }
 
+// enqueueCommand queues an event from this process. It waits while the queue is full, and drops the event if the node is
+// closed.
 func (n *Node) enqueueCommand(event membership.Event) {
 	select {
 	case n.commands <- event:
@@ -135,7 +139,8 @@
 	}
 }
 
-// snapshot returns the protocol's current view, including what no ViewChanged action announces.
+// snapshot returns the protocol's current view, including details whose changes emit no ViewChanged action. Once the
+// node is closed, it returns the last view that was announced.
 func (n *Node) snapshot() membership.View {
 	reply := make(chan membership.View, 1)
 	select {
--- a/gossip/node_test.go
+++ b/gossip/node_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// logBuffer collects the log of a node.
+// logBuffer collects the log of a node. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -39,19 +39,19 @@
 }
 
 const (
-	// testSuspicionTimeout is a fifth of the usual one, like the other times of test nodes.
+	// testSuspicionTimeout is a fifth of the default, like the other times of test nodes.
 	testSuspicionTimeout = 1600 * time.Millisecond
 	testFactTTL          = time.Minute
 )
 
-// testNode is a node with its address and its log.
+// testNode is a node together with its address and its log.
 type testNode struct {
 	*Node
 	addr netip.AddrPort
 	log  *logBuffer
 }
 
-// startNode starts a node on a port that the kernel picks. The caller closes it.
+// startNode starts a node on a free port. The caller must close it.
 func startNode(t *testing.T, name, key string, seeds ...netip.AddrPort) *testNode {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -109,8 +109,8 @@
 	return conn
 }
 
-// The kernel reports that nothing listens at the address of a process that is gone. That is faster than the suspicion
-// timeout.
+// When a process ends without a leave message, the kernel's port unreachable errors must make the others declare it dead
+// sooner than the suspicion timeout would.
 func TestPortUnreachableSpeedsUpDetection(t *testing.T) {
 	a := startNode(t, "a", "")
 	a.closeAtEnd(t)
@@ -126,14 +126,15 @@
 	closedAt := time.Now()
 	eventually(t, "b is dead", func() bool { return slices.Equal(presentNames(a), []string{"a", "c", "d"}) })
 	elapsed := time.Since(closedAt)
-	t.Logf("dead after %v; by the suspicion timeout alone it is %v at least", elapsed, testSuspicionTimeout)
-	assert.Less(t, elapsed, testSuspicionTimeout)
+	t.Logf("declared dead after %v; the suspicion timeout alone would take at least %v", elapsed, testSuspicionTimeout)
+	assert.Less(t, elapsed, testSuspicionTimeout, "time until b was declared dead")
 	member, found := a.View().Find("b")
 	assert.True(t, found)
 	assert.Equal(t, membership.StateDead, member.State)
 }
 
-// Datagrams that are not of this group have no effect, are counted by cause and are logged once.
+// Datagrams that are malformed, or of another group, key or version, must not change the membership. They must be
+// counted by cause, and must not flood the log.
 func TestForeignDatagramsAreDropped(t *testing.T) {
 	const key = "the key of this group"
 	a := startNode(t, "a", key)
@@ -161,16 +162,17 @@
 		_, err := conn.Write(datagram)
 		require.NoError(t, err)
 	}
-	eventually(t, "the drops are counted", func() bool {
+	eventually(t, "all dropped datagrams are counted by cause", func() bool {
 		counts := a.Status().Datagrams
 		return counts.Malformed >= 3 && counts.OtherGroup == 1 && counts.UnknownVersion == 1 && counts.Unauthenticated > 2
 	})
 	assert.Equal(t, []string{"a"}, presentNames(a))
-	eventually(t, "the drops are logged", func() bool { return strings.Contains(a.log.String(), "datagrams dropped") })
+	eventually(t, "dropped datagrams are logged", func() bool { return strings.Contains(a.log.String(), "datagrams dropped") })
 	assert.Equal(t, 1, strings.Count(a.log.String(), "datagrams dropped"), "%s", a.log)
 }
 
-// A flood of authenticated messages is handled as far as the queue and the send budget allow; the member keeps working.
+// A flood of valid messages must not make a member send more acks than its send budget allows, or make it lose the other
+// members from its view. What exceeds the receive queue is dropped.
 func TestFloodIsBounded(t *testing.T) {
 	a := startNode(t, "a", "")
 	a.closeAtEnd(t)
@@ -191,14 +193,15 @@
 		require.NoError(t, err)
 	}
 	before := a.Status().Datagrams
-	eventually(t, "a still handles messages", func() bool { return a.Status().Datagrams.Received > before.Received+20 })
+	eventually(t, "a still receives messages after the flood", func() bool { return a.Status().Datagrams.Received > before.Received+20 })
 	assert.Equal(t, []string{"a", "b"}, presentNames(a))
 	counts := a.Status().Datagrams
 	t.Logf("%d received, %d dropped, %d sent", counts.Received, counts.QueueFull, counts.Sent)
-	assert.Less(t, counts.Sent, uint64(2000), "acks are within the send budget")
+	assert.Less(t, counts.Sent, uint64(2000), "datagrams sent by a, within its send budget")
 }
 
-// A fact reaches another node, is read by its type there and is gone after it was withdrawn.
+// A published fact must reach another node with its value, must be replaced by a newer value and must disappear when it
+// is withdrawn.
 func TestFactsReachOtherNode(t *testing.T) {
 	a := startNode(t, "a", "")
 	a.closeAtEnd(t)
@@ -211,19 +214,20 @@
 	}
 	ttl := testFactTTL.Microseconds()
 	a.PublishFact(membership.DocumentVersionFact.Publish(41, ttl))
-	eventually(t, "published", func() bool { return valueAtB() == "41 true" })
+	eventually(t, "b has the published value", func() bool { return valueAtB() == "41 true" })
 	a.PublishFact(membership.DocumentVersionFact.Publish(42, ttl))
-	eventually(t, "replaced", func() bool { return valueAtB() == "42 true" })
+	eventually(t, "b has the replaced value", func() bool { return valueAtB() == "42 true" })
 	a.PublishFact(membership.DocumentVersionFact.Withdraw(ttl))
-	eventually(t, "withdrawn", func() bool { return valueAtB() == "0 false" })
+	eventually(t, "the fact is withdrawn at b", func() bool { return valueAtB() == "0 false" })
 	a.Leave()
-	eventually(t, "left", func() bool {
+	eventually(t, "b knows that a has left", func() bool {
 		member, _ := b.View().Find("a")
 		return member.State == membership.StateLeft
 	})
 }
 
-// Of two processes with the same name the first one keeps it and the later one is notified.
+// If two processes have the same name, for instance after a copied configuration, the first one must keep it and the
+// later one must learn that it is not a member.
 func TestDuplicateName(t *testing.T) {
 	a := startNode(t, "a", "")
 	a.closeAtEnd(t)
@@ -231,13 +235,13 @@
 	b.closeAtEnd(t)
 	eventually(t, "both members are present", func() bool { return len(presentNames(a)) == 2 && len(presentNames(b)) == 2 })
 	firstStart := a.Status().Members[1].StartedUnixMillis
-	eventually(t, "the next generation", func() bool {
+	eventually(t, "the current generation is later than b's", func() bool {
 		return generationStart(generationAt(time.Now())).UnixMilli() > firstStart
 	})
 	duplicate := startNode(t, "b", "", a.addr)
 	duplicate.closeAtEnd(t)
-	eventually(t, "the later one is refused", func() bool { return duplicate.Status().NameTakenBy == b.addr.String() })
-	assert.Contains(t, duplicate.log.String(), "another instance has this one's name")
+	eventually(t, "the later process is told the owner of its name", func() bool { return duplicate.Status().NameTakenBy == b.addr.String() })
+	assert.Contains(t, duplicate.log.String(), "another instance owns this instance's name")
 	member, _ := a.View().Find("b")
 	assert.Equal(t, b.addr, member.Addr)
 	assert.Empty(t, b.Status().NameTakenBy)
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -9,11 +9,11 @@
 	"alderproxy/membership"
 )
 
-// receive reads datagrams until the socket is closed and queues the group's messages for the protocol.
+// receive reads datagrams until the socket is closed, and queues the valid messages of the group for the protocol.
 func (n *Node) receive() {
-	buffer := make([]byte, membership.MaxDatagramSize+1) // one byte more reveals datagrams that are too long
+	buffer := make([]byte, membership.MaxDatagramSize+1) // the additional byte reveals datagrams that are too long
 	for {
-		// A deadline cannot be set on a closed socket only, which the read reports.
+		// Setting the deadline fails only if the socket is closed; then the read fails too.
 		_ = n.config.Conn.SetReadDeadline(time.Now().Add(ioTimeout))
 		size, from, err := n.config.Conn.ReadFromUDPAddrPort(buffer)
 		var netErr net.Error
@@ -36,7 +36,7 @@
 	}
 }
 
-// enqueueReceived queues an event from the network, or drops it if the queue is full.
+// enqueueReceived queues an event from the network. If the queue is full, it drops the event and records the drop.
 func (n *Node) enqueueReceived(event membership.Event, from netip.AddrPort) {
 	select {
 	case n.received <- event:
--- a/gossip/run.go
+++ b/gossip/run.go
@@ -6,10 +6,10 @@
 	"alderproxy/membership"
 )
 
-// maxEventsPerStep bounds the events of one step of the protocol.
+// maxEventsPerStep is the maximum number of events in one step of the protocol.
 const maxEventsPerStep = 64
 
-// run steps the protocol at each tick and for each batch of events, until the node is closed.
+// run executes a step of the protocol at each tick and for each batch of events, until the node is closed.
 func (n *Node) run() {
 	ticker := time.NewTicker(time.Duration(n.config.Member.TickInterval()) * time.Microsecond)
 	defer ticker.Stop()
@@ -35,7 +35,7 @@
 	}
 }
 
-// appendReceived appends the received events that wait, up to maxEventsPerStep.
+// appendReceived appends events that wait in the receive queue, until there are maxEventsPerStep events.
 func (n *Node) appendReceived(events []membership.Event) []membership.Event {
 	for len(events) < maxEventsPerStep {
 		select {
@@ -48,7 +48,7 @@
 	return events
 }
 
-// step hands events to the protocol, carries out its actions and updates the counts.
+// step passes events to the protocol, carries out the actions that it returns and updates the counts.
 func (n *Node) step(events []membership.Event) {
 	counts := *n.counts.Load()
 	for _, event := range events {
@@ -56,7 +56,7 @@
 			counts.Received++
 		}
 	}
-	// A deadline cannot be set on a closed socket only, which the writes report.
+	// Setting the deadline fails only if the socket is closed; then the writes fail too.
 	_ = n.config.Conn.SetWriteDeadline(time.Now().Add(ioTimeout))
 	for _, action := range n.group.Step(n.config.Clock(), events...) {
 		n.carryOut(action, &counts)
@@ -76,14 +76,14 @@
 		n.publishView(action.View)
 	case membership.NameTaken:
 		n.nameTakenBy.Store(&action.OwnerAddr)
-		n.config.Log.WithField("by", action.OwnerAddr.String()).Error("another instance has this one's name: it is no member until it starts again under another")
+		n.config.Log.WithField("by", action.OwnerAddr.String()).Error("another instance owns this instance's name: this one is not a member until it is restarted under a different name")
 	case membership.Log:
 		n.config.Log.Info(action.Text)
 	}
 }
 
-// send sends a message. It is sent again after an error, because the kernel may return the error of an earlier datagram
-// in place of sending this one.
+// send sends a message. After an error it tries a second time, because the kernel may have returned the pending error
+// of an earlier datagram without sending this one.
 func (n *Node) send(action membership.SendMessage, counts *DatagramCounts) {
 	datagram := n.codec.AppendEncode(nil, action.Message)
 	_, err := n.config.Conn.WriteToUDPAddrPort(datagram, action.To)
@@ -99,7 +99,7 @@
 	counts.SentBytes += uint64(len(datagram))
 }
 
-// publishView publishes a new view and notifies those who wait for a change.
+// publishView replaces the current view, closes the channels returned by ViewChanged and logs the changes.
 func (n *Node) publishView(view membership.View) {
 	previous := n.view.Swap(&view)
 	n.mu.Lock()
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -9,26 +9,28 @@
 // microsPerMilli is the number of microseconds in a millisecond.
 const microsPerMilli = 1000
 
-// neverContacted is the LastContactAgeMillis of a member from which no message arrived.
+// neverContacted is the LastContactAgeMillis of a member from which no message was received.
 const neverContacted = -1
 
 // Status is a node's view of its group, for operators.
 type Status struct {
 	Name  string `json:"name"`
 	Group string `json:"group"`
-	// ViewVersion counts the changes of this node's view.
+	// ViewVersion is the number of changes of this node's view so far.
 	ViewVersion uint64 `json:"view"`
-	Digest      string `json:"digest"`
-	// Trusted is false while this node may be isolated; it declares nobody dead then.
+	// Digest is the hash of the present members, in hex.
+	Digest string `json:"digest"`
+	// Trusted is false while this node may be isolated. It then declares no other member dead.
 	Trusted bool `json:"trusted"`
-	// NameTakenBy is the address of the member that owns this node's name; empty if it is its own.
-	NameTakenBy string         `json:"taken,omitempty"`
-	AliveCount  int            `json:"alive"`
-	Members     []Member       `json:"members"`
-	Datagrams   DatagramCounts `json:"datagrams"`
+	// NameTakenBy is the address of the other member that owns this node's name. It is empty if there is none.
+	NameTakenBy string `json:"taken,omitempty"`
+	// AliveCount is the number of members that are present, suspects included.
+	AliveCount int            `json:"alive"`
+	Members    []Member       `json:"members"`
+	Datagrams  DatagramCounts `json:"datagrams"`
 }
 
-// Member is one member in a Status. Ages are in milliseconds, by the clock of the reporting node.
+// Member is a member in a Status. Ages are in milliseconds and measured by the clock of the reporting node.
 type Member struct {
 	Name           string `json:"name"`
 	Zone           string `json:"zone,omitempty"`
@@ -37,25 +39,27 @@
 	Reachability   string `json:"reach"`
 	StateAgeMillis int64  `json:"since_ms"`
 	StateReason    string `json:"why,omitempty"`
-	// SeenByCount is the number of members that received an ack of this one recently.
+	// SeenByCount is the number of members, the reporting node included, that it knows to have recently received an ack
+	// from this one.
 	SeenByCount int `json:"seen_by"`
-	// LastContactAgeMillis is the age of the last message that the reporting node received of it; -1 is never.
+	// LastContactAgeMillis is the time since the reporting node last received a message directly from this member; -1 if
+	// never, 0 for the reporting node itself.
 	LastContactAgeMillis int64 `json:"heard_ms"`
-	// StartedUnixMillis is the start of its process in Unix time, by its own clock.
+	// StartedUnixMillis is the start time of the member's process in Unix time, by its own clock.
 	StartedUnixMillis int64 `json:"started"`
-	// Distrusted means that its accusations are ignored, since too many of them were refuted.
+	// Distrusted reports whether the member's accusations are ignored because too many of them were refuted.
 	Distrusted bool   `json:"doubted,omitempty"`
 	Facts      []Fact `json:"facts,omitempty"`
 }
 
-// Fact is a fact that a member published.
+// Fact is a fact that a member has published about itself.
 type Fact struct {
 	Name    string `json:"name"`
 	Value   string `json:"value"`
 	Version uint32 `json:"version"`
 }
 
-// Status returns the node's current status.
+// Status returns the current status of the node and of the members that it knows.
 func (n *Node) Status() Status {
 	view := n.snapshot()
 	now := n.config.Clock()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is the clock of leases and of failure detection.
+// Package clock provides the clock of leases and of failure detection.
 package clock
 
 import (
@@ -7,14 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started, in microseconds. It advances while the process is stopped and while the
-// machine sleeps, and can't be set. Its rate may differ between machines by less than the slack of leases.
+// Now returns the time since the machine booted, in microseconds. The clock advances while the process is stopped and
+// while the machine is suspended, and cannot be set. Leases require that the rates of two machines' clocks differ by
+// less than the safety margin of a lease.
 func Now() int64 {
 	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil { // it does not fail on Linux
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil { // does not occur on Linux
 		return time.Since(processStart).Microseconds()
 	}
 	return t.Nano() / 1000
 }
 
+// processStart is the start of the clock that Now falls back to.
 var processStart = time.Now()
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,4 +1,4 @@
-// Package ratelog limits the rate of log lines that peers can cause.
+// Package ratelog limits the rate of log lines that other processes can cause.
 package ratelog
 
 import (
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Interval is the least time between two lines of one Line.
+// Interval is the minimum time between two log lines of a Limiter.
 const Interval = time.Second
 
-// Limiter is one kind of log line. Its zero value is ready, and any goroutine may use it.
+// Limiter limits the rate of one kind of log line. Its zero value is ready to use. It is safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
-	next    time.Time // from when on the line may be written again
-	omitted int
+	next    time.Time // time from which the next line may be written
+	omitted int       // lines that were not written since the last one
 }
 
-// Due reports whether the line may be written now, and how many lines were omitted since the last one.
+// Due reports whether a line may be written now. If so, it also returns the number of lines omitted since the last one;
+// if not, it counts the line as omitted.
 func (l *Limiter) Due(now time.Time) (omitted int, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
