--- a/broker/broker.go
+++ b/broker/broker.go
@@ -77,8 +77,8 @@
 	timers       timerHeap
 	// drainDeadline is the time at which a drain ends all open queries; zero if no drain was started.
 	drainDeadline time.Time
-	expiryLog     ratelog.Line
-	sendErrorLog  ratelog.Line
+	expiryLog     ratelog.Limiter
+	sendErrorLog  ratelog.Limiter
 }
 
 // New checks the terms and starts a broker. An error is that of Terms.Check or wraps that of policy.New.
--- a/httpwire/server.go
+++ b/httpwire/server.go
@@ -60,7 +60,7 @@
 	connections  map[*Exchange]struct{}
 	closingCount int // rejected or evicted connections that are still closing; they are not in connections
 	idleCount    int // the number of connections in stateIdle
-	warningLimit ratelog.Line
+	warningLimit ratelog.Limiter
 	listener     net.Listener
 
 	keepAliveDisabled atomic.Bool // each connection closes after its next response
--- a/storepool/pool.go
+++ b/storepool/pool.go
@@ -120,7 +120,7 @@
 // removeConnection removes a closed connection from the pool. attemptsLost reports whether the connection failed with
 // attempts in flight. The result is the rate-limited log line for failed connections to the store, or nil if the store is
 // not listed.
-func (p *Pool) removeConnection(closed *connection, attemptsLost bool) *ratelog.Line {
+func (p *Pool) removeConnection(closed *connection, attemptsLost bool) *ratelog.Limiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.retiring, closed); i >= 0 {
