--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -30,9 +30,9 @@
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
-	n, err := raftnode.Open(raftnode.Config{
+	n, err := raftnode.StartNode(raftnode.Config{
 		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
-		Log: testserver.DiscardLog(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
+		Log: testserver.DiscardLog(), ActivateVersion: func(sharedconfig.Version) error { return nil }, CheckDocument: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
 			}
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	s := admin.Start(l, admin.Services{Config: n}, token, testserver.DiscardLog())
 	t.Cleanup(func() { assert.NoError(t, s.Close()) })
-	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { open, _ := n.AllowsQueries(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
 	return s.Addr()
 }
 
--- a/cmd/alderproxy/instances.go
+++ b/cmd/alderproxy/instances.go
@@ -18,14 +18,14 @@
 		a.listInstancesCommand(),
 		a.groupCommand("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2),
 			func(given []string) raftnode.Command {
-				return raftnode.Command{Add: &sharedconfig.Member{Name: given[0], Addr: given[1]}}
+				return raftnode.Command{AddMember: &sharedconfig.Member{Name: given[0], Addr: given[1]}}
 			}),
 		a.groupCommand("remove ID", "Remove an instance for good", cobra.ExactArgs(1),
-			func(given []string) raftnode.Command { return raftnode.Command{Remove: given[0]} }),
+			func(given []string) raftnode.Command { return raftnode.Command{RemoveMember: given[0]} }),
 		a.groupCommand("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1),
 			func(given []string) raftnode.Command {
 				successor := strings.Join(given, "")
-				return raftnode.Command{TransferLeadership: &successor}
+				return raftnode.Command{TransferLeadershipTo: &successor}
 			}),
 	)
 	return c
@@ -76,9 +76,9 @@
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s", m.Name, m.Addr, yesOrNo(m.Voter), yesOrNo(m.Name == status.Leader), m.DirectoryID))
 	}
 	out.table("INSTANCE\tADDRESS\tVOTE\tLEADS\tFOLDER", rows)
-	out.printf("%s serves version %d of %d; term %d", status.Name, status.Serving, status.Version, status.Term)
-	if status.Reason != "" {
-		out.printf("; not as agreed: %s", status.Reason)
+	out.printf("%s serves version %d of %d; term %d", status.Name, status.ServedVersion, status.ActiveVersion, status.Term)
+	if status.NotCoveredReason != "" {
+		out.printf("; not as agreed: %s", status.NotCoveredReason)
 	}
 	out.printf("\n")
 }
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -27,7 +27,7 @@
 			if file.Agreement == nil {
 				return errors.New("the file has no [agreement]")
 			}
-			report, err := raftnode.Examine(file.DataDirectory, file.ID)
+			report, err := raftnode.ReadRecoveryReport(file.DataDirectory, file.ID)
 			if err != nil {
 				return err
 			}
@@ -51,7 +51,7 @@
 func printRecoveryReport(out *output, directory string, report raftnode.RecoveryReport) {
 	active := report.State.Active()
 	out.printf("folder %s of %s: %d versions, the newest is %d (%s) by %s; the log ends at entry %d of term %d\n",
-		directory, report.Name, len(report.State.Versions), active.Number, active.Digest, active.Author, report.LastLogIndex, report.Term)
+		directory, report.Name, len(report.State.Versions), active.Number, active.Digest, active.Author, report.LastLogIndex, report.LastLogTerm)
 	if pending := report.State.PendingChange; pending != nil {
 		out.printf("change %s by %s is pending: it will be dropped\n", pending.RequestID, pending.Author)
 	}
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -153,7 +153,7 @@
 	for _, name := range voters[1:] {
 		r.instances[name].start("")
 		add := &sharedconfig.Member{Name: name, Addr: r.instances[name].peerProxy.Addr()}
-		o, err := first.client().Execute(raftnode.Command{Add: add})
+		o, err := first.client().Execute(raftnode.Command{AddMember: add})
 		require.NoError(r.t, err)
 		require.Equal(r.t, sharedconfig.StatusDone, o.Status, o.Reason)
 	}
@@ -331,7 +331,7 @@
 func (r *cluster) transferLeadershipToN1() {
 	name := "n1"
 	require.Eventually(r.t, func() bool {
-		o, err := r.instances["n2"].client().Execute(raftnode.Command{TransferLeadership: &name})
+		o, err := r.instances["n2"].client().Execute(raftnode.Command{TransferLeadershipTo: &name})
 		s, err2 := r.instances[name].client().Status()
 		return err == nil && err2 == nil && o.Status == sharedconfig.StatusDone && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -39,10 +39,10 @@
 			require.Eventually(t, func() bool { // the survivors agree on what became of it, and so does the one that died
 				for k, name := range []string{"n1", "n2", "n3"} {
 					s, err := r.instances[name].client().Status()
-					if err != nil || s.Pending != "" || s.Leader == "" || s.Reason != "" {
+					if err != nil || s.PendingRequestID != "" || s.Leader == "" || s.NotCoveredReason != "" {
 						return false
 					}
-					versions[k] = s.Serving
+					versions[k] = s.ServedVersion
 				}
 				return versions[0] == versions[1] && versions[1] == versions[2]
 			}, 20*time.Second, 20*time.Millisecond)
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -48,7 +48,7 @@
 func (r *cluster) allServe(version uint64, names ...string) bool {
 	for _, name := range names {
 		s, err := r.instances[name].client().Status()
-		if err != nil || s.Serving < version {
+		if err != nil || s.ServedVersion < version {
 			return false
 		}
 	}
@@ -85,7 +85,7 @@
 		until(t, func() bool {
 			s, err := r.instances["n2"].client().Status()
 			leader = s.Leader
-			return err == nil && leader != "" && s.Reason == ""
+			return err == nil && leader != "" && s.NotCoveredReason == ""
 		})
 		var others []string
 		for _, name := range []string{"n1", "n2", "n3"} {
@@ -205,10 +205,10 @@
 		open := func() *raftnode.Node {
 			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			n, err := raftnode.Open(raftnode.Config{
+			n, err := raftnode.StartNode(raftnode.Config{
 				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, RaftSpeedup: 4,
 				SnapshotThreshold: after, Log: quiet.WithField("measure", true),
-				Check: func(string) error { return nil }, Activate: func(sharedconfig.Version) error { return nil },
+				CheckDocument: func(string) error { return nil }, ActivateVersion: func(sharedconfig.Version) error { return nil },
 			})
 			require.NoError(t, err)
 			return n
@@ -231,7 +231,10 @@
 		began := time.Now()
 		n = open()
 		opened := time.Since(began)
-		until(t, func() bool { ok, _ := n.Gate(n.ServedVersion()); return ok && n.State().Active().Number == 1000 })
+		until(t, func() bool {
+			ok, _ := n.AllowsQueries(n.ServedVersion())
+			return ok && n.State().Active().Number == 1000
+		})
 		st := n.Status()
 		t.Logf("1,000 versions, snapshot_after %d: folder %d KiB, log entries %d to %d, opened in %v, serving by version %d after %v", after, size>>10,
 			st.FirstLogIndex, st.LastLogIndex, opened, n.ServedVersion(), time.Since(began))
@@ -329,7 +332,10 @@
 func (r *cluster) measureLeaderKill(load *queryLoad, round int, version uint64, followers []string) time.Duration {
 	voters := []string{"n1", "n2", "n3"}
 	leader := ""
-	until(r.t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.LeaseRemaining > 0 })
+	until(r.t, func() bool {
+		s, err := r.instances["f1"].client().Status()
+		return err == nil && s.LeaseRemainingMillis > 0
+	})
 	until(r.t, func() bool {
 		for _, name := range voters {
 			if s, err := r.instances[name].client().Status(); err == nil && s.Leader != "" {
--- a/raftnode/activation.go
+++ b/raftnode/activation.go
@@ -46,7 +46,7 @@
 		"author":  version.Author,
 		"reason":  version.Reason,
 	})
-	if err := i.config.Activate(version); err != nil {
+	if err := i.config.ActivateVersion(version); err != nil {
 		log.WithError(err).Error("cannot activate the version: the previous one is served until its lease expires")
 		return false
 	}
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -12,8 +12,8 @@
 const applyTimeout = 2 * time.Second
 
 func (n *Node) notifyStep(step string) {
-	if n.config.OnStep != nil {
-		n.config.OnStep(step)
+	if n.config.OnChangeStep != nil {
+		n.config.OnChangeStep(step)
 	}
 }
 
@@ -86,7 +86,7 @@
 	if err := json.Unmarshal(body, &change); err != nil {
 		return nil, err
 	}
-	if err := n.config.Check(change.Text); err != nil {
+	if err := n.config.CheckDocument(change.Text); err != nil {
 		return []byte(err.Error()), nil
 	}
 	return nil, nil
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -47,7 +47,7 @@
 // testInstance is a Node or a Follower.
 type testInstance interface {
 	ServedVersion() uint64
-	Gate(version uint64) (open bool, retry time.Duration)
+	AllowsQueries(version uint64) (open bool, retry time.Duration)
 	Status() Status
 }
 
@@ -73,8 +73,8 @@
 		RaftSpeedup:       5,
 		SnapshotThreshold: 8,
 		Log:               testserver.DiscardLog(),
-		Activate:          func(sharedconfig.Version) error { return nil },
-		Check: func(text string) error {
+		ActivateVersion:   func(sharedconfig.Version) error { return nil },
+		CheckDocument: func(text string) error {
 			if strings.Contains(text, "bad for "+name) {
 				return fmt.Errorf("%s has no such index", name)
 			}
@@ -97,7 +97,7 @@
 
 func (c *testCluster) open(config Config) *Node {
 	c.t.Helper()
-	node, err := Open(config)
+	node, err := StartNode(config)
 	require.NoError(c.t, err)
 	c.nodes[config.Name] = node
 	return node
@@ -174,7 +174,7 @@
 
 // isServing reports whether queries may be served by the version that an instance serves.
 func isServing(i testInstance) bool {
-	open, _ := i.Gate(i.ServedVersion())
+	open, _ := i.AllowsQueries(i.ServedVersion())
 	return open
 }
 
@@ -197,5 +197,5 @@
 }
 
 func addCommand(name, address string) Command {
-	return Command{Add: &sharedconfig.Member{Name: name, Addr: address}}
+	return Command{AddMember: &sharedconfig.Member{Name: name, Addr: address}}
 }
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -13,10 +13,10 @@
 
 // Command is an operator's command to the group. Exactly one field is set.
 type Command struct {
-	Change             *sharedconfig.Change `json:"change,omitempty"`
-	Add                *sharedconfig.Member `json:"add,omitempty"`       // only its name and address are used
-	Remove             string               `json:"remove,omitempty"`    // a member's name
-	TransferLeadership *string              `json:"hand_over,omitempty"` // the next leader's name; empty: any voter
+	Change               *sharedconfig.Change `json:"change,omitempty"`
+	AddMember            *sharedconfig.Member `json:"add,omitempty"`       // only its name and address are used
+	RemoveMember         string               `json:"remove,omitempty"`    // a member's name
+	TransferLeadershipTo *string              `json:"hand_over,omitempty"` // the next leader's name; empty: any voter
 }
 
 const (
@@ -108,14 +108,14 @@
 		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
 			return sharedconfig.ChangeRequested{CallID: call, Change: *command.Change}
 		})
-	case command.Add != nil:
-		return n.addMember(*command.Add, timeout)
-	case command.Remove != "":
+	case command.AddMember != nil:
+		return n.addMember(*command.AddMember, timeout)
+	case command.RemoveMember != "":
 		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-			return sharedconfig.RemoveMemberRequested{CallID: call, Name: command.Remove}
+			return sharedconfig.RemoveMemberRequested{CallID: call, Name: command.RemoveMember}
 		})
-	case command.TransferLeadership != nil:
-		return n.transferLeadershipTo(*command.TransferLeadership)
+	case command.TransferLeadershipTo != nil:
+		return n.transferLeadershipTo(*command.TransferLeadershipTo)
 	}
 	return refusedOutcome("an empty order")
 }
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -49,14 +49,14 @@
 
 func earlierConfig(directory, name string) Config {
 	return Config{
-		Name:           name,
-		DataDirectory:  filepath.Join(directory, name),
-		Key:            []byte("k"),
-		StalenessBound: time.Second,
-		RaftSpeedup:    5,
-		Log:            testserver.DiscardLog(),
-		Check:          func(string) error { return nil },
-		Activate:       func(sharedconfig.Version) error { return nil },
+		Name:            name,
+		DataDirectory:   filepath.Join(directory, name),
+		Key:             []byte("k"),
+		StalenessBound:  time.Second,
+		RaftSpeedup:     5,
+		Log:             testserver.DiscardLog(),
+		CheckDocument:   func(string) error { return nil },
+		ActivateVersion: func(sharedconfig.Version) error { return nil },
 	}
 }
 
@@ -67,7 +67,7 @@
 	config.Address = written.Members[0].Addr
 	open := func() *Node {
 		config.Listener = listen(t, anyLocalPort)
-		node, err := Open(config)
+		node, err := StartNode(config)
 		require.NoError(t, err)
 		return node
 	}
@@ -78,7 +78,7 @@
 	assertStoredAs(t, "state", node.State())
 	assertStoredAs(t, "members", node.Members())
 	assert.Equal(t, "[class interactive]\nworth = 2\n", node.State().Active().Text)
-	assert.Equal(t, written.Status.Group, node.Status().Group)
+	assert.Equal(t, written.Status.GroupID, node.Status().GroupID)
 	assert.Equal(t, written.Status.Digest, node.Status().Digest)
 
 	// A change that the earlier revision has made is known, and another one can be made on top.
@@ -98,8 +98,8 @@
 	assert.Equal(t, written.State.RetiredDirectoryIDs, node.State().RetiredDirectoryIDs)
 
 	followerConfig := earlierConfig(directory, "f1")
-	followerConfig.Voters = []string{config.Listener.Addr().String()}
-	follower, err := Follow(followerConfig)
+	followerConfig.SeedVoters = []string{config.Listener.Addr().String()}
+	follower, err := StartFollower(followerConfig)
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, follower.Close()) })
 	assert.Equal(t, written.State.Versions[6:], follower.State().Versions, "the version served last")
@@ -108,7 +108,7 @@
 
 func TestExamineDataDirectoryOfEarlierRevision(t *testing.T) {
 	directory, written := copyEarlierRevision(t)
-	report, err := Examine(filepath.Join(directory, "b1"), "b1")
+	report, err := ReadRecoveryReport(filepath.Join(directory, "b1"), "b1")
 	require.NoError(t, err)
 	assertStoredAs(t, "bootstrapped", report.State)
 	require.Len(t, report.Members, 1)
@@ -116,12 +116,12 @@
 	assert.True(t, report.Members[0].Voter)
 
 	n1 := filepath.Join(directory, "n1")
-	report, err = Examine(n1, "n1")
+	report, err = ReadRecoveryReport(n1, "n1")
 	require.NoError(t, err)
 	assertStoredAs(t, "state", report.State)
 	assertStoredAs(t, "members", report.Members)
 	assert.Equal(t, written.Status.LastLogIndex, report.LastLogIndex)
-	assert.Equal(t, written.Status.Term, report.Term)
+	assert.Equal(t, written.Status.Term, report.LastLogTerm)
 
 	stored, err := openDataDirectory(n1, "n1")
 	require.NoError(t, err)
@@ -142,10 +142,10 @@
 	config.Listener = listen(t, anyLocalPort)
 	config.Address = config.Listener.Addr().String()
 	config.ServeWhenStale = true
-	node, err := Open(config)
+	node, err := StartNode(config)
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, node.Close()) })
 	assert.NotZero(t, node.ServedVersion())
 	assert.False(t, isServing(node))
-	assert.Equal(t, ErrRemoved.Error(), node.Status().Reason)
+	assert.Equal(t, ErrRemoved.Error(), node.Status().NotCoveredReason)
 }
--- a/raftnode/config.go
+++ b/raftnode/config.go
@@ -26,8 +26,8 @@
 	Key []byte
 	// StalenessBound is how long a version may be served after it was replaced.
 	StalenessBound time.Duration
-	// Voters are the addresses of voters for a follower to begin with.
-	Voters []string
+	// SeedVoters are the addresses of voters for a follower to begin with.
+	SeedVoters []string
 	// ServeWhenStale lets the instance serve without a lease.
 	ServeWhenStale bool
 	// RaftSpeedup divides Raft's default timeouts. 0 and 1 leave them as they are.
@@ -35,16 +35,16 @@
 	// SnapshotThreshold is how many entries the log may have until it is compacted. 0: Raft's default.
 	SnapshotThreshold int
 	Log               *logrus.Entry
-	// Check returns why the instance could not serve a document.
-	Check func(text string) error
-	// Activate makes the instance serve a version. It is called for one version after another, never concurrently.
-	Activate func(sharedconfig.Version) error
-	// OnStep is called before a leader's steps with a change (StepPropose, StepCheck, StepDecide) and after the commit of
+	// CheckDocument returns why the instance could not serve a document.
+	CheckDocument func(text string) error
+	// ActivateVersion makes the instance serve a version. It is called for one version after another, never concurrently.
+	ActivateVersion func(sharedconfig.Version) error
+	// OnChangeStep is called before a leader's steps with a change (StepPropose, StepCheck, StepDecide) and after the commit of
 	// their entries (StepProposed, StepDecided), from any goroutine. Nil: no calls. Tests stop the instance there.
-	OnStep func(step string)
+	OnChangeStep func(step string)
 }
 
-// Steps of a leader with a change, as Config.OnStep gets them.
+// Steps of a leader with a change, as Config.OnChangeStep gets them.
 const (
 	StepPropose  = "propose"
 	StepProposed = "proposed"
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -83,7 +83,7 @@
 		}
 		version := node.ServedVersion()
 		at := time.Now()
-		if open, _ := node.Gate(version); open {
+		if open, _ := node.AllowsQueries(version); open {
 			r.recordServed(version, at)
 		}
 	}
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -24,8 +24,8 @@
 	voters   atomic.Pointer[[]sharedconfig.Member]
 }
 
-// Follow starts a follower. With a new data directory it serves nothing until a voter has answered.
-func Follow(config Config) (*Follower, error) {
+// StartFollower starts a follower. With a new data directory it serves nothing until a voter has answered.
+func StartFollower(config Config) (*Follower, error) {
 	directory, err := openDataDirectory(config.DataDirectory, config.Name)
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	id := string(directory.id)
 	f := &Follower{instance: newInstance(config, directory, id)}
 	f.logEntry = f.describe
-	f.core = sharedconfig.NewFollower(f.settings, config.Voters, version)
+	f.core = sharedconfig.NewFollower(f.settings, config.SeedVoters, version)
 	f.lease.Store(&sharedconfig.Lease{ServeWhenStale: f.settings.ServeWhenStale})
 	f.group.Store(new(string))
 	f.active.Store(&version)
@@ -142,13 +142,13 @@
 	active := f.active.Load()
 	served := f.servedVersion.Load()
 	status := Status{
-		Name:           f.config.Name,
-		Group:          *f.group.Load(),
-		Version:        active.Number,
-		Serving:        served,
-		Digest:         active.Digest,
-		LeaseRemaining: f.leaseRemaining(),
-		Reason:         f.lease.Load().NotCoveredReason(clock.Now(), served),
+		Name:                 f.config.Name,
+		GroupID:              *f.group.Load(),
+		ActiveVersion:        active.Number,
+		ServedVersion:        served,
+		Digest:               active.Digest,
+		LeaseRemainingMillis: f.leaseRemaining(),
+		NotCoveredReason:     f.lease.Load().NotCoveredReason(clock.Now(), served),
 	}
 	for _, voter := range *f.voters.Load() {
 		if voter.Name != "" {
--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -76,8 +76,8 @@
 // ServedVersion returns the number of the version that this instance serves, or 0.
 func (i *instance) ServedVersion() uint64 { return i.servedVersion.Load() }
 
-// Gate reports whether queries may be served by a version now, and if not, when clients should retry.
-func (i *instance) Gate(version uint64) (open bool, retry time.Duration) {
+// AllowsQueries reports whether queries may be served by a version now, and if not, when clients should retry.
+func (i *instance) AllowsQueries(version uint64) (open bool, retry time.Duration) {
 	if i.lease.Load().Allows(clock.Now(), version) {
 		return true, 0
 	}
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -41,8 +41,8 @@
 	versionChanged chan struct{} // closed, and replaced, when another version becomes active
 }
 
-// Open starts an instance. With a new data directory it waits to be added to a group.
-func Open(config Config) (*Node, error) {
+// StartNode starts an instance. With a new data directory it waits to be added to a group.
+func StartNode(config Config) (*Node, error) {
 	directory, err := openDataDirectory(config.DataDirectory, config.Name)
 	if err != nil {
 		return nil, err
--- a/raftnode/node_test.go
+++ b/raftnode/node_test.go
@@ -87,7 +87,7 @@
 	node := restart()
 	c.waitUntilServing(1)
 	partition()
-	require.Eventually(t, func() bool { return node.Status().LeaseRemaining == 0 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return node.Status().LeaseRemainingMillis == 0 }, 10*time.Second, 5*time.Millisecond)
 	assert.True(t, isServing(node))
 	node = restart()
 	assert.True(t, isServing(node))
@@ -95,7 +95,7 @@
 
 	c.faults.Clear()
 	c.waitUntilServing(1)
-	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{RemoveMember: name}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return !isServing(node) }, 10*time.Second, 5*time.Millisecond)
 	partition()
 	node = restart()
--- a/raftnode/recovery.go
+++ b/raftnode/recovery.go
@@ -18,12 +18,12 @@
 	Name         string                // of the instance
 	Members      []sharedconfig.Member // by the newest member list
 	LastLogIndex uint64                // index of the log's last entry
-	Term         uint64                // of that entry
+	LastLogTerm  uint64                // of that entry
 	State        sharedconfig.State    // after that entry, committed or not
 }
 
-// Examine reads what an instance's data directory holds, and changes nothing.
-func Examine(path, name string) (RecoveryReport, error) {
+// ReadRecoveryReport reads what an instance's data directory holds, and changes nothing.
+func ReadRecoveryReport(path, name string) (RecoveryReport, error) {
 	if _, err := os.Stat(filepath.Join(path, databaseName)); err != nil {
 		return RecoveryReport{}, fmt.Errorf("folder: %w", err)
 	}
@@ -106,7 +106,7 @@
 		default: // the other types change nothing that is reported
 		}
 		report.LastLogIndex = entry.Index
-		report.Term = entry.Term
+		report.LastLogTerm = entry.Term
 	}
 	report.Members = membersOf(members)
 	report.State = machine.current()
@@ -128,7 +128,7 @@
 		return none, err
 	}
 	report.LastLogIndex = meta.Index
-	report.Term = meta.Term
+	report.LastLogTerm = meta.Term
 	return meta.Configuration, nil
 }
 
--- a/raftnode/recovery_test.go
+++ b/raftnode/recovery_test.go
@@ -25,7 +25,7 @@
 	clear(c.nodes)
 
 	config := c.configs["n3"]
-	report, err := Examine(config.DataDirectory, "n3")
+	report, err := ReadRecoveryReport(config.DataDirectory, "n3")
 	require.NoError(t, err)
 	assert.Equal(t, uint64(2), report.State.Active().Number)
 	assert.Len(t, report.Members, 3)
@@ -46,7 +46,7 @@
 }
 
 func TestExamineFailsWithoutDataDirectory(t *testing.T) {
-	_, err := Examine(t.TempDir(), "n9")
+	_, err := ReadRecoveryReport(t.TempDir(), "n9")
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
@@ -74,7 +74,7 @@
 	require.NoError(t, directory.store.DeleteRange(1, 2)) // as a compaction does
 	require.NoError(t, directory.close())
 	c.listenAgain(&config)
-	_, err = Open(config)
+	_, err = StartNode(config)
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), "cannot read snapshot "+metas[0].ID)
 	assert.NotContains(t, err.Error(), "\n")
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -24,10 +24,10 @@
 		`{"Call":1,"OK":true,"Version":2,"Removed":true}`: sharedconfig.LeaseReply{
 			CallID: 1, OK: true, Version: 2, Removed: true,
 		},
-		`{"remove":"n2"}`:    Command{Remove: name},
-		`{"hand_over":"n2"}`: Command{TransferLeadership: &name},
+		`{"remove":"n2"}`:    Command{RemoveMember: name},
+		`{"hand_over":"n2"}`: Command{TransferLeadershipTo: &name},
 		`{"add":{"name":"n2","folder":"f","addr":"a","voter":true}}`: Command{
-			Add: &sharedconfig.Member{Name: name, DirectoryID: "f", Addr: "a", Voter: true},
+			AddMember: &sharedconfig.Member{Name: name, DirectoryID: "f", Addr: "a", Voter: true},
 		},
 		`{"change":{"request":"r","expect":1,"text":"t","digest":"d","author":"a","reason":"w","at":2}}`: Command{
 			Change: &sharedconfig.Change{RequestID: "r", ExpectedVersion: 1, Text: "t", Digest: "d", Author: "a", Reason: "w", RequestedAtMillis: 2},
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -9,21 +9,21 @@
 
 // Status is how an instance sees its group.
 type Status struct {
-	Name   string `json:"name"`
-	Group  string `json:"group"`
-	Leader string `json:"leader"` // name; empty: no leader is known
-	Term   uint64 `json:"term"`
-	// Version is the active version by this instance's log.
-	Version uint64 `json:"version"`
-	// Serving is the version that this instance serves.
-	Serving uint64 `json:"serving"`
-	Digest  string `json:"digest"`            // of the active version
-	Pending string `json:"pending,omitempty"` // request of the change in progress
-	// LeaseRemaining is for how many milliseconds the lease still covers the served version.
-	LeaseRemaining int64 `json:"lease_ms"`
-	// Reason is the reason why the instance does not serve under a lease.
-	Reason  string                `json:"why,omitempty"`
-	Members []sharedconfig.Member `json:"members"`
+	Name    string `json:"name"`
+	GroupID string `json:"group"`
+	Leader  string `json:"leader"` // name; empty: no leader is known
+	Term    uint64 `json:"term"`
+	// ActiveVersion is the active version by this instance's log.
+	ActiveVersion uint64 `json:"version"`
+	// ServedVersion is the version that this instance serves.
+	ServedVersion    uint64 `json:"serving"`
+	Digest           string `json:"digest"`            // of the active version
+	PendingRequestID string `json:"pending,omitempty"` // request of the change in progress
+	// LeaseRemainingMillis is for how many milliseconds the lease still covers the served version.
+	LeaseRemainingMillis int64 `json:"lease_ms"`
+	// NotCoveredReason is the reason why the instance does not serve under a lease.
+	NotCoveredReason string                `json:"why,omitempty"`
+	Members          []sharedconfig.Member `json:"members"`
 	// VoterAddresses are the addresses of a follower's voters in the order in which it polls them.
 	VoterAddresses []string `json:"follows,omitempty"`
 	FirstLogIndex  uint64   `json:"log_first"` // index of the log's first entry
@@ -39,21 +39,21 @@
 	served := n.servedVersion.Load()
 	firstIndex, _ := n.directory.store.FirstIndex() // 0 if it cannot be read
 	status := Status{
-		Name:           n.config.Name,
-		Group:          state.GroupID,
-		Leader:         leader,
-		Term:           n.raft.CurrentTerm(),
-		Version:        state.Active().Number,
-		Serving:        served,
-		Digest:         state.Active().Digest,
-		LeaseRemaining: n.leaseRemaining(),
-		Reason:         n.lease.Load().NotCoveredReason(now, served),
-		Members:        n.Members(),
-		FirstLogIndex:  firstIndex,
-		LastLogIndex:   n.raft.LastIndex(),
+		Name:                 n.config.Name,
+		GroupID:              state.GroupID,
+		Leader:               leader,
+		Term:                 n.raft.CurrentTerm(),
+		ActiveVersion:        state.Active().Number,
+		ServedVersion:        served,
+		Digest:               state.Active().Digest,
+		LeaseRemainingMillis: n.leaseRemaining(),
+		NotCoveredReason:     n.lease.Load().NotCoveredReason(now, served),
+		Members:              n.Members(),
+		FirstLogIndex:        firstIndex,
+		LastLogIndex:         n.raft.LastIndex(),
 	}
 	if state.PendingChange != nil {
-		status.Pending = state.PendingChange.RequestID
+		status.PendingRequestID = state.PendingChange.RequestID
 	}
 	return status
 }
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -36,8 +36,8 @@
 // configNode is a voter or a follower of the replicated configuration.
 type configNode interface {
 	admin.ConfigNode
-	// Gate reports whether queries may be admitted by a version now, and if not, after which time to retry.
-	Gate(version uint64) (open bool, retryAfter time.Duration)
+	// AllowsQueries reports whether queries may be admitted by a version now, and if not, after which time to retry.
+	AllowsQueries(version uint64) (open bool, retryAfter time.Duration)
 	// ServedVersion returns the version that this instance serves; 0: none.
 	ServedVersion() uint64
 	Close() error
@@ -77,15 +77,15 @@
 		DataDirectory:     p.config.DataDirectory,
 		Address:           c.Address,
 		Key:               key,
-		Voters:            c.Voters,
+		SeedVoters:        c.Voters,
 		StalenessBound:    c.StalenessBound,
 		ServeWhenStale:    c.ServeWhenStale,
 		RaftSpeedup:       c.Speed,
 		SnapshotThreshold: c.SnapshotAfter,
 		Log:               log,
-		Check:             shared.check,
-		Activate:          shared.activate,
-		OnStep:            p.onChangeStep,
+		CheckDocument:     shared.check,
+		ActivateVersion:   shared.activate,
+		OnChangeStep:      p.onChangeStep,
 	}
 	if len(c.Voters) > 0 {
 		err = shared.follow(node)
@@ -100,12 +100,12 @@
 }
 
 func (s *sharedConfig) follow(c raftnode.Config) error {
-	follower, err := raftnode.Follow(c)
+	follower, err := raftnode.StartFollower(c)
 	if err != nil {
 		return err
 	}
 	s.node = follower
-	c.Log.WithField("voters", c.Voters).Info("following")
+	c.Log.WithField("voters", c.SeedVoters).Info("following")
 	return nil
 }
 
@@ -115,7 +115,7 @@
 		return err
 	}
 	c.Listener = listener
-	voter, err := raftnode.Open(c)
+	voter, err := raftnode.StartNode(c)
 	if err != nil {
 		listener.Close()
 		return err
@@ -147,7 +147,7 @@
 
 // allowsQueries is the brokers' gate.
 func (s *sharedConfig) allowsQueries(t *broker.Terms) (open bool, retryAfter time.Duration) {
-	return s.node.Gate(t.Version)
+	return s.node.AllowsQueries(t.Version)
 }
 
 // terms returns what this instance's fronts would serve a document by. An error says why one of them cannot.
