--- a/raftnode/activation.go
+++ b/raftnode/activation.go
@@ -40,7 +40,7 @@
 
 // activate makes the instance serve a version and reports whether it can.
 func (i *instance) activate(version sharedconfig.Version) bool {
-	log := i.logEntry().WithFields(logrus.Fields{
+	log := i.logWithState().WithFields(logrus.Fields{
 		"version": version.Number,
 		"digest":  version.Digest,
 		"author":  version.Author,
--- a/raftnode/bootstrap.go
+++ b/raftnode/bootstrap.go
@@ -10,51 +10,51 @@
 	"alderproxy/sharedconfig"
 )
 
-// raftCurrentTerm is the key under which Raft stores its term.
-const raftCurrentTerm = "CurrentTerm"
+// currentTermKey is the key under which Raft stores its term.
+const currentTermKey = "CurrentTerm"
 
 // Bootstrap creates a new group with a first version of the document in a data directory. The instance that starts from
 // it is the group's only member until others are added. keep is how many versions the group keeps. The error wraps
 // ErrAlreadyBootstrapped if the data directory has a group.
-func Bootstrap(path, name, address, text, digest, author string, keep int, at time.Time) (err error) {
+func Bootstrap(path, name, address, text, digest, author string, maxVersions int, createdAt time.Time) (err error) {
 	directory, err := openDataDirectory(path, name)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, directory.close()) }()
-	existing, err := directory.group()
-	if err != nil || existing != "" {
+	existingGroupID, err := directory.groupID()
+	if err != nil || existingGroupID != "" {
 		return errors.Join(err, fmt.Errorf("%s: %w", path, ErrAlreadyBootstrapped))
 	}
-	group := randomHex(groupIDSize)
+	groupID := randomHex(groupIDSize)
 	entry, err := sharedconfig.Entry{
 		Bootstrap: &sharedconfig.Bootstrap{
-			GroupID:     group,
-			MaxVersions: keep,
+			GroupID:     groupID,
+			MaxVersions: maxVersions,
 			FirstChange: sharedconfig.Change{
-				RequestID:         "first-" + group,
+				RequestID:         "first-" + groupID,
 				Text:              text,
 				Digest:            digest,
 				Author:            author,
 				Reason:            "the group begins",
-				RequestedAtMillis: at.UnixMilli(),
+				RequestedAtMillis: createdAt.UnixMilli(),
 			},
 		},
 	}.Encode()
 	if err != nil {
 		return err
 	}
-	if err := directory.storeFirstTerm(address, entry); err != nil {
+	if err := directory.storeBootstrapLog(address, entry); err != nil {
 		return err
 	}
-	return directory.setGroup(group)
+	return directory.setGroupID(groupID)
 }
 
-// storeFirstTerm writes the log that the leader of the first term would have written: itself as the only member and one
+// storeBootstrapLog writes the log that the leader of the first term would have written: itself as the only member and one
 // entry.
-func (d *dataDirectory) storeFirstTerm(address string, entry []byte) error {
+func (d *dataDirectory) storeBootstrapLog(address string, entry []byte) error {
 	const term = 1
-	members := raft.EncodeConfiguration(singleMember(d.id, address))
+	members := raft.EncodeConfiguration(singleMemberConfiguration(d.serverID, address))
 	err := d.store.StoreLogs([]*raft.Log{
 		{Index: 1, Term: term, Type: raft.LogConfiguration, Data: members},
 		{Index: 2, Term: term, Type: raft.LogCommand, Data: entry},
@@ -62,11 +62,11 @@
 	if err != nil {
 		return err
 	}
-	return d.store.SetUint64([]byte(raftCurrentTerm), term)
+	return d.store.SetUint64([]byte(currentTermKey), term)
 }
 
-// singleMember is the member list of a group of one.
-func singleMember(id raft.ServerID, address string) raft.Configuration {
+// singleMemberConfiguration is the member list of a group of one.
+func singleMemberConfiguration(id raft.ServerID, address string) raft.Configuration {
 	server := raft.Server{ID: id, Address: raft.ServerAddress(address)}
 	return raft.Configuration{Servers: []raft.Server{server}}
 }
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -8,8 +8,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// applyTimeout bounds the wait until Raft takes an entry.
-const applyTimeout = 2 * time.Second
+// applyEnqueueTimeout bounds the wait until Raft takes an entry.
+const applyEnqueueTimeout = 2 * time.Second
 
 func (n *Node) notifyStep(step string) {
 	if n.config.OnChangeStep != nil {
@@ -19,7 +19,7 @@
 
 // appendEntry appends an entry to the log and waits until it is applied.
 func (n *Node) appendEntry(action sharedconfig.AppendEntry) {
-	err := n.applyEntry(action.Entry)
+	err := n.submitEntry(action.Entry)
 	if action.RequestID == "" {
 		return
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func (n *Node) applyEntry(entry sharedconfig.Entry) error {
+func (n *Node) submitEntry(entry sharedconfig.Entry) error {
 	encoded, err := entry.Encode()
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 	} else {
 		n.notifyStep(StepPropose)
 	}
-	return n.raft.Apply(encoded, applyTimeout).Error()
+	return n.raft.Apply(encoded, applyEnqueueTimeout).Error()
 }
 
 // checkChange asks a member, perhaps this one, whether it could serve a change's document.
@@ -72,7 +72,7 @@
 	}
 	var result []byte
 	target := memberTarget(action.Member)
-	if target.ID == string(n.directory.id) {
+	if target.ID == string(n.directory.serverID) {
 		result, err = n.handleCheck(target.ID, body, nil)
 	} else {
 		result, err = n.endpoint.Call(target, rpcCheckChange, body, nil, microseconds(n.settings.CheckTimeout))
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -89,10 +89,10 @@
 // moveToNewAddress gives an instance a new listener and a new address in the faulty network.
 func (c *testCluster) moveToNewAddress(config *Config) {
 	c.t.Helper()
-	front := listen(c.t, anyLocalPort)
-	config.Address = front.Addr().String()
+	proxyListener := listen(c.t, anyLocalPort)
+	config.Address = proxyListener.Addr().String()
 	config.Listener = listen(c.t, anyLocalPort)
-	c.faults.ProxyConnections(config.Name, front).SetTarget(config.Listener.Addr().String())
+	c.faults.ProxyConnections(config.Name, proxyListener).SetTarget(config.Listener.Addr().String())
 }
 
 func (c *testCluster) open(config Config) *Node {
@@ -111,8 +111,8 @@
 	return c.configs[name]
 }
 
-// listenAgain gives a stopped instance a listener at the port that it had.
-func (c *testCluster) listenAgain(config *Config) {
+// reopenListener gives a stopped instance a listener at the port that it had.
+func (c *testCluster) reopenListener(config *Config) {
 	c.t.Helper()
 	config.Listener = listen(c.t, config.Listener.Addr().String())
 }
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -44,8 +44,8 @@
 		if command.Change != nil {
 			attemptTimeout = min(attemptTimeout, leaderAttemptTimeout)
 		}
-		if attempted, ok := n.executeAtLeader(command, attemptTimeout); ok {
-			outcome = attempted
+		if attemptOutcome, ok := n.executeAtLeader(command, attemptTimeout); ok {
+			outcome = attemptOutcome
 		}
 		// Busy: another change ends soon.
 		if outcome.Status != sharedconfig.StatusUnknown && outcome.Status != sharedconfig.StatusBusy {
@@ -66,8 +66,8 @@
 	switch id {
 	case "":
 		return outcome, false
-	case n.directory.id:
-		return n.executeHere(command, timeout), true
+	case n.directory.serverID:
+		return n.executeLocally(command, timeout), true
 	}
 	outcome, err := n.forward(command, id, address, timeout)
 	if err != nil {
@@ -98,21 +98,21 @@
 	if err := json.Unmarshal(body, &command); err != nil {
 		return nil, err
 	}
-	return json.Marshal(n.executeHere(command, forwardedCommandTimeout))
+	return json.Marshal(n.executeLocally(command, forwardedCommandTimeout))
 }
 
-// executeHere executes a command if this instance leads.
-func (n *Node) executeHere(command Command, timeout time.Duration) sharedconfig.Outcome {
+// executeLocally executes a command if this instance leads.
+func (n *Node) executeLocally(command Command, timeout time.Duration) sharedconfig.Outcome {
 	switch {
 	case command.Change != nil:
-		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-			return sharedconfig.ChangeRequested{CallID: call, Change: *command.Change}
+		return n.callCore(timeout, func(callID uint64) sharedconfig.Event {
+			return sharedconfig.ChangeRequested{CallID: callID, Change: *command.Change}
 		})
 	case command.AddMember != nil:
 		return n.addMember(*command.AddMember, timeout)
 	case command.RemoveMember != "":
-		return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-			return sharedconfig.RemoveMemberRequested{CallID: call, Name: command.RemoveMember}
+		return n.callCore(timeout, func(callID uint64) sharedconfig.Event {
+			return sharedconfig.RemoveMemberRequested{CallID: callID, Name: command.RemoveMember}
 		})
 	case command.TransferLeadershipTo != nil:
 		return n.transferLeadershipTo(*command.TransferLeadershipTo)
@@ -134,13 +134,13 @@
 		return refusedOutcome(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
 	}
 	added := sharedconfig.Member{Name: name, DirectoryID: directoryID, Addr: member.Addr}
-	return n.callCore(timeout, func(call uint64) sharedconfig.Event {
-		return sharedconfig.AddMemberRequested{CallID: call, Member: added}
+	return n.callCore(timeout, func(callID uint64) sharedconfig.Event {
+		return sharedconfig.AddMemberRequested{CallID: callID, Member: added}
 	})
 }
 
 // callCore passes a call to the decisions and waits for the outcome.
-func (n *Node) callCore(timeout time.Duration, newEvent func(call uint64) sharedconfig.Event) sharedconfig.Outcome {
+func (n *Node) callCore(timeout time.Duration, newEvent func(callID uint64) sharedconfig.Event) sharedconfig.Outcome {
 	outcome, ok := callEventLoop(n, n.commands, timeout, newEvent)
 	if !ok {
 		return sharedconfig.Outcome{Reason: "not decided in time"}
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -14,7 +14,7 @@
 	"alderproxy/sharedconfig"
 )
 
-const earlierRevision = "testdata/a377099"
+const earlierRevisionDirectory = "testdata/a377099"
 
 // earlierInstances is what the instances of the earlier revision reported before they were stopped.
 type earlierInstances struct {
@@ -27,7 +27,7 @@
 // comparison of decoded values it notices a changed name of a JSON field.
 func assertStoredAs(t *testing.T, field string, value any) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(earlierRevision, "written.json"))
+	text, err := os.ReadFile(filepath.Join(earlierRevisionDirectory, "written.json"))
 	require.NoError(t, err)
 	var fields map[string]json.RawMessage
 	require.NoError(t, json.Unmarshal(text, &fields))
@@ -40,7 +40,7 @@
 func copyEarlierRevision(t *testing.T) (directory string, written earlierInstances) {
 	t.Helper()
 	directory = t.TempDir()
-	require.NoError(t, os.CopyFS(directory, os.DirFS(earlierRevision)))
+	require.NoError(t, os.CopyFS(directory, os.DirFS(earlierRevisionDirectory)))
 	text, err := os.ReadFile(filepath.Join(directory, "written.json"))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &written))
@@ -126,10 +126,10 @@
 	stored, err := openDataDirectory(n1, "n1")
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, stored.close()) })
-	group, err := stored.group()
+	group, err := stored.groupID()
 	require.NoError(t, err)
 	assert.Equal(t, written.State.GroupID, group)
-	term, err := stored.store.GetUint64([]byte(raftCurrentTerm))
+	term, err := stored.store.GetUint64([]byte(currentTermKey))
 	require.NoError(t, err)
 	assert.Equal(t, written.Status.Term, term)
 }
--- a/raftnode/data_directory.go
+++ b/raftnode/data_directory.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	databaseName      = "agreed.db"
+	databaseFileName  = "agreed.db"
 	retainedSnapshots = 2
 	directoryIDSize   = 4 // random bytes
 	groupIDSize       = 8 // random bytes
@@ -27,7 +27,7 @@
 const (
 	metadataName          = "name"
 	metadataDirectoryID   = "folder"
-	metadataGroup         = "group"
+	metadataGroupID       = "group"
 	metadataRemoved       = "removed" // removedValue, if the instance was removed from its group
 	metadataActiveVersion = "active"  // the version served last, as JSON
 )
@@ -36,9 +36,9 @@
 
 // dataDirectory is an instance's open data directory.
 type dataDirectory struct {
-	path  string
-	store *raftstore.Store
-	id    raft.ServerID // of the instance
+	path     string
+	store    *raftstore.Store
+	serverID raft.ServerID // of the instance
 }
 
 func randomHex(size int) string {
@@ -52,22 +52,22 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	store, err := raftstore.Open(filepath.Join(path, databaseName))
+	store, err := raftstore.Open(filepath.Join(path, databaseFileName))
 	if err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
 	directory := &dataDirectory{path: path, store: store}
-	directory.id, err = identify(store, name)
+	directory.serverID, err = loadOrCreateServerID(store, name)
 	if err != nil {
-		directory.discard()
-		return nil, directory.wrap(err)
+		directory.closeAfterError()
+		return nil, directory.wrapError(err)
 	}
 	return directory, nil
 }
 
-// identify returns the id of the instance that a store belongs to, which must have the given name. A new store gets a
+// loadOrCreateServerID returns the id of the instance that a store belongs to, which must have the given name. A new store gets a
 // random id of its own: an instance that lost its votes must not vote as the instance that it was.
-func identify(store *raftstore.Store, name string) (raft.ServerID, error) {
+func loadOrCreateServerID(store *raftstore.Store, name string) (raft.ServerID, error) {
 	storedName, nameErr := store.Metadata(metadataName)
 	directoryID, idErr := store.Metadata(metadataDirectoryID)
 	if err := errors.Join(nameErr, idErr); err != nil {
@@ -89,21 +89,21 @@
 
 func (d *dataDirectory) close() error { return d.store.Close() }
 
-// discard closes the directory after an error, which is the one to report.
-func (d *dataDirectory) discard() { _ = d.store.Close() }
+// closeAfterError closes the directory after an error, which is the one to report.
+func (d *dataDirectory) closeAfterError() { _ = d.store.Close() }
 
-// wrap names the directory in an error.
-func (d *dataDirectory) wrap(err error) error { return fmt.Errorf("folder %s: %w", d.path, err) }
+// wrapError names the directory in an error.
+func (d *dataDirectory) wrapError(err error) error { return fmt.Errorf("folder %s: %w", d.path, err) }
 
-// group returns the instance's group, or an empty string.
-func (d *dataDirectory) group() (string, error) { return d.store.Metadata(metadataGroup) }
+// groupID returns the instance's groupID, or an empty string.
+func (d *dataDirectory) groupID() (string, error) { return d.store.Metadata(metadataGroupID) }
 
-func (d *dataDirectory) setGroup(group string) error {
-	return d.store.SetMetadata(metadataGroup, group)
+func (d *dataDirectory) setGroupID(groupID string) error {
+	return d.store.SetMetadata(metadataGroupID, groupID)
 }
 
-// removed reports whether the instance was removed from its group.
-func (d *dataDirectory) removed() (bool, error) {
+// isRemoved reports whether the instance was isRemoved from its group.
+func (d *dataDirectory) isRemoved() (bool, error) {
 	value, err := d.store.Metadata(metadataRemoved)
 	return value != "", err
 }
@@ -120,7 +120,7 @@
 		return version, err
 	}
 	if err := json.Unmarshal([]byte(text), &version); err != nil {
-		return version, d.wrap(fmt.Errorf("the version served last: %w", err))
+		return version, d.wrapError(fmt.Errorf("the version served last: %w", err))
 	}
 	return version, nil
 }
--- a/raftnode/event_loop.go
+++ b/raftnode/event_loop.go
@@ -13,7 +13,7 @@
 	}
 	state := n.core.State()
 	n.publishState(state)
-	n.storeGroup(state.GroupID)
+	n.storeGroupID(state.GroupID)
 }
 
 // publishState makes a state visible to other goroutines.
@@ -24,17 +24,17 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	close(n.versionChanged)
-	n.versionChanged = make(chan struct{})
+	close(n.activeVersionChanged)
+	n.activeVersionChanged = make(chan struct{})
 }
 
-// storeGroup stores the group that the node has become a member of.
-func (n *Node) storeGroup(group string) {
-	if group == "" || group == *n.group.Load() {
+// storeGroupID stores the group that the node has become a member of.
+func (n *Node) storeGroupID(groupID string) {
+	if groupID == "" || groupID == *n.groupID.Load() {
 		return
 	}
-	n.group.Store(&group)
-	if err := n.directory.setGroup(group); err != nil {
+	n.groupID.Store(&groupID)
+	if err := n.directory.setGroupID(groupID); err != nil {
 		n.config.Log.WithError(err).Error("cannot store the group's name")
 	}
 }
@@ -64,7 +64,7 @@
 	case sharedconfig.SetLease:
 		n.setLease(action.Lease)
 	case sharedconfig.LogMessage:
-		n.logEntry().Info(action.Text)
+		n.logWithState().Info(action.Text)
 	}
 }
 
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -17,21 +17,21 @@
 
 const (
 	faultClients = 6
-	// minAnswered is how many reads and writes have to be answered for a run to be conclusive.
-	minAnswered = 10
-	// maxFaultRun bounds a run on a busy machine, on which few calls are answered.
-	maxFaultRun = time.Minute
+	// minAnsweredCalls is how many reads and writes have to be answered for a run to be conclusive.
+	minAnsweredCalls = 10
+	// maxFaultRunDuration bounds a run on a busy machine, on which few calls are answered.
+	maxFaultRunDuration = time.Minute
 )
 
 // faultRun lets clients read and write the configuration of a group whose messages are lost, delayed, duplicated and
 // blocked, and watches which versions are served.
 type faultRun struct {
-	cluster *testCluster
-	seed    uint64
-	names   []string
-	began   time.Time
-	stop    chan struct{}
-	wg      sync.WaitGroup
+	cluster   *testCluster
+	seed      uint64
+	names     []string
+	startedAt time.Time
+	stop      chan struct{}
+	wg        sync.WaitGroup
 
 	mu          sync.Mutex
 	history     []porcupine.Operation
@@ -48,7 +48,7 @@
 }
 
 // runUnderFaults runs for a time, and longer if fewer than minAnswered calls have been answered by then.
-func runUnderFaults(t *testing.T, seed uint64, stalenessBound, length time.Duration) faultRunResult {
+func runUnderFaults(t *testing.T, seed uint64, stalenessBound, duration time.Duration) faultRunResult {
 	t.Helper()
 	cluster := newTestCluster(t, stalenessBound)
 	cluster.faults = faultnet.New(seed)
@@ -57,24 +57,24 @@
 		cluster:     cluster,
 		seed:        seed,
 		names:       []string{"n1", "n2", "n3"},
-		began:       time.Now(),
+		startedAt:   time.Now(),
 		stop:        make(chan struct{}),
 		firstServed: map[uint64]time.Time{},
 	}
 	for _, node := range cluster.nodes {
-		r.wg.Go(func() { r.watch(node) })
+		r.wg.Go(func() { r.watchServedVersions(node) })
 	}
 	for id := range faultClients {
 		r.wg.Go(func() { r.runClient(id) })
 	}
-	r.injectFaults(length)
+	r.injectFaults(duration)
 	close(r.stop)
 	r.wg.Wait()
 	return r.result()
 }
 
-// watch records when an instance serves which version.
-func (r *faultRun) watch(node *Node) {
+// watchServedVersions records when an instance serves which version.
+func (r *faultRun) watchServedVersions(node *Node) {
 	for {
 		select {
 		case <-r.stop:
@@ -118,20 +118,20 @@
 			continue
 		}
 		active := state.Active()
-		r.record(id, called, registerCall{}, registerResult{version: active.Number, text: active.Text})
+		r.recordCall(id, called, registerCall{}, registerResult{version: active.Number, text: active.Text})
 		if rng.IntN(2) == 0 {
 			continue
 		}
 		call := registerCall{write: true, expected: active.Number, text: fmt.Sprint(id, ".", i)}
 		called = time.Now()
 		outcome := node.Execute(changeCommand(call.text, call.expected, call.text), 3*time.Second)
-		r.record(id, called, call, registerResult{status: outcome.Status, version: outcome.Version})
+		r.recordCall(id, called, call, registerResult{status: outcome.Status, version: outcome.Version})
 	}
 }
 
-// record adds a call to the history. A write whose outcome is unknown may take effect at any later time.
-func (r *faultRun) record(client int, called time.Time, call registerCall, result registerResult) {
-	returned := time.Since(r.began)
+// recordCall adds a call to the history. A write whose outcome is unknown may take effect at any later time.
+func (r *faultRun) recordCall(client int, called time.Time, call registerCall, result registerResult) {
+	returned := time.Since(r.startedAt)
 	if call.write && result.status == sharedconfig.StatusUnknown {
 		returned = time.Hour
 	}
@@ -140,7 +140,7 @@
 	r.history = append(r.history, porcupine.Operation{
 		ClientId: client,
 		Input:    call,
-		Call:     called.Sub(r.began).Nanoseconds(),
+		Call:     called.Sub(r.startedAt).Nanoseconds(),
 		Output:   result,
 		Return:   returned.Nanoseconds(),
 	})
@@ -150,10 +150,10 @@
 }
 
 // injectFaults changes the faults of the network until the run is over.
-func (r *faultRun) injectFaults(length time.Duration) {
+func (r *faultRun) injectFaults(duration time.Duration) {
 	rng := rand.New(rand.NewPCG(r.seed, 99))
 	faults := r.cluster.faults
-	for r.continues(length) {
+	for r.shouldContinue(duration) {
 		a, b := r.names[rng.IntN(3)], r.names[rng.IntN(3)]
 		if rng.IntN(3) > 0 {
 			faults.Clear()
@@ -172,11 +172,11 @@
 	faults.Clear()
 }
 
-func (r *faultRun) continues(length time.Duration) bool {
+func (r *faultRun) shouldContinue(duration time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	elapsed := time.Since(r.began)
-	return elapsed < length || r.answered <= minAnswered && elapsed < maxFaultRun
+	elapsed := time.Since(r.startedAt)
+	return elapsed < duration || r.answered <= minAnsweredCalls && elapsed < maxFaultRunDuration
 }
 
 func (r *faultRun) result() faultRunResult {
@@ -207,7 +207,7 @@
 			t.Logf("%+v", result)
 			assert.LessOrEqual(t, result.staleness, stalenessBound)
 			assert.NotEqual(t, porcupine.Illegal, result.linearizable)
-			assert.Greater(t, result.done+result.reads, minAnswered, "the run is not conclusive")
+			assert.Greater(t, result.done+result.reads, minAnsweredCalls, "the run is not conclusive")
 		})
 	}
 }
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -17,11 +17,11 @@
 // Follower is an instance that takes no part in Raft and polls the voters.
 type Follower struct {
 	*instance
-	endpoint *peer.Endpoint
-	core     *sharedconfig.Follower // the event loop's
-	group    atomic.Pointer[string] // empty: unknown yet
-	active   atomic.Pointer[sharedconfig.Version]
-	voters   atomic.Pointer[[]sharedconfig.Member]
+	endpoint      *peer.Endpoint
+	core          *sharedconfig.Follower // the event loop's
+	groupID       atomic.Pointer[string] // empty: unknown yet
+	activeVersion atomic.Pointer[sharedconfig.Version]
+	voters        atomic.Pointer[[]sharedconfig.Member]
 }
 
 // StartFollower starts a follower. With a new data directory it serves nothing until a voter has answered.
@@ -32,7 +32,7 @@
 	}
 	version, err := directory.activeVersion()
 	if err != nil {
-		directory.discard()
+		directory.closeAfterError()
 		return nil, err
 	}
 	f := newFollower(config, directory, version)
@@ -47,17 +47,17 @@
 }
 
 func newFollower(config Config, directory *dataDirectory, version sharedconfig.Version) *Follower {
-	id := string(directory.id)
+	id := string(directory.serverID)
 	f := &Follower{instance: newInstance(config, directory, id)}
-	f.logEntry = f.describe
+	f.logWithState = f.withFollowerFields
 	f.core = sharedconfig.NewFollower(f.settings, config.SeedVoters, version)
 	f.lease.Store(&sharedconfig.Lease{ServeWhenStale: f.settings.ServeWhenStale})
-	f.group.Store(new(string))
-	f.active.Store(&version)
+	f.groupID.Store(new(string))
+	f.activeVersion.Store(&version)
 	f.voters.Store(&[]sharedconfig.Member{})
 	f.endpoint = peer.New(peer.Config{
 		ID:    id,
-		Group: func() string { return *f.group.Load() },
+		Group: func() string { return *f.groupID.Load() },
 		Key:   config.Key,
 		Log:   config.Log,
 	})
@@ -72,11 +72,11 @@
 	return f.directory.close()
 }
 
-// describe returns the log with the fields of every line about the shared configuration.
-func (f *Follower) describe() *logrus.Entry {
+// withFollowerFields returns the log with the fields of every line about the shared configuration.
+func (f *Follower) withFollowerFields() *logrus.Entry {
 	return f.config.Log.WithFields(logrus.Fields{
 		"instance": f.config.Name,
-		"version":  f.active.Load().Number,
+		"version":  f.activeVersion.Load().Number,
 		"follows":  len(*f.voters.Load()),
 	})
 }
@@ -86,9 +86,9 @@
 	for _, action := range f.core.Step(clock.Now(), events) {
 		f.perform(action)
 	}
-	group := f.core.GroupID()
+	groupID := f.core.GroupID()
 	voters := f.core.Voters()
-	f.group.Store(&group)
+	f.groupID.Store(&groupID)
 	f.voters.Store(&voters)
 }
 
@@ -98,12 +98,12 @@
 	case sharedconfig.PollVoter:
 		go f.poll(action)
 	case sharedconfig.Activate:
-		f.active.Store(&action.Version)
+		f.activeVersion.Store(&action.Version)
 		f.scheduleActivation(action.Version)
 	case sharedconfig.SetLease:
 		f.lease.Store(&action.Lease)
 	case sharedconfig.LogMessage:
-		f.logEntry().Warn(action.Text)
+		f.logWithState().Warn(action.Text)
 	}
 }
 
@@ -139,15 +139,15 @@
 
 // Status returns how this instance sees its group.
 func (f *Follower) Status() Status {
-	active := f.active.Load()
+	active := f.activeVersion.Load()
 	served := f.servedVersion.Load()
 	status := Status{
 		Name:                 f.config.Name,
-		GroupID:              *f.group.Load(),
+		GroupID:              *f.groupID.Load(),
 		ActiveVersion:        active.Number,
 		ServedVersion:        served,
 		Digest:               active.Digest,
-		LeaseRemainingMillis: f.leaseRemaining(),
+		LeaseRemainingMillis: f.leaseRemainingMillis(),
 		NotCoveredReason:     f.lease.Load().NotCoveredReason(clock.Now(), served),
 	}
 	for _, voter := range *f.voters.Load() {
@@ -161,12 +161,12 @@
 
 // State returns what this instance has of the group's state: the active version.
 func (f *Follower) State() sharedconfig.State {
-	active := f.active.Load()
+	active := f.activeVersion.Load()
 	if active.Number == 0 {
 		return sharedconfig.State{}
 	}
 	return sharedconfig.State{
-		GroupID:  *f.group.Load(),
+		GroupID:  *f.groupID.Load(),
 		Versions: []sharedconfig.Version{*active},
 	}
 }
--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -20,25 +20,25 @@
 
 // instance is what a Node and a Follower have in common: an event loop, and versions that are served under a lease.
 type instance struct {
-	config        Config
-	directory     *dataDirectory
-	settings      sharedconfig.Settings
-	logEntry      func() *logrus.Entry // with the fields that describe the instance's state
-	events        *eventQueue
-	lease         atomic.Pointer[sharedconfig.Lease]
-	servedVersion atomic.Uint64
-	activations   chan sharedconfig.Version // holds the newest version to activate
-	serving       servingReport             // the event loop's
-	stop          chan struct{}             // closed when the instance stops
-	goroutines    sync.WaitGroup
+	config            Config
+	directory         *dataDirectory
+	settings          sharedconfig.Settings
+	logWithState      func() *logrus.Entry // with the fields that describe the instance's state
+	events            *eventQueue
+	lease             atomic.Pointer[sharedconfig.Lease]
+	servedVersion     atomic.Uint64
+	activations       chan sharedconfig.Version // holds the newest version to activate
+	lastServingReport servingReport             // the event loop's
+	stop              chan struct{}             // closed when the instance stops
+	goroutines        sync.WaitGroup
 }
 
 // newInstance returns an instance whose decisions know it by an id.
-func newInstance(config Config, directory *dataDirectory, id string) *instance {
+func newInstance(config Config, directory *dataDirectory, directoryID string) *instance {
 	return &instance{
 		config:      config,
 		directory:   directory,
-		settings:    sharedconfig.DefaultSettings(id, config.StalenessBound.Microseconds(), config.ServeWhenStale),
+		settings:    sharedconfig.DefaultSettings(directoryID, config.StalenessBound.Microseconds(), config.ServeWhenStale),
 		events:      newEventQueue(),
 		activations: make(chan sharedconfig.Version, 1),
 		stop:        make(chan struct{}),
@@ -77,15 +77,15 @@
 func (i *instance) ServedVersion() uint64 { return i.servedVersion.Load() }
 
 // AllowsQueries reports whether queries may be served by a version now, and if not, when clients should retry.
-func (i *instance) AllowsQueries(version uint64) (open bool, retry time.Duration) {
+func (i *instance) AllowsQueries(version uint64) (open bool, retryDelay time.Duration) {
 	if i.lease.Load().Allows(clock.Now(), version) {
 		return true, 0
 	}
 	return false, retryAfter
 }
 
-// leaseRemaining returns for how many milliseconds the lease still covers the served version.
-func (i *instance) leaseRemaining() int64 {
+// leaseRemainingMillis returns for how many milliseconds the lease still covers the served version.
+func (i *instance) leaseRemainingMillis() int64 {
 	lease := i.lease.Load()
 	version := i.servedVersion.Load()
 	now := clock.Now()
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -16,7 +16,7 @@
 		case leading := <-changes:
 			term := n.raft.CurrentTerm()
 			n.events.push(sharedconfig.LeadershipChanged{Leading: leading, Term: term})
-			n.logEntry().WithField("leading", leading).Info("leadership changed")
+			n.logWithState().WithField("leading", leading).Info("leadership changed")
 			if leading {
 				go n.waitUntilReady(term)
 			}
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// leaseRequestIntervals bounds a lease request, in lease renewal intervals.
-	leaseRequestIntervals = 4
+	// leaseRequestTimeoutIntervals bounds a lease request, in lease renewal intervals.
+	leaseRequestTimeoutIntervals = 4
 	// leaseVerificationTimeout bounds the wait for a majority before a lease request is answered.
 	leaseVerificationTimeout = 2 * time.Second
 )
@@ -19,17 +19,17 @@
 // requestLease requests a lease for the event loop. It reports nothing if the request fails: the event loop sends the
 // next one after a lease renewal interval.
 func (n *Node) requestLease(seq uint64) {
-	timeout := leaseRequestIntervals * microseconds(n.settings.LeaseRenewalInterval)
-	grant, err := n.requestLeaseFromLeader(timeout)
-	if err != nil || !grant.OK {
+	timeout := leaseRequestTimeoutIntervals * microseconds(n.settings.LeaseRenewalInterval)
+	reply, err := n.requestLeaseFromLeader(timeout)
+	if err != nil || !reply.OK {
 		n.config.Log.WithError(err).WithField("ask", seq).Debug("no lease granted")
 		return
 	}
 	n.events.push(sharedconfig.LeaseReplyReceived{
 		Seq:     seq,
-		OK:      grant.OK,
-		Version: grant.Version,
-		Removed: grant.Removed,
+		OK:      reply.OK,
+		Version: reply.Version,
+		Removed: reply.Removed,
 	})
 }
 
@@ -42,7 +42,7 @@
 	switch id {
 	case "":
 		return n.requestLeaseFromMembers(timeout)
-	case n.directory.id:
+	case n.directory.serverID:
 		body, err = n.handleLeaseRequest(string(id), nil, nil)
 	default:
 		body, err = n.endpoint.Call(peerTarget(id, address), rpcRequestLease, nil, nil, timeout)
@@ -50,9 +50,9 @@
 	if err != nil {
 		return sharedconfig.LeaseReply{}, err
 	}
-	var grant sharedconfig.LeaseReply
-	err = json.Unmarshal(body, &grant)
-	return grant, err
+	var reply sharedconfig.LeaseReply
+	err = json.Unmarshal(body, &reply)
+	return reply, err
 }
 
 // requestLeaseFromMembers requests a lease from one member after the other: an instance that was removed hears from no
@@ -60,13 +60,13 @@
 func (n *Node) requestLeaseFromMembers(timeout time.Duration) (sharedconfig.LeaseReply, error) {
 	for _, member := range n.Members() {
 		target := memberTarget(member)
-		if target.ID == string(n.directory.id) {
+		if target.ID == string(n.directory.serverID) {
 			continue
 		}
 		body, err := n.endpoint.Call(target, rpcRequestLease, nil, nil, timeout/2)
-		var grant sharedconfig.LeaseReply
-		if err == nil && json.Unmarshal(body, &grant) == nil && grant.OK {
-			return grant, nil
+		var reply sharedconfig.LeaseReply
+		if err == nil && json.Unmarshal(body, &reply) == nil && reply.OK {
+			return reply, nil
 		}
 	}
 	return sharedconfig.LeaseReply{}, ErrNoLeader
@@ -78,13 +78,13 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, ok := callEventLoop(n, n.leaseRequests, leaseVerificationTimeout, func(call uint64) sharedconfig.Event {
-		return sharedconfig.LeaseRequested{CallID: call, DirectoryID: directoryID}
+	reply, ok := callEventLoop(n, n.leaseRequests, leaseVerificationTimeout, func(callID uint64) sharedconfig.Event {
+		return sharedconfig.LeaseRequested{CallID: callID, DirectoryID: directoryID}
 	})
 	if !ok {
 		return nil, errNotVerified
 	}
-	return json.Marshal(answer)
+	return json.Marshal(reply)
 }
 
 // handlePoll answers a follower.
--- a/raftnode/membership.go
+++ b/raftnode/membership.go
@@ -24,10 +24,10 @@
 	if future.Error() != nil {
 		return nil
 	}
-	return membersOf(future.Configuration())
+	return membersFromConfiguration(future.Configuration())
 }
 
-func membersOf(configuration raft.Configuration) []sharedconfig.Member {
+func membersFromConfiguration(configuration raft.Configuration) []sharedconfig.Member {
 	var members []sharedconfig.Member
 	for _, server := range configuration.Servers {
 		name, directoryID, err := parseServerID(string(server.ID))
--- a/raftnode/membership_test.go
+++ b/raftnode/membership_test.go
@@ -20,7 +20,7 @@
 	leader := c.leader()
 	name := c.otherNames(leader.config.Name)[0]
 	config := c.closeNode(name)
-	c.listenAgain(&config)
+	c.reopenListener(&config)
 	config.DataDirectory = filepath.Join(c.directory, "another")
 	node := c.open(config)
 	add := addCommand(name, config.Address)
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -20,8 +20,8 @@
 	snapshotInterval = 2 * time.Second
 	// trailingLogsDivisor is the share of Config.SnapshotAfter that stays in the log after a compaction.
 	trailingLogsDivisor = 4
-	// leadershipQueue is how many changes of the leadership may wait to be handled.
-	leadershipQueue = 8
+	// leadershipQueueSize is how many changes of the leadership may wait to be handled.
+	leadershipQueueSize = 8
 )
 
 // Node is an instance that takes part in Raft.
@@ -31,14 +31,14 @@
 	raft     *raft.Raft
 	core     *sharedconfig.Core // the event loop's
 	state    atomic.Pointer[sharedconfig.State]
-	group    atomic.Pointer[string] // empty: a member of no group yet
+	groupID  atomic.Pointer[string] // empty: a member of no group yet
 
-	lastCall      atomic.Uint64 // id of the newest call into the event loop
+	lastCallID    atomic.Uint64 // id of the newest call into the event loop
 	commands      *pendingCalls[sharedconfig.Outcome]
 	leaseRequests *pendingCalls[sharedconfig.LeaseReply]
 
-	mu             sync.Mutex
-	versionChanged chan struct{} // closed, and replaced, when another version becomes active
+	mu                   sync.Mutex
+	activeVersionChanged chan struct{} // closed, and replaced, when another version becomes active
 }
 
 // StartNode starts an instance. With a new data directory it waits to be added to a group.
@@ -52,7 +52,7 @@
 		err = n.run()
 	}
 	if err != nil {
-		directory.discard()
+		directory.closeAfterError()
 		return nil, err
 	}
 	return n, nil
@@ -60,24 +60,24 @@
 
 // newNode returns a node that has not started anything.
 func newNode(config Config, directory *dataDirectory) (*Node, error) {
-	_, directoryID, _ := parseServerID(string(directory.id)) // an id that identify has made
-	group, err := directory.group()
+	_, directoryID, _ := parseServerID(string(directory.serverID)) // an id that identify has made
+	groupID, err := directory.groupID()
 	if err != nil {
 		return nil, err
 	}
-	removed, err := directory.removed()
+	isRemoved, err := directory.isRemoved()
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		instance:       newInstance(config, directory, directoryID),
-		commands:       newPendingCalls[sharedconfig.Outcome](),
-		leaseRequests:  newPendingCalls[sharedconfig.LeaseReply](),
-		versionChanged: make(chan struct{}),
-	}
-	n.logEntry = n.describe
-	n.group.Store(&group)
-	n.settings.Removed = removed
+		instance:             newInstance(config, directory, directoryID),
+		commands:             newPendingCalls[sharedconfig.Outcome](),
+		leaseRequests:        newPendingCalls[sharedconfig.LeaseReply](),
+		activeVersionChanged: make(chan struct{}),
+	}
+	n.logWithState = n.withNodeFields
+	n.groupID.Store(&groupID)
+	n.settings.Removed = isRemoved
 	n.core = sharedconfig.NewCore(n.settings, sharedconfig.State{})
 	lease := n.core.Lease()
 	n.lease.Store(&lease)
@@ -89,7 +89,7 @@
 func (n *Node) run() error {
 	snapshots, err := n.directory.openSnapshots(n.newRaftLogger())
 	if err != nil {
-		return n.directory.wrap(err)
+		return n.directory.wrapError(err)
 	}
 	if err := n.activateStoredVersion(); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	raftTransport := newTransport(n.config.Address)
 	n.endpoint = peer.Listen(n.endpointConfig(ready), n.config.Listener, n.handlers(raftTransport, ready))
 	raftTransport.endpoint = n.endpoint
-	leadership := make(chan bool, leadershipQueue)
+	leadership := make(chan bool, leadershipQueueSize)
 	raftConfig := n.raftConfig()
 	raftConfig.Logger = n.newRaftLogger()
 	raftConfig.NotifyCh = leadership
@@ -128,7 +128,7 @@
 	if err != nil {
 		close(n.stop)
 		n.endpoint.Close()
-		return n.directory.wrap(err)
+		return n.directory.wrapError(err)
 	}
 	close(ready)
 	n.start(
@@ -141,8 +141,8 @@
 
 func (n *Node) endpointConfig(ready <-chan struct{}) peer.Config {
 	return peer.Config{
-		ID:    string(n.directory.id),
-		Group: func() string { return *n.group.Load() },
+		ID:    string(n.directory.serverID),
+		Group: func() string { return *n.groupID.Load() },
 		Key:   n.config.Key,
 		Log:   n.config.Log,
 		IsMember: func(id string) bool {
@@ -158,7 +158,7 @@
 
 func (n *Node) raftConfig() *raft.Config {
 	config := raft.DefaultConfig()
-	config.LocalID = n.directory.id
+	config.LocalID = n.directory.serverID
 	config.MaxAppendEntries = maxAppendEntries
 	if speed := time.Duration(n.config.RaftSpeedup); speed > 1 {
 		config.HeartbeatTimeout /= speed
@@ -183,8 +183,8 @@
 	return errors.Join(err, n.directory.close())
 }
 
-// describe returns the log with the fields of every line about the shared configuration.
-func (n *Node) describe() *logrus.Entry {
+// withNodeFields returns the log with the fields of every line about the shared configuration.
+func (n *Node) withNodeFields() *logrus.Entry {
 	fields := logrus.Fields{
 		"instance": n.config.Name,
 		"version":  n.state.Load().Active().Number,
--- a/raftnode/node_test.go
+++ b/raftnode/node_test.go
@@ -56,7 +56,7 @@
 	config := c.closeNode("n2")
 	require.Equal(t, sharedconfig.StatusDone, c.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	c.faults.Isolate("n2", "n1", "n3")
-	c.listenAgain(&config)
+	c.reopenListener(&config)
 	n2 := c.open(config)
 	require.Eventually(t, func() bool { return n2.ServedVersion() == 1 }, 10*time.Second, 5*time.Millisecond)
 	for range 50 {
@@ -79,7 +79,7 @@
 	c.configs[name] = config
 	restart := func() *Node {
 		config := c.closeNode(name)
-		c.listenAgain(&config)
+		c.reopenListener(&config)
 		return c.open(config)
 	}
 	partition := func() { c.faults.Isolate(name, "n1", "n2", "n3") }
--- a/raftnode/pending_calls.go
+++ b/raftnode/pending_calls.go
@@ -10,50 +10,50 @@
 // pendingCalls are the calls into the event loop that wait for their answers, by call id.
 type pendingCalls[T any] struct {
 	mu      sync.Mutex
-	answers map[uint64]chan T
+	replies map[uint64]chan T
 }
 
 func newPendingCalls[T any]() *pendingCalls[T] {
-	return &pendingCalls[T]{answers: map[uint64]chan T{}}
+	return &pendingCalls[T]{replies: map[uint64]chan T{}}
 }
 
-func (p *pendingCalls[T]) add(call uint64) <-chan T {
-	answer := make(chan T, 1)
+func (p *pendingCalls[T]) add(callID uint64) <-chan T {
+	reply := make(chan T, 1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answers[call] = answer
-	return answer
+	p.replies[callID] = reply
+	return reply
 }
 
-func (p *pendingCalls[T]) remove(call uint64) chan T {
+func (p *pendingCalls[T]) remove(callID uint64) chan T {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	answer := p.answers[call]
-	delete(p.answers, call)
-	return answer
+	reply := p.replies[callID]
+	delete(p.replies, callID)
+	return reply
 }
 
 // complete answers a call, unless it has timed out.
-func (p *pendingCalls[T]) complete(call uint64, value T) {
-	if answer := p.remove(call); answer != nil {
-		answer <- value
+func (p *pendingCalls[T]) complete(callID uint64, reply T) {
+	if answer := p.remove(callID); answer != nil {
+		answer <- reply
 	}
 }
 
 // callEventLoop pushes an event that is a call and waits for the answer. ok is false if none came in time or the node
 // stops.
 func callEventLoop[T any](
-	n *Node, pending *pendingCalls[T], timeout time.Duration, newEvent func(call uint64) sharedconfig.Event,
-) (value T, ok bool) {
-	call := n.lastCall.Add(1)
-	answer := pending.add(call)
-	n.events.push(newEvent(call))
+	n *Node, pending *pendingCalls[T], timeout time.Duration, newEvent func(callID uint64) sharedconfig.Event,
+) (reply T, ok bool) {
+	callID := n.lastCallID.Add(1)
+	replyChannel := pending.add(callID)
+	n.events.push(newEvent(callID))
 	select {
-	case value = <-answer:
-		return value, true
+	case reply = <-replyChannel:
+		return reply, true
 	case <-time.After(timeout):
 	case <-n.stop:
 	}
-	pending.remove(call)
-	return value, false
+	pending.remove(callID)
+	return reply, false
 }
--- a/raftnode/raft_handlers.go
+++ b/raftnode/raft_handlers.go
@@ -17,15 +17,15 @@
 		rpcInstallSnapshot: func() any { return &raft.InstallSnapshotRequest{} },
 		rpcTimeoutNow:      func() any { return &raft.TimeoutNowRequest{} },
 	}
-	for kind, newRequest := range newRequests {
-		handlers[kind] = func(_ string, body []byte, stream io.Reader) ([]byte, error) {
+	for rpcType, newRequest := range newRequests {
+		handlers[rpcType] = func(_ string, body []byte, stream io.Reader) ([]byte, error) {
 			request := newRequest()
 			if err := decodeRPC(body, request); err != nil {
 				return nil, err
 			}
 			responses := make(chan raft.RPCResponse, 1)
 			rpc := raft.RPC{Command: request, RespChan: responses}
-			if kind == rpcInstallSnapshot {
+			if rpcType == rpcInstallSnapshot {
 				rpc.Reader = stream
 			}
 			if err := t.deliver(rpc, stop); err != nil {
--- a/raftnode/raft_log.go
+++ b/raftnode/raft_log.go
@@ -13,8 +13,8 @@
 // raftLogWriter passes Raft's log lines on: errors as errors with a bounded rate, since a broken disk or peer causes
 // many, and all others as debug lines.
 type raftLogWriter struct {
-	log    *logrus.Entry
-	errors ratelog.Line
+	log          *logrus.Entry
+	errorLimiter ratelog.Line
 }
 
 // newRaftLogger returns a logger for Raft that writes to the instance's log.
@@ -32,7 +32,7 @@
 		w.log.Debug(message)
 		return len(line), nil
 	}
-	if suppressed, due := w.errors.Due(time.Now()); due {
+	if suppressed, due := w.errorLimiter.Due(time.Now()); due {
 		w.log.WithField("not_shown", suppressed).Error(message)
 	}
 	return len(line), nil
--- a/raftnode/recovery.go
+++ b/raftnode/recovery.go
@@ -24,7 +24,7 @@
 
 // ReadRecoveryReport reads what an instance's data directory holds, and changes nothing.
 func ReadRecoveryReport(path, name string) (RecoveryReport, error) {
-	if _, err := os.Stat(filepath.Join(path, databaseName)); err != nil {
+	if _, err := os.Stat(filepath.Join(path, databaseFileName)); err != nil {
 		return RecoveryReport{}, fmt.Errorf("folder: %w", err)
 	}
 	source, err := openRecoverySource(path, name)
@@ -43,17 +43,17 @@
 	}
 	directory := source.directory
 	defer func() { err = errors.Join(err, directory.close()) }()
-	if removed, err := directory.removed(); err != nil || removed {
-		return directory.wrap(fmt.Errorf("%w: nothing goes on from it", ErrRemoved))
+	if removed, err := directory.isRemoved(); err != nil || removed {
+		return directory.wrapError(fmt.Errorf("%w: nothing goes on from it", ErrRemoved))
 	}
 	if source.report.State.Active().Number == 0 {
-		return directory.wrap(ErrNoVersion)
+		return directory.wrapError(ErrNoVersion)
 	}
-	group := randomHex(groupIDSize)
-	if err := source.recoverCluster(group, address); err != nil {
-		return directory.wrap(err)
+	groupID := randomHex(groupIDSize)
+	if err := source.recoverCluster(groupID, address); err != nil {
+		return directory.wrapError(err)
 	}
-	return directory.setGroup(group)
+	return directory.setGroupID(groupID)
 }
 
 // recoverySource is a data directory whose log has been read.
@@ -74,8 +74,8 @@
 		source.report, err = source.replay(name)
 	}
 	if err != nil {
-		directory.discard()
-		return nil, directory.wrap(err)
+		directory.closeAfterError()
+		return nil, directory.wrapError(err)
 	}
 	return source, nil
 }
@@ -108,8 +108,8 @@
 		report.LastLogIndex = entry.Index
 		report.LastLogTerm = entry.Term
 	}
-	report.Members = membersOf(members)
-	report.State = machine.current()
+	report.Members = membersFromConfiguration(members)
+	report.State = machine.currentState()
 	return report, nil
 }
 
@@ -133,17 +133,17 @@
 }
 
 // recoverCluster rewrites the data directory for a new group of one.
-func (r *recoverySource) recoverCluster(group, address string) error {
+func (r *recoverySource) recoverCluster(groupID, address string) error {
 	config := raft.DefaultConfig()
-	config.LocalID = r.directory.id
+	config.LocalID = r.directory.serverID
 	config.Logger = hclog.NewNullLogger()
-	machine := &recoveryMachine{
-		stateMachine: stateMachine{notify: func(sharedconfig.Event) {}},
-		group:        group,
-		retired:      r.otherDirectoryIDs(),
+	machine := &recoveryStateMachine{
+		stateMachine:        stateMachine{notify: func(sharedconfig.Event) {}},
+		groupID:             groupID,
+		retiredDirectoryIDs: r.otherDirectoryIDs(),
 	}
 	store := r.directory.store
-	members := singleMember(r.directory.id, address)
+	members := singleMemberConfiguration(r.directory.serverID, address)
 	return raft.RecoverCluster(config, machine, store, store, r.snapshots, newTransport(address), members)
 }
 
@@ -151,7 +151,7 @@
 func (r *recoverySource) otherDirectoryIDs() []string {
 	var ids []string
 	for _, member := range r.report.Members {
-		if serverID(member.Name, member.DirectoryID) != r.directory.id {
+		if serverID(member.Name, member.DirectoryID) != r.directory.serverID {
 			ids = append(ids, member.DirectoryID)
 		}
 	}
@@ -159,15 +159,15 @@
 	return ids
 }
 
-// recoveryMachine is the state machine that a group is recovered from. Its snapshot belongs to a new group in which the
+// recoveryStateMachine is the state machine that a group is recovered from. Its snapshot belongs to a new group in which the
 // data directories of the other members are retired: the old and the new group must not mix.
-type recoveryMachine struct {
+type recoveryStateMachine struct {
 	stateMachine
-	group   string
-	retired []string
+	groupID             string
+	retiredDirectoryIDs []string
 }
 
 // Snapshot returns the state of the new group.
-func (m *recoveryMachine) Snapshot() (raft.FSMSnapshot, error) {
-	return snapshot{state: m.current().Recover(m.group, m.retired)}, nil
+func (m *recoveryStateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	return snapshot{state: m.currentState().Recover(m.groupID, m.retiredDirectoryIDs)}, nil
 }
--- a/raftnode/recovery_test.go
+++ b/raftnode/recovery_test.go
@@ -73,7 +73,7 @@
 	require.NoError(t, err)
 	require.NoError(t, directory.store.DeleteRange(1, 2)) // as a compaction does
 	require.NoError(t, directory.close())
-	c.listenAgain(&config)
+	c.reopenListener(&config)
 	_, err = StartNode(config)
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), "cannot read snapshot "+metas[0].ID)
--- a/raftnode/rpc.go
+++ b/raftnode/rpc.go
@@ -33,8 +33,8 @@
 		rpcPollVoter:      n.handlePoll,
 	}
 	raftTransport.addHandlers(handlers, n.stop)
-	for kind, handler := range handlers {
-		handlers[kind] = func(clientID string, body []byte, stream io.Reader) ([]byte, error) {
+	for rpcType, handler := range handlers {
+		handlers[rpcType] = func(clientID string, body []byte, stream io.Reader) ([]byte, error) {
 			select {
 			case <-ready:
 				return handler(clientID, body, stream)
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -13,11 +13,11 @@
 // The kinds of calls and the names of JSON fields are part of the protocol: instances of different versions talk to each
 // other.
 func TestRPCEncoding(t *testing.T) {
-	kinds := []byte{
+	rpcTypes := []byte{
 		rpcAppendEntries, rpcRequestVote, rpcRequestPreVote, rpcInstallSnapshot, rpcTimeoutNow,
 		rpcRequestLease, rpcCheckChange, rpcExecuteCommand, rpcAppliedIndex, rpcPollVoter,
 	}
-	assert.Equal(t, []byte{0x10, 0x11, 0x12, 0x13, 0x14, 0x15, 0x16, 0x17, 0x18, 0x19}, kinds)
+	assert.Equal(t, []byte{0x10, 0x11, 0x12, 0x13, 0x14, 0x15, 0x16, 0x17, 0x18, 0x19}, rpcTypes)
 
 	name := "n2"
 	for want, message := range map[string]any{
--- a/raftnode/serving_report.go
+++ b/raftnode/serving_report.go
@@ -12,8 +12,8 @@
 
 // servingReport is what reportServing logged last.
 type servingReport struct {
-	reason string // why the instance did not serve under a lease, without durations; empty: it did
-	at     time.Time
+	reason   string // why the instance did not serve under a lease, without durations; empty: it did
+	loggedAt time.Time
 }
 
 // reportServing logs when the instance begins or ends to serve under a lease.
@@ -22,14 +22,14 @@
 	lease := i.lease.Load()
 	reason := lease.NotCoveredReason(clock.Now(), version)
 	reasonWithoutDuration, _, _ := strings.Cut(reason, " for ")
-	if reasonWithoutDuration == i.serving.reason {
-		recent := time.Since(i.serving.at) < servingReportInterval
+	if reasonWithoutDuration == i.lastServingReport.reason {
+		recent := time.Since(i.lastServingReport.loggedAt) < servingReportInterval
 		if reason == "" || recent {
 			return
 		}
 	}
-	i.serving = servingReport{reason: reasonWithoutDuration, at: time.Now()}
-	log := i.logEntry()
+	i.lastServingReport = servingReport{reason: reasonWithoutDuration, loggedAt: time.Now()}
+	log := i.logWithState()
 	switch {
 	case reason == "":
 		log.Info("serving under a lease")
--- a/raftnode/state_machine.go
+++ b/raftnode/state_machine.go
@@ -39,7 +39,7 @@
 	return m.state, outcome
 }
 
-func (m *stateMachine) current() sharedconfig.State {
+func (m *stateMachine) currentState() sharedconfig.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
@@ -47,7 +47,7 @@
 
 // Snapshot returns the current state, which no later entry modifies.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
-	return snapshot{state: m.current()}, nil
+	return snapshot{state: m.currentState()}, nil
 }
 
 // Restore replaces the state by a snapshot's.
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -46,7 +46,7 @@
 		ActiveVersion:        state.Active().Number,
 		ServedVersion:        served,
 		Digest:               state.Active().Digest,
-		LeaseRemainingMillis: n.leaseRemaining(),
+		LeaseRemainingMillis: n.leaseRemainingMillis(),
 		NotCoveredReason:     n.lease.Load().NotCoveredReason(now, served),
 		Members:              n.Members(),
 		FirstLogIndex:        firstIndex,
@@ -66,13 +66,13 @@
 func (n *Node) Read(timeout time.Duration) (sharedconfig.State, error) {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
-		changed := n.versionChange()
-		grant, err := n.requestLeaseFromLeader(min(time.Until(deadline), leaderAttemptTimeout))
-		if err == nil && grant.Removed {
+		changed := n.activeVersionChange()
+		reply, err := n.requestLeaseFromLeader(min(time.Until(deadline), leaderAttemptTimeout))
+		if err == nil && reply.Removed {
 			return sharedconfig.State{}, ErrRemoved
 		}
-		if err == nil && grant.OK {
-			return n.waitForVersion(grant.Version, changed, deadline)
+		if err == nil && reply.OK {
+			return n.waitForVersion(reply.Version, changed, deadline)
 		}
 		select {
 		case <-time.After(leaderRetryInterval / 2):
@@ -91,16 +91,16 @@
 		}
 		select {
 		case <-changed:
-			changed = n.versionChange()
+			changed = n.activeVersionChange()
 		case <-time.After(time.Until(deadline)):
 			return sharedconfig.State{}, ErrLagging
 		}
 	}
 }
 
-// versionChange returns a channel that closes when another version becomes active.
-func (n *Node) versionChange() <-chan struct{} {
+// activeVersionChange returns a channel that closes when another version becomes active.
+func (n *Node) activeVersionChange() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.versionChanged
+	return n.activeVersionChanged
 }
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -102,18 +102,18 @@
 	return t.callWithStream(peerTarget(id, address), rpcInstallSnapshot, request, response, data, installSnapshotTimeout)
 }
 
-func (t *transport) call(target peer.Target, kind byte, request, response any) error {
-	return t.callWithStream(target, kind, request, response, nil, raftRPCTimeout)
+func (t *transport) call(target peer.Target, rpcType byte, request, response any) error {
+	return t.callWithStream(target, rpcType, request, response, nil, raftRPCTimeout)
 }
 
 func (t *transport) callWithStream(
-	target peer.Target, kind byte, request, response any, stream io.Reader, timeout time.Duration,
+	target peer.Target, rpcType byte, request, response any, stream io.Reader, timeout time.Duration,
 ) error {
 	body, err := encodeRPC(request)
 	if err != nil {
 		return err
 	}
-	result, err := t.endpoint.Call(target, kind, body, stream, timeout)
+	result, err := t.endpoint.Call(target, rpcType, body, stream, timeout)
 	if err != nil {
 		return err
 	}
--- a/raftstore/key_value.go
+++ b/raftstore/key_value.go
@@ -22,15 +22,15 @@
 }
 
 // SetUint64 writes an integer of Raft's.
-func (s *Store) SetUint64(key []byte, value uint64) error { return s.Set(key, encodeInteger(value)) }
+func (s *Store) SetUint64(key []byte, value uint64) error { return s.Set(key, encodeUint64(value)) }
 
 // GetUint64 reads an integer of Raft's, which is 0 if the key has none.
 func (s *Store) GetUint64(key []byte) (uint64, error) {
 	value, err := s.get(stableBucket, key)
-	if err != nil || len(value) != integerSize {
+	if err != nil || len(value) != uint64Size {
 		return 0, err
 	}
-	return decodeInteger(value), nil
+	return decodeUint64(value), nil
 }
 
 // SetMetadata writes a value that the instance stores about itself.
@@ -46,7 +46,7 @@
 
 func (s *Store) put(bucket, key, value []byte) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucket).Put(key, sealRecord(value))
+		return tx.Bucket(bucket).Put(key, encodeRecord(value))
 	})
 }
 
@@ -58,7 +58,7 @@
 			return nil
 		}
 		var err error
-		value, err = openRecord(record)
+		value, err = decodeRecord(record)
 		return err
 	})
 	return value, err
--- a/raftstore/log_store.go
+++ b/raftstore/log_store.go
@@ -11,16 +11,16 @@
 var msgpackHandle = &codec.MsgpackHandle{}
 
 // FirstIndex returns the index of the first entry, or 0 for an empty log.
-func (s *Store) FirstIndex() (uint64, error) { return s.edgeIndex((*bbolt.Cursor).First) }
+func (s *Store) FirstIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).First) }
 
 // LastIndex returns the index of the last entry, or 0 for an empty log.
-func (s *Store) LastIndex() (uint64, error) { return s.edgeIndex((*bbolt.Cursor).Last) }
+func (s *Store) LastIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).Last) }
 
-// edgeIndex returns the index of the entry that a move of a cursor leads to, or 0 for an empty log.
-func (s *Store) edgeIndex(move func(*bbolt.Cursor) (key, record []byte)) (index uint64, err error) {
+// indexAt returns the index of the entry that a move of a cursor leads to, or 0 for an empty log.
+func (s *Store) indexAt(moveCursor func(*bbolt.Cursor) (key, record []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		if key, _ := move(tx.Bucket(logBucket).Cursor()); key != nil {
-			index = decodeInteger(key)
+		if key, _ := moveCursor(tx.Bucket(logBucket).Cursor()); key != nil {
+			index = decodeUint64(key)
 		}
 		return nil
 	})
@@ -30,7 +30,7 @@
 // GetLog reads the entry with an index. The error is raft.ErrLogNotFound if there is none.
 func (s *Store) GetLog(index uint64, entry *raft.Log) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
-		record := tx.Bucket(logBucket).Get(encodeInteger(index))
+		record := tx.Bucket(logBucket).Get(encodeUint64(index))
 		if record == nil {
 			return raft.ErrLogNotFound
 		}
@@ -53,7 +53,7 @@
 			if err != nil {
 				return fmt.Errorf("entry %d of the log: %w", entry.Index, err)
 			}
-			if err := bucket.Put(encodeInteger(entry.Index), record); err != nil {
+			if err := bucket.Put(encodeUint64(entry.Index), record); err != nil {
 				return err
 			}
 		}
@@ -65,8 +65,8 @@
 func (s *Store) DeleteRange(first, last uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		cursor := tx.Bucket(logBucket).Cursor()
-		key, _ := cursor.Seek(encodeInteger(first))
-		for key != nil && decodeInteger(key) <= last {
+		key, _ := cursor.Seek(encodeUint64(first))
+		for key != nil && decodeUint64(key) <= last {
 			if err := cursor.Delete(); err != nil {
 				return err
 			}
@@ -81,11 +81,11 @@
 	if err := codec.NewEncoderBytes(&value, msgpackHandle).Encode(entry); err != nil {
 		return nil, err
 	}
-	return sealRecord(value), nil
+	return encodeRecord(value), nil
 }
 
 func decodeEntry(record []byte, entry *raft.Log) error {
-	value, err := openRecord(record)
+	value, err := decodeRecord(record)
 	if err != nil {
 		return err
 	}
--- a/raftstore/store.go
+++ b/raftstore/store.go
@@ -34,7 +34,7 @@
 const (
 	lockTimeout  = time.Second // to wait for another process that has the file open
 	checksumSize = 8           // bytes before a record's value
-	integerSize  = 8           // bytes of a key of the log and of a stored integer
+	uint64Size   = 8           // bytes of a key of the log and of a stored integer
 )
 
 // Errors of a file that cannot be opened or read.
@@ -98,7 +98,7 @@
 		}
 		for _, name := range [][]byte{stableBucket, metadataBucket} {
 			err := tx.Bucket(name).ForEach(func(key, record []byte) error {
-				if _, err := openRecord(record); err != nil {
+				if _, err := decodeRecord(record); err != nil {
 					return fmt.Errorf("record %s: %w", key, err)
 				}
 				return nil
@@ -114,10 +114,10 @@
 func verifyLog(bucket *bbolt.Bucket) error {
 	next := uint64(0) // 0 before the first entry
 	return bucket.ForEach(func(key, record []byte) error {
-		if len(key) != integerSize {
+		if len(key) != uint64Size {
 			return fmt.Errorf("record %x of the log: %w", key, ErrCorrupt)
 		}
-		index := decodeInteger(key)
+		index := decodeUint64(key)
 		if next != 0 && index != next {
 			return fmt.Errorf("log: %w: entry %d follows %d", ErrCorrupt, index, next-1)
 		}
@@ -130,15 +130,15 @@
 	})
 }
 
-// sealRecord returns a value behind its checksum.
-func sealRecord(value []byte) []byte {
+// encodeRecord returns a value behind its checksum.
+func encodeRecord(value []byte) []byte {
 	record := make([]byte, 0, checksumSize+len(value))
 	record = binary.BigEndian.AppendUint64(record, xxhash.Sum64(value))
 	return append(record, value...)
 }
 
-// openRecord returns a copy of a record's value. The error is ErrCorrupt if the checksum does not match.
-func openRecord(record []byte) ([]byte, error) {
+// decodeRecord returns a copy of a record's value. The error is ErrCorrupt if the checksum does not match.
+func decodeRecord(record []byte) ([]byte, error) {
 	if len(record) < checksumSize {
 		return nil, ErrCorrupt
 	}
@@ -149,6 +149,6 @@
 	return bytes.Clone(value), nil
 }
 
-func encodeInteger(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func encodeUint64(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-func decodeInteger(b []byte) uint64 { return binary.BigEndian.Uint64(b) }
+func decodeUint64(b []byte) uint64 { return binary.BigEndian.Uint64(b) }
