--- a/raftstore/log_store.go
+++ b/raftstore/log_store.go
@@ -10,13 +10,13 @@
 
 var msgpackHandle = &codec.MsgpackHandle{}
 
-// FirstIndex returns the index of the first entry, or 0 for an empty log.
+// FirstIndex returns the index of the first log entry, or 0 if the log is empty.
 func (s *Store) FirstIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).First) }
 
-// LastIndex returns the index of the last entry, or 0 for an empty log.
+// LastIndex returns the index of the last log entry, or 0 if the log is empty.
 func (s *Store) LastIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).Last) }
 
-// indexAt returns the index of the entry that a move of a cursor leads to, or 0 for an empty log.
+// indexAt returns the index of the log entry to which moveCursor moves a new cursor, or 0 if the log is empty.
 func (s *Store) indexAt(moveCursor func(*bbolt.Cursor) (key, record []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if key, _ := moveCursor(tx.Bucket(logBucket).Cursor()); key != nil {
@@ -27,7 +27,7 @@
 	return index, err
 }
 
-// GetLog reads the entry with an index. The error is raft.ErrLogNotFound if there is none.
+// GetLog reads the log entry at an index. The error is raft.ErrLogNotFound if there is none.
 func (s *Store) GetLog(index uint64, entry *raft.Log) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		record := tx.Bucket(logBucket).Get(encodeUint64(index))
@@ -41,10 +41,10 @@
 	})
 }
 
-// StoreLog writes an entry.
+// StoreLog writes a log entry.
 func (s *Store) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs writes all the entries, or none of them if it fails.
+// StoreLogs writes log entries. If it fails, it writes none of them.
 func (s *Store) StoreLogs(entries []*raft.Log) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(logBucket)
@@ -61,7 +61,7 @@
 	})
 }
 
-// DeleteRange deletes the entries from first to last, both included.
+// DeleteRange deletes the log entries with the indexes from first to last, both included.
 func (s *Store) DeleteRange(first, last uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		cursor := tx.Bucket(logBucket).Cursor()
--- a/raftstore/store.go
+++ b/raftstore/store.go
@@ -1,5 +1,5 @@
-// Package raftstore stores an instance's Raft log, its votes and its metadata in one bbolt file. Each record has a
-// checksum, which is verified when the file is opened and whenever the record is read.
+// Package raftstore stores an instance's Raft log, its term and votes, and its metadata in one bbolt file. Each record has
+// a checksum, which is verified when the file is opened and whenever the record is read.
 package raftstore
 
 import (
@@ -16,7 +16,7 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Store is the open file. It is a raft.LogStore and a raft.StableStore.
+// Store is an open file. It implements raft.LogStore and raft.StableStore.
 type Store struct{ db *bbolt.DB }
 
 var (
@@ -26,15 +26,15 @@
 
 // Buckets of the file.
 var (
-	logBucket      = []byte("log")    // entries of the log by index
+	logBucket      = []byte("log")    // log entries by index
 	stableBucket   = []byte("stable") // Raft's term and votes
 	metadataBucket = []byte("self")   // what the instance stores about itself
 )
 
 const (
-	lockTimeout  = time.Second // to wait for another process that has the file open
-	checksumSize = 8           // bytes before a record's value
-	uint64Size   = 8           // bytes of a key of the log and of a stored integer
+	lockTimeout  = time.Second // limits the wait for another process that has the file open
+	checksumSize = 8           // bytes of the checksum before a record's value
+	uint64Size   = 8           // bytes of a log entry's key and of a stored integer
 )
 
 // Errors of a file that cannot be opened or read.
@@ -42,14 +42,14 @@
 	// ErrCorrupt is wrapped by errors about records that differ from what was written.
 	ErrCorrupt = errors.New("corrupt")
 	// ErrLocked is wrapped by the error of Open if another process has the file open.
-	ErrLocked = errors.New("another process has it open")
+	ErrLocked = errors.New("another process has the file open")
 )
 
-// Open opens the file at a path, or creates it, and verifies all records. The error wraps ErrCorrupt or ErrLocked where
-// these are the cause.
+// Open opens or creates the file at a path and verifies all records. The error wraps ErrCorrupt for a corrupt file, unless
+// bbolt detects that with an error of its own, and ErrLocked if another process has the file open.
 func Open(path string) (store *Store, err error) {
-	// bbolt panics on corrupt pages, and memory access faults where the file ends before its mapping. The file stays open
-	// then, since the instance does not start.
+	// bbolt panics on corrupt pages, and an access to its memory mapping faults beyond the end of a truncated file. The file
+	// stays open then; this is harmless, since the instance does not start.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -90,7 +90,7 @@
 	})
 }
 
-// verify checks that every record is intact and that the log has no gap.
+// verify returns an error if a record is corrupt or the log has a gap.
 func (s *Store) verify() error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		if err := verifyLog(tx.Bucket(logBucket)); err != nil {
@@ -130,14 +130,14 @@
 	})
 }
 
-// encodeRecord returns a value behind its checksum.
+// encodeRecord returns a record: the checksum of the value, and the value.
 func encodeRecord(value []byte) []byte {
 	record := make([]byte, 0, checksumSize+len(value))
 	record = binary.BigEndian.AppendUint64(record, xxhash.Sum64(value))
 	return append(record, value...)
 }
 
-// decodeRecord returns a copy of a record's value. The error is ErrCorrupt if the checksum does not match.
+// decodeRecord returns a copy of a record's value. The error is ErrCorrupt if the checksum does not match the value.
 func decodeRecord(record []byte) ([]byte, error) {
 	if len(record) < checksumSize {
 		return nil, ErrCorrupt
--- a/raftstore/store_test.go
+++ b/raftstore/store_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// logModel is what a store's log must look like.
+// logModel is a model of a store's log.
 type logModel struct {
 	entries     map[uint64]string
-	first, last uint64 // 0: empty
+	first, last uint64 // indexes; 0: the log is empty
 }
 
 // appendEntries draws entries and appends them to the model.
@@ -31,8 +31,8 @@
 	return batch
 }
 
-// deleteEntries draws a range to delete and deletes it from the model: the head of the log, as compaction does, or its
-// tail, as a conflict with a new leader does.
+// deleteEntries draws a range and deletes it from the model: the first entries, as a compaction does, or the last ones, as
+// a conflict with the log of a new leader does.
 func (m *logModel) deleteEntries(t *rapid.T) (first, last uint64) {
 	at := uint64(rapid.IntRange(int(m.first), int(m.last)).Draw(t, "at"))
 	first, last = m.first, at
@@ -62,7 +62,7 @@
 	require.ErrorIs(t, store.GetLog(m.last+1, new(raft.Log)), raft.ErrLogNotFound)
 }
 
-// A store behaves like a map with a first and a last index, also after it was closed and opened again.
+// A store must match the model after any sequence of operations, including closing and reopening.
 func TestModel(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,6 +95,7 @@
 	})
 }
 
+// Open must reject a file with a changed byte in a record, and the error must name the record.
 func TestCorruptRecordsAreNamed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	store, err := Open(path)
@@ -105,7 +106,7 @@
 	require.NoError(t, store.SetMetadata("name", "somebody"))
 	_, err = Open(path)
 	require.ErrorIs(t, err, ErrLocked)
-	require.ErrorContains(t, err, "another process has it open")
+	require.ErrorContains(t, err, "another process has the file open")
 	require.NoError(t, store.Close())
 	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -123,7 +124,7 @@
 	}
 }
 
-// A file that was truncated anywhere opens with all entries, opens empty if nothing is left of it, or does not open.
+// Open must not lose entries silently: a truncated file opens with all entries or not at all. An empty file counts as new.
 func TestTruncatedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	store, err := Open(path)
@@ -145,11 +146,12 @@
 		}
 		last, err := store.LastIndex()
 		require.NoError(t, err)
-		assert.True(t, size == 0 && last == 0 || last == 3, "truncated to %d bytes and opened with %d entries", size, last)
+		assert.True(t, size == 0 && last == 0 || last == 3, "truncated to %d bytes, the file opened with last index %d", size, last)
 		require.NoError(t, store.Close())
 	}
 }
 
+// Open must fail if the file's directory does not exist.
 func TestOpenFailsWithoutDirectory(t *testing.T) {
 	_, err := Open(filepath.Join(t.TempDir(), "none", "s.db"))
 	assert.Error(t, err)
