--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -86,10 +86,10 @@
 		{"config rollback 9", 1, "", "version 9 is not kept"},
 		{"config show --local", 0, first, ""},
 		{"instances list", 0, "n1 serves version 3 of 3", ""},
-		{"instances add n2 127.0.0.1:1", 1, "", "alderproxy: refused: no instance answers at 127.0.0.1:1"},
+		{"instances add n2 127.0.0.1:1", 1, "", "alderproxy: refused: cannot identify the instance at 127.0.0.1:1: "},
 		{"instances remove n2", 1, "", "alderproxy: refused: cannot remove n2: it is not a member\n"},
 		{"instances remove n1", 1, "", "alderproxy: refused: cannot remove n1: it is the last voter\n"},
-		{"instances hand-over n2", 1, "", "alderproxy: refused: there is no instance n2 with a vote\n"},
+		{"instances hand-over n2", 1, "", "alderproxy: refused: cannot transfer the leadership to n2: it is not a voter\n"},
 		{"config rollback none", 2, "", "\"none\" is no version"},
 		{"config put", 2, "", "accepts 1 arg(s)"},
 		{"config put --odd", 2, "", "unknown flag"},
@@ -148,7 +148,7 @@
 	assert.Contains(t, out, "a new group begins with n1 and version 1")
 	status, _, errs = command("init", "--config", path)
 	assert.Equal(t, 1, status)
-	assert.Contains(t, errs, "belongs to a group already")
+	assert.Contains(t, errs, "the data directory already belongs to a group")
 	status, out, errs = command("recover", "--config", path)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, out, "WARNING")
--- a/raftnode/activation.go
+++ b/raftnode/activation.go
@@ -6,8 +6,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// scheduleActivation makes activateVersions activate a version, in place of one that is still waiting. Only the event
-// loop calls it.
+// scheduleActivation makes activateVersions activate a version. It replaces a version that still waits for its activation.
+// Only the event loop calls it.
 func (i *instance) scheduleActivation(version sharedconfig.Version) {
 	select {
 	case <-i.activations:
@@ -38,7 +38,7 @@
 	}
 }
 
-// activate makes the instance serve a version and reports whether it can.
+// activate makes the instance serve a version and reports whether it succeeded.
 func (i *instance) activate(version sharedconfig.Version) bool {
 	log := i.logWithState().WithFields(logrus.Fields{
 		"version": version.Number,
--- a/raftnode/bootstrap.go
+++ b/raftnode/bootstrap.go
@@ -10,12 +10,12 @@
 	"alderproxy/sharedconfig"
 )
 
-// currentTermKey is the key under which Raft stores its term.
+// currentTermKey is the key under which Raft stores its current term.
 const currentTermKey = "CurrentTerm"
 
-// Bootstrap creates a new group with a first version of the document in a data directory. The instance that starts from
-// it is the group's only member until others are added. keep is how many versions the group keeps. The error wraps
-// ErrAlreadyBootstrapped if the data directory has a group.
+// Bootstrap creates a new group, with a first version of the document, in a data directory. The instance that starts with
+// this directory is the group's only member until others are added. maxVersions is the number of versions that the group
+// retains. The error wraps ErrAlreadyBootstrapped if the data directory belongs to a group.
 func Bootstrap(path, name, address, text, digest, author string, maxVersions int, createdAt time.Time) (err error) {
 	directory, err := openDataDirectory(path, name)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return directory.setGroupID(groupID)
 }
 
-// storeBootstrapLog writes the log that the leader of the first term would have written: itself as the only member and one
-// entry.
+// storeBootstrapLog writes the log that a leader of the first term would have written: a configuration with itself as the
+// only member, and one entry.
 func (d *dataDirectory) storeBootstrapLog(address string, entry []byte) error {
 	const term = 1
 	members := raft.EncodeConfiguration(singleMemberConfiguration(d.serverID, address))
@@ -65,7 +65,7 @@
 	return d.store.SetUint64([]byte(currentTermKey), term)
 }
 
-// singleMemberConfiguration is the member list of a group of one.
+// singleMemberConfiguration returns the configuration of a group whose only member is the given voter.
 func singleMemberConfiguration(id raft.ServerID, address string) raft.Configuration {
 	server := raft.Server{ID: id, Address: raft.ServerAddress(address)}
 	return raft.Configuration{Servers: []raft.Server{server}}
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -8,7 +8,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// applyEnqueueTimeout bounds the wait until Raft takes an entry.
+// applyEnqueueTimeout limits the wait until Raft accepts an entry into its queue, not the wait for the commit.
 const applyEnqueueTimeout = 2 * time.Second
 
 func (n *Node) notifyStep(step string) {
@@ -17,7 +17,8 @@
 	}
 }
 
-// appendEntry appends an entry to the log and waits until it is applied.
+// appendEntry appends an entry to the log and waits until it is committed and applied. A failure is reported to the event
+// loop if the entry belongs to a change.
 func (n *Node) appendEntry(action sharedconfig.AppendEntry) {
 	err := n.submitEntry(action.Entry)
 	if action.RequestID == "" {
@@ -47,7 +48,7 @@
 	return n.raft.Apply(encoded, applyEnqueueTimeout).Error()
 }
 
-// checkChange asks a member, perhaps this one, whether it could serve a change's document.
+// checkChange has a member, which may be this instance, check whether it could serve a change's document.
 func (n *Node) checkChange(action sharedconfig.CheckChange) {
 	result := sharedconfig.CheckResult{
 		RequestID:   action.Change.RequestID,
@@ -64,7 +65,7 @@
 	n.events.push(result)
 }
 
-// requestCheck returns why a member rejects a change, or an empty string.
+// requestCheck returns the reason why a member rejects a change, or an empty string if it accepts the change.
 func (n *Node) requestCheck(action sharedconfig.CheckChange) (rejection string, err error) {
 	body, err := json.Marshal(action.Change)
 	if err != nil {
@@ -80,7 +81,8 @@
 	return string(result), err
 }
 
-// handleCheck answers with the reason why this instance could not serve a change's document. An empty answer accepts it.
+// handleCheck replies with the reason why this instance could not serve a change's document. An empty reply accepts the
+// change.
 func (n *Node) handleCheck(_ string, body []byte, _ io.Reader) ([]byte, error) {
 	var change sharedconfig.Change
 	if err := json.Unmarshal(body, &change); err != nil {
--- a/raftnode/cluster_test.go
+++ b/raftnode/cluster_test.go
@@ -16,21 +16,21 @@
 	"alderproxy/sharedconfig"
 )
 
-// testCluster is a group whose instances reach each other only over a faulty network.
+// testCluster is a group whose instances reach each other only through a faulty network.
 type testCluster struct {
 	t              *testing.T
 	directory      string
 	faults         *faultnet.Network
 	stalenessBound time.Duration
-	nodes          map[string]*Node // those that run
-	configs        map[string]Config
+	nodes          map[string]*Node  // running nodes by name
+	configs        map[string]Config // by name
 }
 
 func newTestCluster(t *testing.T, stalenessBound time.Duration) *testCluster {
 	t.Helper()
 	c := &testCluster{
 		t:              t,
-		directory:      t.TempDir(), // before the cleanup below: it is removed after the instances have stopped
+		directory:      t.TempDir(), // created before the cleanup below, and so removed after the instances have stopped
 		faults:         faultnet.New(1),
 		stalenessBound: stalenessBound,
 		nodes:          map[string]*Node{},
@@ -47,7 +47,7 @@
 // testInstance is a Node or a Follower.
 type testInstance interface {
 	ServedVersion() uint64
-	AllowsQueries(version uint64) (open bool, retry time.Duration)
+	AllowsQueries(version uint64) (allowed bool, retry time.Duration)
 	Status() Status
 }
 
@@ -62,7 +62,8 @@
 	return listener
 }
 
-// newConfig returns the configuration of an instance that does not run yet. It rejects text with "bad for" its name.
+// newConfig returns the configuration of an instance that does not run yet. The instance rejects documents that contain
+// "bad for" and its name.
 func (c *testCluster) newConfig(name string) Config {
 	c.t.Helper()
 	config := Config{
@@ -86,7 +87,7 @@
 	return config
 }
 
-// moveToNewAddress gives an instance a new listener and a new address in the faulty network.
+// moveToNewAddress sets a new listener and a new address in the faulty network.
 func (c *testCluster) moveToNewAddress(config *Config) {
 	c.t.Helper()
 	proxyListener := listen(c.t, anyLocalPort)
@@ -103,7 +104,7 @@
 	return node
 }
 
-// closeNode stops an instance and returns its configuration, whose listener is closed.
+// closeNode stops a node and returns its configuration, whose listener is closed.
 func (c *testCluster) closeNode(name string) Config {
 	c.t.Helper()
 	require.NoError(c.t, c.nodes[name].Close())
@@ -111,13 +112,13 @@
 	return c.configs[name]
 }
 
-// reopenListener gives a stopped instance a listener at the port that it had.
+// reopenListener replaces a closed listener with one at the same port.
 func (c *testCluster) reopenListener(config *Config) {
 	c.t.Helper()
 	config.Listener = listen(c.t, config.Listener.Addr().String())
 }
 
-// bootstrapSingle starts a group of one that serves version 1.
+// bootstrapSingle starts a group with one member and version 1.
 func (c *testCluster) bootstrapSingle(name string) *Node {
 	c.t.Helper()
 	config := c.newConfig(name)
@@ -125,7 +126,7 @@
 	return c.open(config)
 }
 
-// bootstrap starts a group of three that serves version 1.
+// bootstrap starts a group with the members n1, n2 and n3, and waits until they serve version 1.
 func (c *testCluster) bootstrap() {
 	c.t.Helper()
 	n1 := c.bootstrapSingle("n1")
@@ -138,7 +139,7 @@
 	c.waitUntilServing(1)
 }
 
-// waitUntilServing waits until all running instances serve a version.
+// waitUntilServing waits until all running nodes serve a version and accept queries.
 func (c *testCluster) waitUntilServing(version uint64) {
 	c.t.Helper()
 	for _, node := range c.nodes {
@@ -146,7 +147,7 @@
 	}
 }
 
-// leader waits until a leader knows that it is.
+// leader waits until a node considers itself the leader, and returns it.
 func (c *testCluster) leader() (leader *Node) {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
@@ -157,11 +158,11 @@
 			}
 		}
 		return false
-	}, 15*time.Second, 5*time.Millisecond)
+	}, 15*time.Second, 5*time.Millisecond, "no node considers itself the leader")
 	return leader
 }
 
-// otherNames returns the names of the running instances but one.
+// otherNames returns the names of all running nodes except one.
 func (c *testCluster) otherNames(name string) []string {
 	var others []string
 	for other := range c.nodes {
@@ -172,18 +173,18 @@
 	return others
 }
 
-// isServing reports whether queries may be served by the version that an instance serves.
+// isServing reports whether an instance accepts queries under the version that it serves.
 func isServing(i testInstance) bool {
 	open, _ := i.AllowsQueries(i.ServedVersion())
 	return open
 }
 
-// waitUntilServes waits until an instance serves a version.
+// waitUntilServes waits until an instance serves a version and accepts queries.
 func waitUntilServes(t *testing.T, i testInstance, version uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		return i.ServedVersion() == version && isServing(i)
-	}, 15*time.Second, 5*time.Millisecond, "version %d: %+v", version, i.Status())
+	}, 15*time.Second, 5*time.Millisecond, "not serving version %d; status before the wait: %+v", version, i.Status())
 }
 
 func changeCommand(request string, expected uint64, text string) Command {
--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -11,7 +11,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// Command is an operator's command to the group. Exactly one field is set.
+// Command is an operator's command to the group. Exactly one field must be set.
 type Command struct {
 	Change               *sharedconfig.Change `json:"change,omitempty"`
 	AddMember            *sharedconfig.Member `json:"add,omitempty"`       // only its name and address are used
@@ -20,19 +20,22 @@
 }
 
 const (
-	// leaderRetryInterval is the pause between two attempts to reach the leader.
+	// leaderRetryInterval is the time between two attempts to have the leader execute a command.
 	leaderRetryInterval = 50 * time.Millisecond
-	// leaderAttemptTimeout bounds one attempt with a leader that may have failed without notice.
+	// leaderAttemptTimeout limits one attempt to change the configuration or to read it: the leader may have failed, or lost
+	// its leadership, unnoticed.
 	leaderAttemptTimeout = 2500 * time.Millisecond
-	// forwardedCommandTimeout bounds a command that another instance has forwarded.
+	// forwardedCommandTimeout limits the execution of a command that another instance has forwarded.
 	forwardedCommandTimeout = 20 * time.Second
-	// identifyTimeout bounds the question which instance is at an address.
+	// identifyTimeout limits the request for the server ID of the instance at an address.
 	identifyTimeout = 2 * time.Second
 )
 
-// Execute has the leader, which may be any instance, execute a command and returns the outcome. It repeats the command
-// until the timeout: all commands are idempotent. After an Unknown outcome the command may have been executed, and may be
-// repeated.
+// Execute has the leader, which may be another instance, execute a command, and returns the outcome. It repeats the
+// command until the timeout while the outcome is StatusUnknown or StatusBusy. A repetition is safe: a change is executed
+// once per request ID, and a member is added or removed once. But a repeated removal may be rejected because the first one
+// succeeded, and a repeated transfer to any voter may move the leadership again. After StatusUnknown the command may have
+// been executed.
 func (n *Node) Execute(command Command, timeout time.Duration) sharedconfig.Outcome {
 	deadline := time.Now().Add(timeout)
 	outcome := sharedconfig.Outcome{Reason: ErrNoLeader.Error()}
@@ -47,7 +50,7 @@
 		if attemptOutcome, ok := n.executeAtLeader(command, attemptTimeout); ok {
 			outcome = attemptOutcome
 		}
-		// Busy: another change ends soon.
+		// StatusBusy is retried, since the other change ends soon.
 		if outcome.Status != sharedconfig.StatusUnknown && outcome.Status != sharedconfig.StatusBusy {
 			return outcome
 		}
@@ -60,7 +63,7 @@
 	return outcome
 }
 
-// executeAtLeader makes one attempt to have a command executed. ok is false if no leader is known.
+// executeAtLeader makes one attempt to have the leader execute a command. ok is false if no leader is known.
 func (n *Node) executeAtLeader(command Command, timeout time.Duration) (outcome sharedconfig.Outcome, ok bool) {
 	address, id := n.raft.LeaderWithID()
 	switch id {
@@ -76,7 +79,7 @@
 	return outcome, true
 }
 
-// forward has another instance execute a command.
+// forward sends a command to the leader, another instance, and returns the outcome.
 func (n *Node) forward(
 	command Command, id raft.ServerID, address raft.ServerAddress, timeout time.Duration,
 ) (outcome sharedconfig.Outcome, err error) {
@@ -101,7 +104,7 @@
 	return json.Marshal(n.executeLocally(command, forwardedCommandTimeout))
 }
 
-// executeLocally executes a command if this instance leads.
+// executeLocally executes a command at this instance, which must be the leader.
 func (n *Node) executeLocally(command Command, timeout time.Duration) sharedconfig.Outcome {
 	switch {
 	case command.Change != nil:
@@ -117,21 +120,21 @@
 	case command.TransferLeadershipTo != nil:
 		return n.transferLeadershipTo(*command.TransferLeadershipTo)
 	}
-	return refusedOutcome("an empty order")
+	return refusedOutcome("the command is empty")
 }
 
-// addMember adds the instance at an address if it has the expected name.
+// addMember adds the instance at a member's address if it has the member's name.
 func (n *Node) addMember(member sharedconfig.Member, timeout time.Duration) sharedconfig.Outcome {
 	hello, err := n.endpoint.Identify(member.Addr, identifyTimeout)
 	if err != nil {
-		return refusedOutcome(fmt.Sprintf("no instance answers at %s: %v", member.Addr, err))
+		return refusedOutcome(fmt.Sprintf("cannot identify the instance at %s: %v", member.Addr, err))
 	}
 	name, directoryID, err := parseServerID(hello.From)
 	if err != nil {
 		return refusedOutcome(err.Error())
 	}
 	if name != member.Name {
-		return refusedOutcome(fmt.Sprintf("%s answers at %s, and not %s", name, member.Addr, member.Name))
+		return refusedOutcome(fmt.Sprintf("the instance at %s is %s, not %s", member.Addr, name, member.Name))
 	}
 	added := sharedconfig.Member{Name: name, DirectoryID: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(callID uint64) sharedconfig.Event {
@@ -139,11 +142,11 @@
 	})
 }
 
-// callCore passes a call to the decisions and waits for the outcome.
+// callCore passes a call to the event loop's core and waits for the outcome.
 func (n *Node) callCore(timeout time.Duration, newEvent func(callID uint64) sharedconfig.Event) sharedconfig.Outcome {
 	outcome, ok := callEventLoop(n, n.commands, timeout, newEvent)
 	if !ok {
-		return sharedconfig.Outcome{Reason: "not decided in time"}
+		return sharedconfig.Outcome{Reason: "the outcome was not known in time; the command may still be executed"}
 	}
 	return outcome
 }
--- a/raftnode/compatibility_test.go
+++ b/raftnode/compatibility_test.go
@@ -16,15 +16,15 @@
 
 const earlierRevisionDirectory = "testdata/a377099"
 
-// earlierInstances is what the instances of the earlier revision reported before they were stopped.
+// earlierInstances is what the instances of the earlier revision reported before they stopped.
 type earlierInstances struct {
 	State   sharedconfig.State    `json:"state"`   // of n1
 	Members []sharedconfig.Member `json:"members"` // by n1
 	Status  Status                `json:"status"`  // of n1
 }
 
-// assertStoredAs checks a value's JSON against a field of the file that the earlier revision has written. Unlike a
-// comparison of decoded values it notices a changed name of a JSON field.
+// assertStoredAs asserts that a value's JSON equals a field of the file that the earlier revision has written. Unlike a
+// comparison of decoded values, this detects a changed name of a JSON field.
 func assertStoredAs(t *testing.T, field string, value any) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(earlierRevisionDirectory, "written.json"))
@@ -33,10 +33,11 @@
 	require.NoError(t, json.Unmarshal(text, &fields))
 	encoded, err := json.Marshal(value)
 	require.NoError(t, err)
-	assert.JSONEq(t, string(fields[field]), string(encoded))
+	assert.JSONEq(t, string(fields[field]), string(encoded), field)
 }
 
-// copyEarlierRevision returns a copy of the earlier revision's data directories and what its instances reported.
+// copyEarlierRevision returns the path of a copy of the earlier revision's data directories, and what its instances
+// reported.
 func copyEarlierRevision(t *testing.T) (directory string, written earlierInstances) {
 	t.Helper()
 	directory = t.TempDir()
@@ -60,7 +61,8 @@
 	}
 }
 
-// A node and a follower continue from the data directories of an earlier revision.
+// A node and a follower must continue from the data directories of an earlier revision. This fails if a stored key or a
+// JSON name changes.
 func TestOpenDataDirectoryOfEarlierRevision(t *testing.T) {
 	directory, written := copyEarlierRevision(t)
 	config := earlierConfig(directory, "n1")
@@ -73,7 +75,7 @@
 	}
 	node := open()
 	active := written.State.Active()
-	assert.Equal(t, active.Number, node.ServedVersion(), "the version served last")
+	assert.Equal(t, active.Number, node.ServedVersion(), "the version that was served last")
 	waitUntilServes(t, node, active.Number)
 	assertStoredAs(t, "state", node.State())
 	assertStoredAs(t, "members", node.Members())
@@ -81,7 +83,7 @@
 	assert.Equal(t, written.Status.GroupID, node.Status().GroupID)
 	assert.Equal(t, written.Status.Digest, node.Status().Digest)
 
-	// A change that the earlier revision has made is known, and another one can be made on top.
+	// The request ID of the earlier revision's last change is still known, and a new change can be based on its version.
 	repeated := node.Execute(changeCommand(active.RequestID, active.Number-1, "other"), 10*time.Second)
 	assert.Equal(t, sharedconfig.Outcome{RequestID: active.RequestID, Status: sharedconfig.StatusDone, Version: active.Number}, repeated)
 	next := active.Number + 1
@@ -102,11 +104,12 @@
 	follower, err := StartFollower(followerConfig)
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, follower.Close()) })
-	assert.Equal(t, written.State.Versions[6:], follower.State().Versions, "the version served last")
+	assert.Equal(t, written.State.Versions[6:], follower.State().Versions, "the version that was served last")
 	waitUntilServes(t, follower, next)
 }
 
-func TestExamineDataDirectoryOfEarlierRevision(t *testing.T) {
+// ReadRecoveryReport must decode the log and the snapshots of an earlier revision completely.
+func TestReadRecoveryReportOfEarlierRevision(t *testing.T) {
 	directory, written := copyEarlierRevision(t)
 	report, err := ReadRecoveryReport(filepath.Join(directory, "b1"), "b1")
 	require.NoError(t, err)
@@ -134,7 +137,7 @@
 	assert.Equal(t, written.Status.Term, term)
 }
 
-// An instance that the earlier revision has removed stays removed.
+// An instance that was removed under the earlier revision must not serve or be recovered from after an upgrade.
 func TestOpenRemovedInstanceOfEarlierRevision(t *testing.T) {
 	directory, _ := copyEarlierRevision(t)
 	config := earlierConfig(directory, "n2")
--- a/raftnode/data_directory.go
+++ b/raftnode/data_directory.go
@@ -23,13 +23,13 @@
 	groupIDSize       = 8 // random bytes
 )
 
-// Metadata keys of what an instance stores about itself.
+// Keys of the metadata that an instance stores about itself.
 const (
 	metadataName          = "name"
 	metadataDirectoryID   = "folder"
 	metadataGroupID       = "group"
-	metadataRemoved       = "removed" // removedValue, if the instance was removed from its group
-	metadataActiveVersion = "active"  // the version served last, as JSON
+	metadataRemoved       = "removed" // removedValue if the instance was removed from its group
+	metadataActiveVersion = "active"  // the version that was served last, as JSON
 )
 
 const removedValue = "yes"
@@ -38,7 +38,7 @@
 type dataDirectory struct {
 	path     string
 	store    *raftstore.Store
-	serverID raft.ServerID // of the instance
+	serverID raft.ServerID // of the instance to which the directory belongs
 }
 
 func randomHex(size int) string {
@@ -50,11 +50,11 @@
 // openDataDirectory opens an instance's data directory, or creates it.
 func openDataDirectory(path, name string) (*dataDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("cannot open the data directory: %w", err)
 	}
 	store, err := raftstore.Open(filepath.Join(path, databaseFileName))
 	if err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("cannot open the data directory: %w", err)
 	}
 	directory := &dataDirectory{path: path, store: store}
 	directory.serverID, err = loadOrCreateServerID(store, name)
@@ -65,8 +65,9 @@
 	return directory, nil
 }
 
-// loadOrCreateServerID returns the id of the instance that a store belongs to, which must have the given name. A new store gets a
-// random id of its own: an instance that lost its votes must not vote as the instance that it was.
+// loadOrCreateServerID returns the server ID of the instance to which a store belongs. The instance must have the given
+// name. A new store gets a random directory ID: an instance that has lost its votes must not vote under its old server ID,
+// since it could vote twice in a term.
 func loadOrCreateServerID(store *raftstore.Store, name string) (raft.ServerID, error) {
 	storedName, nameErr := store.Metadata(metadataName)
 	directoryID, idErr := store.Metadata(metadataDirectoryID)
@@ -82,20 +83,22 @@
 		return serverID(name, directoryID), err
 	}
 	if storedName != name {
-		return "", fmt.Errorf("%w: %s's and not %s's", ErrOtherInstance, storedName, name)
+		return "", fmt.Errorf("%w: the stored name is %s, the configured one %s", ErrOtherInstance, storedName, name)
 	}
 	return serverID(name, directoryID), nil
 }
 
 func (d *dataDirectory) close() error { return d.store.Close() }
 
-// closeAfterError closes the directory after an error, which is the one to report.
+// closeAfterError closes the directory after an error. That error is the one to report, and not one from closing.
 func (d *dataDirectory) closeAfterError() { _ = d.store.Close() }
 
-// wrapError names the directory in an error.
-func (d *dataDirectory) wrapError(err error) error { return fmt.Errorf("folder %s: %w", d.path, err) }
+// wrapError adds the directory's path to an error.
+func (d *dataDirectory) wrapError(err error) error {
+	return fmt.Errorf("data directory %s: %w", d.path, err)
+}
 
-// groupID returns the instance's groupID, or an empty string.
+// groupID returns the ID of the instance's group, or an empty string if the instance is not a member of a group yet.
 func (d *dataDirectory) groupID() (string, error) { return d.store.Metadata(metadataGroupID) }
 
 func (d *dataDirectory) setGroupID(groupID string) error {
@@ -112,7 +115,7 @@
 	return d.store.SetMetadata(metadataRemoved, removedValue)
 }
 
-// activeVersion returns the version served last. Its number is 0 if there is none.
+// activeVersion returns the version that was served last. Its number is 0 if there is none.
 func (d *dataDirectory) activeVersion() (sharedconfig.Version, error) {
 	var version sharedconfig.Version
 	text, err := d.store.Metadata(metadataActiveVersion)
@@ -120,7 +123,7 @@
 		return version, err
 	}
 	if err := json.Unmarshal([]byte(text), &version); err != nil {
-		return version, d.wrapError(fmt.Errorf("the version served last: %w", err))
+		return version, d.wrapError(fmt.Errorf("cannot decode the version that was served last: %w", err))
 	}
 	return version, nil
 }
@@ -133,7 +136,7 @@
 	return d.store.SetMetadata(metadataActiveVersion, string(text))
 }
 
-// openSnapshots opens the snapshots and returns an error if the instance must not start from the directory.
+// openSnapshots opens the snapshot store. It returns an error if the instance must not start from the data directory.
 func (d *dataDirectory) openSnapshots(logger hclog.Logger) (raft.SnapshotStore, error) {
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(d.path, retainedSnapshots, logger)
 	if err != nil {
@@ -145,7 +148,8 @@
 	return snapshots, nil
 }
 
-// checkUsable reads the extent of the log and all snapshots before Raft does.
+// checkUsable returns an error if the instance must not start from the data directory. It reads the log's first and last
+// index and all snapshots before Raft does.
 func (d *dataDirectory) checkUsable(snapshots raft.SnapshotStore) error {
 	var found sharedconfig.DataDirectory
 	var err error
--- a/raftnode/errors.go
+++ b/raftnode/errors.go
@@ -2,31 +2,32 @@
 
 import "errors"
 
-// Errors of an instance.
+// Errors of instances and data directories.
 var (
-	// ErrAlreadyBootstrapped is wrapped by the error of Bootstrap for a data directory that has a group.
-	ErrAlreadyBootstrapped = errors.New("the folder belongs to a group already")
-	// ErrOtherInstance is wrapped by errors about a data directory of an instance with another name.
+	// ErrAlreadyBootstrapped is wrapped by the error of Bootstrap for a data directory that belongs to a group.
+	ErrAlreadyBootstrapped = errors.New("the data directory already belongs to a group")
+	// ErrOtherInstance is wrapped by errors about the data directory of an instance with another name.
 	ErrOtherInstance = errors.New("it belongs to another instance")
-	// ErrNoVersion is wrapped by errors about a data directory without a version.
-	ErrNoVersion = errors.New("no version is in it")
-	// ErrRemoved is returned by an instance that was removed from its group.
+	// ErrNoVersion is wrapped by errors about a data directory whose log and snapshots contain no version.
+	ErrNoVersion = errors.New("it has no version of the shared configuration")
+	// ErrRemoved is returned by reads of an instance that was removed from its group, and wrapped by the error of
+	// RecoverUnsafe for its data directory.
 	ErrRemoved = errors.New("this instance was removed from its group")
 	// ErrNoLeader is returned while no leader is known.
-	ErrNoLeader = errors.New("nobody leads")
-	// ErrNoQuorum is returned by a read that no majority has confirmed in time.
-	ErrNoQuorum = errors.New("nobody leads, or no majority is reachable")
-	// ErrLagging is returned by a read whose confirmed version has not arrived in time.
-	ErrLagging = errors.New("this instance lags behind")
-	// ErrNotVoter is wrapped by the errors of a follower that is asked for what only voters can do.
-	ErrNotVoter = errors.New("this instance has no vote")
-	// ErrStopping is returned by an instance that is shutting down.
-	ErrStopping = errors.New("the instance is stopping")
-	// ErrMalformedID is wrapped by errors about ids that name no instance.
-	ErrMalformedID = errors.New("malformed instance id")
-	// ErrSnapshotChecksum is returned for a snapshot that differs from what was written.
+	ErrNoLeader = errors.New("no leader is known")
+	// ErrNoQuorum is returned by a read for which no leader was confirmed by a majority of the voters in time.
+	ErrNoQuorum = errors.New("no leader is known, or a majority of the voters did not confirm it in time")
+	// ErrLagging is returned by a read if this instance has not applied the confirmed version in time.
+	ErrLagging = errors.New("this instance has not applied the active version in time")
+	// ErrNotVoter is wrapped by the errors of a follower for operations that only voters support.
+	ErrNotVoter = errors.New("this instance is not a voter")
+	// ErrStopping is returned by RPCs to an instance that is shutting down, and by its reads.
+	ErrStopping = errors.New("the instance is shutting down")
+	// ErrMalformedID is wrapped by errors about server IDs that are not of the form NAME.DIRECTORYID.
+	ErrMalformedID = errors.New("malformed server ID")
+	// ErrSnapshotChecksum is returned for a snapshot whose content differs from its checksum or is too short for one.
 	ErrSnapshotChecksum = errors.New("checksum mismatch")
 )
 
-// errNotVerified answers a lease request that no majority has confirmed in time.
-var errNotVerified = errors.New("not verified in time")
+// errNotVerified is the reply to a lease request for which the leadership was not verified in time.
+var errNotVerified = errors.New("the leadership was not verified in time")
--- a/raftnode/event_loop.go
+++ b/raftnode/event_loop.go
@@ -5,7 +5,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// step passes events, and the current member list before them, to the decisions and carries out their actions.
+// step passes the current member list and the queued events to the core, and starts the actions that it returns.
 func (n *Node) step(queued []sharedconfig.Event) {
 	events := append([]sharedconfig.Event{sharedconfig.MemberList{Members: n.Members()}}, queued...)
 	for _, action := range n.core.Step(clock.Now(), events) {
@@ -16,7 +16,7 @@
 	n.storeGroupID(state.GroupID)
 }
 
-// publishState makes a state visible to other goroutines.
+// publishState makes a state available to other goroutines, and wakes those that wait for another active version.
 func (n *Node) publishState(state sharedconfig.State) {
 	previous := n.state.Swap(&state)
 	if previous.Active().Number == state.Active().Number {
@@ -28,18 +28,18 @@
 	n.activeVersionChanged = make(chan struct{})
 }
 
-// storeGroupID stores the group that the node has become a member of.
+// storeGroupID stores the ID of the group if the node has become a member of another one.
 func (n *Node) storeGroupID(groupID string) {
 	if groupID == "" || groupID == *n.groupID.Load() {
 		return
 	}
 	n.groupID.Store(&groupID)
 	if err := n.directory.setGroupID(groupID); err != nil {
-		n.config.Log.WithError(err).Error("cannot store the group's name")
+		n.config.Log.WithError(err).Error("cannot store the group ID")
 	}
 }
 
-// perform carries out an action. What may block runs in a goroutine of its own.
+// perform carries out an action. Actions that wait for Raft or for other instances run in goroutines of their own.
 func (n *Node) perform(action sharedconfig.Action) {
 	switch action := action.(type) {
 	case sharedconfig.AppendEntry:
@@ -68,7 +68,8 @@
 	}
 }
 
-// activateNewer activates a version unless it is replayed from the log after a restart.
+// activateNewer schedules the activation of a version, unless this or a newer version is served already: after a restart,
+// the log replays earlier versions.
 func (n *Node) activateNewer(version sharedconfig.Version) {
 	if version.Number > n.servedVersion.Load() {
 		n.scheduleActivation(version)
--- a/raftnode/event_queue.go
+++ b/raftnode/event_queue.go
@@ -6,16 +6,16 @@
 	"alderproxy/sharedconfig"
 )
 
-// eventQueue passes events to an event loop.
+// eventQueue is the unbounded queue of events for an event loop.
 type eventQueue struct {
 	mu     sync.Mutex
 	events []sharedconfig.Event
-	wake   chan struct{} // holds one element while the loop has to run
+	wake   chan struct{} // has an element while the loop must run
 }
 
 func newEventQueue() *eventQueue { return &eventQueue{wake: make(chan struct{}, 1)} }
 
-// push adds an event and wakes the loop. It never blocks.
+// push adds an event and wakes the event loop. It never waits for the loop.
 func (q *eventQueue) push(event sharedconfig.Event) {
 	q.mu.Lock()
 	q.events = append(q.events, event)
@@ -23,7 +23,7 @@
 	q.wakeLoop()
 }
 
-// wakeLoop makes the loop run without an event.
+// wakeLoop makes the event loop run, even if no event is queued.
 func (q *eventQueue) wakeLoop() {
 	select {
 	case q.wake <- struct{}{}:
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -17,14 +17,14 @@
 
 const (
 	faultClients = 6
-	// minAnsweredCalls is how many reads and writes have to be answered for a run to be conclusive.
+	// minAnsweredCalls is the number of answered reads and writes that a conclusive run must exceed.
 	minAnsweredCalls = 10
-	// maxFaultRunDuration bounds a run on a busy machine, on which few calls are answered.
+	// maxFaultRunDuration limits a run on a busy machine, on which few calls are answered.
 	maxFaultRunDuration = time.Minute
 )
 
-// faultRun lets clients read and write the configuration of a group whose messages are lost, delayed, duplicated and
-// blocked, and watches which versions are served.
+// faultRun is a run in which clients read and write the configuration of a group while messages between its instances are
+// lost, delayed, duplicated and blocked. It records which versions are served.
 type faultRun struct {
 	cluster   *testCluster
 	seed      uint64
@@ -35,19 +35,20 @@
 
 	mu          sync.Mutex
 	history     []porcupine.Operation
-	answered    int                  // reads, and writes that were done
-	firstServed map[uint64]time.Time // when a version was first served by any instance
+	answered    int                  // successful reads and writes
+	firstServed map[uint64]time.Time // time at which any instance first served a version
 	staleness   time.Duration        // longest time that a replaced version was served
 }
 
-// faultRunResult is what a run has shown.
+// faultRunResult is the result of a faultRun.
 type faultRunResult struct {
 	staleness                    time.Duration // longest time that a replaced version was served
 	done, unknown, reads, writes int
 	linearizable                 porcupine.CheckResult
 }
 
-// runUnderFaults runs for a time, and longer if fewer than minAnswered calls have been answered by then.
+// runUnderFaults runs for the duration, and then until more than minAnsweredCalls calls are answered or
+// maxFaultRunDuration has passed since the start.
 func runUnderFaults(t *testing.T, seed uint64, stalenessBound, duration time.Duration) faultRunResult {
 	t.Helper()
 	cluster := newTestCluster(t, stalenessBound)
@@ -73,7 +74,7 @@
 	return r.result()
 }
 
-// watchServedVersions records when an instance serves which version.
+// watchServedVersions records when an instance serves each version.
 func (r *faultRun) watchServedVersions(node *Node) {
 	for {
 		select {
@@ -102,7 +103,7 @@
 	}
 }
 
-// runClient reads, and writes after half of the reads.
+// runClient reads repeatedly, and writes after about half of the reads.
 func (r *faultRun) runClient(id int) {
 	rng := rand.New(rand.NewPCG(r.seed, uint64(id)))
 	node := r.cluster.nodes[r.names[id%len(r.names)]]
@@ -129,7 +130,8 @@
 	}
 }
 
-// recordCall adds a call to the history. A write whose outcome is unknown may take effect at any later time.
+// recordCall adds a call to the history. A write whose outcome is unknown may take effect at any later time, so it returns
+// after the end of the run.
 func (r *faultRun) recordCall(client int, called time.Time, call registerCall, result registerResult) {
 	returned := time.Since(r.startedAt)
 	if call.write && result.status == sharedconfig.StatusUnknown {
@@ -149,7 +151,7 @@
 	}
 }
 
-// injectFaults changes the faults of the network until the run is over.
+// injectFaults changes the faults of the network repeatedly until the run ends.
 func (r *faultRun) injectFaults(duration time.Duration) {
 	rng := rand.New(rand.NewPCG(r.seed, 99))
 	faults := r.cluster.faults
@@ -197,7 +199,8 @@
 	return result
 }
 
-// No instance serves a replaced version beyond the staleness bound, and clients see one versioned text.
+// Under network faults, an instance must not serve a replaced version beyond the staleness bound, and the reads and writes
+// of all clients must be linearizable.
 func TestLinearizableUnderFaults(t *testing.T) {
 	const stalenessBound = time.Second
 	for seed := range uint64(4) {
@@ -205,9 +208,9 @@
 			t.Parallel()
 			result := runUnderFaults(t, seed, stalenessBound, 8*time.Second)
 			t.Logf("%+v", result)
-			assert.LessOrEqual(t, result.staleness, stalenessBound)
-			assert.NotEqual(t, porcupine.Illegal, result.linearizable)
-			assert.Greater(t, result.done+result.reads, minAnsweredCalls, "the run is not conclusive")
+			assert.LessOrEqual(t, result.staleness, stalenessBound, "a replaced version was served too long")
+			assert.NotEqual(t, porcupine.Illegal, result.linearizable, "the history is not linearizable")
+			assert.Greater(t, result.done+result.reads, minAnsweredCalls, "too few calls were answered for a conclusive run")
 		})
 	}
 }
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -18,13 +18,13 @@
 type Follower struct {
 	*instance
 	endpoint      *peer.Endpoint
-	core          *sharedconfig.Follower // the event loop's
-	groupID       atomic.Pointer[string] // empty: unknown yet
+	core          *sharedconfig.Follower // used by the event loop only
+	groupID       atomic.Pointer[string] // empty: not known yet
 	activeVersion atomic.Pointer[sharedconfig.Version]
 	voters        atomic.Pointer[[]sharedconfig.Member]
 }
 
-// StartFollower starts a follower. With a new data directory it serves nothing until a voter has answered.
+// StartFollower starts a follower. With a new data directory it serves nothing until a voter has replied.
 func StartFollower(config Config) (*Follower, error) {
 	directory, err := openDataDirectory(config.DataDirectory, config.Name)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return f.directory.close()
 }
 
-// withFollowerFields returns the log with the fields of every line about the shared configuration.
+// withFollowerFields returns the log with the fields that describe the follower's state.
 func (f *Follower) withFollowerFields() *logrus.Entry {
 	return f.config.Log.WithFields(logrus.Fields{
 		"instance": f.config.Name,
@@ -81,7 +81,7 @@
 	})
 }
 
-// step passes events to the decisions and carries out their actions.
+// step passes the queued events to the core and starts the actions that it returns.
 func (f *Follower) step(events []sharedconfig.Event) {
 	for _, action := range f.core.Step(clock.Now(), events) {
 		f.perform(action)
@@ -92,7 +92,7 @@
 	f.voters.Store(&voters)
 }
 
-// perform carries out an action. What may block runs in a goroutine of its own.
+// perform carries out an action. Polls run in goroutines of their own, since they wait for a voter.
 func (f *Follower) perform(action sharedconfig.Action) {
 	switch action := action.(type) {
 	case sharedconfig.PollVoter:
@@ -107,11 +107,11 @@
 	}
 }
 
-// poll polls a voter for the event loop.
+// poll polls a voter and passes the result to the event loop.
 func (f *Follower) poll(action sharedconfig.PollVoter) {
 	reply, err := f.requestPoll(action)
 	if err != nil {
-		f.config.Log.WithError(err).WithField("voter", action.Voter.Addr).Debug("a voter did not answer")
+		f.config.Log.WithError(err).WithField("voter", action.Voter.Addr).Debug("poll of a voter failed")
 		f.events.push(sharedconfig.PollFailed{Seq: action.Seq})
 		return
 	}
@@ -119,14 +119,15 @@
 	f.events.push(reply)
 }
 
-// requestPoll returns a voter's reply. A reply that takes longer than the staleness bound would be of no use.
+// requestPoll sends a poll to a voter and returns the reply. The staleness bound is the timeout, since a lease from a later
+// reply would have expired.
 func (f *Follower) requestPoll(action sharedconfig.PollVoter) (reply sharedconfig.PollReply, err error) {
 	body, err := json.Marshal(action.Request)
 	if err != nil {
 		return reply, err
 	}
 	target := memberTarget(action.Voter)
-	if action.Voter.Name == "" { // a configured address, whose instance is not known
+	if action.Voter.Name == "" { // only the configured address is known
 		target = peer.Target{Addr: action.Voter.Addr}
 	}
 	result, err := f.endpoint.Call(target, rpcPollVoter, body, nil, f.config.StalenessBound)
@@ -137,7 +138,7 @@
 	return reply, err
 }
 
-// Status returns how this instance sees its group.
+// Status returns the status of this instance and of its group.
 func (f *Follower) Status() Status {
 	active := f.activeVersion.Load()
 	served := f.servedVersion.Load()
@@ -159,7 +160,7 @@
 	return status
 }
 
-// State returns what this instance has of the group's state: the active version.
+// State returns the part of the group's state that this instance has: the group's ID and the active version.
 func (f *Follower) State() sharedconfig.State {
 	active := f.activeVersion.Load()
 	if active.Number == 0 {
@@ -171,15 +172,15 @@
 	}
 }
 
-// Read fails with ErrNotVoter: only voters get a state confirmed. The error's text names them.
+// Read fails with ErrNotVoter, since only voters can have a state confirmed. The error lists the voters.
 func (f *Follower) Read(time.Duration) (sharedconfig.State, error) {
-	const hint = "ask one of %s, or for what it has itself (--local)"
+	const hint = "read from one of %s, or read the state of this instance with --local"
 	return sharedconfig.State{}, fmt.Errorf("%w: "+hint, ErrNotVoter, f.voterAddresses())
 }
 
-// Execute refuses the command: only voters execute commands.
+// Execute rejects the command, since only voters execute commands. The reason lists the voters.
 func (f *Follower) Execute(command Command, _ time.Duration) sharedconfig.Outcome {
-	outcome := refusedOutcome(fmt.Sprintf("%v: give the order to one of %s", ErrNotVoter, f.voterAddresses()))
+	outcome := refusedOutcome(fmt.Sprintf("%v: send the command to one of %s", ErrNotVoter, f.voterAddresses()))
 	if command.Change != nil {
 		outcome.RequestID = command.Change.RequestID
 	}
--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// loopsPerRenewalInterval is how often the event loop runs between two lease requests if nothing wakes it.
+	// loopsPerRenewalInterval is the number of times that the event loop runs in a lease renewal interval if nothing wakes it.
 	loopsPerRenewalInterval = 8
-	// retryAfter is when clients of an instance without a lease should try again. A lease may arrive at any time.
+	// retryAfter is the time after which clients of an instance without a lease should retry. It is short, since a lease may
+	// be granted at any time.
 	retryAfter = time.Second
 )
 
-// instance is what a Node and a Follower have in common: an event loop, and versions that are served under a lease.
+// instance is the common part of a Node and a Follower: the event loop, the lease and the activation of versions.
 type instance struct {
 	config            Config
 	directory         *dataDirectory
 	settings          sharedconfig.Settings
-	logWithState      func() *logrus.Entry // with the fields that describe the instance's state
+	logWithState      func() *logrus.Entry // returns the log with fields that describe the instance's state
 	events            *eventQueue
 	lease             atomic.Pointer[sharedconfig.Lease]
 	servedVersion     atomic.Uint64
-	activations       chan sharedconfig.Version // holds the newest version to activate
-	lastServingReport servingReport             // the event loop's
+	activations       chan sharedconfig.Version // capacity 1: the newest version that waits for its activation
+	lastServingReport servingReport             // used by the event loop only
 	stop              chan struct{}             // closed when the instance stops
 	goroutines        sync.WaitGroup
 }
 
-// newInstance returns an instance whose decisions know it by an id.
+// newInstance returns an instance that does not run yet. directoryID becomes sharedconfig.Settings.DirectoryID, which has
+// another form for a follower.
 func newInstance(config Config, directory *dataDirectory, directoryID string) *instance {
 	return &instance{
 		config:      config,
@@ -45,7 +47,7 @@
 	}
 }
 
-// start runs functions in goroutines that end when the instance stops.
+// start runs functions in goroutines, which must end when the instance stops.
 func (i *instance) start(functions ...func()) {
 	for _, function := range functions {
 		i.goroutines.Add(1)
@@ -56,8 +58,8 @@
 	}
 }
 
-// runEventLoop passes the pushed events to a step function, at least loopsPerRenewalInterval times in a renewal interval, and
-// reports changes of the state of serving after each step.
+// runEventLoop passes the queued events to step, at least loopsPerRenewalInterval times in a lease renewal interval. After
+// each step it logs whether the instance serves under a lease, if that has changed.
 func (i *instance) runEventLoop(step func([]sharedconfig.Event)) {
 	ticker := time.NewTicker(microseconds(i.settings.LeaseRenewalInterval) / loopsPerRenewalInterval)
 	defer ticker.Stop()
@@ -76,15 +78,16 @@
 // ServedVersion returns the number of the version that this instance serves, or 0.
 func (i *instance) ServedVersion() uint64 { return i.servedVersion.Load() }
 
-// AllowsQueries reports whether queries may be served by a version now, and if not, when clients should retry.
-func (i *instance) AllowsQueries(version uint64) (open bool, retryDelay time.Duration) {
+// AllowsQueries reports whether queries may be accepted under a version now, and if not, after what time clients should
+// retry.
+func (i *instance) AllowsQueries(version uint64) (allowed bool, retryDelay time.Duration) {
 	if i.lease.Load().Allows(clock.Now(), version) {
 		return true, 0
 	}
 	return false, retryAfter
 }
 
-// leaseRemainingMillis returns for how many milliseconds the lease still covers the served version.
+// leaseRemainingMillis returns the remaining time in milliseconds for which the lease covers the served version.
 func (i *instance) leaseRemainingMillis() int64 {
 	lease := i.lease.Load()
 	version := i.servedVersion.Load()
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// waitUntilReady notifies the event loop when this instance has applied all entries of earlier terms.
+// waitUntilReady notifies the event loop when this instance, a new leader, has applied all entries of earlier terms.
 func (n *Node) waitUntilReady(term uint64) {
 	const noTimeout = 0
 	if n.raft.Barrier(noTimeout).Error() == nil {
@@ -34,18 +34,19 @@
 	}
 }
 
-// verifyLeadership asks a majority whether this instance is still the leader of its term.
+// verifyLeadership has a majority of the voters confirm that this instance is still the leader of its term.
 func (n *Node) verifyLeadership(seq uint64) {
 	term := n.raft.CurrentTerm()
 	err := n.raft.VerifyLeader().Error()
 	if n.raft.CurrentTerm() != term {
-		term = 0 // the answer may be about either term
+		term = 0 // the result may be about either term
 	}
 	n.events.push(sharedconfig.VerifyLeadershipResult{Seq: seq, OK: err == nil, Term: term})
 }
 
-// TransferLeadership gives the leadership, if this instance has it, to any other voter. Before a planned stop it spares
-// the group an election. It waits for the timeout at most.
+// TransferLeadership transfers the leadership to any other voter if this instance is the leader. Before a planned stop,
+// this spares the group the time without a leader until the others' election timeout. It returns after the timeout at the
+// latest.
 func (n *Node) TransferLeadership(timeout time.Duration) {
 	if n.raft.State() != raft.Leader || len(n.Members()) < 2 {
 		return
@@ -61,10 +62,10 @@
 	}
 }
 
-// transferLeadershipTo transfers the leadership to the voter with a name, or to any voter if the name is empty.
+// transferLeadershipTo transfers the leadership to the voter with the given name, or to any voter if the name is empty.
 func (n *Node) transferLeadershipTo(name string) sharedconfig.Outcome {
 	if name != "" && name == n.config.Name {
-		return sharedconfig.Outcome{Status: sharedconfig.StatusDone, Reason: name + " leads"}
+		return sharedconfig.Outcome{Status: sharedconfig.StatusDone, Reason: name + " is already the leader"}
 	}
 	var future raft.Future
 	if name == "" {
@@ -72,13 +73,13 @@
 	} else {
 		voter, found := n.voter(name)
 		if !found {
-			return refusedOutcome("there is no instance " + name + " with a vote")
+			return refusedOutcome("cannot transfer the leadership to " + name + ": it is not a voter")
 		}
 		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.DirectoryID), raft.ServerAddress(voter.Addr))
 	}
 	err := future.Error()
 	if errors.Is(err, raft.ErrNotLeader) {
-		return sharedconfig.Outcome{Reason: "this instance does not lead"}
+		return sharedconfig.Outcome{Reason: "this instance is not the leader"}
 	}
 	if err != nil {
 		return refusedOutcome(err.Error())
@@ -86,7 +87,7 @@
 	return sharedconfig.Outcome{Status: sharedconfig.StatusDone}
 }
 
-// voter returns the voter with a name.
+// voter returns the voter with the given name.
 func (n *Node) voter(name string) (sharedconfig.Member, bool) {
 	for _, member := range n.Members() {
 		if member.Name == name && member.Voter {
--- a/raftnode/lease.go
+++ b/raftnode/lease.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// leaseRequestTimeoutIntervals bounds a lease request, in lease renewal intervals.
+	// leaseRequestTimeoutIntervals is the timeout of a lease request, in lease renewal intervals.
 	leaseRequestTimeoutIntervals = 4
-	// leaseVerificationTimeout bounds the wait for a majority before a lease request is answered.
+	// leaseVerificationTimeout limits the wait for the reply to a lease request. The leader replies once a majority has
+	// confirmed its leadership.
 	leaseVerificationTimeout = 2 * time.Second
 )
 
-// requestLease requests a lease for the event loop. It reports nothing if the request fails: the event loop sends the
-// next one after a lease renewal interval.
+// requestLease requests a lease and passes the reply to the event loop. It reports no failure: the event loop sends the
+// next request after a lease renewal interval.
 func (n *Node) requestLease(seq uint64) {
 	timeout := leaseRequestTimeoutIntervals * microseconds(n.settings.LeaseRenewalInterval)
 	reply, err := n.requestLeaseFromLeader(timeout)
@@ -33,8 +34,8 @@
 	})
 }
 
-// requestLeaseFromLeader requests a lease from the leader, which may be this instance, or from the other members if no
-// leader is known.
+// requestLeaseFromLeader requests a lease from the leader, which may be this instance. If no leader is known, it requests
+// one from the other members.
 func (n *Node) requestLeaseFromLeader(timeout time.Duration) (sharedconfig.LeaseReply, error) {
 	address, id := n.raft.LeaderWithID()
 	var body []byte
@@ -55,8 +56,8 @@
 	return reply, err
 }
 
-// requestLeaseFromMembers requests a lease from one member after the other: an instance that was removed hears from no
-// leader any more, and learns of its removal this way.
+// requestLeaseFromMembers requests a lease from one other member after another until one replies with OK. An instance that
+// was removed learns of its removal this way, since no leader contacts it any more.
 func (n *Node) requestLeaseFromMembers(timeout time.Duration) (sharedconfig.LeaseReply, error) {
 	for _, member := range n.Members() {
 		target := memberTarget(member)
@@ -72,7 +73,7 @@
 	return sharedconfig.LeaseReply{}, ErrNoLeader
 }
 
-// handleLeaseRequest answers a member that requests a lease.
+// handleLeaseRequest replies to an instance that requests a lease. The instance need not be a member.
 func (n *Node) handleLeaseRequest(clientID string, _ []byte, _ io.Reader) ([]byte, error) {
 	_, directoryID, err := parseServerID(clientID)
 	if err != nil {
@@ -87,13 +88,15 @@
 	return json.Marshal(reply)
 }
 
-// handlePoll answers a follower.
+// handlePoll replies to the poll of a follower.
 func (n *Node) handlePoll(_ string, body []byte, _ io.Reader) ([]byte, error) {
 	var request sharedconfig.PollRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, err
 	}
-	// The state is read before the lease: a lease for a later version does not cover an earlier one.
+	// The state and the lease may be of different times. Either order of reading them is safe, since a grant covers its
+	// version and all newer ones, and no older one. If the lease is the newer of the two, it may not cover the state's
+	// version, and the reply is not OK; the follower polls again.
 	state := n.state.Load()
 	lease := n.lease.Load()
 	return json.Marshal(sharedconfig.NewPollReply(*state, *lease, clock.Now(), n.Members(), request))
--- a/raftnode/linearizability_test.go
+++ b/raftnode/linearizability_test.go
@@ -6,14 +6,14 @@
 	"alderproxy/sharedconfig"
 )
 
-// registerCall is a write or a read of the configuration, for the check of linearizability.
+// registerCall is a read or a write of the configuration in a history that is checked for linearizability.
 type registerCall struct {
 	write    bool
-	expected uint64 // version that a write replaces
-	text     string // that a write writes
+	expected uint64 // version that a write expects to replace
+	text     string // new text of a write
 }
 
-// registerResult is what a call has returned.
+// registerResult is the result of a registerCall.
 type registerResult struct {
 	status  sharedconfig.Status // of a write
 	version uint64
@@ -25,7 +25,8 @@
 	text    string
 }
 
-// registerModel is what the group must look like to its clients: one versioned text, changed by compare-and-swap.
+// registerModel is the sequential model of the group: one register with a version and a text, changed by
+// compare-and-swap.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{registerState{1, "one"}} },
 	Step: func(state, input, output any) []any {
@@ -41,7 +42,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// statesAfterWrite returns the states that a write's result allows.
+// statesAfterWrite returns the states in which the register may be after a write with the given result.
 func statesAfterWrite(current registerState, call registerCall, result registerResult) []any {
 	written := registerState{call.expected + 1, call.text}
 	expectationHolds := current.version == call.expected
@@ -58,7 +59,7 @@
 		return nil
 	case sharedconfig.StatusRejected:
 		return []any{current}
-	default: // unknown: it may have been written, now or later, or not
+	default: // the outcome is not known: the write takes effect now or not at all
 		if expectationHolds {
 			return []any{current, written}
 		}
--- a/raftnode/measure_test.go
+++ b/raftnode/measure_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The longest time that an instance served a replaced version over 200 random fault runs, beside the staleness bound.
+// Measures the longest time for which an instance serves a replaced version, in 200 runs with random faults, and compares
+// it with the staleness bound.
 func TestMeasureStaleness(t *testing.T) {
 	const (
 		runs           = 200
@@ -51,11 +52,11 @@
 			})
 		}
 	})
-	t.Logf("%d runs: longest service under a replaced version %v, bound %v; "+
-		"%d reads, %d changes asked for, %d done, %d unknown; not linearizable %d, not decided %d",
+	t.Logf("%d runs: a replaced version was served for at most %v, bound %v; "+
+		"%d reads, %d writes, %d done, %d with unknown outcome; %d histories not linearizable, %d not checked in time",
 		runs, total.staleness, stalenessBound,
 		total.reads, total.writes, total.done, total.unknown, notLinearizable, undecided)
-	t.Logf("runs by their longest: %v", runsByStaleness)
+	t.Logf("number of runs by the longest time: %v", runsByStaleness)
 	assert.LessOrEqual(t, total.staleness, stalenessBound)
 	assert.Zero(t, notLinearizable)
 }
--- a/raftnode/membership.go
+++ b/raftnode/membership.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// membershipTimeout bounds the wait until Raft takes a membership change.
+	// membershipTimeout limits the wait until Raft accepts a membership change, not the wait for the commit.
 	membershipTimeout = 5 * time.Second
-	// catchUpPollInterval is how often a joining member is asked how much of the log it has applied.
+	// catchUpPollInterval is the time between two requests for the applied index of a new member.
 	catchUpPollInterval = 20 * time.Millisecond
 )
 
-// Members returns the members by the newest member list of this instance's log, committed or not.
+// Members returns the members by the newest configuration in this instance's log, committed or not.
 func (n *Node) Members() []sharedconfig.Member {
 	future := n.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -44,7 +44,7 @@
 	return members
 }
 
-// isMember reports whether an id is a member's.
+// isMember reports whether a server ID is that of a member.
 func (n *Node) isMember(id string) bool {
 	for _, member := range n.Members() {
 		if memberTarget(member).ID == id {
@@ -54,7 +54,7 @@
 	return false
 }
 
-// changeMembership adds, changes or removes a member in Raft's member list.
+// changeMembership adds, changes or removes a member in Raft's configuration.
 func (n *Node) changeMembership(action sharedconfig.ChangeMembership) {
 	id := serverID(action.Member.Name, action.Member.DirectoryID)
 	address := raft.ServerAddress(action.Member.Addr)
@@ -76,7 +76,8 @@
 	n.events.push(result)
 }
 
-// waitForCatchUp waits until a member has applied all that is committed now, and reports nothing if that takes too long.
+// waitForCatchUp waits until a member has applied all entries that are committed now, and notifies the event loop. It
+// reports nothing if the check timeout passes first.
 func (n *Node) waitForCatchUp(member sharedconfig.Member) {
 	timeout := microseconds(n.settings.CheckTimeout)
 	committed := n.raft.CommitIndex()
@@ -104,7 +105,7 @@
 	return index, err
 }
 
-// handleAppliedIndex answers with the index of the newest entry that this instance has applied.
+// handleAppliedIndex replies with the index of the last entry that this instance has applied.
 func (n *Node) handleAppliedIndex(string, []byte, io.Reader) ([]byte, error) {
 	return json.Marshal(n.raft.AppliedIndex())
 }
--- a/raftnode/membership_test.go
+++ b/raftnode/membership_test.go
@@ -12,8 +12,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// An instance with a new data directory is another one: it must not join or vote under the old name. An instance that
-// was removed must not come back with its data directory.
+// An instance with a new data directory has lost its votes: it must neither vote nor join while a member of its name
+// exists. An instance that was removed must not join again with its data directory.
 func TestRemovedInstanceStopsAndNewDataDirectoryIsAnotherInstance(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -27,7 +27,7 @@
 	outcome := leader.Execute(add, 5*time.Second)
 	assert.Equal(t, sharedconfig.StatusRejected, outcome.Status)
 	assert.Contains(t, outcome.Reason, "another data directory")
-	assert.Zero(t, node.Status().Term, "it was asked for its vote")
+	assert.Zero(t, node.Status().Term, "an instance that is not a member has taken part in an election")
 
 	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{RemoveMember: name}, 10*time.Second).Status)
 	outcome = leader.Execute(add, 15*time.Second)
@@ -40,7 +40,7 @@
 	assert.Contains(t, outcome.Reason, "removed from this group for good")
 }
 
-// An instance that restarts at another address with its data directory keeps its vote.
+// An instance that restarts at another address with its data directory must remain a voter.
 func TestInstanceMovesToAnotherAddress(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -59,7 +59,7 @@
 	c.waitUntilServing(2)
 }
 
-// The leader fails while an instance joins that gets most of the state by a snapshot.
+// A new member that gets most of the state from a snapshot must become a voter even if the leader fails meanwhile.
 func TestJoinBySnapshotDuringLeaderFailure(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
--- a/raftnode/node.go
+++ b/raftnode/node.go
@@ -15,12 +15,14 @@
 )
 
 const (
-	maxAppendEntries = 16 // entries in one AppendEntries request
-	// snapshotInterval is how often Raft looks whether the log must be compacted, if Config.SnapshotAfter is set.
+	maxAppendEntries = 16 // maximum number of entries in one AppendEntries request
+	// snapshotInterval is the minimum time between two checks whether a snapshot is due, if Config.SnapshotThreshold is
+	// set. Raft adds a random delay of up to the same time.
 	snapshotInterval = 2 * time.Second
-	// trailingLogsDivisor is the share of Config.SnapshotAfter that stays in the log after a compaction.
+	// trailingLogsDivisor sets the number of newest entries that a compaction leaves in the log: Config.SnapshotThreshold
+	// divided by it.
 	trailingLogsDivisor = 4
-	// leadershipQueueSize is how many changes of the leadership may wait to be handled.
+	// leadershipQueueSize is the maximum number of leadership changes that wait to be handled.
 	leadershipQueueSize = 8
 )
 
@@ -29,19 +31,19 @@
 	*instance
 	endpoint *peer.Endpoint
 	raft     *raft.Raft
-	core     *sharedconfig.Core // the event loop's
+	core     *sharedconfig.Core // used by the event loop only
 	state    atomic.Pointer[sharedconfig.State]
-	groupID  atomic.Pointer[string] // empty: a member of no group yet
+	groupID  atomic.Pointer[string] // empty: not a member of a group yet
 
-	lastCallID    atomic.Uint64 // id of the newest call into the event loop
+	lastCallID    atomic.Uint64 // ID of the newest call into the event loop
 	commands      *pendingCalls[sharedconfig.Outcome]
 	leaseRequests *pendingCalls[sharedconfig.LeaseReply]
 
 	mu                   sync.Mutex
-	activeVersionChanged chan struct{} // closed, and replaced, when another version becomes active
+	activeVersionChanged chan struct{} // closed and replaced when another version becomes active
 }
 
-// StartNode starts an instance. With a new data directory it waits to be added to a group.
+// StartNode starts an instance that takes part in Raft. With a new data directory it waits until it is added to a group.
 func StartNode(config Config) (*Node, error) {
 	directory, err := openDataDirectory(config.DataDirectory, config.Name)
 	if err != nil {
@@ -58,9 +60,9 @@
 	return n, nil
 }
 
-// newNode returns a node that has not started anything.
+// newNode returns a node that does not run yet.
 func newNode(config Config, directory *dataDirectory) (*Node, error) {
-	_, directoryID, _ := parseServerID(string(directory.serverID)) // an id that identify has made
+	_, directoryID, _ := parseServerID(string(directory.serverID)) // valid: made by loadOrCreateServerID
 	groupID, err := directory.groupID()
 	if err != nil {
 		return nil, err
@@ -85,7 +87,7 @@
 	return n, nil
 }
 
-// run checks the data directory and starts what the node consists of.
+// run checks the data directory, activates the stored version and starts Raft.
 func (n *Node) run() error {
 	snapshots, err := n.directory.openSnapshots(n.newRaftLogger())
 	if err != nil {
@@ -97,8 +99,8 @@
 	return n.startRaft(snapshots)
 }
 
-// activateStoredVersion activates the version served last, before Raft has read the log. Queries are served by it only
-// under a lease, or if Config.ServeWhenStale is set.
+// activateStoredVersion activates the version that was served last, before Raft has read the log. It serves queries only
+// once a lease covers it, or if Config.ServeWhenStale is set.
 func (n *Node) activateStoredVersion() error {
 	version, err := n.directory.activeVersion()
 	if err != nil {
@@ -110,10 +112,10 @@
 	return nil
 }
 
-// startRaft starts the endpoint for the other instances, Raft and the goroutines, in this order. The endpoint answers
-// no call before Raft has started.
+// startRaft starts the endpoint for the other instances, then Raft, then the goroutines. The endpoint answers no RPC
+// before Raft has started.
 func (n *Node) startRaft(snapshots raft.SnapshotStore) error {
-	ready := make(chan struct{}) // closed when calls can be handled
+	ready := make(chan struct{}) // closed when RPCs can be handled
 	raftTransport := newTransport(n.config.Address)
 	n.endpoint = peer.Listen(n.endpointConfig(ready), n.config.Listener, n.handlers(raftTransport, ready))
 	raftTransport.endpoint = n.endpoint
@@ -174,7 +176,7 @@
 	return config
 }
 
-// Close stops the instance. It does not transfer the leadership: see TransferLeadership.
+// Close stops the instance. It does not transfer the leadership; see TransferLeadership.
 func (n *Node) Close() error {
 	close(n.stop)
 	err := n.raft.Shutdown().Error()
@@ -183,7 +185,7 @@
 	return errors.Join(err, n.directory.close())
 }
 
-// withNodeFields returns the log with the fields of every line about the shared configuration.
+// withNodeFields returns the log with the fields that describe the node's state.
 func (n *Node) withNodeFields() *logrus.Entry {
 	fields := logrus.Fields{
 		"instance": n.config.Name,
@@ -191,7 +193,7 @@
 		"term":     uint64(0),
 		"leader":   "",
 	}
-	if n.raft != nil { // Raft is not started before the version served last is activated
+	if n.raft != nil { // nil while the stored version is activated
 		_, leader := n.raft.LeaderWithID()
 		fields["leader"], _, _ = strings.Cut(string(leader), serverIDSeparator)
 		fields["term"] = n.raft.CurrentTerm()
--- a/raftnode/node_test.go
+++ b/raftnode/node_test.go
@@ -10,10 +10,11 @@
 	"alderproxy/sharedconfig"
 )
 
+// A change that is repeated at other instances must be executed once, and a change of a replaced version must fail.
 func TestChangeIsActiveEverywhereAndIdempotent(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
-	for _, node := range c.nodes { // any instance forwards it to the leader
+	for _, node := range c.nodes { // each forwards the change to the leader
 		outcome := node.Execute(changeCommand("a", 1, "two"), 10*time.Second)
 		assert.Equal(t, sharedconfig.Outcome{RequestID: "a", Status: sharedconfig.StatusDone, Version: 2}, outcome)
 	}
@@ -22,6 +23,7 @@
 	assert.Equal(t, sharedconfig.StatusConflict, outcome.Status)
 }
 
+// A change that one member cannot serve must not become active, and must not block the next change.
 func TestOneRejectionRefusesTheChange(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -33,7 +35,8 @@
 	c.waitUntilServing(2)
 }
 
-// The other instances change the configuration without a partitioned leader.
+// A partitioned leader must stop serving within the staleness bound after the other instances have changed the
+// configuration.
 func TestPartitionedInstanceStopsWithinStalenessBound(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -50,6 +53,7 @@
 	c.waitUntilServing(2)
 }
 
+// A restarted instance must not serve under its earlier lease: the version may have been replaced meanwhile.
 func TestRestartedInstanceServesNothingWithoutLease(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -60,15 +64,15 @@
 	n2 := c.open(config)
 	require.Eventually(t, func() bool { return n2.ServedVersion() == 1 }, 10*time.Second, 5*time.Millisecond)
 	for range 50 {
-		require.False(t, isServing(n2), "it serves under the lease that it had before it was stopped")
+		require.False(t, isServing(n2), "serves without a lease granted since its restart")
 		time.Sleep(10 * time.Millisecond)
 	}
 	c.faults.Clear()
 	c.waitUntilServing(2)
 }
 
-// Without ServeWhenStale a partitioned instance stops; with it, it serves on, also after a restart, unless it was
-// removed.
+// With ServeWhenStale, a partitioned instance must continue to serve without a lease, even after a restart, unless it was
+// removed from the group.
 func TestServeWhenStale(t *testing.T) {
 	c := newTestCluster(t, 500*time.Millisecond)
 	c.bootstrap()
@@ -99,5 +103,5 @@
 	require.Eventually(t, func() bool { return !isServing(node) }, 10*time.Second, 5*time.Millisecond)
 	partition()
 	node = restart()
-	assert.False(t, isServing(node), "it does not know that it was removed")
+	assert.False(t, isServing(node), "serves after a restart although it was removed")
 }
--- a/raftnode/pending_calls.go
+++ b/raftnode/pending_calls.go
@@ -7,10 +7,10 @@
 	"alderproxy/sharedconfig"
 )
 
-// pendingCalls are the calls into the event loop that wait for their answers, by call id.
+// pendingCalls are the calls into the event loop that wait for their replies.
 type pendingCalls[T any] struct {
 	mu      sync.Mutex
-	replies map[uint64]chan T
+	replies map[uint64]chan T // by call ID
 }
 
 func newPendingCalls[T any]() *pendingCalls[T] {
@@ -33,15 +33,15 @@
 	return reply
 }
 
-// complete answers a call, unless it has timed out.
+// complete passes the reply to the caller, unless the call has ended without one.
 func (p *pendingCalls[T]) complete(callID uint64, reply T) {
 	if answer := p.remove(callID); answer != nil {
 		answer <- reply
 	}
 }
 
-// callEventLoop pushes an event that is a call and waits for the answer. ok is false if none came in time or the node
-// stops.
+// callEventLoop passes a call to the event loop as an event and waits for the reply. ok is false if the call timed out or
+// the node stops.
 func callEventLoop[T any](
 	n *Node, pending *pendingCalls[T], timeout time.Duration, newEvent func(callID uint64) sharedconfig.Event,
 ) (reply T, ok bool) {
--- a/raftnode/raft_handlers.go
+++ b/raftnode/raft_handlers.go
@@ -8,7 +8,7 @@
 	"alderproxy/peer"
 )
 
-// addHandlers adds the handlers of Raft's RPCs. They return ErrStopping when stop is closed.
+// addHandlers adds the handlers of Raft's RPCs. They return ErrStopping if stop is closed.
 func (t *transport) addHandlers(handlers map[byte]peer.Handler, stop <-chan struct{}) {
 	newRequests := map[byte]func() any{
 		rpcAppendEntries:   func() any { return &raft.AppendEntriesRequest{} },
@@ -36,7 +36,8 @@
 	}
 }
 
-// deliver passes a request to Raft. Heartbeats bypass the queue, so that a slow disk does not look like a dead leader.
+// deliver passes a request to Raft. Heartbeats bypass the queue: behind requests that wait for a slow disk they would come
+// too late, and this instance would take the leader for failed.
 func (t *transport) deliver(rpc raft.RPC, stop <-chan struct{}) error {
 	t.mu.Lock()
 	heartbeatHandler := t.heartbeatHandler
@@ -54,6 +55,8 @@
 	}
 }
 
+// isHeartbeat reports whether a request is a heartbeat: it has a term and a leader's address, but no entries and no
+// indexes.
 func isHeartbeat(request *raft.AppendEntriesRequest) bool {
 	hasLeader := request.Term != 0 && len(request.Addr) != 0
 	hasEntries := request.PrevLogEntry != 0 || request.PrevLogTerm != 0 || len(request.Entries) != 0
--- a/raftnode/raft_log.go
+++ b/raftnode/raft_log.go
@@ -10,8 +10,8 @@
 	"alderproxy/internal/ratelog"
 )
 
-// raftLogWriter passes Raft's log lines on: errors as errors with a bounded rate, since a broken disk or peer causes
-// many, and all others as debug lines.
+// raftLogWriter writes Raft's log lines to the instance's log: errors as errors at a limited rate, since a failed disk or
+// instance causes many, and all others as debug lines.
 type raftLogWriter struct {
 	log          *logrus.Entry
 	errorLimiter ratelog.Line
@@ -25,7 +25,7 @@
 	})
 }
 
-// Write takes one line. hclog calls it with complete lines.
+// Write writes one line. hclog calls it with complete lines only.
 func (w *raftLogWriter) Write(line []byte) (int, error) {
 	message := raftMessage(line)
 	if !bytes.Contains(line, []byte("[ERROR]")) {
@@ -38,7 +38,7 @@
 	return len(line), nil
 }
 
-// raftMessage returns a line without its time and level.
+// raftMessage returns a line without its timestamp and level.
 func raftMessage(line []byte) string {
 	if _, message, found := bytes.Cut(line, []byte("] ")); found {
 		line = message
--- a/raftnode/recovery.go
+++ b/raftnode/recovery.go
@@ -13,19 +13,20 @@
 	"alderproxy/sharedconfig"
 )
 
-// RecoveryReport is what a data directory holds, for the decision whether to recover a group from it.
+// RecoveryReport describes the contents of a data directory, for the decision whether to recover a group from it.
 type RecoveryReport struct {
 	Name         string                // of the instance
-	Members      []sharedconfig.Member // by the newest member list
+	Members      []sharedconfig.Member // by the newest configuration in the log or a snapshot
 	LastLogIndex uint64                // index of the log's last entry
 	LastLogTerm  uint64                // of that entry
 	State        sharedconfig.State    // after that entry, committed or not
 }
 
-// ReadRecoveryReport reads what an instance's data directory holds, and changes nothing.
+// ReadRecoveryReport describes the contents of an instance's data directory. It changes neither the log nor the snapshots.
+// The instance must not run.
 func ReadRecoveryReport(path, name string) (RecoveryReport, error) {
 	if _, err := os.Stat(filepath.Join(path, databaseFileName)); err != nil {
-		return RecoveryReport{}, fmt.Errorf("folder: %w", err)
+		return RecoveryReport{}, fmt.Errorf("cannot open the data directory: %w", err)
 	}
 	source, err := openRecoverySource(path, name)
 	if err != nil {
@@ -34,8 +35,8 @@
 	return source.report, source.directory.close()
 }
 
-// RecoverUnsafe makes an instance the only member of a new group that continues from all entries of its log, committed
-// or not. It is for a group that has lost its majority. The instance must not run.
+// RecoverUnsafe makes an instance the only member of a new group, whose state includes all entries of the instance's log,
+// committed or not. It is for a group that has lost the majority of its voters for good. The instance must not run.
 func RecoverUnsafe(path, name, address string) (err error) {
 	source, err := openRecoverySource(path, name)
 	if err != nil {
@@ -44,7 +45,7 @@
 	directory := source.directory
 	defer func() { err = errors.Join(err, directory.close()) }()
 	if removed, err := directory.isRemoved(); err != nil || removed {
-		return directory.wrapError(fmt.Errorf("%w: nothing goes on from it", ErrRemoved))
+		return directory.wrapError(fmt.Errorf("%w: no group can be recovered from it", ErrRemoved))
 	}
 	if source.report.State.Active().Number == 0 {
 		return directory.wrapError(ErrNoVersion)
@@ -56,7 +57,7 @@
 	return directory.setGroupID(groupID)
 }
 
-// recoverySource is a data directory whose log has been read.
+// recoverySource is an open data directory whose snapshots and log have been read.
 type recoverySource struct {
 	directory *dataDirectory
 	snapshots raft.SnapshotStore
@@ -80,7 +81,7 @@
 	return source, nil
 }
 
-// replay applies the newest snapshot and all entries behind it.
+// replay restores the newest snapshot and applies all entries after it.
 func (r *recoverySource) replay(name string) (RecoveryReport, error) {
 	report := RecoveryReport{Name: name}
 	machine := &stateMachine{notify: func(sharedconfig.Event) {}}
@@ -113,12 +114,12 @@
 	return report, nil
 }
 
-// restoreSnapshot restores the newest snapshot, if there is one, and returns its member list.
+// restoreSnapshot restores the newest snapshot, if there is one, and returns its configuration.
 func (r *recoverySource) restoreSnapshot(machine *stateMachine, report *RecoveryReport) (raft.Configuration, error) {
 	var none raft.Configuration
 	metas, err := r.snapshots.List()
 	if err != nil || len(metas) == 0 {
-		return none, nil // openSnapshots has checked that the log is enough
+		return none, nil // openSnapshots has checked that the log is complete then
 	}
 	meta, reader, err := r.snapshots.Open(metas[0].ID)
 	if err != nil {
@@ -132,7 +133,7 @@
 	return meta.Configuration, nil
 }
 
-// recoverCluster rewrites the data directory for a new group of one.
+// recoverCluster rewrites the data directory for a new group whose only member is this instance.
 func (r *recoverySource) recoverCluster(groupID, address string) error {
 	config := raft.DefaultConfig()
 	config.LocalID = r.directory.serverID
@@ -147,7 +148,7 @@
 	return raft.RecoverCluster(config, machine, store, store, r.snapshots, newTransport(address), members)
 }
 
-// otherDirectoryIDs returns the ids of the other members' data directories, sorted.
+// otherDirectoryIDs returns the directory IDs of the other members, sorted.
 func (r *recoverySource) otherDirectoryIDs() []string {
 	var ids []string
 	for _, member := range r.report.Members {
@@ -159,8 +160,9 @@
 	return ids
 }
 
-// recoveryStateMachine is the state machine that a group is recovered from. Its snapshot belongs to a new group in which the
-// data directories of the other members are retired: the old and the new group must not mix.
+// recoveryStateMachine is the state machine from which a group is recovered. Its snapshot is the state of a new group, in
+// which the directory IDs of the other members are retired: a member of the old group must not join the new one with its
+// data directory.
 type recoveryStateMachine struct {
 	stateMachine
 	groupID             string
--- a/raftnode/recovery_test.go
+++ b/raftnode/recovery_test.go
@@ -13,7 +13,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// One instance continues without the others, which cannot join it with their data directories.
+// An instance must continue alone after RecoverUnsafe, and the other members must not join it with their data directories.
 func TestRecoverUnsafe(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -32,7 +32,7 @@
 	require.NoError(t, RecoverUnsafe(config.DataDirectory, "n3", config.Address))
 	c.faults = faultnet.New(2)
 	c.moveToNewAddress(&config)
-	require.NoError(t, RecoverUnsafe(config.DataDirectory, "n3", config.Address), "at another address")
+	require.NoError(t, RecoverUnsafe(config.DataDirectory, "n3", config.Address), "cannot recover again with another address")
 	n3 := c.open(config)
 	c.waitUntilServing(2)
 	require.Equal(t, sharedconfig.StatusDone, n3.Execute(changeCommand("b", 2, "three"), 10*time.Second).Status)
@@ -41,16 +41,17 @@
 	oldConfig.Listener = listen(t, anyLocalPort)
 	n1 := c.open(oldConfig)
 	outcome := n3.Execute(addCommand("n1", oldConfig.Listener.Addr().String()), 5*time.Second)
-	assert.Equal(t, sharedconfig.StatusRejected, outcome.Status, "a member of the old group has joined the new one")
+	assert.Equal(t, sharedconfig.StatusRejected, outcome.Status, "a member of the old group has joined the new one with its data directory")
 	assert.False(t, isServing(n1))
 }
 
-func TestExamineFailsWithoutDataDirectory(t *testing.T) {
+// ReadRecoveryReport must fail for a directory without a database, rather than report an empty log.
+func TestReadRecoveryReportFailsWithoutDatabase(t *testing.T) {
 	_, err := ReadRecoveryReport(t.TempDir(), "n9")
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// An instance must not start without its newest snapshot if the log does not reach back to the one before.
+// An instance must not start if its only snapshot is corrupt and the log lacks the entries that the snapshot includes.
 func TestCorruptSnapshotPreventsStart(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	node := c.bootstrapSingle("n1")
--- a/raftnode/rpc.go
+++ b/raftnode/rpc.go
@@ -9,7 +9,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// Kinds of the calls between instances. The numbers are part of the protocol.
+// Types of the RPCs between instances. The numbers are part of the protocol.
 const (
 	rpcAppendEntries byte = 0x10 + iota
 	rpcRequestVote
@@ -23,7 +23,7 @@
 	rpcPollVoter
 )
 
-// handlers returns the handlers of all calls. They answer none before ready is closed.
+// handlers returns the handlers of all RPCs. They wait until ready is closed.
 func (n *Node) handlers(raftTransport *transport, ready <-chan struct{}) map[byte]peer.Handler {
 	handlers := map[byte]peer.Handler{
 		rpcRequestLease:   n.handleLeaseRequest,
--- a/raftnode/rpc_test.go
+++ b/raftnode/rpc_test.go
@@ -10,8 +10,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// The kinds of calls and the names of JSON fields are part of the protocol: instances of different versions talk to each
-// other.
+// The types of RPCs and the names of JSON fields must not change: during an upgrade, instances of different releases call
+// each other.
 func TestRPCEncoding(t *testing.T) {
 	rpcTypes := []byte{
 		rpcAppendEntries, rpcRequestVote, rpcRequestPreVote, rpcInstallSnapshot, rpcTimeoutNow,
--- a/raftnode/server_id.go
+++ b/raftnode/server_id.go
@@ -9,12 +9,12 @@
 
 const serverIDSeparator = "."
 
-// serverID returns an instance's id in Raft: its name, a dot and the id of its data directory.
+// serverID returns an instance's server ID in Raft: its name, a dot and the ID of its data directory.
 func serverID(name, directoryID string) raft.ServerID {
 	return raft.ServerID(name + serverIDSeparator + directoryID)
 }
 
-// parseServerID is the inverse of serverID. The error wraps ErrMalformedID.
+// parseServerID returns the name and the directory ID in a server ID. The error wraps ErrMalformedID.
 func parseServerID(id string) (name, directoryID string, err error) {
 	name, directoryID, ok := strings.Cut(id, serverIDSeparator)
 	if !ok || name == "" || directoryID == "" {
--- a/raftnode/serving_report.go
+++ b/raftnode/serving_report.go
@@ -7,16 +7,17 @@
 	"alderproxy/internal/clock"
 )
 
-// servingReportInterval is how often an unchanged reason for not serving under a lease is logged.
+// servingReportInterval is the time after which an unchanged reason for not serving under a lease is logged again.
 const servingReportInterval = 30 * time.Second
 
-// servingReport is what reportServing logged last.
+// servingReport is the last log line of reportServing.
 type servingReport struct {
-	reason   string // why the instance did not serve under a lease, without durations; empty: it did
+	reason   string // why the instance did not serve under a lease, up to the duration; empty: it did
 	loggedAt time.Time
 }
 
-// reportServing logs when the instance begins or ends to serve under a lease.
+// reportServing logs whether the instance serves under a lease when this or the reason has changed. It repeats the reason
+// for not doing so after servingReportInterval. Reasons are compared up to their first " for ", which a duration follows.
 func (i *instance) reportServing() {
 	version := i.servedVersion.Load()
 	lease := i.lease.Load()
--- a/raftnode/snapshot.go
+++ b/raftnode/snapshot.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	snapshotChecksumSize = 8       // bytes before the state
+	snapshotChecksumSize = 8       // bytes of the checksum before the state
 	maxSnapshotSize      = 1 << 30 // bytes
 )
 
-// snapshot is the raft.FSMSnapshot of a state.
+// snapshot is the raft.FSMSnapshot that contains a state.
 type snapshot struct{ state sharedconfig.State }
 
-// Persist writes the state behind its checksum.
+// Persist writes the checksum and the state.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	encoded, err := encodeState(s.state)
 	if err == nil {
 		_, err = sink.Write(encoded)
 	}
 	if err != nil {
-		return errors.Join(fmt.Errorf("write a snapshot: %w", err), sink.Cancel())
+		return errors.Join(fmt.Errorf("cannot write a snapshot: %w", err), sink.Cancel())
 	}
 	return sink.Close()
 }
@@ -45,10 +45,10 @@
 	return append(encoded, text...), nil
 }
 
-// readSnapshot reads and checks a state that Persist wrote, and closes the reader.
+// readSnapshot reads and validates a state that Persist has written, and closes the reader.
 func readSnapshot(reader io.ReadCloser) (state sharedconfig.State, err error) {
 	encoded, err := io.ReadAll(io.LimitReader(reader, maxSnapshotSize))
-	_ = reader.Close() // all that was to be read has been read
+	_ = reader.Close() // an error while closing does not affect the content that was read
 	if err != nil {
 		return state, err
 	}
--- a/raftnode/state_machine.go
+++ b/raftnode/state_machine.go
@@ -10,17 +10,17 @@
 	"alderproxy/sharedconfig"
 )
 
-// stateMachine is the raft.FSM that makes the shared configuration of the log's entries. Raft calls Apply, Snapshot and
-// Restore from one goroutine.
+// stateMachine is the raft.FSM that derives the state of the shared configuration from the log's entries. Raft never calls
+// Apply, Snapshot and Restore concurrently.
 type stateMachine struct {
-	notify func(sharedconfig.Event) // gets an Applied event for each change of the state
+	notify func(sharedconfig.Event) // gets an EntriesApplied event after each entry and each restored snapshot
 
 	mu    sync.Mutex
 	state sharedconfig.State
 }
 
-// Apply applies an entry and returns its sharedconfig.Outcome. An entry that cannot be decoded changes nothing, at any
-// instance.
+// Apply applies an entry and returns its sharedconfig.Outcome. An entry that cannot be decoded changes the state
+// of no instance.
 func (m *stateMachine) Apply(log *raft.Log) any {
 	state, outcome := m.apply(log)
 	m.notify(sharedconfig.EntriesApplied{State: state, Outcomes: []sharedconfig.Outcome{outcome}})
@@ -45,16 +45,16 @@
 	return m.state
 }
 
-// Snapshot returns the current state, which no later entry modifies.
+// Snapshot returns a snapshot of the current state, which later entries do not modify.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	return snapshot{state: m.currentState()}, nil
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state with that of a snapshot.
 func (m *stateMachine) Restore(reader io.ReadCloser) error {
 	state, err := readSnapshot(reader)
 	if err != nil {
-		return fmt.Errorf("snapshot of the shared configuration: %w", err)
+		return fmt.Errorf("cannot read the snapshot of the shared configuration: %w", err)
 	}
 	m.mu.Lock()
 	m.state = state
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -7,30 +7,30 @@
 	"alderproxy/sharedconfig"
 )
 
-// Status is how an instance sees its group.
+// Status describes an instance, and its group as the instance knows it.
 type Status struct {
 	Name    string `json:"name"`
 	GroupID string `json:"group"`
-	Leader  string `json:"leader"` // name; empty: no leader is known
+	Leader  string `json:"leader"` // the leader's name; empty: no leader is known
 	Term    uint64 `json:"term"`
-	// ActiveVersion is the active version by this instance's log.
+	// ActiveVersion is the number of the active version by this instance's log, or by a follower's last poll.
 	ActiveVersion uint64 `json:"version"`
-	// ServedVersion is the version that this instance serves.
+	// ServedVersion is the number of the version that this instance serves; 0: none.
 	ServedVersion    uint64 `json:"serving"`
 	Digest           string `json:"digest"`            // of the active version
-	PendingRequestID string `json:"pending,omitempty"` // request of the change in progress
-	// LeaseRemainingMillis is for how many milliseconds the lease still covers the served version.
+	PendingRequestID string `json:"pending,omitempty"` // request ID of the change in progress
+	// LeaseRemainingMillis is the remaining time for which the lease covers the served version.
 	LeaseRemainingMillis int64 `json:"lease_ms"`
-	// NotCoveredReason is the reason why the instance does not serve under a lease.
+	// NotCoveredReason is the reason why no lease covers the served version. It is empty if one does.
 	NotCoveredReason string                `json:"why,omitempty"`
 	Members          []sharedconfig.Member `json:"members"`
-	// VoterAddresses are the addresses of a follower's voters in the order in which it polls them.
+	// VoterAddresses are the addresses of a follower's voters, in the order in which it prefers them.
 	VoterAddresses []string `json:"follows,omitempty"`
 	FirstLogIndex  uint64   `json:"log_first"` // index of the log's first entry
 	LastLogIndex   uint64   `json:"log_last"`  // index of the log's last entry
 }
 
-// Status returns how this instance sees its group.
+// Status returns the status of this instance and of its group.
 func (n *Node) Status() Status {
 	state := n.state.Load()
 	now := clock.Now()
@@ -58,11 +58,11 @@
 	return status
 }
 
-// State returns the state after the entries that this instance has applied. It may be stale: see Read.
+// State returns the state after the entries that this instance has applied. It may be stale; see Read.
 func (n *Node) State() sharedconfig.State { return *n.state.Load() }
 
-// Read returns a state that has every change that was committed before the call. The error is ErrNoQuorum, ErrRemoved,
-// ErrLagging or ErrStopping.
+// Read returns a state that includes every change that was committed before the call. The error is ErrNoQuorum,
+// ErrRemoved, ErrLagging or ErrStopping.
 func (n *Node) Read(timeout time.Duration) (sharedconfig.State, error) {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -83,7 +83,8 @@
 	return sharedconfig.State{}, ErrNoQuorum
 }
 
-// waitForVersion returns the state once it has a version. changed closes when the active version changes.
+// waitForVersion returns the state once its active version is the given one or a newer one. changed is closed when the
+// active version changes.
 func (n *Node) waitForVersion(version uint64, changed <-chan struct{}, deadline time.Time) (sharedconfig.State, error) {
 	for {
 		if state := n.State(); state.Active().Number >= version {
@@ -98,7 +99,7 @@
 	}
 }
 
-// activeVersionChange returns a channel that closes when another version becomes active.
+// activeVersionChange returns a channel that is closed when another version becomes active.
 func (n *Node) activeVersionChange() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/raftnode/transport.go
+++ b/raftnode/transport.go
@@ -16,7 +16,8 @@
 	installSnapshotTimeout = 30 * time.Second
 )
 
-// transport carries Raft's RPCs over a peer.Endpoint. It is a raft.Transport. Its handlers are in raft_handlers.go.
+// transport is a raft.Transport that sends Raft's RPCs through a peer.Endpoint. The handlers of received RPCs are in
+// raft_handlers.go.
 type transport struct {
 	endpoint *peer.Endpoint
 	address  raft.ServerAddress
@@ -43,10 +44,10 @@
 // Consumer returns the channel of received requests.
 func (t *transport) Consumer() <-chan raft.RPC { return t.requests }
 
-// LocalAddr returns the address by which the other instances know this one.
+// LocalAddr returns the address at which the other instances reach this one.
 func (t *transport) LocalAddr() raft.ServerAddress { return t.address }
 
-// AppendEntriesPipeline makes Raft send one AppendEntries request at a time to each instance.
+// AppendEntriesPipeline returns an error, so that Raft sends one AppendEntries request at a time to each instance.
 func (t *transport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
@@ -59,21 +60,21 @@
 // DecodePeer is the inverse of EncodePeer.
 func (t *transport) DecodePeer(encoded []byte) raft.ServerAddress { return raft.ServerAddress(encoded) }
 
-// SetHeartbeatHandler sets the function that gets heartbeats in place of the consumer.
+// SetHeartbeatHandler sets the function that gets heartbeats instead of the consumer.
 func (t *transport) SetHeartbeatHandler(handler func(raft.RPC)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.heartbeatHandler = handler
 }
 
-// AppendEntries sends log entries or a heartbeat.
+// AppendEntries sends log entries or a heartbeat to an instance.
 func (t *transport) AppendEntries(
 	id raft.ServerID, address raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse,
 ) error {
 	return t.call(peerTarget(id, address), rpcAppendEntries, request, response)
 }
 
-// RequestVote asks for a vote.
+// RequestVote requests an instance's vote.
 func (t *transport) RequestVote(
 	id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse,
 ) error {
@@ -94,7 +95,7 @@
 	return t.call(peerTarget(id, address), rpcTimeoutNow, request, response)
 }
 
-// InstallSnapshot sends a snapshot.
+// InstallSnapshot sends a snapshot to an instance.
 func (t *transport) InstallSnapshot(
 	id raft.ServerID, address raft.ServerAddress, request *raft.InstallSnapshotRequest,
 	response *raft.InstallSnapshotResponse, data io.Reader,
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -37,7 +37,7 @@
 type configNode interface {
 	admin.ConfigNode
 	// AllowsQueries reports whether queries may be admitted by a version now, and if not, after which time to retry.
-	AllowsQueries(version uint64) (open bool, retryAfter time.Duration)
+	AllowsQueries(version uint64) (allowed bool, retryAfter time.Duration)
 	// ServedVersion returns the version that this instance serves; 0: none.
 	ServedVersion() uint64
 	Close() error
