--- a/raftnode/command.go
+++ b/raftnode/command.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	// leaderRetryInterval is the time between two attempts to have the leader execute a command.
+	// leaderRetryInterval is the time between two attempts to have the leader execute a command. Reads wait half of it.
 	leaderRetryInterval = 50 * time.Millisecond
 	// leaderAttemptTimeout limits one attempt to change the configuration or to read it: the leader may have failed, or lost
 	// its leadership, unnoticed.
@@ -50,7 +50,7 @@
 		if attemptOutcome, ok := n.executeAtLeader(command, attemptTimeout); ok {
 			outcome = attemptOutcome
 		}
-		// StatusBusy is retried, since the other change ends soon.
+		// StatusBusy is retried, since the change in progress ends soon.
 		if outcome.Status != sharedconfig.StatusUnknown && outcome.Status != sharedconfig.StatusBusy {
 			return outcome
 		}
@@ -120,21 +120,21 @@
 	case command.TransferLeadershipTo != nil:
 		return n.transferLeadershipTo(*command.TransferLeadershipTo)
 	}
-	return refusedOutcome("the command is empty")
+	return rejectedOutcome("the command is empty")
 }
 
 // addMember adds the instance at a member's address if it has the member's name.
 func (n *Node) addMember(member sharedconfig.Member, timeout time.Duration) sharedconfig.Outcome {
 	hello, err := n.endpoint.Identify(member.Addr, identifyTimeout)
 	if err != nil {
-		return refusedOutcome(fmt.Sprintf("cannot identify the instance at %s: %v", member.Addr, err))
+		return rejectedOutcome(fmt.Sprintf("cannot identify the instance at %s: %v", member.Addr, err))
 	}
 	name, directoryID, err := parseServerID(hello.From)
 	if err != nil {
-		return refusedOutcome(err.Error())
+		return rejectedOutcome(err.Error())
 	}
 	if name != member.Name {
-		return refusedOutcome(fmt.Sprintf("the instance at %s is %s, not %s", member.Addr, name, member.Name))
+		return rejectedOutcome(fmt.Sprintf("the instance at %s is %s, not %s", member.Addr, name, member.Name))
 	}
 	added := sharedconfig.Member{Name: name, DirectoryID: directoryID, Addr: member.Addr}
 	return n.callCore(timeout, func(callID uint64) sharedconfig.Event {
@@ -151,6 +151,6 @@
 	return outcome
 }
 
-func refusedOutcome(reason string) sharedconfig.Outcome {
+func rejectedOutcome(reason string) sharedconfig.Outcome {
 	return sharedconfig.Outcome{Status: sharedconfig.StatusRejected, Reason: reason}
 }
--- a/raftnode/data_directory.go
+++ b/raftnode/data_directory.go
@@ -105,7 +105,7 @@
 	return d.store.SetMetadata(metadataGroupID, groupID)
 }
 
-// isRemoved reports whether the instance was isRemoved from its group.
+// isRemoved reports whether the instance was removed from its group.
 func (d *dataDirectory) isRemoved() (bool, error) {
 	value, err := d.store.Metadata(metadataRemoved)
 	return value != "", err
@@ -151,12 +151,12 @@
 // checkUsable returns an error if the instance must not start from the data directory. It reads the log's first and last
 // index and all snapshots before Raft does.
 func (d *dataDirectory) checkUsable(snapshots raft.SnapshotStore) error {
-	var found sharedconfig.DataDirectory
+	var contents sharedconfig.DataDirectory
 	var err error
-	if found.FirstIndex, err = d.store.FirstIndex(); err != nil {
+	if contents.FirstIndex, err = d.store.FirstIndex(); err != nil {
 		return err
 	}
-	if found.LastIndex, err = d.store.LastIndex(); err != nil {
+	if contents.LastIndex, err = d.store.LastIndex(); err != nil {
 		return err
 	}
 	metas, err := snapshots.List()
@@ -164,13 +164,13 @@
 		return err
 	}
 	for _, meta := range metas {
-		found.Snapshots = append(found.Snapshots, sharedconfig.SnapshotInfo{
+		contents.Snapshots = append(contents.Snapshots, sharedconfig.SnapshotInfo{
 			Name:      meta.ID,
 			LastIndex: meta.Index,
 			Err:       checkSnapshot(snapshots, meta.ID),
 		})
 	}
-	return found.Validate()
+	return contents.Validate()
 }
 
 func checkSnapshot(snapshots raft.SnapshotStore, id string) error {
--- a/raftnode/errors.go
+++ b/raftnode/errors.go
@@ -11,9 +11,9 @@
 	// ErrNoVersion is wrapped by errors about a data directory whose log and snapshots contain no version.
 	ErrNoVersion = errors.New("it has no version of the shared configuration")
 	// ErrRemoved is returned by reads of an instance that was removed from its group, and wrapped by the error of
-	// RecoverUnsafe for its data directory.
+	// RecoverUnsafe for its data directory. The text is that of sharedconfig.Lease.NotCoveredReason.
 	ErrRemoved = errors.New("this instance was removed from its group")
-	// ErrNoLeader is returned while no leader is known.
+	// ErrNoLeader is the error of lease requests, and the reason of outcomes, while no leader is known.
 	ErrNoLeader = errors.New("no leader is known")
 	// ErrNoQuorum is returned by a read for which no leader was confirmed by a majority of the voters in time.
 	ErrNoQuorum = errors.New("no leader is known, or a majority of the voters did not confirm it in time")
--- a/raftnode/follower.go
+++ b/raftnode/follower.go
@@ -180,7 +180,7 @@
 
 // Execute rejects the command, since only voters execute commands. The reason lists the voters.
 func (f *Follower) Execute(command Command, _ time.Duration) sharedconfig.Outcome {
-	outcome := refusedOutcome(fmt.Sprintf("%v: send the command to one of %s", ErrNotVoter, f.voterAddresses()))
+	outcome := rejectedOutcome(fmt.Sprintf("%v: send the command to one of %s", ErrNotVoter, f.voterAddresses()))
 	if command.Change != nil {
 		outcome.RequestID = command.Change.RequestID
 	}
--- a/raftnode/instance.go
+++ b/raftnode/instance.go
@@ -59,7 +59,7 @@
 }
 
 // runEventLoop passes the queued events to step, at least loopsPerRenewalInterval times in a lease renewal interval. After
-// each step it logs whether the instance serves under a lease, if that has changed.
+// each step it calls reportServing.
 func (i *instance) runEventLoop(step func([]sharedconfig.Event)) {
 	ticker := time.NewTicker(microseconds(i.settings.LeaseRenewalInterval) / loopsPerRenewalInterval)
 	defer ticker.Stop()
--- a/raftnode/leadership.go
+++ b/raftnode/leadership.go
@@ -63,6 +63,7 @@
 }
 
 // transferLeadershipTo transfers the leadership to the voter with the given name, or to any voter if the name is empty.
+// This instance must be the leader.
 func (n *Node) transferLeadershipTo(name string) sharedconfig.Outcome {
 	if name != "" && name == n.config.Name {
 		return sharedconfig.Outcome{Status: sharedconfig.StatusDone, Reason: name + " is already the leader"}
@@ -73,7 +74,7 @@
 	} else {
 		voter, found := n.voter(name)
 		if !found {
-			return refusedOutcome("cannot transfer the leadership to " + name + ": it is not a voter")
+			return rejectedOutcome("cannot transfer the leadership to " + name + ": it is not a voter")
 		}
 		future = n.raft.LeadershipTransferToServer(serverID(voter.Name, voter.DirectoryID), raft.ServerAddress(voter.Addr))
 	}
@@ -82,7 +83,7 @@
 		return sharedconfig.Outcome{Reason: "this instance is not the leader"}
 	}
 	if err != nil {
-		return refusedOutcome(err.Error())
+		return rejectedOutcome(err.Error())
 	}
 	return sharedconfig.Outcome{Status: sharedconfig.StatusDone}
 }
--- a/raftnode/pending_calls.go
+++ b/raftnode/pending_calls.go
@@ -18,25 +18,25 @@
 }
 
 func (p *pendingCalls[T]) add(callID uint64) <-chan T {
-	reply := make(chan T, 1)
+	replyChannel := make(chan T, 1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replies[callID] = reply
-	return reply
+	p.replies[callID] = replyChannel
+	return replyChannel
 }
 
 func (p *pendingCalls[T]) remove(callID uint64) chan T {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reply := p.replies[callID]
+	replyChannel := p.replies[callID]
 	delete(p.replies, callID)
-	return reply
+	return replyChannel
 }
 
 // complete passes the reply to the caller, unless the call has ended without one.
 func (p *pendingCalls[T]) complete(callID uint64, reply T) {
-	if answer := p.remove(callID); answer != nil {
-		answer <- reply
+	if replyChannel := p.remove(callID); replyChannel != nil {
+		replyChannel <- reply
 	}
 }
 
--- a/raftnode/recovery.go
+++ b/raftnode/recovery.go
@@ -17,7 +17,7 @@
 type RecoveryReport struct {
 	Name         string                // of the instance
 	Members      []sharedconfig.Member // by the newest configuration in the log or a snapshot
-	LastLogIndex uint64                // index of the log's last entry
+	LastLogIndex uint64                // index of the last entry of the log, or of the snapshot if that includes later ones
 	LastLogTerm  uint64                // of that entry
 	State        sharedconfig.State    // after that entry, committed or not
 }
--- a/raftnode/status.go
+++ b/raftnode/status.go
@@ -26,7 +26,7 @@
 	Members          []sharedconfig.Member `json:"members"`
 	// VoterAddresses are the addresses of a follower's voters, in the order in which it prefers them.
 	VoterAddresses []string `json:"follows,omitempty"`
-	FirstLogIndex  uint64   `json:"log_first"` // index of the log's first entry
+	FirstLogIndex  uint64   `json:"log_first"` // index of the log's first entry; 0: the log is empty or cannot be read
 	LastLogIndex   uint64   `json:"log_last"`  // index of the log's last entry
 }
 
@@ -37,7 +37,7 @@
 	_, leaderID := n.raft.LeaderWithID()
 	leader, _, _ := parseServerID(string(leaderID)) // empty without a leader
 	served := n.servedVersion.Load()
-	firstIndex, _ := n.directory.store.FirstIndex() // 0 if it cannot be read
+	firstIndex, _ := n.directory.store.FirstIndex() // 0 after an error
 	status := Status{
 		Name:                 n.config.Name,
 		GroupID:              state.GroupID,
