--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -30,9 +30,9 @@
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
-	n, err := raftnode.Open(raftnode.Config{
+	n, err := raftnode.StartNode(raftnode.Config{
 		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
-		Log: testserver.DiscardLog(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
+		Log: testserver.DiscardLog(), ActivateVersion: func(sharedconfig.Version) error { return nil }, CheckDocument: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
 			}
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	s := admin.Start(l, admin.Services{Config: n}, token, testserver.DiscardLog())
 	t.Cleanup(func() { assert.NoError(t, s.Close()) })
-	require.Eventually(t, func() bool { open, _ := n.Gate(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { open, _ := n.AllowsQueries(n.ServedVersion()); return open }, 10*time.Second, 5*time.Millisecond)
 	return s.Addr()
 }
 
@@ -86,10 +86,10 @@
 		{"config rollback 9", 1, "", "version 9 is not kept"},
 		{"config show --local", 0, first, ""},
 		{"instances list", 0, "n1 serves version 3 of 3", ""},
-		{"instances add n2 127.0.0.1:1", 1, "", "alderproxy: refused: no instance answers at 127.0.0.1:1"},
+		{"instances add n2 127.0.0.1:1", 1, "", "alderproxy: refused: cannot identify the instance at 127.0.0.1:1: "},
 		{"instances remove n2", 1, "", "alderproxy: refused: cannot remove n2: it is not a member\n"},
 		{"instances remove n1", 1, "", "alderproxy: refused: cannot remove n1: it is the last voter\n"},
-		{"instances hand-over n2", 1, "", "alderproxy: refused: there is no instance n2 with a vote\n"},
+		{"instances hand-over n2", 1, "", "alderproxy: refused: cannot transfer the leadership to n2: it is not a voter\n"},
 		{"config rollback none", 2, "", "\"none\" is no version"},
 		{"config put", 2, "", "accepts 1 arg(s)"},
 		{"config put --odd", 2, "", "unknown flag"},
@@ -148,7 +148,7 @@
 	assert.Contains(t, out, "a new group begins with n1 and version 1")
 	status, _, errs = command("init", "--config", path)
 	assert.Equal(t, 1, status)
-	assert.Contains(t, errs, "belongs to a group already")
+	assert.Contains(t, errs, "the data directory already belongs to a group")
 	status, out, errs = command("recover", "--config", path)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, out, "WARNING")
--- a/raftnode/serving_report.go
+++ b/raftnode/serving_report.go
@@ -7,29 +7,30 @@
 	"alderproxy/internal/clock"
 )
 
-// servingReportInterval is how often an unchanged reason for not serving under a lease is logged.
+// servingReportInterval is the time after which an unchanged reason for not serving under a lease is logged again.
 const servingReportInterval = 30 * time.Second
 
-// servingReport is what reportServing logged last.
+// servingReport is the last log line of reportServing.
 type servingReport struct {
-	reason string // why the instance did not serve under a lease, without durations; empty: it did
-	at     time.Time
+	reason   string // why the instance did not serve under a lease, up to the duration; empty: it did
+	loggedAt time.Time
 }
 
-// reportServing logs when the instance begins or ends to serve under a lease.
+// reportServing logs whether the instance serves under a lease when this or the reason has changed. It repeats the reason
+// for not doing so after servingReportInterval. Reasons are compared up to their first " for ", which a duration follows.
 func (i *instance) reportServing() {
 	version := i.servedVersion.Load()
 	lease := i.lease.Load()
 	reason := lease.NotCoveredReason(clock.Now(), version)
 	reasonWithoutDuration, _, _ := strings.Cut(reason, " for ")
-	if reasonWithoutDuration == i.serving.reason {
-		recent := time.Since(i.serving.at) < servingReportInterval
+	if reasonWithoutDuration == i.lastServingReport.reason {
+		recent := time.Since(i.lastServingReport.loggedAt) < servingReportInterval
 		if reason == "" || recent {
 			return
 		}
 	}
-	i.serving = servingReport{reason: reasonWithoutDuration, at: time.Now()}
-	log := i.logEntry()
+	i.lastServingReport = servingReport{reason: reasonWithoutDuration, loggedAt: time.Now()}
+	log := i.logWithState()
 	switch {
 	case reason == "":
 		log.Info("serving under a lease")
