--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
 	}
-	aggregator, err := policy.New(settings, start.Salt)
+	aggregator, err := policy.New(settings, start.Seed)
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -24,7 +24,7 @@
 // TestRestartWithinOneBatch: events before Stop are dropped, what comes after Start counts.
 func TestRestartWithinOneBatch(t *testing.T) {
 	h := host{instances: map[uint16]*instance{}}
-	start := simcodec.Start{Salt: 1, Settings: facts}
+	start := simcodec.Start{Seed: 1, Settings: facts}
 	list := simcodec.List{Mode: simcodec.Cached, Entries: []policy.Endpoint{{ID: 5, State: policy.Ready}}}
 	if _, err := h.step(batch(start, list)); err != nil {
 		t.Fatal(err)
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -84,10 +84,10 @@
 		},
 		{
 			"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
-			Streaming{Part: 0x166bb5d3a91c4, Attempt: 2, Server: 0x03124a07},
+			Streaming{PartID: 0x166bb5d3a91c4, AttemptIndex: 2, ServerID: 0x03124a07},
 		},
 		{"message", "17 0200 00000000 04000000", []byte("hi 7"), Message{From: 2, Data: []byte("hi 7")}},
-		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Salt: 7, Settings: "a=b"}},
+		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Seed: 7, Settings: "a=b"}},
 		{"down", "1b", nil, Stop{}},
 		{"failed list", "18 ffff 0000000000000000 03", nil, List{Mode: Failed}},
 	}
--- a/internal/simcodec/decode.go
+++ b/internal/simcodec/decode.go
@@ -110,7 +110,7 @@
 	case eventAttemptResult:
 		return rec.decodeAttemptResult()
 	case eventStreaming:
-		return Streaming{Part: rec.u64(1), Attempt: int(rec.u16(13)), Server: rec.u32(15)}, nil
+		return Streaming{PartID: rec.u64(1), AttemptIndex: int(rec.u16(13)), ServerID: rec.u32(15)}, nil
 	case eventClientCanceled:
 		return policy.ClientCanceled{QueryID: rec.u64(1)}, nil
 	case eventTimer:
@@ -124,7 +124,7 @@
 		return d.decodeListChange(rec)
 	case eventStart:
 		facts, err := slice(tail, rec.u32(9), rec.u32(13), 1)
-		return Start{Salt: rec.u64(1), Settings: string(facts)}, err
+		return Start{Seed: rec.u64(1), Settings: string(facts)}, err
 	case eventStop:
 		return Stop{}, nil
 	}
--- a/internal/simcodec/events.go
+++ b/internal/simcodec/events.go
@@ -21,7 +21,7 @@
 
 // Start starts an instance.
 type Start struct {
-	Salt     uint64 // the seed of its random numbers
+	Seed     uint64 // the seed of its random numbers
 	Settings string // see platformsettings.Parse
 }
 
@@ -70,9 +70,9 @@
 
 // Streaming says that an answer has begun to arrive.
 type Streaming struct {
-	Part    uint64
-	Attempt int
-	Server  uint32
+	PartID       uint64
+	AttemptIndex int
+	ServerID     uint32
 }
 
 // Message is a message of another instance.
--- a/internal/simnet/simfleet/arrivals.go
+++ b/internal/simnet/simfleet/arrivals.go
@@ -39,8 +39,8 @@
 func (f *Fleet) drawClass() int {
 	class := 0
 	remaining := f.queryRand.Float64()
-	for class < len(f.plan.Mix)-1 && remaining >= f.plan.Mix[class].Share {
-		remaining -= f.plan.Mix[class].Share
+	for class < len(f.plan.Mix)-1 && remaining >= f.plan.Mix[class].QueryFraction {
+		remaining -= f.plan.Mix[class].QueryFraction
 		class++
 	}
 	return class
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -78,7 +78,7 @@
 			Capacity:     1,
 			StartedAt:    startedAt,
 		},
-		Stats:        StoreStats{Excess: math.Inf(-1)},
+		Stats:        StoreStats{ExcessParts: math.Inf(-1)},
 		network:      f.Network,
 		node:         firstStoreNode + simnet.NodeID(index),
 		rng:          rng,
@@ -93,8 +93,8 @@
 // store returns the store of an ID.
 func (f *Fleet) store(id uint32) *Store { return f.Stores[(id-firstStoreID)/storeIDStep] }
 
-// Replace drains a store and adds a new one, in slow start, at its position. The caller announces that by List.
-func (f *Fleet) Replace(index int) {
+// ReplaceStore drains a store and adds a new one, in slow start, at its position. The caller announces that by List.
+func (f *Fleet) ReplaceStore(index int) {
 	replaced := f.Stores[index]
 	replaced.Endpoint.State = policy.Draining
 	f.AddStore(replaced.Endpoint.RingPosition, f.Network.Now())
@@ -124,8 +124,8 @@
 	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), do)
 }
 
-// Restart kills an aggregator and restarts it after a downtime, with the endpoint list and without other state.
-func (f *Fleet) Restart(index int, downtime Micros) {
+// RestartAggregator kills an aggregator and restarts it after a downtime, with the endpoint list and without other state.
+func (f *Fleet) RestartAggregator(index int, downtime Micros) {
 	aggregator := f.Aggregators[index]
 	f.Network.Kill(aggregator.node)
 	f.Network.Schedule(noNode, downtime, func() {
@@ -138,12 +138,12 @@
 func (f *Fleet) Run(until Micros) Result {
 	f.Network.Run(simnet.StartTime + until)
 	result := f.result
-	result.Excess = math.Inf(-1)
+	result.ExcessParts = math.Inf(-1)
 	for _, store := range f.Stores {
 		result.addStore(store.Stats)
 	}
 	for class := range f.offeredByClass {
-		result.ByClass = append(result.ByClass, f.servedByClass[class]/math.Max(f.offeredByClass[class], minOffered))
+		result.ServedFractionByClass = append(result.ServedFractionByClass, f.servedByClass[class]/math.Max(f.offeredByClass[class], minOffered))
 	}
 	result.Digest = f.Network.Digest()
 	return result
--- a/internal/simnet/simfleet/large.go
+++ b/internal/simnet/simfleet/large.go
@@ -23,7 +23,7 @@
 	mix := largeMix(settings.Shards)
 	queryWork := 0.0 // mean work of a query
 	for _, class := range mix {
-		queryWork += class.Share * class.meanParts() * float64(class.MeanWork)
+		queryWork += class.QueryFraction * class.meanParts() * float64(class.MeanWork)
 	}
 	maxRate := float64(ringSize*largeReplicas) * largeCores * largeMeanSpeed * microsPerSecond / queryWork
 	return Scenario{
@@ -99,9 +99,9 @@
 // largeMix returns the queries of the classes of largeSettings.
 func largeMix(shards int) []QueryClass {
 	return []QueryClass{
-		{Share: 0.12, WorkVariation: 0.5, MinParts: shards / 2, MaxParts: shards / 2, MeanWork: 48_000},
-		{Share: 0.62, WorkVariation: 0.5, MinParts: max(3, shards/10), MaxParts: max(5, shards/10), MeanWork: 36_000},
-		{Share: 0.26, WorkVariation: 0.5, MinParts: 1, MaxParts: 1, MeanWork: 36_000},
+		{QueryFraction: 0.12, WorkVariation: 0.5, MinParts: shards / 2, MaxParts: shards / 2, MeanWork: 48_000},
+		{QueryFraction: 0.62, WorkVariation: 0.5, MinParts: max(3, shards/10), MaxParts: max(5, shards/10), MeanWork: 36_000},
+		{QueryFraction: 0.26, WorkVariation: 0.5, MinParts: 1, MaxParts: 1, MeanWork: 36_000},
 	}
 }
 
--- a/internal/simnet/simfleet/result.go
+++ b/internal/simnet/simfleet/result.go
@@ -21,13 +21,13 @@
 	Work, Wasted                         float64
 	// OverloadedStores is the number of stores that were overloaded during their slow start.
 	OverloadedStores int
-	// PeakOverload and Excess are the maxima of StoreStats.PeakOverload and StoreStats.Excess.
-	PeakOverload, Excess float64
+	// PeakOverload and ExcessParts are the maxima of StoreStats.PeakOverload and StoreStats.ExcessParts.
+	PeakOverload, ExcessParts float64
 	// Seconds are the seconds of the run, by the arrival of the queries.
 	Seconds []Second
-	// ByClass is the fraction of the offered weight that was served, by class.
-	ByClass []float64
-	Digest  uint64
+	// ServedFractionByClass is the fraction of the offered weight that was served, by class.
+	ServedFractionByClass []float64
+	Digest                uint64
 }
 
 // Second is one second of a run, in sums of priority weights.
@@ -58,7 +58,7 @@
 	r.Work += stats.Work
 	r.Wasted += stats.Wasted
 	r.PeakOverload = max(r.PeakOverload, stats.PeakOverload)
-	r.Excess = max(r.Excess, stats.Excess)
+	r.ExcessParts = max(r.ExcessParts, stats.ExcessParts)
 	if stats.Overloaded {
 		r.OverloadedStores++
 	}
--- a/internal/simnet/simfleet/scenario.go
+++ b/internal/simnet/simfleet/scenario.go
@@ -38,8 +38,8 @@
 
 // QueryClass describes the queries of a class.
 type QueryClass struct {
-	// Share is the fraction of all queries.
-	Share float64
+	// QueryFraction is the fraction of all queries.
+	QueryFraction float64
 	// WorkVariation is the coefficient of variation of a part's work.
 	WorkVariation float64
 	// MinParts and MaxParts bound the number of parts, which is uniformly distributed.
@@ -57,7 +57,7 @@
 	work := 0.0
 	parts := 0.0
 	for _, class := range p.Mix {
-		classParts := class.Share * class.meanParts()
+		classParts := class.QueryFraction * class.meanParts()
 		work += classParts * float64(class.MeanWork)
 		parts += classParts
 	}
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -63,10 +63,10 @@
 	Overloaded bool
 	// PeakOverload is the maximum of the work that arrived within OverloadDuration, relative to the capacity.
 	PeakOverload float64
-	// Excess is the maximum, during slow start, of the parts that arrived within OverloadDuration beyond what chance
+	// ExcessParts is the maximum, during slow start, of the parts that arrived within OverloadDuration beyond what chance
 	// accounts for: beyond N + 2*sqrt(N) + 2 parts of mean work, where N is what the settings allow. It is negative if
 	// there was none.
-	Excess float64
+	ExcessParts float64
 }
 
 // arrival is work that arrived at a time.
@@ -115,7 +115,7 @@
 		s.Stats.Overloaded = true
 	}
 	allowedParts := s.settings.OverloadFactor * capacity / s.meanPartWork
-	s.Stats.Excess = max(s.Stats.Excess, arrived/s.meanPartWork-(allowedParts+2*math.Sqrt(allowedParts)+2))
+	s.Stats.ExcessParts = max(s.Stats.ExcessParts, arrived/s.meanPartWork-(allowedParts+2*math.Sqrt(allowedParts)+2))
 }
 
 // accept runs, queues or rejects an arriving request.
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -19,14 +19,14 @@
 	"none": func(*simfleet.Fleet) {},
 	"a tenth at a time": func(f *simfleet.Fleet) {
 		for i := range f.Aggregators {
-			f.ScheduleAt(3*second+simfleet.Micros(i*10/len(f.Aggregators))*second, func() { f.Restart(i, second/2) })
+			f.ScheduleAt(3*second+simfleet.Micros(i*10/len(f.Aggregators))*second, func() { f.RestartAggregator(i, second/2) })
 		}
 	},
 	"all at once": func(f *simfleet.Fleet) {
 		for _, at := range []simfleet.Micros{4 * second, 8 * second} {
 			f.ScheduleAt(at, func() {
 				for i := range f.Aggregators {
-					f.Restart(i, second/5)
+					f.RestartAggregator(i, second/5)
 				}
 			})
 		}
@@ -34,7 +34,7 @@
 }
 
 // A warming server crashes if all aggregators together exceed its limit. Whatever their number, they must stay within
-// the limit, apart from random variation (see simfleet.StoreStats.Excess), when the traffic is uneven, endpoint lists
+// the limit, apart from random variation (see simfleet.StoreStats.ExcessParts), when the traffic is uneven, endpoint lists
 // reach some of them late, all replicas of a third of the ring positions are replaced at once and aggregators restart.
 func TestFleetOfAnySizeKeepsWarmingServersBelowTheirLimit(t *testing.T) {
 	for _, size := range []struct{ aggregators, positions int }{{3, 8}, {20, 16}, {30, 20}, {300, 30}} {
@@ -50,8 +50,8 @@
 					restart(f)
 					r := f.Run(11 * second)
 					t.Logf("seed %d: served fraction %.3f, peak load %.2f times the capacity, %.1f parts beyond random variation",
-						seed, r.ServedFraction(), r.PeakOverload, r.Excess)
-					assert.LessOrEqual(t, r.Excess, 0.0, "seed %d: parts beyond random variation", seed)
+						seed, r.ServedFraction(), r.PeakOverload, r.ExcessParts)
+					assert.LessOrEqual(t, r.ExcessParts, 0.0, "seed %d: parts beyond random variation", seed)
 				}
 			})
 		}
@@ -76,7 +76,7 @@
 	f := simfleet.New(p)
 	for i := range f.Stores {
 		if i%positions%3 == 0 {
-			f.ScheduleAt(2*second, func() { f.Replace(i) })
+			f.ScheduleAt(2*second, func() { f.ReplaceStore(i) })
 		}
 	}
 	f.ScheduleAt(2*second, func() { f.AnnounceEndpoints(3 * second) })
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -47,7 +47,7 @@
 		f := simfleet.New(p)
 		for i := range 36 {
 			f.ScheduleAt(2*second+simfleet.Micros(i)*7*second/36, func() {
-				f.Replace(i)
+				f.ReplaceStore(i)
 				f.AnnounceEndpoints(second / 2)
 			})
 		}
@@ -67,7 +67,7 @@
 	f := simfleet.New(p)
 	f.ScheduleAt(4*second, func() {
 		for i := range f.Aggregators {
-			f.Restart(i, second/5)
+			f.RestartAggregator(i, second/5)
 		}
 	})
 	r := f.Run(10 * second)
