--- a/internal/faultnet/connections.go
+++ b/internal/faultnet/connections.go
@@ -92,7 +92,7 @@
 // forwardFrame writes as many copies of a frame as pass.
 func (n *Network) forwardFrame(from, to string, frame peer.Frame, w io.Writer) error {
 	n.Frames.Add(1)
-	copies, delay := n.decide(from, to)
+	copies, delay := n.drawFaults(from, to)
 	time.Sleep(delay)
 	for range copies {
 		if _, err := w.Write(frame.Append(nil)); err != nil {
--- a/internal/faultnet/datagrams.go
+++ b/internal/faultnet/datagrams.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		p.network.Datagrams.Add(1)
-		copies, delay := p.network.decide(sender.name, p.name)
+		copies, delay := p.network.drawFaults(sender.name, p.name)
 		datagram := slices.Clone(buffer[:size])
 		for range copies { // one after the other
 			time.AfterFunc(delay, func() {
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -74,19 +74,19 @@
 	}
 }
 
-// rule returns the faults in a direction. The caller holds the lock.
-func (n *Network) rule(from, to string) Rule {
-	if r, own := n.rules[direction{from, to}]; own {
+// ruleFor returns the faults in a direction. The caller holds the lock.
+func (n *Network) ruleFor(from, to string) Rule {
+	if r, hasRule := n.rules[direction{from, to}]; hasRule {
 		return r
 	}
 	return n.defaultRule
 }
 
-// decide returns how many copies of a frame or datagram pass, and after which delay.
-func (n *Network) decide(from, to string) (copies int, delay time.Duration) {
+// drawFaults returns how many copies of a frame or datagram pass, and after which delay.
+func (n *Network) drawFaults(from, to string) (copies int, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := n.rule(from, to)
+	r := n.ruleFor(from, to)
 	delay = n.randomDelay(r)
 	switch {
 	case r.Cut || n.random.IntN(100) < r.LossPercent:
--- a/internal/jsonscan/jsonscan.go
+++ b/internal/jsonscan/jsonscan.go
@@ -16,8 +16,8 @@
 // maxDepth bounds the nesting of objects and arrays, and with it the use of the stack.
 const maxDepth = 64
 
-func syntaxError(at int, what string) error {
-	return fmt.Errorf("%w: %s at byte %d", ErrSyntax, what, at)
+func syntaxError(offset int, problem string) error {
+	return fmt.Errorf("%w: %s at byte %d", ErrSyntax, problem, offset)
 }
 
 // skipSpace returns where the white space that begins at i ends.
@@ -44,8 +44,8 @@
 	case '"':
 		return skipString(b, i)
 	case 't', 'f', 'n':
-		for _, word := range []string{"true", "false", "null"} {
-			if end := i + len(word); end <= len(b) && string(b[i:end]) == word {
+		for _, literal := range []string{"true", "false", "null"} {
+			if end := i + len(literal); end <= len(b) && string(b[i:end]) == literal {
 				return end, nil
 			}
 		}
@@ -153,7 +153,7 @@
 }
 
 // readKey reads the key that begins at i, and returns where its value begins.
-func readKey(b []byte, i int) (key string, value int, err error) {
+func readKey(b []byte, i int) (key string, valueStart int, err error) {
 	if i >= len(b) || b[i] != '"' {
 		return "", 0, syntaxError(i, "a key is missing")
 	}
@@ -256,17 +256,17 @@
 }
 
 // AppendString appends text as a JSON string.
-func AppendString(to []byte, text []byte) []byte {
+func AppendString(dst []byte, text []byte) []byte {
 	for _, c := range text {
 		if c < 0x20 || c >= 0x80 || c == '"' || c == '\\' {
 			quoted, err := json.Marshal(string(text))
 			if err != nil { // a string can always be encoded
 				quoted = []byte(`""`)
 			}
-			return append(to, quoted...)
+			return append(dst, quoted...)
 		}
 	}
-	to = append(to, '"')
-	to = append(to, text...)
-	return append(to, '"')
+	dst = append(dst, '"')
+	dst = append(dst, text...)
+	return append(dst, '"')
 }
--- a/internal/platformsettings/json.go
+++ b/internal/platformsettings/json.go
@@ -22,7 +22,7 @@
 func (v *Values) flatten(path string, raw []byte) error {
 	switch raw[0] {
 	case '{':
-		return jsonscan.Object(raw, func(key string, raw []byte) error { return v.flatten(join(path, key), raw) })
+		return jsonscan.Object(raw, func(key string, raw []byte) error { return v.flatten(joinPath(path, key), raw) })
 	case '[':
 		return v.flattenArray(path, raw)
 	}
@@ -33,28 +33,28 @@
 
 // flattenArray adds an array of plain values as a list, and one of objects as a count and paths with each one's index.
 func (v *Values) flattenArray(path string, raw []byte) error {
-	var plain []string
+	var scalars []string
 	count := 0
 	err := jsonscan.Array(raw, func(item []byte) error {
 		index := count
 		count++
 		if item[0] == '{' || item[0] == '[' {
-			return v.flatten(join(path, strconv.Itoa(index)), item)
+			return v.flatten(joinPath(path, strconv.Itoa(index)), item)
 		}
 		text, err := scalarText(item)
-		plain = append(plain, text)
+		scalars = append(scalars, text)
 		return err
 	})
-	if len(plain) > 0 || count == 0 {
-		v.texts[path] = strings.Join(plain, ",")
+	if len(scalars) > 0 || count == 0 {
+		v.texts[path] = strings.Join(scalars, ",")
 	}
-	if len(plain) < count || count == 0 {
-		v.texts[join(path, "count")] = strconv.Itoa(count)
+	if len(scalars) < count || count == 0 {
+		v.texts[joinPath(path, "count")] = strconv.Itoa(count)
 	}
 	return err
 }
 
-func join(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+func joinPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 
 // scalarText returns a plain value as the lines of Parse would have it: names have no spaces or commas there.
 func scalarText(raw []byte) (string, error) {
--- a/internal/platformsettings/loadreport.go
+++ b/internal/platformsettings/loadreport.go
@@ -19,8 +19,8 @@
 		"rps":     &report.RequestRate,
 		"err_rps": &report.ErrorRate,
 	}
-	for i, number := range values[:min(len(values), len(v.loadColumns))] {
-		value := float64(number)
+	for i, reported := range values[:min(len(values), len(v.loadColumns))] {
+		value := float64(reported)
 		if !(value >= 0 && value < maxLoadValue) { // also where it is not a number
 			continue
 		}
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -6,8 +6,8 @@
 	"alderproxy/policy"
 )
 
-// idempotencies are the protocol's names of what a retry of a class does.
-var idempotencies = map[string]policy.Idempotency{
+// idempotencyByEffect are the protocol's names of what a retry of a class does.
+var idempotencyByEffect = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentByKey,
 	"non_idempotent":  policy.NonIdempotent,
@@ -65,7 +65,7 @@
 
 func (v *Values) class(index int) policy.Class {
 	prefix := fmt.Sprintf("grades.%d.", index)
-	idempotency, known := idempotencies[v.texts[prefix+"effect"]]
+	idempotency, known := idempotencyByEffect[v.texts[prefix+"effect"]]
 	if !known {
 		v.fail(prefix+"effect", errUnknownIdempotency)
 	}
@@ -77,10 +77,10 @@
 		LateWeight:          v.number(prefix + "late_worth"),
 		Idempotency:         idempotency,
 		DeduplicationWindow: v.Micros(prefix + "window_us"),
-		MinCoverage:         v.item("family_info.least_share", index, 1),
-		RequiredCoverage:    v.item("family_info.need_by_class", index, 1),
-		PartialWeight:       v.item("family_info.partial_earns", index, 0),
-		MaxFetchParts:       int(v.item("family_info.fetch_parts", index, 0)),
+		MinCoverage:         v.listNumber("family_info.least_share", index, 1),
+		RequiredCoverage:    v.listNumber("family_info.need_by_class", index, 1),
+		PartialWeight:       v.listNumber("family_info.partial_earns", index, 0),
+		MaxFetchParts:       int(v.listNumber("family_info.fetch_parts", index, 0)),
 	}
 }
 
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -10,9 +10,9 @@
 
 // TestSettings reads settings with unknown keys and absent values.
 func TestSettings(t *testing.T) {
-	f := Parse("grades.count=2\ngrades.0.effect=non_idempotent\ngrades.0.promise_us=5\ngrades.1.effect=read_like\n" +
+	values := Parse("grades.count=2\ngrades.0.effect=non_idempotent\ngrades.0.promise_us=5\ngrades.1.effect=read_like\n" +
 		"family_info.least_share=0.8\nfeedback.columns=active,avg_ms\nguarantees.budget_span_us=9\nwhat.is.this=1\n")
-	s, err := f.Settings()
+	s, err := values.Settings()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,11 +20,11 @@
 		s.Classes[1].MinCoverage != 1 || s.RetryBudgetWindow != 0 || s.AllowHealthChecks {
 		t.Fatalf("got %+v", s)
 	}
-	r := f.LoadReport([]float32{3, 1.5})
+	r := values.LoadReport([]float32{3, 1.5})
 	if r.InFlight != 3 || r.Latency != 1500 || r.Utilization != -1 {
 		t.Fatalf("report %+v", r)
 	}
-	if r := f.LoadReport([]float32{float32(math.NaN())}); r != policy.NoLoadReport {
+	if r := values.LoadReport([]float32{float32(math.NaN())}); r != policy.NoLoadReport {
 		t.Fatalf("report of no number %+v", r)
 	}
 	for _, bad := range []string{"tick_us=x", "grades.count=-1", "grades.count=1\ngrades.0.effect=odd", "tick_us=NaN"} {
--- a/internal/platformsettings/values.go
+++ b/internal/platformsettings/values.go
@@ -19,7 +19,7 @@
 
 var (
 	errOutOfRange         = errors.New("out of range")
-	errNoCount            = errors.New("no such count")
+	errCountOutOfRange    = errors.New("no such count")
 	errUnknownIdempotency = errors.New("unknown effect")
 )
 
@@ -88,19 +88,19 @@
 
 func (v *Values) integer(path string) int { return int(v.number(path)) }
 
-// item returns an item of a list of numbers, or a default where the list is shorter.
-func (v *Values) item(path string, index int, def float64) float64 {
+// listNumber returns an listNumber of a list of numbers, or a default where the list is shorter.
+func (v *Values) listNumber(path string, index int, defaultValue float64) float64 {
 	if items := v.List(path); index < len(items) {
 		return v.parseNumber(path, items[index])
 	}
-	return def
+	return defaultValue
 }
 
 // count returns the number of entries of a list of objects.
 func (v *Values) count(path string) int {
 	count := v.integer(path)
 	if count < 0 || count > maxCount {
-		v.fail(path, errNoCount)
+		v.fail(path, errCountOutOfRange)
 		return 0
 	}
 	return count
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -40,12 +40,12 @@
 	return raw
 }
 
-const to3 = "1a 0300"
+const selectInstance3 = "1a 0300"
 
-var entries = unhex("00 0000803f 074a1203 01 0000000000000000 0000 00" +
+var listEntries = unhex("00 0000803f 074a1203 01 0000000000000000 0000 00" +
 	"00 0000c03f f211902c 02 20145d0000000000 0500 01")
 
-var listed = []policy.Endpoint{
+var listEndpoints = []policy.Endpoint{
 	{ID: 0x03124a07, State: policy.Ready, Capacity: 1},
 	{ID: 0x2c9011f2, State: policy.Draining, Capacity: 1.5, StartedAt: 0x5d1420, RingPosition: 5},
 }
@@ -93,7 +93,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			batch, err := NewDecoder(bytes.NewReader(frame(9, c.tail, to3, c.record))).Next()
+			batch, err := NewDecoder(bytes.NewReader(frame(9, c.tail, selectInstance3, c.record))).Next()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -110,7 +110,7 @@
 func TestListNumbersAreReused(t *testing.T) {
 	first, second := "11 0000 00000000 02000000", "11 0000 15000000 01000000"
 	use := "18 0000 2900000000000000 01"
-	in := append(frame(1, entries, to3, first, use, second, use), frame(2, nil, to3, use)...)
+	in := append(frame(1, listEntries, selectInstance3, first, use, second, use), frame(2, nil, selectInstance3, use)...)
 	d := NewDecoder(bytes.NewReader(in))
 	a, err := d.Next()
 	if err != nil {
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range [][]policy.Endpoint{listed, listed[1:], listed[1:]} {
+	for i, want := range [][]policy.Endpoint{listEndpoints, listEndpoints[1:], listEndpoints[1:]} {
 		got := append(a.Events, b.Events...)[i].Value.(List)
 		if !reflect.DeepEqual(got.Entries, want) || got.Version != 0x29 || got.Mode != Full {
 			t.Fatalf("use %d: got %+v, want entries %+v", i, got, want)
@@ -133,16 +133,16 @@
 
 // TestApply brings an instance's own list up to date by deltas and full lists.
 func TestApply(t *testing.T) {
-	gone := listed[0]
-	gone.State = policy.Removed
-	now := List{Mode: Cached, Entries: []policy.Endpoint{listed[1], listed[0]}}.Apply(nil)
-	if !reflect.DeepEqual(now, listed) {
+	removed := listEndpoints[0]
+	removed.State = policy.Removed
+	now := List{Mode: Cached, Entries: []policy.Endpoint{listEndpoints[1], listEndpoints[0]}}.Apply(nil)
+	if !reflect.DeepEqual(now, listEndpoints) {
 		t.Fatalf("cached: %+v", now)
 	}
-	if now = (List{Mode: Delta, Entries: []policy.Endpoint{gone}}).Apply(now); !reflect.DeepEqual(now, listed[1:]) {
+	if now = (List{Mode: Delta, Entries: []policy.Endpoint{removed}}).Apply(now); !reflect.DeepEqual(now, listEndpoints[1:]) {
 		t.Fatalf("delta: %+v", now)
 	}
-	if now = (List{Mode: Full, Entries: listed[:1]}).Apply(now); !reflect.DeepEqual(now, listed[:1]) {
+	if now = (List{Mode: Full, Entries: listEndpoints[:1]}).Apply(now); !reflect.DeepEqual(now, listEndpoints[:1]) {
 		t.Fatalf("full: %+v", now)
 	}
 }
@@ -155,18 +155,18 @@
 	binary.LittleEndian.PutUint32(count[0:], math.MaxUint32)
 	cases := map[string][]byte{
 		"cut header":         frame(1, nil)[:7],
-		"cut body":           frame(1, nil, to3)[:40],
+		"cut body":           frame(1, nil, selectInstance3)[:40],
 		"size without bytes": huge,
 		"impossible count":   count,
-		"unknown code":       frame(1, nil, to3, "63"),
+		"unknown code":       frame(1, nil, selectInstance3, "63"),
 		"no instance":        frame(1, nil, "15"),
-		"outcome code":       frame(1, nil, to3, "12 c4913a5dbb660100 0000 074a1203 09"),
-		"report size":        frame(1, nil, to3, "16 78050000 f211902c 01 05"),
-		"tail offset":        frame(1, []byte("abc"), to3, "19 0700000000000000 01000000 03000000"),
-		"tail overflow":      frame(1, nil, to3, "11 0000 ffffffff ffffffff"),
-		"list never sent":    frame(1, nil, to3, "18 0000 0000000000000000 01"),
-		"list number":        frame(1, entries, to3, "11 1000 00000000 02000000"),
-		"list mode":          frame(1, nil, to3, "18 0000 0000000000000000 04"),
+		"outcome code":       frame(1, nil, selectInstance3, "12 c4913a5dbb660100 0000 074a1203 09"),
+		"report size":        frame(1, nil, selectInstance3, "16 78050000 f211902c 01 05"),
+		"tail offset":        frame(1, []byte("abc"), selectInstance3, "19 0700000000000000 01000000 03000000"),
+		"tail overflow":      frame(1, nil, selectInstance3, "11 0000 ffffffff ffffffff"),
+		"list never sent":    frame(1, nil, selectInstance3, "18 0000 0000000000000000 01"),
+		"list number":        frame(1, listEntries, selectInstance3, "11 1000 00000000 02000000"),
+		"list mode":          frame(1, nil, selectInstance3, "18 0000 0000000000000000 04"),
 	}
 	for name, in := range cases {
 		if _, err := NewDecoder(bytes.NewReader(in)).Next(); !errors.Is(err, ErrFrame) {
@@ -179,8 +179,8 @@
 func TestGoldenReply(t *testing.T) {
 	id := uint64(0x166bb5d3a91c4)
 	cases := []struct {
-		what any
-		want string
+		action any
+		want   string
 	}{
 		{policy.SendAttempt{PartID: id, ServerID: 0x03124a07, Timeout: 80000}, "10 c4913a5dbb660100 074a1203 80380100"},
 		{policy.Reject{QueryID: id, RetryAfter: 250000}, "11 c4913a5dbb660100 90d00300"},
@@ -199,7 +199,7 @@
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
-		if err := WriteActions(&out, []Addressed{{3, c.what}}); err != nil {
+		if err := WriteActions(&out, []Addressed{{3, c.action}}); err != nil {
 			t.Fatal(err)
 		}
 		raw := unhex(c.want)
@@ -208,7 +208,7 @@
 		got := out.Bytes()
 		if n := binary.LittleEndian.Uint32(got[4:]); n != 2 || !bytes.Equal(got[8:8+2*actionSize], want) ||
 			int(binary.LittleEndian.Uint32(got)) != len(got)-8 {
-			t.Errorf("%T: got %x, want records %x", c.what, got, want)
+			t.Errorf("%T: got %x, want records %x", c.action, got, want)
 		}
 	}
 	if err := WriteActions(io.Discard, []Addressed{{1, 7}}); err == nil {
@@ -218,9 +218,9 @@
 
 // FuzzDecoder: whatever comes in, the decoder ends with io.EOF or a malformed frame.
 func FuzzDecoder(f *testing.F) {
-	f.Add(frame(1, entries, to3, "11 0000 00000000 02000000", "18 0000 2900000000000000 01", "15"))
-	f.Add(frame(1, []byte("a=b"), to3, "19 0700000000000000 00000000 03000000", "1b"))
-	f.Add(frame(1, nil, to3)[:40])
+	f.Add(frame(1, listEntries, selectInstance3, "11 0000 00000000 02000000", "18 0000 2900000000000000 01", "15"))
+	f.Add(frame(1, []byte("a=b"), selectInstance3, "19 0700000000000000 00000000 03000000", "1b"))
+	f.Add(frame(1, nil, selectInstance3)[:40])
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
--- a/internal/simcodec/codes.go
+++ b/internal/simcodec/codes.go
@@ -2,12 +2,12 @@
 
 // Sizes in bytes, and how many numbered lists there are.
 const (
-	batchHeaderSize = 16
-	eventSize       = 48
-	actionSize      = 24
-	replyHeaderSize = 8
-	listEntrySize   = 21
-	maxLists        = 16
+	batchHeaderSize  = 16
+	eventSize        = 48
+	actionSize       = 24
+	actionHeaderSize = 8
+	listEntrySize    = 21
+	maxLists         = 16
 )
 
 // Codes of the events.
@@ -22,24 +22,24 @@
 	eventMessage           = 23
 	eventListChange        = 24
 	eventStart             = 25
-	eventTo                = 26
+	eventSelectInstance    = 26
 	eventStop              = 27
 )
 
 // Codes of the actions.
 const (
-	actionSendAttempt   = 16
-	actionReject        = 17
-	actionFail          = 18
-	actionCancelAttempt = 19
-	actionSetTimer      = 20
-	actionHealthCheck   = 21
-	actionCloseIdle     = 22
-	actionSendMessage   = 23
-	actionLog           = 24
-	actionCrash         = 25
-	actionSubscribe     = 26
-	actionRequestList   = 27
-	actionAnswer        = 28
-	actionFor           = 29
+	actionSendAttempt    = 16
+	actionReject         = 17
+	actionFail           = 18
+	actionCancelAttempt  = 19
+	actionSetTimer       = 20
+	actionHealthCheck    = 21
+	actionCloseIdle      = 22
+	actionSendMessage    = 23
+	actionLog            = 24
+	actionCrash          = 25
+	actionSubscribe      = 26
+	actionRequestList    = 27
+	actionAnswer         = 28
+	actionSelectInstance = 29
 )
--- a/internal/simcodec/decode.go
+++ b/internal/simcodec/decode.go
@@ -24,10 +24,10 @@
 
 // Decoder reads batches. It keeps the numbered endpoint lists, since a batch may refer to one of an earlier batch.
 type Decoder struct {
-	input  io.Reader
-	lists  [maxLists][]policy.Endpoint
-	known  [maxLists]bool
-	frames int
+	input        io.Reader
+	lists        [maxLists][]policy.Endpoint
+	listReceived [maxLists]bool
+	framesRead   int
 }
 
 // NewDecoder returns a decoder that reads from in.
@@ -44,28 +44,28 @@
 	if n, err := io.ReadFull(d.input, head[:]); errors.Is(err, io.EOF) {
 		return Batch{}, io.EOF
 	} else if err != nil {
-		return Batch{}, fmt.Errorf("frame %d: header cut off after %d bytes: %w", d.frames, n, frameError(err))
+		return Batch{}, fmt.Errorf("frame %d: header cut off after %d bytes: %w", d.framesRead, n, truncationError(err))
 	}
 	count := int64(binary.LittleEndian.Uint32(head[0:]))
 	size := int64(binary.LittleEndian.Uint32(head[4:]))
 	if count*eventSize > size {
-		return Batch{}, fmt.Errorf("frame %d: %w", d.frames,
+		return Batch{}, fmt.Errorf("frame %d: %w", d.framesRead,
 			malformed("%d records do not fit into %d bytes", count, size))
 	}
 	// The buffer grows with the bytes that arrive: an announced size allocates nothing.
 	var body bytes.Buffer
 	if n, err := io.CopyN(&body, d.input, size); err != nil {
-		return Batch{}, fmt.Errorf("frame %d: body cut off after %d of %d bytes: %w", d.frames, n, size, frameError(err))
+		return Batch{}, fmt.Errorf("frame %d: body cut off after %d of %d bytes: %w", d.framesRead, n, size, truncationError(err))
 	}
 	batch := Batch{Clock: policy.Micros(binary.LittleEndian.Uint64(head[8:]))}
 	if err := d.decodeRecords(&batch, body.Bytes(), int(count)); err != nil {
-		return Batch{}, fmt.Errorf("frame %d: %w", d.frames, err)
+		return Batch{}, fmt.Errorf("frame %d: %w", d.framesRead, err)
 	}
-	d.frames++
+	d.framesRead++
 	return batch, nil
 }
 
-func frameError(err error) error {
+func truncationError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrFrame
 	}
@@ -80,7 +80,7 @@
 	for i := range count {
 		rec := record(body[i*eventSize : (i+1)*eventSize])
 		switch rec[0] {
-		case eventTo:
+		case eventSelectInstance:
 			addressed = true
 			instance = rec.u16(1)
 			continue
@@ -118,13 +118,13 @@
 	case eventHealthCheckResult:
 		return rec.decodeHealthCheckResult()
 	case eventMessage:
-		data, err := slice(tail, rec.u32(3), rec.u32(7), 1)
+		data, err := tailSlice(tail, rec.u32(3), rec.u32(7), 1)
 		return Message{From: rec.u16(1), Data: data}, err
 	case eventListChange:
 		return d.decodeListChange(rec)
 	case eventStart:
-		facts, err := slice(tail, rec.u32(9), rec.u32(13), 1)
-		return Start{Seed: rec.u64(1), Settings: string(facts)}, err
+		settings, err := tailSlice(tail, rec.u32(9), rec.u32(13), 1)
+		return Start{Seed: rec.u64(1), Settings: string(settings)}, err
 	case eventStop:
 		return Stop{}, nil
 	}
@@ -150,10 +150,10 @@
 
 // decodeRequest decodes a query, or one of its parts where the record names a shard.
 func (r record) decodeRequest() any {
-	number := uint64(r.u32(33)) // the bits of an f32: they are compared only
+	numberBits := uint64(r.u32(33)) // the bits of an f32: they are compared only
 	if shard := r.f32(37); shard >= 0 {
 		part := policy.Part{
-			ID: r.u64(1), QueryNumber: number, Shard: parseCount(shard), AffinityKey: r.u64(13),
+			ID: r.u64(1), QueryNumber: numberBits, Shard: decodeCount(shard), AffinityKey: r.u64(13),
 			Weight: float64(r.f32(41)),
 		}
 		if r.u16(45)&flagCostHint != 0 {
@@ -162,14 +162,14 @@
 		return part
 	}
 	return policy.Query{
-		ID: r.u64(1), Number: number, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
-		RequestKey: r.u64(13), Deadline: policy.Micros(r.u64(21)), PartCount: parseCount(r.f32(41)),
+		ID: r.u64(1), Number: numberBits, Class: int(r.u16(9)), Tenant: int(r.u16(11)),
+		RequestKey: r.u64(13), Deadline: policy.Micros(r.u64(21)), PartCount: decodeCount(r.f32(41)),
 		Retry: r.u16(45)&flagRetry != 0,
 	}
 }
 
-// parseCount reads a count that is sent as f32; -1: it is not a count.
-func parseCount(f float32) int {
+// decodeCount reads a count that is sent as f32; -1: it is not a count.
+func decodeCount(f float32) int {
 	if f >= 0 && f < maxExactFloat32 {
 		return int(f)
 	}
@@ -189,8 +189,8 @@
 	return values, nil
 }
 
-// statuses are the protocol's codes of results.
-var statuses = [...]policy.Status{
+// statusByCode are the protocol's codes of results.
+var statusByCode = [...]policy.Status{
 	1: policy.OK,
 	2: policy.ServerError,
 	3: policy.Rejected,
@@ -202,10 +202,10 @@
 }
 
 func decodeStatus(code byte) (policy.Status, error) {
-	if code == 0 || int(code) >= len(statuses) {
+	if code == 0 || int(code) >= len(statusByCode) {
 		return policy.ServerError, malformed("outcome code %d", code)
 	}
-	return statuses[code], nil
+	return statusByCode[code], nil
 }
 
 func (r record) decodeAttemptResult() (AttemptResult, error) {
@@ -228,10 +228,10 @@
 	return HealthCheckResult{HealthCheckResult: result, LoadValues: values}, cmp.Or(err, statusErr)
 }
 
-// slice returns the part of the tail with a number of units of some bytes each.
-func slice(tail []byte, offset, count uint32, unit int) ([]byte, error) {
+// tailSlice returns the part of the tail with a number of units of some bytes each.
+func tailSlice(tail []byte, offset, count uint32, unitSize int) ([]byte, error) {
 	from := int64(offset)
-	size := int64(count) * int64(unit)
+	size := int64(count) * int64(unitSize)
 	if from+size > int64(len(tail)) {
 		return nil, malformed("%d bytes at %d lie beyond the tail of %d", size, from, len(tail))
 	}
--- a/internal/simcodec/encode.go
+++ b/internal/simcodec/encode.go
@@ -29,14 +29,14 @@
 	e := encoder{}
 	for i, a := range actions {
 		if i == 0 || a.Instance != actions[i-1].Instance {
-			e.begin(actionFor)
-			e.u16(1, a.Instance)
+			e.beginRecord(actionSelectInstance)
+			e.putU16(1, a.Instance)
 		}
 		if err := e.encode(a.Value); err != nil {
 			return fmt.Errorf("action %d of instance %d: %w", i, a.Instance, err)
 		}
 	}
-	frame := make([]byte, replyHeaderSize, replyHeaderSize+len(e.records)+len(e.tail))
+	frame := make([]byte, actionHeaderSize, actionHeaderSize+len(e.records)+len(e.tail))
 	binary.LittleEndian.PutUint32(frame[0:], uint32(len(e.records)+len(e.tail)))
 	binary.LittleEndian.PutUint32(frame[4:], uint32(len(e.records)/actionSize))
 	frame = append(frame, e.records...)
@@ -54,83 +54,83 @@
 	current []byte // the record that is being written, a part of records
 }
 
-func (e *encoder) begin(code byte) {
+func (e *encoder) beginRecord(code byte) {
 	e.records = append(e.records, make([]byte, actionSize)...)
 	e.current = e.records[len(e.records)-actionSize:]
 	e.current[0] = code
 }
 
-// u16 and u32 write a number at an offset in the current record.
-func (e *encoder) u16(at int, v uint16) { binary.LittleEndian.PutUint16(e.current[at:], v) }
-func (e *encoder) u32(at int, v uint32) { binary.LittleEndian.PutUint32(e.current[at:], v) }
+// putU16 and u32 write a number at an offset in the current record.
+func (e *encoder) putU16(at int, v uint16) { binary.LittleEndian.PutUint16(e.current[at:], v) }
+func (e *encoder) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(e.current[at:], v) }
 
-// id writes the id of a part or query, which is the first field of an action.
-func (e *encoder) id(v uint64) { binary.LittleEndian.PutUint64(e.current[1:], v) }
+// putID writes the putID of a part or query, which is the first field of an action.
+func (e *encoder) putID(v uint64) { binary.LittleEndian.PutUint64(e.current[1:], v) }
 
-func (e *encoder) flag(at int, v bool) {
+func (e *encoder) putBool(at int, v bool) {
 	if v {
 		e.current[at] = 1
 	}
 }
 
-func (e *encoder) data(at int, data string) {
-	e.u32(at, uint32(len(e.tail)))
-	e.u32(at+4, uint32(len(data)))
+func (e *encoder) putData(at int, data string) {
+	e.putU32(at, uint32(len(e.tail)))
+	e.putU32(at+4, uint32(len(data)))
 	e.tail = append(e.tail, data...)
 }
 
 func clampMicros(v policy.Micros) uint32 { return uint32(min(max(v, 0), math.MaxInt32)) }
 
-func (e *encoder) encode(what any) error {
-	switch a := what.(type) {
+func (e *encoder) encode(action any) error {
+	switch a := action.(type) {
 	case policy.SendAttempt:
-		e.begin(actionSendAttempt)
-		e.id(a.PartID)
-		e.u32(9, a.ServerID)
-		e.u32(13, clampMicros(a.Timeout))
+		e.beginRecord(actionSendAttempt)
+		e.putID(a.PartID)
+		e.putU32(9, a.ServerID)
+		e.putU32(13, clampMicros(a.Timeout))
 	case policy.Reject:
-		e.begin(actionReject)
-		e.id(a.QueryID)
-		e.u32(9, clampMicros(a.RetryAfter))
+		e.beginRecord(actionReject)
+		e.putID(a.QueryID)
+		e.putU32(9, clampMicros(a.RetryAfter))
 	case policy.Fail:
-		e.begin(actionFail)
-		e.id(a.QueryID)
+		e.beginRecord(actionFail)
+		e.putID(a.QueryID)
 	case policy.CancelAttempt:
-		e.begin(actionCancelAttempt)
-		e.id(a.PartID)
-		e.u16(9, uint16(a.AttemptIndex))
+		e.beginRecord(actionCancelAttempt)
+		e.putID(a.PartID)
+		e.putU16(9, uint16(a.AttemptIndex))
 	case policy.SetTimer:
-		e.begin(actionSetTimer)
-		e.u32(1, clampMicros(a.Delay))
+		e.beginRecord(actionSetTimer)
+		e.putU32(1, clampMicros(a.Delay))
 	case policy.HealthCheck:
-		e.begin(actionHealthCheck)
-		e.u32(1, a.ServerID)
+		e.beginRecord(actionHealthCheck)
+		e.putU32(1, a.ServerID)
 	case policy.Log:
-		e.begin(actionLog)
-		e.data(1, a.Text)
+		e.beginRecord(actionLog)
+		e.putData(1, a.Text)
 	case policy.Answer:
-		e.begin(actionAnswer)
-		e.id(a.QueryID)
-		e.flag(9, a.Complete)
+		e.beginRecord(actionAnswer)
+		e.putID(a.QueryID)
+		e.putBool(9, a.Complete)
 	case policy.PollEndpoints:
-		e.begin(actionSubscribe)
-		e.flag(1, true)
+		e.beginRecord(actionSubscribe)
+		e.putBool(1, true)
 	case Unsubscribe:
-		e.begin(actionSubscribe)
+		e.beginRecord(actionSubscribe)
 	case RequestList:
-		e.begin(actionRequestList)
+		e.beginRecord(actionRequestList)
 	case policy.CloseIdleConnections:
-		e.begin(actionCloseIdle)
-		e.u32(1, a.ServerID)
+		e.beginRecord(actionCloseIdle)
+		e.putU32(1, a.ServerID)
 	case SendMessage:
-		e.begin(actionSendMessage)
-		e.u16(1, a.To)
-		e.data(3, string(a.Data))
+		e.beginRecord(actionSendMessage)
+		e.putU16(1, a.To)
+		e.putData(3, string(a.Data))
 	case Crash:
-		e.begin(actionCrash)
-		e.data(1, a.Text)
+		e.beginRecord(actionCrash)
+		e.putData(1, a.Text)
 	default:
-		return fmt.Errorf("no code for %T", what)
+		return fmt.Errorf("no code for %T", action)
 	}
 	return nil
 }
--- a/internal/simcodec/events.go
+++ b/internal/simcodec/events.go
@@ -48,10 +48,10 @@
 
 // Apply returns the endpoint list after a change, sorted by id. A delta replaces the endpoints that it has, any other mode
 // replaces the whole list.
-func (l List) Apply(present []policy.Endpoint) []policy.Endpoint {
+func (l List) Apply(current []policy.Endpoint) []policy.Endpoint {
 	byID := map[uint32]policy.Endpoint{}
 	if l.Mode == Delta {
-		for _, endpoint := range present {
+		for _, endpoint := range current {
 			byID[endpoint.ID] = endpoint
 		}
 	}
--- a/internal/simcodec/lists.go
+++ b/internal/simcodec/lists.go
@@ -12,7 +12,7 @@
 	if number >= maxLists {
 		return malformed("list number %d", number)
 	}
-	raw, err := slice(tail, rec.u32(3), rec.u32(7), listEntrySize)
+	raw, err := tailSlice(tail, rec.u32(3), rec.u32(7), listEntrySize)
 	if err != nil {
 		return fmt.Errorf("list %d: %w", number, err)
 	}
@@ -28,7 +28,7 @@
 		})
 	}
 	d.lists[number] = list
-	d.known[number] = true
+	d.listReceived[number] = true
 	return nil
 }
 
@@ -45,7 +45,7 @@
 	if mode == Failed {
 		return list, nil
 	}
-	if number >= maxLists || !d.known[number] {
+	if number >= maxLists || !d.listReceived[number] {
 		return List{}, malformed("list %d was never sent", number)
 	}
 	list.Entries = d.lists[number]
--- a/internal/simnet/fault.go
+++ b/internal/simnet/fault.go
@@ -16,10 +16,10 @@
 			if sender == recipient {
 				continue
 			}
-			way := route{sender, recipient}
-			n.cuts[way] += delta
-			if n.cuts[way] <= 0 {
-				delete(n.cuts, way)
+			path := route{sender, recipient}
+			n.cuts[path] += delta
+			if n.cuts[path] <= 0 {
+				delete(n.cuts, path)
 			}
 		}
 	}
--- a/internal/simnet/simfleet/aggregator.go
+++ b/internal/simnet/simfleet/aggregator.go
@@ -47,9 +47,9 @@
 
 // start starts a process of the aggregator.
 func (a *Aggregator) start() {
-	settings := a.fleet.plan.Settings
+	settings := a.fleet.scenario.Settings
 	settings.InstanceIndex = int(a.node)
-	aggregator, err := policy.New(settings, a.fleet.plan.Seed)
+	aggregator, err := policy.New(settings, a.fleet.scenario.Seed)
 	if err != nil {
 		panic(err) // the test's own settings are invalid
 	}
@@ -72,7 +72,7 @@
 		a.parts[p.id] = p
 		events = append(events, policy.Part{ID: p.id, QueryNumber: q.id, Shard: p.shard, Weight: 1 / float64(len(q.parts))})
 	}
-	if !a.fleet.plan.RandomReplicas {
+	if !a.fleet.scenario.RandomReplicas {
 		a.step(events...)
 		return
 	}
@@ -89,11 +89,11 @@
 // step hands events to the policy and carries out its actions.
 func (a *Aggregator) step(events ...policy.Event) {
 	for _, action := range a.policy.Step(a.fleet.Network.Now(), events) {
-		a.carryOut(action)
+		a.perform(action)
 	}
 }
 
-func (a *Aggregator) carryOut(action policy.Action) {
+func (a *Aggregator) perform(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
 		a.startAttempt(action)
@@ -103,11 +103,11 @@
 			a.finishAttempt(p, action.AttemptIndex, policy.Canceled, policy.NoLoadReport)
 		}
 	case policy.Answer:
-		a.finishQuery(a.openQueries[action.QueryID], served)
+		a.finishQuery(a.openQueries[action.QueryID], outcomeServed)
 	case policy.Reject:
-		a.finishQuery(a.openQueries[action.QueryID], rejected)
+		a.finishQuery(a.openQueries[action.QueryID], outcomeRejected)
 	case policy.Fail:
-		a.finishQuery(a.openQueries[action.QueryID], failed)
+		a.finishQuery(a.openQueries[action.QueryID], outcomeFailed)
 	case policy.HealthCheck:
 		a.checkHealth(action.ServerID)
 	case policy.CloseIdleConnections:
@@ -123,18 +123,18 @@
 }
 
 // finishQuery adds the outcome of an open query to the result.
-func (a *Aggregator) finishQuery(q *query, end outcome) {
+func (a *Aggregator) finishQuery(q *query, outcome queryOutcome) {
 	if q == nil || a.openQueries[q.id] != q {
 		return
 	}
 	delete(a.openQueries, q.id)
 	f := a.fleet
-	class := f.plan.Settings.Classes[q.class]
+	class := f.scenario.Settings.Classes[q.class]
 	result := &f.result
 	second := result.second(q.startedAt)
 	weight := class.PriorityWeight
-	switch end {
-	case served:
+	switch outcome {
+	case outcomeServed:
 		if f.Network.Now()-q.startedAt > class.LatencyObjective {
 			result.Late += weight
 			weight *= class.LateWeight
@@ -142,20 +142,20 @@
 		result.Served += weight
 		second.Served += weight
 		f.servedByClass[q.class] += weight
-	case failed:
+	case outcomeFailed:
 		result.Failed += weight
 		second.Failed += weight
-	case rejected:
+	case outcomeRejected:
 		result.Rejected += weight
 		second.Rejected += weight
 	}
 	for _, p := range q.parts {
-		a.dropFinishedPart(p)
+		a.dropPartIfFinished(p)
 	}
 }
 
-// dropFinishedPart drops a part whose query is finished and of which no attempt is in flight.
-func (a *Aggregator) dropFinishedPart(p *part) {
+// dropPartIfFinished drops a part whose query is finished and of which no attempt is in flight.
+func (a *Aggregator) dropPartIfFinished(p *part) {
 	inFlight := slices.ContainsFunc(p.attempts, func(t *attempt) bool { return !t.finished })
 	if a.openQueries[p.query.id] != p.query && !inFlight {
 		delete(a.parts, p.id)
@@ -164,7 +164,7 @@
 
 // sendToRandomReplica is the baseline: it sends a part to a random replica, once.
 func (a *Aggregator) sendToRandomReplica(p *part) {
-	position := p.shard % a.fleet.plan.Settings.RingSize
+	position := p.shard % a.fleet.scenario.Settings.RingSize
 	var replicas []*Store
 	for _, store := range a.fleet.Stores {
 		if store.Endpoint.State == policy.Ready && store.Endpoint.RingPosition == position {
@@ -172,22 +172,22 @@
 		}
 	}
 	replica := replicas[a.fleet.Network.Rand().IntN(len(replicas))]
-	a.send(p, replica, func(status policy.Status, _ policy.LoadReport) { a.recordRandomReply(p, status) })
+	a.send(p, replica, func(status policy.Status, _ policy.LoadReport) { a.recordRandomReplicaResponse(p, status) })
 }
 
-// recordRandomReply finishes the query of a part with its last answer or with the first error.
-func (a *Aggregator) recordRandomReply(p *part, status policy.Status) {
+// recordRandomReplicaResponse finishes the query of a part with its last answer or with the first error.
+func (a *Aggregator) recordRandomReplicaResponse(p *part, status policy.Status) {
 	q := p.query
 	if a.openQueries[q.id] != q {
 		return
 	}
 	if status != policy.OK {
-		a.finishQuery(q, failed)
+		a.finishQuery(q, outcomeFailed)
 		return
 	}
 	p.answered = true
 	incomplete := slices.ContainsFunc(q.parts, func(p *part) bool { return !p.answered })
 	if !incomplete {
-		a.finishQuery(q, served)
+		a.finishQuery(q, outcomeServed)
 	}
 }
--- a/internal/simnet/simfleet/arrivals.go
+++ b/internal/simnet/simfleet/arrivals.go
@@ -10,7 +10,7 @@
 
 // scheduleArrivals starts a query and schedules the next one. Arrivals are a Poisson process.
 func (f *Fleet) scheduleArrivals() {
-	rate := f.plan.Rate(f.Network.Now() - simnet.StartTime)
+	rate := f.scenario.Rate(f.Network.Now() - simnet.StartTime)
 	if rate > 0 {
 		f.startQuery()
 	}
@@ -22,7 +22,7 @@
 func (f *Fleet) startQuery() {
 	aggregator := f.Aggregators[drawIndex(f.aggregatorWeights, f.queryRand)]
 	class := f.drawClass()
-	settings := f.plan.Settings.Classes[class]
+	settings := f.scenario.Settings.Classes[class]
 	now := f.Network.Now()
 	q := &query{class: class, startedAt: now, deadline: now + settings.Timeout}
 	f.addRandomParts(q)
@@ -39,8 +39,8 @@
 func (f *Fleet) drawClass() int {
 	class := 0
 	remaining := f.queryRand.Float64()
-	for class < len(f.plan.Mix)-1 && remaining >= f.plan.Mix[class].QueryFraction {
-		remaining -= f.plan.Mix[class].QueryFraction
+	for class < len(f.scenario.Mix)-1 && remaining >= f.scenario.Mix[class].QueryFraction {
+		remaining -= f.scenario.Mix[class].QueryFraction
 		class++
 	}
 	return class
@@ -48,7 +48,7 @@
 
 // addRandomParts adds parts of distinct shards, whose work has a log-normal distribution.
 func (f *Fleet) addRandomParts(q *query) {
-	class := f.plan.Mix[q.class]
+	class := f.scenario.Mix[q.class]
 	shards := len(f.shardWeights)
 	count := class.MinParts + f.queryRand.IntN(class.MaxParts-class.MinParts+1)
 	used := map[int]bool{}
--- a/internal/simnet/simfleet/attempt.go
+++ b/internal/simnet/simfleet/attempt.go
@@ -12,29 +12,29 @@
 // startAttempt sends a part to a store with a timeout.
 func (a *Aggregator) startAttempt(action policy.SendAttempt) {
 	p := a.parts[action.PartID]
-	number := len(p.attempts)
+	index := len(p.attempts)
 	a.send(p, a.fleet.store(action.ServerID), func(status policy.Status, report policy.LoadReport) {
-		a.finishAttempt(p, number, status, report)
+		a.finishAttempt(p, index, status, report)
 	})
 	a.fleet.Network.Schedule(a.node, action.Timeout, func() {
-		a.finishAttempt(p, number, policy.TimedOut, policy.NoLoadReport)
+		a.finishAttempt(p, index, policy.TimedOut, policy.NoLoadReport)
 	})
 }
 
 // finishAttempt reports the first result of an attempt to the policy.
-func (a *Aggregator) finishAttempt(p *part, number int, status policy.Status, report policy.LoadReport) {
-	finished := p.attempts[number]
-	if finished.finished {
+func (a *Aggregator) finishAttempt(p *part, index int, status policy.Status, report policy.LoadReport) {
+	current := p.attempts[index]
+	if current.finished {
 		return
 	}
-	finished.finished = true
-	a.dropFinishedPart(p)
+	current.finished = true
+	a.dropPartIfFinished(p)
 	a.stepLater(policy.AttemptResult{
 		PartID:       p.id,
-		AttemptIndex: number,
-		ServerID:     finished.store,
+		AttemptIndex: index,
+		ServerID:     current.store,
 		Status:       status,
-		Elapsed:      a.fleet.Network.Now() - finished.startedAt,
+		Elapsed:      a.fleet.Network.Now() - current.startedAt,
 		Report:       report,
 	})
 }
@@ -47,13 +47,13 @@
 	p.attempts = append(p.attempts, current)
 	request := job{
 		work:        p.work,
-		nominalWork: float64(f.plan.Mix[p.query.class].MeanWork),
+		nominalWork: float64(f.scenario.Mix[p.query.class].MeanWork),
 		respond: func(status policy.Status, report policy.LoadReport) bool {
 			f.Network.SendOrdered(store.node, a.node, func() { respond(status, report) })
 			return !current.finished
 		},
 	}
-	a.onConnection(store, func() { store.accept(request) })
+	a.sendOnConnection(store, func() { store.accept(request) })
 }
 
 // checkHealth sends a health check to a store and reports the first of its result and its timeout to the policy.
@@ -69,7 +69,7 @@
 		finished = true
 		a.step(policy.HealthCheckResult{ServerID: id, Status: status, Elapsed: network.Now() - startedAt, Report: report})
 	}
-	a.onConnection(store, func() {
+	a.sendOnConnection(store, func() {
 		store.checkHealth(func(report policy.LoadReport) {
 			network.SendOrdered(store.node, a.node, func() { finish(policy.OK, report) })
 		})
@@ -77,9 +77,9 @@
 	network.Schedule(a.node, healthCheckTimeout, func() { finish(policy.TimedOut, policy.NoLoadReport) })
 }
 
-// onConnection calls a function at a store when a request arrives there. Without an open connection, a handshake of one
+// sendOnConnection calls a function at a store when a request arrives there. Without an open connection, a handshake of one
 // round trip goes before.
-func (a *Aggregator) onConnection(store *Store, arrive func()) {
+func (a *Aggregator) sendOnConnection(store *Store, arrive func()) {
 	network := a.fleet.Network
 	usedAt, open := a.connectionUsedAt[store.Endpoint.ID]
 	a.connectionUsedAt[store.Endpoint.ID] = network.Now()
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -24,7 +24,7 @@
 	Stores      []*Store
 	Aggregators []*Aggregator
 
-	plan Scenario
+	scenario Scenario
 	// queryRand draws the queries. It is separate so that the queries do not depend on the aggregators' decisions.
 	queryRand         *rand.Rand
 	shardWeights      []float64 // cumulative
@@ -35,26 +35,26 @@
 }
 
 // New returns the fleet of a scenario at its start.
-func New(plan Scenario) *Fleet {
-	plan.Settings.InstanceCount = plan.Aggregators
+func New(scenario Scenario) *Fleet {
+	scenario.Settings.InstanceCount = scenario.Aggregators
 	f := &Fleet{
-		Network:        simnet.New(plan.Seed, plan.Link),
-		plan:           plan,
-		queryRand:      rand.New(rand.NewPCG(plan.Seed, 1)),
-		offeredByClass: make([]float64, len(plan.Mix)),
-		servedByClass:  make([]float64, len(plan.Mix)),
+		Network:        simnet.New(scenario.Seed, scenario.Link),
+		scenario:       scenario,
+		queryRand:      rand.New(rand.NewPCG(scenario.Seed, 1)),
+		offeredByClass: make([]float64, len(scenario.Mix)),
+		servedByClass:  make([]float64, len(scenario.Mix)),
 	}
 	sum := 0.0
-	for shard := range plan.Settings.Shards {
-		sum += math.Pow(float64(1+shard), -plan.ShardSkew)
+	for shard := range scenario.Settings.Shards {
+		sum += math.Pow(float64(1+shard), -scenario.ShardSkew)
 		f.shardWeights = append(f.shardWeights, sum)
 	}
-	for i := range plan.Settings.RingSize * plan.Replicas {
-		f.AddStore(i%plan.Settings.RingSize, 0)
+	for i := range scenario.Settings.RingSize * scenario.Replicas {
+		f.AddStore(i%scenario.Settings.RingSize, 0)
 	}
 	sum = 0
-	for i := range plan.Aggregators {
-		sum += math.Exp(plan.AggregatorSkew * f.queryRand.NormFloat64())
+	for i := range scenario.Aggregators {
+		sum += math.Exp(scenario.AggregatorSkew * f.queryRand.NormFloat64())
 		f.aggregatorWeights = append(f.aggregatorWeights, sum)
 		aggregator := &Aggregator{fleet: f, node: simnet.NodeID(i)}
 		f.Aggregators = append(f.Aggregators, aggregator)
@@ -68,9 +68,9 @@
 // by List.
 func (f *Fleet) AddStore(position int, startedAt Micros) *Store {
 	index := len(f.Stores)
-	rng := rand.New(rand.NewPCG(f.plan.Seed, uint64(index)+7))
+	rng := rand.New(rand.NewPCG(f.scenario.Seed, uint64(index)+7))
 	store := &Store{
-		Machine: f.plan.NewMachine(index, rng),
+		Machine: f.scenario.NewMachine(index, rng),
 		Endpoint: policy.Endpoint{
 			ID:           uint32(firstStoreID + storeIDStep*index),
 			State:        policy.Ready,
@@ -82,8 +82,8 @@
 		network:      f.Network,
 		node:         firstStoreNode + simnet.NodeID(index),
 		rng:          rng,
-		settings:     &f.plan.Settings,
-		meanPartWork: f.plan.meanPartWork(),
+		settings:     &f.scenario.Settings,
+		meanPartWork: f.scenario.meanPartWork(),
 	}
 	f.Stores = append(f.Stores, store)
 	store.schedulePauses()
@@ -120,8 +120,8 @@
 }
 
 // ScheduleAt schedules a function at a time since the start.
-func (f *Fleet) ScheduleAt(at Micros, do func()) {
-	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), do)
+func (f *Fleet) ScheduleAt(at Micros, callback func()) {
+	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), callback)
 }
 
 // RestartAggregator kills an aggregator and restarts it after a downtime, with the endpoint list and without other state.
--- a/internal/simnet/simfleet/result.go
+++ b/internal/simnet/simfleet/result.go
@@ -64,11 +64,11 @@
 	}
 }
 
-// outcome is how a query ended.
-type outcome int
+// queryOutcome is how a query ended.
+type queryOutcome int
 
 const (
-	served outcome = iota
-	failed
-	rejected
+	outcomeServed queryOutcome = iota
+	outcomeFailed
+	outcomeRejected
 )
--- a/internal/simnet/simfleet/scenario.go
+++ b/internal/simnet/simfleet/scenario.go
@@ -53,10 +53,10 @@
 func (c QueryClass) meanParts() float64 { return float64(c.MinParts+c.MaxParts) / 2 }
 
 // meanPartWork returns the mean work of a part of any class.
-func (p Scenario) meanPartWork() float64 {
+func (s Scenario) meanPartWork() float64 {
 	work := 0.0
 	parts := 0.0
-	for _, class := range p.Mix {
+	for _, class := range s.Mix {
 		classParts := class.QueryFraction * class.meanParts()
 		work += classParts * float64(class.MeanWork)
 		parts += classParts
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -143,13 +143,13 @@
 	now := s.network.Now()
 	sharing := max(1, float64(s.running)/float64(s.Cores))
 	duration := Micros(request.work * sharing / (s.Speed * s.capacityFraction(now)))
-	duration += s.pauseLeft()
+	duration += s.remainingPause()
 	s.network.Schedule(s.node, duration, func() { s.finish(request) })
 }
 
 // finish responds to a request and starts the next one, after the current pause if there is one.
 func (s *Store) finish(request job) {
-	if pause := s.pauseLeft(); pause > 0 {
+	if pause := s.remainingPause(); pause > 0 {
 		s.network.Schedule(s.node, pause, func() { s.finish(request) })
 		return
 	}
@@ -202,11 +202,11 @@
 // checkHealth calls back with the load report after the current pause and the work of a health check.
 func (s *Store) checkHealth(respond func(policy.LoadReport)) {
 	s.Stats.HealthChecks++
-	s.network.Schedule(s.node, s.pauseLeft()+s.HealthCheckWork, func() { respond(s.loadReport()) })
+	s.network.Schedule(s.node, s.remainingPause()+s.HealthCheckWork, func() { respond(s.loadReport()) })
 }
 
-// pauseLeft returns the remaining time of the current pause, or 0 if there is none.
-func (s *Store) pauseLeft() Micros { return max(0, s.pausedUntil-s.network.Now()) }
+// remainingPause returns the remaining time of the current pause, or 0 if there is none.
+func (s *Store) remainingPause() Micros { return max(0, s.pausedUntil-s.network.Now()) }
 
 // PauseFor pauses the store: it accepts requests and answers none.
 func (s *Store) PauseFor(duration Micros) {
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -143,7 +143,7 @@
 // Send sends a datagram, which arrives once, twice, late or never.
 func (n *Network) Send(from, to NodeID, arrive func()) {
 	link := n.linkBetween(from, to)
-	if !n.isOpen(from, to) {
+	if !n.admitMessage(from, to) {
 		return
 	}
 	if n.rng.Float64() < link.LossRate {
@@ -163,17 +163,17 @@
 // SendOrdered sends a message on a connection: messages arrive in order, and none is lost on an open route. A message on
 // a route that is cut, or to a dead node, is dropped without notice.
 func (n *Network) SendOrdered(from, to NodeID, arrive func()) {
-	if !n.isOpen(from, to) {
+	if !n.admitMessage(from, to) {
 		return
 	}
-	way := route{from, to}
-	arrival := max(n.now+n.drawDelay(n.linkBetween(from, to)), n.lastOrderedArrival[way])
-	n.lastOrderedArrival[way] = arrival
+	path := route{from, to}
+	arrival := max(n.now+n.drawDelay(n.linkBetween(from, to)), n.lastOrderedArrival[path])
+	n.lastOrderedArrival[path] = arrival
 	n.push(arrival, to, arrive)
 }
 
-// isOpen counts a message and reports whether its route is not cut and its recipient is alive.
-func (n *Network) isOpen(from, to NodeID) bool {
+// admitMessage counts a message and reports whether its route is not cut and its recipient is alive.
+func (n *Network) admitMessage(from, to NodeID) bool {
 	n.counts.Sent++
 	if n.cuts[route{from, to}] > 0 {
 		n.counts.Blocked++
--- a/internal/simnet/simnet_test.go
+++ b/internal/simnet/simnet_test.go
@@ -19,9 +19,9 @@
 		var tick func()
 		tick = func() {
 			for _, recipient := range Except(allNodes, sender) {
-				way := route{sender, recipient}
+				path := route{sender, recipient}
 				network.Send(sender, recipient, func() {
-					arrivals[way] = append(arrivals[way], network.Now()-StartTime)
+					arrivals[path] = append(arrivals[path], network.Now()-StartTime)
 				})
 			}
 			network.Schedule(sender, 10*millisecond, tick)
--- a/internal/testserver/disconnect.go
+++ b/internal/testserver/disconnect.go
@@ -16,7 +16,7 @@
 type gatedListener struct {
 	*net.TCPListener
 
-	beforeRead func(c *net.TCPConn, read int)
+	beforeRead func(c *net.TCPConn, readNumber int)
 }
 
 // Accept accepts a connection.
@@ -63,7 +63,7 @@
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	handled, hold := make(chan struct{}), make(chan struct{})
+	handled, released := make(chan struct{}), make(chan struct{})
 	markHandled := sync.OnceFunc(func() { close(handled) })
 	s := &httpwire.Server{Log: DiscardLog(), Handle: func(x *httpwire.Exchange) *httpwire.Reply {
 		defer markHandled()
@@ -75,10 +75,10 @@
 			return
 		}
 		markHandled()
-		<-hold
+		<-released
 	}}
 	go func() { _ = s.Serve(gated) }()
-	release = sync.OnceFunc(func() { close(hold) })
+	release = sync.OnceFunc(func() { close(released) })
 	t.Cleanup(func() {
 		release()
 		s.Close()
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -28,7 +28,7 @@
 	version      int
 	answer       string
 	changed      chan struct{} // closed, and replaced, when something is published
-	rejectStatus int           // of the next call's response; 0: the list
+	nextStatus   int           // of the next call's response; 0: the list
 	unresponsive bool
 	rawAnswer    string                 // sent in place of a response, and nothing after it
 	connections  map[net.Conn]chan bool // closed where a connection stalls
@@ -145,15 +145,15 @@
 func (d *Discovery) RejectNext(status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rejectStatus = status
+	d.nextStatus = status
 }
 
 // takeRejection returns the status that RejectNext set for this call.
 func (d *Discovery) takeRejection() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	status := d.rejectStatus
-	d.rejectStatus = 0
+	status := d.nextStatus
+	d.nextStatus = 0
 	return status
 }
 
@@ -188,9 +188,9 @@
 		_, _ = c.Write(httpwire.AppendResponse(nil, status, nil, nil, false)) // an error shows in the next read
 		return nil
 	}
-	answer, more := d.awaitAnswer(request.Target, stalled)
+	answer, keepServing := d.awaitAnswer(request.Target, stalled)
 	_, _ = c.Write(answer)
-	if !more { // the connection stays open until the other side closes it
+	if !keepServing { // the connection stays open until the other side closes it
 		_, _ = io.Copy(io.Discard, r)
 		return io.EOF
 	}
@@ -198,7 +198,7 @@
 }
 
 // awaitAnswer waits until an answer is due and returns it. more says whether others may follow on the connection.
-func (d *Discovery) awaitAnswer(target string, stalled <-chan bool) (answer []byte, more bool) {
+func (d *Discovery) awaitAnswer(target string, stalled <-chan bool) (answer []byte, keepServing bool) {
 	timeout := time.After(watchTimeout(target))
 	for {
 		d.mu.Lock()
--- a/internal/testserver/store.go
+++ b/internal/testserver/store.go
@@ -18,8 +18,8 @@
 	Requests chan string   // what came, in order: a frame's text, or a search's target and body
 	Closed   chan struct{} // gets a value for each connection that has ended
 
-	listener net.Listener
-	stopped  chan struct{} // closed when the listener is
+	listener    net.Listener
+	acceptEnded chan struct{} // closed when the listener is
 
 	mu          sync.Mutex
 	fault       Fault
@@ -38,7 +38,7 @@
 		Requests:    make(chan string, recordCapacity),
 		Closed:      make(chan struct{}, recordCapacity),
 		listener:    listener,
-		stopped:     make(chan struct{}),
+		acceptEnded: make(chan struct{}),
 		connections: map[net.Conn]bool{},
 	}
 	t.Cleanup(func() { s.SetFault(Down) })
@@ -47,7 +47,7 @@
 }
 
 func (s *Store) accept(serve func(*Store, net.Conn)) {
-	defer close(s.stopped)
+	defer close(s.acceptEnded)
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
@@ -78,7 +78,7 @@
 func (s *Store) SetFault(f Fault) {
 	if f == Down { // until Accept has returned, the kernel would go on accepting connections
 		s.listener.Close()
-		<-s.stopped
+		<-s.acceptEnded
 	}
 	s.mu.Lock()
 	s.fault = f
