--- a/internal/jsonscan/jsonscan.go
+++ b/internal/jsonscan/jsonscan.go
@@ -1,5 +1,5 @@
-// Package jsonscan reads JSON text in place. It checks the text and returns slices of it, so that values that are only
-// passed on stay the bytes that came.
+// Package jsonscan parses JSON in place: it validates the text and returns slices of it, so that values that are only
+// forwarded keep their bytes.
 package jsonscan
 
 import (
@@ -10,17 +10,17 @@
 	"strconv"
 )
 
-// ErrSyntax is wrapped by every error about text that is not JSON, or not of the kind that was asked for.
+// ErrSyntax is wrapped by every error about text that is not valid JSON or not of the requested type.
 var ErrSyntax = errors.New("malformed JSON")
 
-// maxDepth bounds the nesting of objects and arrays, and with it the use of the stack.
+// maxDepth limits the nesting of objects and arrays, and with it the use of the stack.
 const maxDepth = 64
 
 func syntaxError(offset int, problem string) error {
 	return fmt.Errorf("%w: %s at byte %d", ErrSyntax, problem, offset)
 }
 
-// skipSpace returns where the white space that begins at i ends.
+// skipSpace returns the index of the first byte from i on that is not white space.
 func skipSpace(b []byte, i int) int {
 	for i < len(b) && (b[i] == ' ' || b[i] == '\t' || b[i] == '\n' || b[i] == '\r') {
 		i++
@@ -28,7 +28,7 @@
 	return i
 }
 
-// skipValue returns where the value that begins at i ends. depth is the number of objects and arrays around it.
+// skipValue returns the index after the value that begins at i. depth is the number of objects and arrays around it.
 func skipValue(b []byte, i, depth int) (int, error) {
 	if depth > maxDepth {
 		return 0, syntaxError(i, "nesting too deep")
@@ -54,6 +54,7 @@
 	return skipNumber(b, i)
 }
 
+// skipString returns the index after the string that begins at i.
 func skipString(b []byte, i int) (int, error) {
 	for j := i + 1; j < len(b); j++ {
 		switch c := b[j]; {
@@ -84,6 +85,7 @@
 	return 0, syntaxError(i, "unfinished string")
 }
 
+// skipNumber returns the index after the number that begins at i.
 func skipNumber(b []byte, i int) (int, error) {
 	j := i
 	digits := func() bool {
@@ -118,7 +120,8 @@
 	return j, nil
 }
 
-// visitMembers visits the members of the object or array that begins at i and returns where it ends.
+// visitMembers calls visit for each member of the object or array that begins at i, with an empty key in an array, and
+// returns the index after it.
 func visitMembers(b []byte, i int, closer byte, depth int, visit func(key string, raw []byte) error) (int, error) {
 	i = skipSpace(b, i+1)
 	if i < len(b) && b[i] == closer {
@@ -152,7 +155,7 @@
 	}
 }
 
-// readKey reads the key that begins at i, and returns where its value begins.
+// readKey returns the key that begins at i, and the index at which its value begins.
 func readKey(b []byte, i int) (key string, valueStart int, err error) {
 	if i >= len(b) || b[i] != '"' {
 		return "", 0, syntaxError(i, "a key is missing")
@@ -171,7 +174,7 @@
 	return key, skipSpace(b, colon+1), nil
 }
 
-// visitValue visits the members of the object or array that b holds, which nothing may follow.
+// visitValue calls visit for each member of the object or array that b holds. Only white space may follow the value.
 func visitValue(b []byte, opener, closer byte, visit func(string, []byte) error) error {
 	i := skipSpace(b, 0)
 	if i >= len(b) || b[i] != opener {
@@ -187,17 +190,17 @@
 	return nil
 }
 
-// Object calls visit with each member of the object that b holds. The bytes given to visit are part of b.
+// Object calls visit for each member of the object that b holds. The bytes passed to visit are a slice of b.
 func Object(b []byte, visit func(key string, raw []byte) error) error {
 	return visitValue(b, '{', '}', visit)
 }
 
-// Array calls visit with each item of the array that b holds. The bytes given to visit are part of b.
+// Array calls visit for each item of the array that b holds. The bytes passed to visit are a slice of b.
 func Array(b []byte, visit func(raw []byte) error) error {
 	return visitValue(b, '[', ']', func(_ string, raw []byte) error { return visit(raw) })
 }
 
-// Valid returns an error that wraps ErrSyntax where b is not one JSON value.
+// Valid returns nil if b is a single JSON value, else an error that wraps ErrSyntax.
 func Valid(b []byte) error {
 	end, err := skipValue(b, skipSpace(b, 0), 0)
 	if err == nil && skipSpace(b, end) != len(b) {
@@ -232,10 +235,10 @@
 	return v, nil
 }
 
-// maxExactInteger is up to where a float64 has each integer.
+// maxExactInteger is the number up to which a float64 represents every integer exactly.
 const maxExactInteger = 1 << 53
 
-// Int decodes an integer of at most 2^53 in size, in any form that JSON allows.
+// Int decodes an integer of at most 2^53 in absolute value, in any form that JSON allows, such as 3e2.
 func Int(raw []byte) (int64, error) {
 	v, err := Number(raw)
 	if err == nil && (v != math.Trunc(v) || math.Abs(v) > maxExactInteger) {
@@ -255,7 +258,7 @@
 	return false, syntaxError(0, "neither true nor false")
 }
 
-// AppendString appends text as a JSON string.
+// AppendString appends text to dst as a JSON string.
 func AppendString(dst []byte, text []byte) []byte {
 	for _, c := range text {
 		if c < 0x20 || c >= 0x80 || c == '"' || c == '\\' {
--- a/internal/jsonscan/jsonscan_test.go
+++ b/internal/jsonscan/jsonscan_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// Values that are only forwarded must keep their bytes, including white space and escapes within them.
 func TestObjectHandsOutTheBytesThatCame(t *testing.T) {
 	got := map[string]string{}
 	err := Object([]byte(` {"a" : [1, 2] ,"b\u00e9":"x\"y","c":{"d" :null}}`), func(key string, raw []byte) error {
@@ -71,11 +72,12 @@
 	}
 }
 
+// FuzzValid checks that Valid accepts nothing that encoding/json rejects.
 func FuzzValid(f *testing.F) {
 	f.Add([]byte(`{"a":[1,-2.5e3,"\u00e9",true,null]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if Valid(b) == nil && !json.Valid(b) {
-			t.Errorf("%q passed", b)
+			t.Errorf("%q is invalid JSON but was accepted", b)
 		}
 	})
 }
--- a/internal/platformsettings/doc.go
+++ b/internal/platformsettings/doc.go
@@ -1,3 +1,3 @@
-// Package platformsettings reads the settings of the platform's protocol and translates them into those of the decision
-// module. It is the one place that maps the protocol's names of settings, classes and load values to the program's terms.
+// Package platformsettings parses the platform's settings and translates them into those of package policy. It is the only
+// place that maps the platform's names of settings, of fields of classes and of load values to the terms of this program.
 package platformsettings
--- a/internal/platformsettings/json.go
+++ b/internal/platformsettings/json.go
@@ -8,7 +8,7 @@
 	"alderproxy/internal/jsonscan"
 )
 
-// ParseJSON reads settings that are a nested JSON object, with the same names and units as the lines of Parse.
+// ParseJSON parses settings in the form of a nested JSON object, with the same names and units as the lines of Parse.
 func ParseJSON(object []byte) (*Values, error) {
 	v := &Values{texts: map[string]string{}}
 	if err := jsonscan.Object(object, v.flatten); err != nil {
@@ -18,7 +18,7 @@
 	return v, nil
 }
 
-// flatten adds a value, and those in it, by their paths.
+// flatten adds a value, or each value nested in it, under its path.
 func (v *Values) flatten(path string, raw []byte) error {
 	switch raw[0] {
 	case '{':
@@ -31,7 +31,8 @@
 	return err
 }
 
-// flattenArray adds an array of plain values as a list, and one of objects as a count and paths with each one's index.
+// flattenArray adds an array of scalars as a comma-separated list, and an array of objects as a count and the values in
+// each, with its index in their paths. An empty array is added in both forms.
 func (v *Values) flattenArray(path string, raw []byte) error {
 	var scalars []string
 	count := 0
@@ -56,7 +57,7 @@
 
 func joinPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 
-// scalarText returns a plain value as the lines of Parse would have it: names have no spaces or commas there.
+// scalarText returns a scalar in the form of the lines of Parse, in which texts have no spaces or commas.
 func scalarText(raw []byte) (string, error) {
 	if raw[0] != '"' {
 		return strings.TrimPrefix(string(raw), "null"), nil
--- a/internal/platformsettings/loadreport.go
+++ b/internal/platformsettings/loadreport.go
@@ -2,14 +2,14 @@
 
 import "alderproxy/policy"
 
-// Limits on the values of a load report, and its unit of time.
+// The exclusive upper limit of a load value, and the conversion of the unit of its latency.
 const (
 	maxLoadValue         = 1e9
 	microsPerMillisecond = 1000
 )
 
-// LoadReport returns the load report with some values, in the order of the settings' columns. Values that are negative, too
-// large or not numbers count as not reported.
+// LoadReport returns the load report with the given values, whose names are the setting feedback.columns, in this order.
+// Values that are negative, NaN, or 1e9 and above count as not reported.
 func (v *Values) LoadReport(values []float32) policy.LoadReport {
 	report := policy.NoLoadReport
 	fields := map[string]*float64{
@@ -21,7 +21,7 @@
 	}
 	for i, reported := range values[:min(len(values), len(v.loadColumns))] {
 		value := float64(reported)
-		if !(value >= 0 && value < maxLoadValue) { // also where it is not a number
+		if !(value >= 0 && value < maxLoadValue) { // true for NaN too
 			continue
 		}
 		if field := fields[v.loadColumns[i]]; field != nil {
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -6,15 +6,15 @@
 	"alderproxy/policy"
 )
 
-// idempotencyByEffect are the protocol's names of what a retry of a class does.
+// idempotencyByEffect maps the values of the platform's setting effect.
 var idempotencyByEffect = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentByKey,
 	"non_idempotent":  policy.NonIdempotent,
 }
 
-// Settings returns the decision module's settings. A missing value means none, as the protocol has it. The error names the
-// first value that cannot be read.
+// Settings returns the settings of package policy. A missing setting has its zero value, except that MinCoverage and
+// RequiredCoverage are 1 then, and that a class must have an effect. The error names the first setting that is invalid.
 func (v *Values) Settings() (policy.Settings, error) {
 	s := policy.Settings{
 		InstanceIndex:                 v.integer("my_number"),
--- a/internal/platformsettings/settings_test.go
+++ b/internal/platformsettings/settings_test.go
@@ -8,7 +8,8 @@
 	"alderproxy/policy"
 )
 
-// TestSettings reads settings with unknown keys and absent values.
+// TestSettings guards the defaults of missing settings, and checks that unknown paths are ignored and invalid values are
+// rejected.
 func TestSettings(t *testing.T) {
 	values := Parse("grades.count=2\ngrades.0.effect=non_idempotent\ngrades.0.promise_us=5\ngrades.1.effect=read_like\n" +
 		"family_info.least_share=0.8\nfeedback.columns=active,avg_ms\nguarantees.budget_span_us=9\nwhat.is.this=1\n")
@@ -18,23 +19,24 @@
 	}
 	if len(s.Classes) != 2 || s.Classes[0].Idempotency != policy.NonIdempotent || s.Classes[0].MinCoverage != 0.8 ||
 		s.Classes[1].MinCoverage != 1 || s.RetryBudgetWindow != 0 || s.AllowHealthChecks {
-		t.Fatalf("got %+v", s)
+		t.Fatalf("unexpected settings: %+v", s)
 	}
 	r := values.LoadReport([]float32{3, 1.5})
 	if r.InFlight != 3 || r.Latency != 1500 || r.Utilization != -1 {
-		t.Fatalf("report %+v", r)
+		t.Fatalf("unexpected load report: %+v", r)
 	}
 	if r := values.LoadReport([]float32{float32(math.NaN())}); r != policy.NoLoadReport {
-		t.Fatalf("report of no number %+v", r)
+		t.Fatalf("NaN counts as reported: %+v", r)
 	}
 	for _, bad := range []string{"tick_us=x", "grades.count=-1", "grades.count=1\ngrades.0.effect=odd", "tick_us=NaN"} {
 		if _, err := Parse(bad).Settings(); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("invalid setting %q was accepted", bad)
 		}
 	}
 }
 
-// The settings mean the same whether they come as lines or as a nested object.
+// Settings as lines and the same settings as a JSON object must have the same meaning: the simulator sends lines, and the
+// platform's configuration file is JSON.
 func TestSettingsFromLinesAndFromJSONAgree(t *testing.T) {
 	lines := "fleet_size=3\nmy_number=1\ntick_us=5000\ndcs=a_b,c\nrealms=\nrealms.count=0\nfamily_info.slices=12\n" +
 		"family_info.cells=6\nfamily_info.reach=1\nfamily_info.need_by_class=1.0,0.5\nfamily_info.least_share=1.0,0.5\n" +
@@ -55,17 +57,17 @@
 	}
 	got, err := values.Settings()
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v, error %v, want %+v", got, err, want)
+		t.Fatalf("from JSON: got %+v, error %v, want %+v", got, err, want)
 	}
 	if zones := values.List("dcs"); len(zones) != 2 || zones[0] != "a_b" {
-		t.Fatalf("zones %q", zones)
+		t.Fatalf("unexpected zones: %q", zones)
 	}
 	if r := values.LoadReport([]float32{3, 4}); r.RequestRate != 3 || r.Queued != 4 {
 		t.Fatalf("report %+v", r)
 	}
 	for _, bad := range []string{"", "[]", "{", `{"a":}`, `{"a":[1,{]}`} {
 		if _, err := ParseJSON([]byte(bad)); err == nil {
-			t.Errorf("%s: taken", bad)
+			t.Errorf("malformed JSON %q was accepted", bad)
 		}
 	}
 }
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -14,7 +14,7 @@
 	"alderproxy/policy"
 )
 
-// frame composes a batch from records given as hex (spaces allowed) and padded to their size.
+// frame composes a frame of records, which are given in hexadecimal (spaces allowed) and padded to their size, and a tail.
 func frame(clock uint64, tail []byte, records ...string) []byte {
 	var body []byte
 	for _, r := range records {
@@ -50,7 +50,7 @@
 	{ID: 0x2c9011f2, State: policy.Draining, Capacity: 1.5, StartedAt: 0x5d1420, RingPosition: 5},
 }
 
-// TestGoldenEvents decodes frames composed by hand, one for each event.
+// TestGoldenEvents guards the layout of each event on the wire: it decodes frames that were composed by hand.
 func TestGoldenEvents(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -70,16 +70,16 @@
 			policy.Part{ID: 0x166bb5d3a91c4, QueryNumber: 0x43560000, AffinityKey: 0x91f03b7c55d20a64, Weight: 0.125, CostHint: 12_000},
 		},
 		{"timer", "15 4d000000", nil, policy.TimerFired{}},
-		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{QueryID: 0x35a0f0e6f2b19}},
+		{"client canceled", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{QueryID: 0x35a0f0e6f2b19}},
 		{
-			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
+			"attempt result", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
 			AttemptResult{AttemptResult: policy.AttemptResult{
 				PartID: 0x166bb5d3a91c4, AttemptIndex: 1, ServerID: 0x03124a07, Status: policy.ConnectFailed,
 				Elapsed: 0x4844,
 			}, LoadValues: []float32{1, 2}, Final: true},
 		},
 		{
-			"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
+			"health check result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
 			HealthCheckResult{HealthCheckResult: policy.HealthCheckResult{ServerID: 0x2c9011f2, Elapsed: 0x578}, LoadValues: []float32{14.5, 7, 140}},
 		},
 		{
@@ -87,8 +87,8 @@
 			Streaming{PartID: 0x166bb5d3a91c4, AttemptIndex: 2, ServerID: 0x03124a07},
 		},
 		{"message", "17 0200 00000000 04000000", []byte("hi 7"), Message{From: 2, Data: []byte("hi 7")}},
-		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Seed: 7, Settings: "a=b"}},
-		{"down", "1b", nil, Stop{}},
+		{"start", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Seed: 7, Settings: "a=b"}},
+		{"stop", "1b", nil, Stop{}},
 		{"failed list", "18 ffff 0000000000000000 03", nil, List{Mode: Failed}},
 	}
 	for _, c := range cases {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestListNumbersAreReused reads a list number that is overwritten within one batch and once more in
-// the next: each event means the list sent last before it.
+// TestListNumbersAreReused guards against events that get the wrong list when a batch overwrites a list number: each event
+// refers to the list received last before it, also if that was in an earlier batch.
 func TestListNumbersAreReused(t *testing.T) {
 	first, second := "11 0000 00000000 02000000", "11 0000 15000000 01000000"
 	use := "18 0000 2900000000000000 01"
@@ -123,15 +123,15 @@
 	for i, want := range [][]policy.Endpoint{listEndpoints, listEndpoints[1:], listEndpoints[1:]} {
 		got := append(a.Events, b.Events...)[i].Value.(List)
 		if !reflect.DeepEqual(got.Entries, want) || got.Version != 0x29 || got.Mode != Full {
-			t.Fatalf("use %d: got %+v, want entries %+v", i, got, want)
+			t.Fatalf("event %d: got %+v, want entries %+v", i, got, want)
 		}
 	}
 	if _, err := d.Next(); !errors.Is(err, io.EOF) {
-		t.Fatalf("at the end: %v", err)
+		t.Fatalf("at the end of the input: got error %v, want io.EOF", err)
 	}
 }
 
-// TestApply brings an instance's own list up to date by deltas and full lists.
+// TestApply applies a cached list, a delta that removes an endpoint, and a full list, each to the result before.
 func TestApply(t *testing.T) {
 	removed := listEndpoints[0]
 	removed.State = policy.Removed
@@ -147,35 +147,35 @@
 	}
 }
 
-// TestMalformed gives each kind of bad frame; none may pass, panic or end as a plain end of input.
+// TestMalformed guards against malformed frames that are accepted, cause a panic or are taken for the end of the input.
 func TestMalformed(t *testing.T) {
 	huge := frame(1, nil)
 	binary.LittleEndian.PutUint32(huge[4:], math.MaxUint32)
 	count := frame(1, nil)
 	binary.LittleEndian.PutUint32(count[0:], math.MaxUint32)
 	cases := map[string][]byte{
-		"cut header":         frame(1, nil)[:7],
-		"cut body":           frame(1, nil, selectInstance3)[:40],
-		"size without bytes": huge,
-		"impossible count":   count,
-		"unknown code":       frame(1, nil, selectInstance3, "63"),
-		"no instance":        frame(1, nil, "15"),
-		"outcome code":       frame(1, nil, selectInstance3, "12 c4913a5dbb660100 0000 074a1203 09"),
-		"report size":        frame(1, nil, selectInstance3, "16 78050000 f211902c 01 05"),
-		"tail offset":        frame(1, []byte("abc"), selectInstance3, "19 0700000000000000 01000000 03000000"),
-		"tail overflow":      frame(1, nil, selectInstance3, "11 0000 ffffffff ffffffff"),
-		"list never sent":    frame(1, nil, selectInstance3, "18 0000 0000000000000000 01"),
-		"list number":        frame(1, listEntries, selectInstance3, "11 1000 00000000 02000000"),
-		"list mode":          frame(1, nil, selectInstance3, "18 0000 0000000000000000 04"),
+		"truncated header":         frame(1, nil)[:7],
+		"truncated body":           frame(1, nil, selectInstance3)[:40],
+		"body size too large":      huge,
+		"record count too large":   count,
+		"unknown event code":       frame(1, nil, selectInstance3, "63"),
+		"no instance selected":     frame(1, nil, "15"),
+		"unknown status code":      frame(1, nil, selectInstance3, "12 c4913a5dbb660100 0000 074a1203 09"),
+		"load report too long":     frame(1, nil, selectInstance3, "16 78050000 f211902c 01 05"),
+		"tail offset out of range": frame(1, []byte("abc"), selectInstance3, "19 0700000000000000 01000000 03000000"),
+		"tail size overflow":       frame(1, nil, selectInstance3, "11 0000 ffffffff ffffffff"),
+		"list not received":        frame(1, nil, selectInstance3, "18 0000 0000000000000000 01"),
+		"list number out of range": frame(1, listEntries, selectInstance3, "11 1000 00000000 02000000"),
+		"unknown list mode":        frame(1, nil, selectInstance3, "18 0000 0000000000000000 04"),
 	}
 	for name, in := range cases {
 		if _, err := NewDecoder(bytes.NewReader(in)).Next(); !errors.Is(err, ErrFrame) {
-			t.Errorf("%s: got %v, want a malformed frame", name, err)
+			t.Errorf("%s: got error %v, want ErrFrame", name, err)
 		}
 	}
 }
 
-// TestGoldenReply encodes each action against bytes composed by hand.
+// TestGoldenReply guards the layout of each action on the wire: it compares the encoded actions with bytes composed by hand.
 func TestGoldenReply(t *testing.T) {
 	id := uint64(0x166bb5d3a91c4)
 	cases := []struct {
@@ -212,11 +212,11 @@
 		}
 	}
 	if err := WriteActions(io.Discard, []Addressed{{1, 7}}); err == nil {
-		t.Error("an action without a code was written")
+		t.Error("WriteActions accepted a value that is not an action")
 	}
 }
 
-// FuzzDecoder: whatever comes in, the decoder ends with io.EOF or a malformed frame.
+// FuzzDecoder checks that the decoder ends with io.EOF or ErrFrame for any input.
 func FuzzDecoder(f *testing.F) {
 	f.Add(frame(1, listEntries, selectInstance3, "11 0000 00000000 02000000", "18 0000 2900000000000000 01", "15"))
 	f.Add(frame(1, []byte("a=b"), selectInstance3, "19 0700000000000000 00000000 03000000", "1b"))
@@ -228,7 +228,7 @@
 				return
 			} else if err != nil {
 				if !errors.Is(err, ErrFrame) {
-					t.Fatalf("odd error %v", err)
+					t.Fatalf("got error %v, want io.EOF or ErrFrame", err)
 				}
 				return
 			}
--- a/internal/simcodec/codes.go
+++ b/internal/simcodec/codes.go
@@ -1,6 +1,6 @@
 package simcodec
 
-// Sizes in bytes, and how many numbered lists there are.
+// Sizes in bytes, and the number of endpoint lists that the protocol can refer to by number.
 const (
 	batchHeaderSize  = 16
 	eventSize        = 48
@@ -10,7 +10,8 @@
 	maxLists         = 16
 )
 
-// Codes of the events.
+// Codes of the event records. eventSelectInstance, TO in the protocol, is no event: it selects the instance that the events
+// after it concern.
 const (
 	eventRequest           = 16
 	eventList              = 17
@@ -26,7 +27,8 @@
 	eventStop              = 27
 )
 
-// Codes of the actions.
+// Codes of the action records. actionSelectInstance, FOR in the protocol, is no action: it selects the instance that the
+// actions after it concern.
 const (
 	actionSendAttempt    = 16
 	actionReject         = 17
--- a/internal/simcodec/decode.go
+++ b/internal/simcodec/decode.go
@@ -12,17 +12,17 @@
 	"alderproxy/policy"
 )
 
-// ErrFrame is wrapped by every error about bytes that do not follow the protocol.
+// ErrFrame is wrapped by every error about input that violates the protocol.
 var ErrFrame = errors.New("malformed frame")
 
 const (
-	// maxLoadValues bounds the values of a load report.
+	// maxLoadValues is the maximum number of values in a load report.
 	maxLoadValues = 4
-	// maxExactFloat32 is where a float32 stops to have each integer.
+	// maxExactFloat32 is the number up to which a float32 represents every integer exactly.
 	maxExactFloat32 = 1 << 24
 )
 
-// Decoder reads batches. It keeps the numbered endpoint lists, since a batch may refer to one of an earlier batch.
+// Decoder reads batches. It keeps the numbered endpoint lists, since a batch may refer to a list of an earlier batch.
 type Decoder struct {
 	input        io.Reader
 	lists        [maxLists][]policy.Endpoint
@@ -37,14 +37,14 @@
 	return fmt.Errorf("%w: %s", ErrFrame, fmt.Sprintf(format, args...))
 }
 
-// Next reads one batch. Its error is io.EOF where the input ends between frames, else it wraps ErrFrame or the error of the
-// input.
+// Next reads one batch. Its error is io.EOF if the input ends between two frames; any other error wraps ErrFrame or the
+// error of the input.
 func (d *Decoder) Next() (Batch, error) {
 	var head [batchHeaderSize]byte
 	if n, err := io.ReadFull(d.input, head[:]); errors.Is(err, io.EOF) {
 		return Batch{}, io.EOF
 	} else if err != nil {
-		return Batch{}, fmt.Errorf("frame %d: header cut off after %d bytes: %w", d.framesRead, n, truncationError(err))
+		return Batch{}, fmt.Errorf("frame %d: header truncated after %d bytes: %w", d.framesRead, n, truncationError(err))
 	}
 	count := int64(binary.LittleEndian.Uint32(head[0:]))
 	size := int64(binary.LittleEndian.Uint32(head[4:]))
@@ -52,10 +52,10 @@
 		return Batch{}, fmt.Errorf("frame %d: %w", d.framesRead,
 			malformed("%d records do not fit into %d bytes", count, size))
 	}
-	// The buffer grows with the bytes that arrive: an announced size allocates nothing.
+	// The buffer grows as data arrives, so that a large announced size alone allocates no memory.
 	var body bytes.Buffer
 	if n, err := io.CopyN(&body, d.input, size); err != nil {
-		return Batch{}, fmt.Errorf("frame %d: body cut off after %d of %d bytes: %w", d.framesRead, n, size, truncationError(err))
+		return Batch{}, fmt.Errorf("frame %d: body truncated after %d of %d bytes: %w", d.framesRead, n, size, truncationError(err))
 	}
 	batch := Batch{Clock: policy.Micros(binary.LittleEndian.Uint64(head[8:]))}
 	if err := d.decodeRecords(&batch, body.Bytes(), int(count)); err != nil {
@@ -65,6 +65,7 @@
 	return batch, nil
 }
 
+// truncationError returns ErrFrame for an end of the input within a frame, and any other error unchanged.
 func truncationError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrFrame
@@ -72,7 +73,8 @@
 	return err
 }
 
-// decodeRecords decodes the records of a frame, behind which its tail has the data of variable size.
+// decodeRecords decodes the records of a frame, and adds their events to the batch. After the records, the frame has a tail
+// with the data of variable size.
 func (d *Decoder) decodeRecords(batch *Batch, body []byte, count int) error {
 	tail := body[count*eventSize:]
 	addressed := false
@@ -92,7 +94,7 @@
 		}
 		value, err := d.decodeEvent(rec, tail)
 		if err == nil && !addressed {
-			err = malformed("event %d comes before any TO", rec[0])
+			err = malformed("event code %d precedes the first TO record", rec[0])
 		}
 		if err != nil {
 			return fmt.Errorf("record %d: %w", i, err)
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// decodeEvent decodes one record. The numbers are offsets in it, as the protocol has them.
+// decodeEvent decodes one record. The numbers are the protocol's offsets in the record.
 func (d *Decoder) decodeEvent(rec record, tail []byte) (any, error) {
 	switch rec[0] {
 	case eventRequest:
@@ -142,15 +144,15 @@
 
 func (r record) f32(at int) float32 { return math.Float32frombits(r.u32(at)) }
 
-// The flags of a request.
+// Flags of a request.
 const (
 	flagCostHint = 1
 	flagRetry    = 2
 )
 
-// decodeRequest decodes a query, or one of its parts where the record names a shard.
+// decodeRequest decodes a part if the record names a shard, else a query.
 func (r record) decodeRequest() any {
-	numberBits := uint64(r.u32(33)) // the bits of an f32: they are compared only
+	numberBits := uint64(r.u32(33)) // the bits of a float32, used for comparison only
 	if shard := r.f32(37); shard >= 0 {
 		part := policy.Part{
 			ID: r.u64(1), QueryNumber: numberBits, Shard: decodeCount(shard), AffinityKey: r.u64(13),
@@ -168,7 +170,7 @@
 	}
 }
 
-// decodeCount reads a count that is sent as f32; -1: it is not a count.
+// decodeCount returns a count that is sent as a float32, or -1 if the number is not a count.
 func decodeCount(f float32) int {
 	if f >= 0 && f < maxExactFloat32 {
 		return int(f)
@@ -176,11 +178,11 @@
 	return -1
 }
 
-// loadValues reads the values of a load report, with their number before them.
+// loadValues returns the values of a load report, which follow their number.
 func (r record) loadValues(at int) ([]float32, error) {
 	count := int(r[at])
 	if count > maxLoadValues {
-		return nil, malformed("load report of %d values", count)
+		return nil, malformed("load report has too many values: %d", count)
 	}
 	var values []float32
 	for i := range count {
@@ -189,7 +191,7 @@
 	return values, nil
 }
 
-// statusByCode are the protocol's codes of results.
+// statusByCode maps the protocol's status codes. Code 0 is invalid.
 var statusByCode = [...]policy.Status{
 	1: policy.OK,
 	2: policy.ServerError,
@@ -203,7 +205,7 @@
 
 func decodeStatus(code byte) (policy.Status, error) {
 	if code == 0 || int(code) >= len(statusByCode) {
-		return policy.ServerError, malformed("outcome code %d", code)
+		return policy.ServerError, malformed("unknown status code %d", code)
 	}
 	return statusByCode[code], nil
 }
@@ -228,12 +230,12 @@
 	return HealthCheckResult{HealthCheckResult: result, LoadValues: values}, cmp.Or(err, statusErr)
 }
 
-// tailSlice returns the part of the tail with a number of units of some bytes each.
+// tailSlice returns the slice of the tail at an offset that holds count units of unitSize bytes each.
 func tailSlice(tail []byte, offset, count uint32, unitSize int) ([]byte, error) {
 	from := int64(offset)
 	size := int64(count) * int64(unitSize)
 	if from+size > int64(len(tail)) {
-		return nil, malformed("%d bytes at %d lie beyond the tail of %d", size, from, len(tail))
+		return nil, malformed("%d bytes at offset %d exceed the tail of %d bytes", size, from, len(tail))
 	}
 	return tail[from : from+size], nil
 }
--- a/internal/simcodec/doc.go
+++ b/internal/simcodec/doc.go
@@ -1,3 +1,3 @@
-// Package simcodec decodes the events of the simulator's protocol into the decision module's types and encodes its actions.
-// The platform's protocol names the settings in the same way, so it translates these too. It decides nothing.
+// Package simcodec decodes the events of the simulator's binary protocol into the types of package policy, and encodes the
+// actions of that package. The settings of an instance stay text, which package platformsettings parses.
 package simcodec
--- a/internal/simcodec/encode.go
+++ b/internal/simcodec/encode.go
@@ -9,7 +9,7 @@
 	"alderproxy/policy"
 )
 
-// Actions of the protocol that the decision module does not use.
+// Actions of the protocol that have no type in package policy.
 type (
 	// RequestList requests the complete endpoint list once.
 	RequestList struct{}
@@ -20,11 +20,11 @@
 		To   uint16
 		Data []byte
 	}
-	// Crash reports that the decision module panicked.
+	// Crash reports that the code of package policy panicked.
 	Crash struct{ Text string }
 )
 
-// WriteActions writes one frame with actions, in order.
+// WriteActions writes one frame with the actions, in their order.
 func WriteActions(out io.Writer, actions []Addressed) error {
 	e := encoder{}
 	for i, a := range actions {
@@ -42,29 +42,30 @@
 	frame = append(frame, e.records...)
 	frame = append(frame, e.tail...)
 	if _, err := out.Write(frame); err != nil {
-		return fmt.Errorf("write reply: %w", err)
+		return fmt.Errorf("write actions: %w", err)
 	}
 	return nil
 }
 
-// encoder composes a frame: records of a fixed size and a tail with data of variable size.
+// encoder composes a frame of records of a fixed size and a tail with data of variable size.
 type encoder struct {
 	records []byte
 	tail    []byte
-	current []byte // the record that is being written, a part of records
+	current []byte // the record that is being written; a slice of records
 }
 
+// beginRecord appends a record with a code and makes it the current one.
 func (e *encoder) beginRecord(code byte) {
 	e.records = append(e.records, make([]byte, actionSize)...)
 	e.current = e.records[len(e.records)-actionSize:]
 	e.current[0] = code
 }
 
-// putU16 and u32 write a number at an offset in the current record.
+// putU16 and putU32 write a number at an offset in the current record.
 func (e *encoder) putU16(at int, v uint16) { binary.LittleEndian.PutUint16(e.current[at:], v) }
 func (e *encoder) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(e.current[at:], v) }
 
-// putID writes the putID of a part or query, which is the first field of an action.
+// putID writes the ID of a part or query, which is the first field of its actions.
 func (e *encoder) putID(v uint64) { binary.LittleEndian.PutUint64(e.current[1:], v) }
 
 func (e *encoder) putBool(at int, v bool) {
@@ -73,12 +74,14 @@
 	}
 }
 
+// putData adds data to the tail and writes its offset and its size in the current record.
 func (e *encoder) putData(at int, data string) {
 	e.putU32(at, uint32(len(e.tail)))
 	e.putU32(at+4, uint32(len(data)))
 	e.tail = append(e.tail, data...)
 }
 
+// clampMicros limits a duration to the range that the protocol allows.
 func clampMicros(v policy.Micros) uint32 { return uint32(min(max(v, 0), math.MaxInt32)) }
 
 func (e *encoder) encode(action any) error {
@@ -130,7 +133,7 @@
 		e.beginRecord(actionCrash)
 		e.putData(1, a.Text)
 	default:
-		return fmt.Errorf("no code for %T", action)
+		return fmt.Errorf("no action code for type %T", action)
 	}
 	return nil
 }
--- a/internal/simcodec/events.go
+++ b/internal/simcodec/events.go
@@ -7,13 +7,13 @@
 	"alderproxy/policy"
 )
 
-// Batch is one frame of events, in the order in which they happened.
+// Batch is one frame of events, in the order in which they occurred.
 type Batch struct {
 	Clock  policy.Micros
 	Events []Addressed
 }
 
-// Addressed is an event or action with the number of the instance that it concerns.
+// Addressed is an event or action and the number of the instance that it concerns.
 type Addressed struct {
 	Instance uint16
 	Value    any
@@ -21,33 +21,33 @@
 
 // Start starts an instance.
 type Start struct {
-	Seed     uint64 // the seed of its random numbers
-	Settings string // see platformsettings.Parse
+	Seed     uint64 // the seed of the instance's random numbers
+	Settings string // in the form that platformsettings.Parse reads
 }
 
-// Stop kills an instance.
+// Stop terminates an instance without notice.
 type Stop struct{}
 
-// ListMode says how a List relates to the list before.
+// ListMode is the relation of a List to the list that the instance has.
 type ListMode uint8
 
-// The modes of a list.
+// List modes.
 const (
-	Delta  ListMode = iota // it has the endpoints that changed
-	Full                   // it has all endpoints
-	Cached                 // it has all endpoints as they were known before
-	Failed                 // the list could not be read
+	Delta  ListMode = iota // contains the endpoints that changed
+	Full                   // contains all endpoints
+	Cached                 // contains all endpoints as they were last known
+	Failed                 // contains nothing, as the list could not be read
 )
 
-// List is an endpoint list, or a change of it.
+// List is an endpoint list or a change to one.
 type List struct {
 	Version uint64
 	Mode    ListMode
 	Entries []policy.Endpoint
 }
 
-// Apply returns the endpoint list after a change, sorted by id. A delta replaces the endpoints that it has, any other mode
-// replaces the whole list.
+// Apply returns the endpoint list that results from the current one, sorted by ID. A delta replaces the endpoints that it
+// contains, any other mode replaces the whole list. Endpoints in the state Removed are left out.
 func (l List) Apply(current []policy.Endpoint) []policy.Endpoint {
 	byID := map[uint32]policy.Endpoint{}
 	if l.Mode == Delta {
@@ -68,20 +68,21 @@
 	return endpoints
 }
 
-// Streaming says that an answer has begun to arrive.
+// Streaming reports that the answer to an attempt has begun to arrive.
 type Streaming struct {
 	PartID       uint64
 	AttemptIndex int
 	ServerID     uint32
 }
 
-// Message is a message of another instance.
+// Message is a message from another instance.
 type Message struct {
 	From uint16
 	Data []byte
 }
 
-// AttemptResult is the result of an attempt with the values of its load report, which platformsettings.Values.LoadReport names.
+// AttemptResult is the result of an attempt with the values of its load report, which platformsettings.Values.LoadReport
+// decodes.
 type AttemptResult struct {
 	policy.AttemptResult
 
@@ -89,7 +90,8 @@
 	Final      bool
 }
 
-// HealthCheckResult is the result of a health check with the values of its load report, which platformsettings.Values.LoadReport names.
+// HealthCheckResult is the result of a health check with the values of its load report, which
+// platformsettings.Values.LoadReport decodes.
 type HealthCheckResult struct {
 	policy.HealthCheckResult
 
--- a/internal/simcodec/lists.go
+++ b/internal/simcodec/lists.go
@@ -6,11 +6,11 @@
 	"alderproxy/policy"
 )
 
-// decodeList decodes a numbered endpoint list, which later records refer to.
+// decodeList decodes an endpoint list and keeps it under its number, by which later records refer to it.
 func (d *Decoder) decodeList(rec record, tail []byte) error {
 	number := rec.u16(1)
 	if number >= maxLists {
-		return malformed("list number %d", number)
+		return malformed("list number %d is out of range", number)
 	}
 	raw, err := tailSlice(tail, rec.u32(3), rec.u32(7), listEntrySize)
 	if err != nil {
@@ -20,7 +20,7 @@
 	for ; len(raw) > 0; raw = raw[listEntrySize:] {
 		entry := record(raw[:listEntrySize])
 		if entry[9] > 2 {
-			return malformed("list %d: availability %d", number, entry[9])
+			return malformed("list %d: unknown endpoint state code %d", number, entry[9])
 		}
 		list = append(list, policy.Endpoint{
 			ID: entry.u32(5), State: endpointStates[entry[9]], RingPosition: int(entry.u16(18)),
@@ -32,21 +32,22 @@
 	return nil
 }
 
+// endpointStates maps the protocol's codes of endpoint states.
 var endpointStates = [3]policy.EndpointState{policy.Removed, policy.Ready, policy.Draining}
 
-// decodeListChange decodes an endpoint list that an instance gets.
+// decodeListChange decodes a list, or a change to it, that an instance receives. The record refers to it by its number.
 func (d *Decoder) decodeListChange(rec record) (List, error) {
 	number := rec.u16(1)
 	mode := ListMode(rec[11])
 	list := List{Version: rec.u64(3), Mode: mode}
 	if mode > Failed {
-		return List{}, malformed("list mode %d", mode)
+		return List{}, malformed("unknown list mode %d", mode)
 	}
 	if mode == Failed {
 		return list, nil
 	}
 	if number >= maxLists || !d.listReceived[number] {
-		return List{}, malformed("list %d was never sent", number)
+		return List{}, malformed("list %d has not been received", number)
 	}
 	list.Entries = d.lists[number]
 	return list, nil
