--- a/internal/faultnet/connections.go
+++ b/internal/faultnet/connections.go
@@ -12,18 +12,18 @@
 	"alderproxy/peer"
 )
 
-// dialTimeout bounds the connection from a proxy to its instance.
+// dialTimeout limits the time in which a proxy connects to its instance.
 const dialTimeout = 2 * time.Second
 
-// ConnectionProxy stands before an instance's listener for other instances.
+// ConnectionProxy is a proxy in front of an instance's listener for connections from other instances.
 type ConnectionProxy struct {
 	network  *Network
 	name     string
 	listener net.Listener
-	target   atomic.Pointer[string] // nil: none yet
+	target   atomic.Pointer[string] // nil: not set yet
 }
 
-// ProxyConnections starts a proxy before an instance. Connections are forwarded to it after SetTarget.
+// ProxyConnections starts a proxy in front of an instance. The proxy closes connections until SetTarget is called.
 func (n *Network) ProxyConnections(name string, listener net.Listener) *ConnectionProxy {
 	p := &ConnectionProxy{network: n, name: name, listener: listener}
 	go func() {
@@ -38,13 +38,13 @@
 	return p
 }
 
-// Addr returns the address by which the others know the instance.
+// Addr returns the address that other instances use for the instance.
 func (p *ConnectionProxy) Addr() string { return p.listener.Addr().String() }
 
-// SetTarget sets the address of the instance.
+// SetTarget sets the address to which the proxy forwards, that of the instance.
 func (p *ConnectionProxy) SetTarget(addr string) { p.target.Store(&addr) }
 
-// forward forwards a connection until one side closes it. Its first frame, the handshake, names the instance that dials.
+// forward forwards a connection until one side closes it. The first frame, the handshake, names the dialing instance.
 func (p *ConnectionProxy) forward(in net.Conn) {
 	defer in.Close()
 	reader := bufio.NewReader(in)
@@ -75,7 +75,7 @@
 	}
 }
 
-// forwardFrames forwards frames in one direction until a read or write fails, and then closes the receiver's connection.
+// forwardFrames forwards frames in one direction until a read or write fails, and then closes the connection to the receiver.
 func (n *Network) forwardFrames(from, to string, r io.Reader, w net.Conn) {
 	defer w.Close()
 	for {
@@ -89,7 +89,7 @@
 	}
 }
 
-// forwardFrame writes as many copies of a frame as pass.
+// forwardFrame writes a frame after its delay, in none, one or two copies.
 func (n *Network) forwardFrame(from, to string, frame peer.Frame, w io.Writer) error {
 	n.Frames.Add(1)
 	copies, delay := n.drawFaults(from, to)
--- a/internal/faultnet/datagrams.go
+++ b/internal/faultnet/datagrams.go
@@ -10,17 +10,17 @@
 // maxDatagramBytes is the size of the buffer for a datagram.
 const maxDatagramBytes = 2048
 
-// DatagramProxy stands before an instance's UDP socket, by the same rules as a ConnectionProxy before its listener. What one
-// instance sends to another's proxy is forwarded from its own proxy, so that each sees the others at the addresses that it
-// knows.
+// DatagramProxy is a proxy in front of an instance's UDP socket, to which the same rules apply as to a ConnectionProxy. It
+// forwards a datagram from the socket of the sender's proxy, so that the receiver sees the address that it knows for the
+// sender.
 type DatagramProxy struct {
 	network *Network
 	name    string
 	conn    *net.UDPConn
-	target  netip.AddrPort // guarded by the network's lock
+	target  netip.AddrPort // protected by network.mu
 }
 
-// ProxyDatagrams starts a proxy before an instance. Datagrams are forwarded to it after SetTarget.
+// ProxyDatagrams starts a proxy in front of an instance. The proxy drops datagrams until SetTarget is called.
 func (n *Network) ProxyDatagrams(name string) (*DatagramProxy, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -31,10 +31,11 @@
 	return p, nil
 }
 
-// Addr returns the address by which the others know the instance.
+// Addr returns the address that other instances use for the instance.
 func (p *DatagramProxy) Addr() netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// SetTarget sets the address of the instance.
+// SetTarget sets the address to which the proxy forwards, that of the instance. Datagrams from that address count as sent by
+// the instance.
 func (p *DatagramProxy) SetTarget(addr string) error {
 	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// Close ends the proxy.
+// Close closes the proxy's socket.
 func (p *DatagramProxy) Close() error { return p.conn.Close() }
 
 // forward forwards datagrams until the proxy is closed.
@@ -68,7 +69,7 @@
 		p.network.Datagrams.Add(1)
 		copies, delay := p.network.drawFaults(sender.name, p.name)
 		datagram := slices.Clone(buffer[:size])
-		for range copies { // one after the other
+		for range copies { // the second copy has twice the delay
 			time.AfterFunc(delay, func() {
 				_, _ = sender.conn.WriteToUDPAddrPort(datagram, target) // a datagram may be lost
 			})
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -1,5 +1,5 @@
-// Package faultnet puts faults on the network between real instances: proxies stand before each of them and lose, delay,
-// duplicate and cut off what they send each other, by sender and receiver.
+// Package faultnet injects faults into the network between real instances. Proxies in front of the instances lose, delay,
+// duplicate or block the frames and datagrams between them, by rules for each sender and receiver.
 package faultnet
 
 import (
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// Rule is the faults in one direction between two instances.
+// Rule describes the faults in one direction between two instances.
 type Rule struct {
 	LossPercent      int
 	DuplicatePercent int
-	MaxDelay         time.Duration // delays are drawn evenly below it
-	Cut              bool          // nothing passes
+	MaxDelay         time.Duration // delays are uniformly distributed below it
+	Cut              bool          // blocks everything
 }
 
-// direction is from one instance to another.
+// direction is the direction from one instance to another, by their names.
 type direction struct{ from, to string }
 
-// Network is the directions between all instances. An instance's name is its id up to the first dot.
+// Network is the network between all instances. The name of an instance is its ID up to the first dot.
 type Network struct {
-	Frames     atomic.Int64 // that came to a proxy
-	Datagrams  atomic.Int64 // that came to a proxy
-	Lost       atomic.Int64
-	Duplicated atomic.Int64
+	Frames     atomic.Int64 // frames that proxies received
+	Datagrams  atomic.Int64 // datagrams from known senders to proxies with a target
+	Lost       atomic.Int64 // frames and datagrams that were lost or blocked
+	Duplicated atomic.Int64 // frames and datagrams that were duplicated
 
 	mu              sync.Mutex
 	random          *rand.Rand
 	rules           map[direction]Rule
 	defaultRule     Rule
-	datagramProxies map[netip.AddrPort]*DatagramProxy // by the address that the instance sends from
+	datagramProxies map[netip.AddrPort]*DatagramProxy // by the address of the instance
 }
 
-// New returns a network without faults. Its random numbers are drawn from the seed.
+// New returns a network without faults. Its random numbers derive from the seed.
 func New(seed uint64) *Network {
 	return &Network{
 		random:          rand.New(rand.NewPCG(seed, 3)),
@@ -66,7 +66,7 @@
 	n.defaultRule = Rule{}
 }
 
-// Isolate cuts an instance off from others, in both directions.
+// Isolate blocks everything between an instance and others, in both directions.
 func (n *Network) Isolate(name string, others ...string) {
 	for _, other := range others {
 		n.Set(name, other, Rule{Cut: true})
@@ -74,7 +74,7 @@
 	}
 }
 
-// ruleFor returns the faults in a direction. The caller holds the lock.
+// ruleFor returns the rule for a direction. The caller must hold n.mu.
 func (n *Network) ruleFor(from, to string) Rule {
 	if r, hasRule := n.rules[direction{from, to}]; hasRule {
 		return r
@@ -82,7 +82,7 @@
 	return n.defaultRule
 }
 
-// drawFaults returns how many copies of a frame or datagram pass, and after which delay.
+// drawFaults returns the number of copies of a frame or datagram to forward, and the delay before them.
 func (n *Network) drawFaults(from, to string) (copies int, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simnet/event_queue.go
+++ b/internal/simnet/event_queue.go
@@ -5,18 +5,18 @@
 	"container/heap"
 )
 
-// event is a callback that is called at a time.
+// event is a callback that is due at a time.
 type event struct {
 	at Micros
-	// firstDueAt is the time for which it was scheduled. Events that a pause postponed are called in this order.
+	// firstDueAt is the time for which the event was scheduled. Events that a pause postponed are called in this order.
 	firstDueAt  Micros
-	sequence    uint64 // orders events of the same time
+	sequence    uint64 // orders events that were scheduled for the same time
 	node        NodeID
-	incarnation int // of the node
+	incarnation int // of the node, when the event was scheduled
 	callback    func()
 }
 
-// push schedules an event of the current incarnation of a node.
+// push schedules a callback for the current incarnation of a node.
 func (n *Network) push(at Micros, id NodeID, callback func()) {
 	n.lastSequence++
 	heap.Push(&n.queue, event{
@@ -29,7 +29,7 @@
 	})
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events whose first element is the next event.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -47,7 +47,7 @@
 // Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop implements heap.Interface. It releases the callback's memory.
+// Pop implements heap.Interface. It clears the callback in the slice, so that its memory can be freed.
 func (q *eventQueue) Pop() any {
 	end := len(*q) - 1
 	last := (*q)[end]
--- a/internal/simnet/fault.go
+++ b/internal/simnet/fault.go
@@ -1,13 +1,13 @@
 package simnet
 
-// SetLink sets the link from one node to another, in this direction only.
+// SetLink sets the properties of the link from one node to another, in this direction only.
 func (n *Network) SetLink(from, to NodeID, link Link) { n.links[route{from, to}] = link }
 
-// Cut blocks the messages from each of some nodes to each of others, in this direction only. Messages that were sent
-// before still arrive. Cuts add up: a route is open again once each of its cuts was healed.
+// Cut blocks the messages from each node of from to each node of to, in this direction only. Messages that were sent
+// before still arrive. Cuts are counted: a route is open again once each of its cuts has been healed.
 func (n *Network) Cut(from, to []NodeID) { n.addCuts(from, to, 1) }
 
-// Heal ends one Cut of the same nodes.
+// Heal undoes one Cut of the same nodes.
 func (n *Network) Heal(from, to []NodeID) { n.addCuts(from, to, -1) }
 
 func (n *Network) addCuts(from, to []NodeID, delta int) {
@@ -25,7 +25,8 @@
 	}
 }
 
-// Pause pauses a node as SIGSTOP does: its timers and messages reach it after the pause, in their order.
+// Pause pauses a node for a duration, like SIGSTOP: timers and messages that are due during the pause are handled after it,
+// in their order.
 func (n *Network) Pause(id NodeID, duration Micros) {
 	target := n.node(id)
 	target.pausedUntil = max(target.pausedUntil, n.now+duration)
@@ -39,8 +40,8 @@
 	target.pausedUntil = 0
 }
 
-// Restart makes a killed node alive again.
+// Restart starts a killed node again.
 func (n *Network) Restart(id NodeID) { n.node(id).dead = false }
 
-// IsAlive reports whether a node was not killed, or was restarted since.
+// IsAlive reports whether a node was never killed or was restarted after it was killed.
 func (n *Network) IsAlive(id NodeID) bool { return !n.node(id).dead }
--- a/internal/simnet/simfleet/aggregator.go
+++ b/internal/simnet/simfleet/aggregator.go
@@ -7,16 +7,17 @@
 	"alderproxy/policy"
 )
 
-// Aggregator is one aggregator of a fleet.
+// Aggregator is an aggregator of a fleet.
 type Aggregator struct {
 	fleet  *Fleet
-	node   simnet.NodeID // its index in the fleet
+	node   simnet.NodeID // the aggregator's index in the fleet
 	policy *policy.Aggregator
-	// connectionUsedAt is when the connection to the store of an ID was last used. Stores without one are missing.
+	// connectionUsedAt is the time of the last use of the connection to a store, by the store's ID. There is no
+	// connection to a store without an entry.
 	connectionUsedAt map[uint32]Micros
 	openQueries      map[uint64]*query
 	parts            map[uint64]*part
-	lastID           uint64 // of a query or part
+	lastID           uint64 // the last ID that was assigned to a query or part
 }
 
 // query is a query of a client.
@@ -45,13 +46,13 @@
 	finished  bool
 }
 
-// start starts a process of the aggregator.
+// start starts the aggregator with no state but the current endpoint list.
 func (a *Aggregator) start() {
 	settings := a.fleet.scenario.Settings
 	settings.InstanceIndex = int(a.node)
 	aggregator, err := policy.New(settings, a.fleet.scenario.Seed)
 	if err != nil {
-		panic(err) // the test's own settings are invalid
+		panic(err) // the settings of the test's scenario are invalid
 	}
 	a.policy = aggregator
 	a.connectionUsedAt = map[uint32]Micros{}
@@ -60,7 +61,8 @@
 	a.step(policy.EndpointList{Endpoints: a.fleet.endpoints()})
 }
 
-// accept accepts a query.
+// accept accepts a query and passes it and its parts to the policy, or sends the parts to random replicas if the scenario
+// says so.
 func (a *Aggregator) accept(q *query) {
 	q.id = a.nextID()
 	a.openQueries[q.id] = q
@@ -86,7 +88,7 @@
 	return a.lastID
 }
 
-// step hands events to the policy and carries out its actions.
+// step passes events to the policy and performs the resulting actions.
 func (a *Aggregator) step(events ...policy.Event) {
 	for _, action := range a.policy.Step(a.fleet.Network.Now(), events) {
 		a.perform(action)
@@ -117,12 +119,12 @@
 	}
 }
 
-// stepLater hands an event to the policy at the same time, after the current step.
+// stepLater passes an event to the policy at the current time, but after the current step.
 func (a *Aggregator) stepLater(event policy.Event) {
 	a.fleet.Network.Schedule(a.node, 0, func() { a.step(event) })
 }
 
-// finishQuery adds the outcome of an open query to the result.
+// finishQuery closes a query and adds its outcome to the result. It does nothing if the query is not open.
 func (a *Aggregator) finishQuery(q *query, outcome queryOutcome) {
 	if q == nil || a.openQueries[q.id] != q {
 		return
@@ -154,7 +156,7 @@
 	}
 }
 
-// dropPartIfFinished drops a part whose query is finished and of which no attempt is in flight.
+// dropPartIfFinished removes a part if its query is finished and none of its attempts is in flight.
 func (a *Aggregator) dropPartIfFinished(p *part) {
 	inFlight := slices.ContainsFunc(p.attempts, func(t *attempt) bool { return !t.finished })
 	if a.openQueries[p.query.id] != p.query && !inFlight {
@@ -162,7 +164,7 @@
 	}
 }
 
-// sendToRandomReplica is the baseline: it sends a part to a random replica, once.
+// sendToRandomReplica implements the baseline: it sends a part to a random replica, without retries.
 func (a *Aggregator) sendToRandomReplica(p *part) {
 	position := p.shard % a.fleet.scenario.Settings.RingSize
 	var replicas []*Store
@@ -175,7 +177,8 @@
 	a.send(p, replica, func(status policy.Status, _ policy.LoadReport) { a.recordRandomReplicaResponse(p, status) })
 }
 
-// recordRandomReplicaResponse finishes the query of a part with its last answer or with the first error.
+// recordRandomReplicaResponse records the response to a part of the baseline. The query fails with the first error and is
+// served once all its parts are answered.
 func (a *Aggregator) recordRandomReplicaResponse(p *part, status policy.Status) {
 	q := p.query
 	if a.openQueries[q.id] != q {
--- a/internal/simnet/simfleet/arrivals.go
+++ b/internal/simnet/simfleet/arrivals.go
@@ -8,7 +8,7 @@
 	"alderproxy/internal/simnet"
 )
 
-// scheduleArrivals starts a query and schedules the next one. Arrivals are a Poisson process.
+// scheduleArrivals starts a query and schedules the next call of itself. Arrivals are a Poisson process.
 func (f *Fleet) scheduleArrivals() {
 	rate := f.scenario.Rate(f.Network.Now() - simnet.StartTime)
 	if rate > 0 {
@@ -18,7 +18,7 @@
 	f.Network.Schedule(noNode, Micros(interval), f.scheduleArrivals)
 }
 
-// startQuery offers a random query to a random aggregator. It is lost if the aggregator is down.
+// startQuery sends a random query to a random aggregator. If the aggregator is down, the query counts as offered only.
 func (f *Fleet) startQuery() {
 	aggregator := f.Aggregators[drawIndex(f.aggregatorWeights, f.queryRand)]
 	class := f.drawClass()
@@ -46,7 +46,7 @@
 	return class
 }
 
-// addRandomParts adds parts of distinct shards, whose work has a log-normal distribution.
+// addRandomParts adds parts for distinct random shards to a query. The work of a part has a log-normal distribution.
 func (f *Fleet) addRandomParts(q *query) {
 	class := f.scenario.Mix[q.class]
 	shards := len(f.shardWeights)
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawIndex draws an index by cumulative weights.
+// drawIndex returns a random index with a probability proportional to its weight. The weights are cumulative.
 func drawIndex(cumulativeWeights []float64, rng *rand.Rand) int {
 	last := len(cumulativeWeights) - 1
 	index, _ := slices.BinarySearch(cumulativeWeights, rng.Float64()*cumulativeWeights[last])
--- a/internal/simnet/simfleet/attempt.go
+++ b/internal/simnet/simfleet/attempt.go
@@ -3,9 +3,9 @@
 import "alderproxy/policy"
 
 const (
-	// idleConnectionTimeout is how long a connection that is not used stays open.
+	// idleConnectionTimeout is the time after which an unused connection is closed.
 	idleConnectionTimeout Micros = 15_000_000
-	// healthCheckTimeout is how long an aggregator waits for the result of a health check.
+	// healthCheckTimeout is the timeout of a health check.
 	healthCheckTimeout Micros = 62_500
 )
 
@@ -21,7 +21,7 @@
 	})
 }
 
-// finishAttempt reports the first result of an attempt to the policy.
+// finishAttempt reports the result of an attempt to the policy, unless a result was reported before.
 func (a *Aggregator) finishAttempt(p *part, index int, status policy.Status, report policy.LoadReport) {
 	current := p.attempts[index]
 	if current.finished {
@@ -39,7 +39,7 @@
 	})
 }
 
-// send sends a part to a store and calls back with the response.
+// send sends a part to a store and calls respond with the response.
 func (a *Aggregator) send(p *part, store *Store, respond func(policy.Status, policy.LoadReport)) {
 	f := a.fleet
 	f.result.Attempts++
@@ -56,7 +56,7 @@
 	a.sendOnConnection(store, func() { store.accept(request) })
 }
 
-// checkHealth sends a health check to a store and reports the first of its result and its timeout to the policy.
+// checkHealth sends a health check to a store and reports its result or its timeout, whichever is first, to the policy.
 func (a *Aggregator) checkHealth(id uint32) {
 	network := a.fleet.Network
 	store := a.fleet.store(id)
@@ -77,8 +77,8 @@
 	network.Schedule(a.node, healthCheckTimeout, func() { finish(policy.TimedOut, policy.NoLoadReport) })
 }
 
-// sendOnConnection calls a function at a store when a request arrives there. Without an open connection, a handshake of one
-// round trip goes before.
+// sendOnConnection sends a request to a store and calls arrive when it arrives there. If there is no open connection, a
+// handshake of one round trip precedes the request.
 func (a *Aggregator) sendOnConnection(store *Store, arrive func()) {
 	network := a.fleet.Network
 	usedAt, open := a.connectionUsedAt[store.Endpoint.ID]
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// firstStoreNode is the network node of the first store. Aggregators have the nodes from 0 on.
+	// firstStoreNode is the network node of the first store. The nodes of aggregators are numbered from 0.
 	firstStoreNode simnet.NodeID = 100_000
-	// noNode is the network node of events that no fault affects.
+	// noNode is the network node of events that belong to no node, so that no fault affects them.
 	noNode simnet.NodeID = -1
-	// The ID of the store of index i is firstStoreID + i*storeIDStep: IDs are not contiguous in operation either.
+	// The ID of the store of index i is firstStoreID + i*storeIDStep: production IDs are not contiguous either.
 	firstStoreID = 1000
 	storeIDStep  = 7919
 )
@@ -25,7 +25,8 @@
 	Aggregators []*Aggregator
 
 	scenario Scenario
-	// queryRand draws the queries. It is separate so that the queries do not depend on the aggregators' decisions.
+	// queryRand is the random number generator of the queries. It is separate from the network's, so that the queries do not
+	// depend on the decisions of the aggregators.
 	queryRand         *rand.Rand
 	shardWeights      []float64 // cumulative
 	aggregatorWeights []float64 // cumulative
@@ -34,7 +35,7 @@
 	servedByClass     []float64
 }
 
-// New returns the fleet of a scenario at its start.
+// New returns the fleet of a scenario at the start of its run.
 func New(scenario Scenario) *Fleet {
 	scenario.Settings.InstanceCount = scenario.Aggregators
 	f := &Fleet{
@@ -64,8 +65,8 @@
 	return f
 }
 
-// AddStore adds a store at a ring position. It was started at a time, or long ago if that is 0. The caller announces it
-// by List.
+// AddStore adds a store at a ring position. startedAt is the time of its start, from which its slow start is counted; 0
+// means that it is not in slow start. The aggregators learn of the store only by AnnounceEndpoints, which the caller calls.
 func (f *Fleet) AddStore(position int, startedAt Micros) *Store {
 	index := len(f.Stores)
 	rng := rand.New(rand.NewPCG(f.scenario.Seed, uint64(index)+7))
@@ -90,17 +91,18 @@
 	return store
 }
 
-// store returns the store of an ID.
+// store returns the store with an ID.
 func (f *Fleet) store(id uint32) *Store { return f.Stores[(id-firstStoreID)/storeIDStep] }
 
-// ReplaceStore drains a store and adds a new one, in slow start, at its position. The caller announces that by List.
+// ReplaceStore marks a store as draining and adds a new one, in slow start, at its ring position. The aggregators learn of
+// it only by AnnounceEndpoints, which the caller calls.
 func (f *Fleet) ReplaceStore(index int) {
 	replaced := f.Stores[index]
 	replaced.Endpoint.State = policy.Draining
 	f.AddStore(replaced.Endpoint.RingPosition, f.Network.Now())
 }
 
-// AnnounceEndpoints sends the current endpoint list to every aggregator, each after a random delay up to a maximum.
+// AnnounceEndpoints sends the current endpoint list to each aggregator after a random delay of at most maxDelay.
 func (f *Fleet) AnnounceEndpoints(maxDelay Micros) {
 	endpoints := f.endpoints()
 	for _, aggregator := range f.Aggregators {
@@ -119,12 +121,12 @@
 	return endpoints
 }
 
-// ScheduleAt schedules a function at a time since the start.
+// ScheduleAt schedules a callback at a time relative to the start.
 func (f *Fleet) ScheduleAt(at Micros, callback func()) {
 	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), callback)
 }
 
-// RestartAggregator kills an aggregator and restarts it after a downtime, with the endpoint list and without other state.
+// RestartAggregator kills an aggregator and restarts it after a downtime, with no state but the current endpoint list.
 func (f *Fleet) RestartAggregator(index int, downtime Micros) {
 	aggregator := f.Aggregators[index]
 	f.Network.Kill(aggregator.node)
@@ -134,7 +136,7 @@
 	})
 }
 
-// Run runs the fleet until a time since the start and returns the result so far.
+// Run runs the fleet until a time relative to the start and returns the result so far.
 func (f *Fleet) Run(until Micros) Result {
 	f.Network.Run(simnet.StartTime + until)
 	result := f.result
--- a/internal/simnet/simfleet/large.go
+++ b/internal/simnet/simfleet/large.go
@@ -10,14 +10,15 @@
 const (
 	largeCores    = 2
 	largeReplicas = 2
-	// largeMeanSpeed is the mean speed of the machines of a large fleet.
+	// largeMeanSpeed is the assumed mean speed of the machines, from which the maximum rate of queries follows.
 	largeMeanSpeed = 0.93
-	// largeSlowFraction is the fraction of its machines that are of a slower type.
+	// largeSlowFraction is the fraction of the machines that are of a slower type.
 	largeSlowFraction = 0.3
 )
 
-// Large returns the scenario of a large fleet: each aggregator receives a few queries per second with many parts, and
-// stores in pairs are used at a load from 0 to 1. The proportions are those of a production site.
+// Large returns the scenario of a large fleet: each aggregator receives a few queries per second with many parts, and each
+// ring position has two stores. load is the fraction of the stores' capacity that the queries need. The proportions are
+// those of a production site.
 func Large(seed uint64, aggregators, ringSize int, load float64) Scenario {
 	settings := largeSettings(ringSize)
 	mix := largeMix(settings.Shards)
@@ -40,6 +41,7 @@
 	}
 }
 
+// largeSettings returns the settings of the scenario that Large returns.
 func largeSettings(ringSize int) policy.Settings {
 	const latencyObjective = 380_000
 	const shardsPerPosition = 2
@@ -96,7 +98,7 @@
 	}
 }
 
-// largeMix returns the queries of the classes of largeSettings.
+// largeMix returns the properties of the queries of each class of largeSettings.
 func largeMix(shards int) []QueryClass {
 	return []QueryClass{
 		{QueryFraction: 0.12, WorkVariation: 0.5, MinParts: shards / 2, MaxParts: shards / 2, MeanWork: 48_000},
@@ -105,6 +107,7 @@
 	}
 }
 
+// newLargeMachine returns a machine of the scenario that Large returns.
 func newLargeMachine(_ int, rng *rand.Rand) Machine {
 	machine := Machine{
 		Cores:           largeCores,
@@ -124,7 +127,7 @@
 	return machine
 }
 
-// Burst returns a rate that is half as high again as a base rate from one time to another.
+// Burst returns a rate that is 1.5 times the base rate from one time until another, and equal to the base rate otherwise.
 func Burst(base func(Micros) float64, from, to Micros) func(Micros) float64 {
 	return func(now Micros) float64 {
 		if now >= from && now < to {
--- a/internal/simnet/simfleet/result.go
+++ b/internal/simnet/simfleet/result.go
@@ -6,31 +6,33 @@
 	"alderproxy/internal/simnet"
 )
 
-// minOffered avoids divisions by zero where nothing was offered.
+// minOffered avoids a division by zero if nothing was offered.
 const minOffered = 1e-9
 
-// Result sums up a run. Asked, Served, Rejected, Failed and Late are sums of the queries' priority weights.
+// Result is the result of a run. Offered, Served, Rejected, Failed and Late are sums of the queries' priority weights; in
+// Served, the weight of a late query is multiplied by its class's LateWeight.
 type Result struct {
 	Offered, Served, Rejected, Failed float64
-	// Late is what was answered after the latency objective.
+	// Late is the weight of the queries that were answered after the latency objective.
 	Late float64
-	// Queries and Parts were offered; Sends are the attempts, and Cancellations those that were canceled.
+	// Queries and Parts count the queries and parts that were offered, Attempts the attempts, and Cancellations the policy's
+	// CancelAttempt actions.
 	Queries, Parts, Attempts, Cancellations int
-	// HealthChecks, Connections and QueueFull are the sums of the stores' statistics.
+	// HealthChecks, Connections, QueueFull, Work and Wasted are the sums of the stores' statistics.
 	HealthChecks, Connections, QueueFull int
 	Work, Wasted                         float64
-	// OverloadedStores is the number of stores that were overloaded during their slow start.
+	// OverloadedStores is the number of stores with StoreStats.Overloaded.
 	OverloadedStores int
 	// PeakOverload and ExcessParts are the maxima of StoreStats.PeakOverload and StoreStats.ExcessParts.
 	PeakOverload, ExcessParts float64
-	// Seconds are the seconds of the run, by the arrival of the queries.
+	// Seconds contains a summary for each second of the run, to which a query belongs by its arrival.
 	Seconds []Second
-	// ServedFractionByClass is the fraction of the offered weight that was served, by class.
+	// ServedFractionByClass is the served fraction of the offered weight, by class.
 	ServedFractionByClass []float64
 	Digest                uint64
 }
 
-// Second is one second of a run, in sums of priority weights.
+// Second is the summary of one second of a run. Its fields are sums of priority weights, as in Result.
 type Second struct {
 	Offered  float64
 	Served   float64
@@ -41,7 +43,7 @@
 // ServedFraction returns the fraction of the offered weight that was served.
 func (r Result) ServedFraction() float64 { return r.Served / math.Max(r.Offered, minOffered) }
 
-// second returns the second of a result in which a time lies.
+// second returns the summary of the second that contains a time, which it adds if needed.
 func (r *Result) second(at Micros) *Second {
 	index := int((at - simnet.StartTime) / microsPerSecond)
 	for len(r.Seconds) <= index {
@@ -50,7 +52,7 @@
 	return &r.Seconds[index]
 }
 
-// addStore adds the statistics of a store.
+// addStore adds the statistics of a store to the result.
 func (r *Result) addStore(stats StoreStats) {
 	r.HealthChecks += stats.HealthChecks
 	r.Connections += stats.Connections
@@ -64,7 +66,7 @@
 	}
 }
 
-// queryOutcome is how a query ended.
+// queryOutcome is the outcome of a query.
 type queryOutcome int
 
 const (
--- a/internal/simnet/simfleet/scenario.go
+++ b/internal/simnet/simfleet/scenario.go
@@ -12,47 +12,47 @@
 
 const microsPerSecond = 1e6
 
-// Scenario is the scenario of a run.
+// Scenario describes a fleet, its stores and the queries that it receives.
 type Scenario struct {
 	Seed uint64
-	// Settings are those of all aggregators. InstanceIndex and InstanceCount are set by the fleet.
+	// Settings apply to all aggregators. The fleet sets InstanceIndex and InstanceCount.
 	Settings    policy.Settings
 	Aggregators int
-	// NewMachine returns the machine of the store of an index.
+	// NewMachine returns the machine of the store with an index.
 	NewMachine func(index int, rng *rand.Rand) Machine
 	// Replicas is the number of stores at each ring position.
 	Replicas int
-	// Link is the link between aggregators and stores.
+	// Link contains the properties of all links between aggregators and stores.
 	Link simnet.Link
-	// Rate returns the queries per second of the whole fleet at a time since the start.
+	// Rate returns the queries per second of the whole fleet at a time relative to the start.
 	Rate func(now Micros) float64
-	// Mix describes the queries of each class of Settings.
+	// Mix describes the queries of each class, in the order of Settings.Classes.
 	Mix []QueryClass
-	// ShardSkew is the skew of the shards' popularity: the weight of shard i is (1+i)^-Skew.
+	// ShardSkew is the skew of the shards' popularity: the weight of shard i is (1+i)^-ShardSkew.
 	ShardSkew float64
-	// AggregatorSkew is the standard deviation of the logarithm of the aggregators' shares of the queries.
+	// AggregatorSkew is the standard deviation of the logarithm of the aggregators' weights, by which queries are distributed.
 	AggregatorSkew float64
-	// RandomReplicas has aggregators send each part to a random replica and do nothing else, as a baseline.
+	// RandomReplicas replaces the policy by a baseline: aggregators send each part to a random replica, without retries.
 	RandomReplicas bool
 }
 
 // QueryClass describes the queries of a class.
 type QueryClass struct {
-	// QueryFraction is the fraction of all queries.
+	// QueryFraction is the fraction of all queries that are of this class.
 	QueryFraction float64
-	// WorkVariation is the coefficient of variation of a part's work.
+	// WorkVariation is the coefficient of variation of the work of a part.
 	WorkVariation float64
-	// MinParts and MaxParts bound the number of parts, which is uniformly distributed.
+	// MinParts and MaxParts are the limits of the number of parts, which is uniformly distributed.
 	MinParts int
 	MaxParts int
-	// MeanWork is the mean work of a part in microseconds of a core of speed 1.
+	// MeanWork is the mean work of a part, in microseconds of a core of speed 1.
 	MeanWork Micros
 }
 
 // meanParts returns the mean number of parts of a query.
 func (c QueryClass) meanParts() float64 { return float64(c.MinParts+c.MaxParts) / 2 }
 
-// meanPartWork returns the mean work of a part of any class.
+// meanPartWork returns the mean work of a part over all classes.
 func (s Scenario) meanPartWork() float64 {
 	work := 0.0
 	parts := 0.0
--- a/internal/simnet/simfleet/store.go
+++ b/internal/simnet/simfleet/store.go
@@ -8,31 +8,32 @@
 	"alderproxy/policy"
 )
 
-// overloadTolerance is the factor by which the limit of a store in slow start must be exceeded to count as overload.
+// overloadTolerance is the factor by which arriving work must exceed the limit of slow start to count as overload.
 const overloadTolerance = 1.05
 
 // Machine describes the machine of a store.
 type Machine struct {
 	Cores int
-	// MaxRunning is the number of requests that run at a time, and MaxQueued the number of those that wait.
+	// MaxRunning is the maximum number of requests that run at a time, and MaxQueued the maximum number that wait.
 	MaxRunning int
 	MaxQueued  int
-	// Speed is the work of a core per unit of time.
+	// Speed is the work that a core does per unit of time.
 	Speed float64
-	// PauseInterval is the mean time between two pauses, and PauseDuration their duration; 0 is never.
+	// PauseInterval is the mean time between the starts of two pauses, and PauseDuration their duration. There are no pauses
+	// if PauseInterval is 0.
 	PauseInterval Micros
 	PauseDuration Micros
-	// ReportInterval is how often the load report is renewed.
+	// ReportInterval is the minimum time between two updates of the load report.
 	ReportInterval Micros
 	// HandshakeWork is the work of a new connection, and HealthCheckWork the duration of a health check.
 	HandshakeWork   Micros
 	HealthCheckWork Micros
-	// ErrorRate is the fraction of the parts that are answered with an error at once.
+	// ErrorRate is the fraction of the requests that fail at once.
 	ErrorRate float64
 }
 
-// Store is a simulated store with cores, a bounded queue and a load report that is renewed now and then. It does not stop
-// work whose result nobody waits for.
+// Store is a simulated store with cores, a bounded queue and a load report that is updated periodically. It completes
+// requests even if their attempts have finished and nobody waits for the response.
 type Store struct {
 	Machine
 	Endpoint policy.Endpoint
@@ -48,28 +49,30 @@
 	reportedAt    Micros // 0: never
 	pausedUntil   Micros
 	arrivalRate   float64 // smoothed, per second
-	arrivalRateAt Micros  // when it was last updated
-	// recentArrivals are those within the last OverloadDuration of the settings, during slow start.
+	arrivalRateAt Micros  // the time of the last update of arrivalRate
+	// recentArrivals contains the arrivals within the last OverloadDuration of the settings, during slow start only.
 	recentArrivals []arrival
 	meanPartWork   float64
 }
 
-// StoreStats are the statistics of a store. Work is in microseconds of a core of speed 1.
+// StoreStats contains the statistics of a store. Work is in microseconds of a core of speed 1.
 type StoreStats struct {
 	Accepted, QueueFull, HealthChecks, Connections int
-	// Wasted is the work whose result nobody waited for.
+	// Wasted is the work on requests for whose response nobody waited.
 	Work, Wasted float64
-	// Overloaded means that more arrived during slow start than the settings allow.
+	// Overloaded is true if, during slow start, the work that arrived within OverloadDuration exceeded the limit of the
+	// settings by more than the factor overloadTolerance.
 	Overloaded bool
-	// PeakOverload is the maximum of the work that arrived within OverloadDuration, relative to the capacity.
+	// PeakOverload is the maximum, during slow start, of the work that arrived within OverloadDuration, relative to the
+	// capacity.
 	PeakOverload float64
-	// ExcessParts is the maximum, during slow start, of the parts that arrived within OverloadDuration beyond what chance
-	// accounts for: beyond N + 2*sqrt(N) + 2 parts of mean work, where N is what the settings allow. It is negative if
-	// there was none.
+	// ExcessParts is the maximum, during slow start, of the number of parts of mean work that arrived within
+	// OverloadDuration in excess of random variation: in excess of N + 2*sqrt(N) + 2, where N is the number that the
+	// settings allow. It is negative or 0 if there was no excess.
 	ExcessParts float64
 }
 
-// arrival is work that arrived at a time.
+// arrival is the arrival of a request.
 type arrival struct {
 	at   Micros
 	work float64
@@ -78,13 +81,13 @@
 // job is a request at a store.
 type job struct {
 	work float64
-	// nominalWork is the mean work of the request's class, by which overload is determined.
+	// nominalWork is the mean work of a part of the query's class, or the work of a handshake. Overload is determined by it.
 	nominalWork float64
-	// respond sends the response and reports whether anybody waited for it.
+	// respond sends the response and reports whether an aggregator still waited for it.
 	respond func(policy.Status, policy.LoadReport) bool
 }
 
-// capacityFraction returns the fraction of its capacity that the store has. It grows linearly during slow start.
+// capacityFraction returns the fraction of the full capacity that the store has. It grows linearly during slow start.
 func (s *Store) capacityFraction(now Micros) float64 {
 	if s.Endpoint.StartedAt <= 0 || s.settings.SlowStartDuration <= 0 {
 		return 1
@@ -93,7 +96,7 @@
 	return min(1, s.settings.SlowStartFraction+(1-s.settings.SlowStartFraction)*max(0, progress))
 }
 
-// recordArrival updates the statistics on overload during slow start.
+// recordArrival updates the overload statistics if the store is in slow start.
 func (s *Store) recordArrival(work float64) {
 	now := s.network.Now()
 	fraction := s.capacityFraction(now)
@@ -118,7 +121,7 @@
 	s.Stats.ExcessParts = max(s.Stats.ExcessParts, arrived/s.meanPartWork-(allowedParts+2*math.Sqrt(allowedParts)+2))
 }
 
-// accept runs, queues or rejects an arriving request.
+// accept runs, queues, fails or rejects an arriving request.
 func (s *Store) accept(request job) {
 	s.recordArrival(request.nominalWork)
 	s.updateArrivalRate()
@@ -137,7 +140,7 @@
 	}
 }
 
-// start runs a request. Requests in excess of the cores share these.
+// start runs a request. If more requests run than there are cores, they share the cores.
 func (s *Store) start(request job) {
 	s.running++
 	now := s.network.Now()
@@ -147,7 +150,7 @@
 	s.network.Schedule(s.node, duration, func() { s.finish(request) })
 }
 
-// finish responds to a request and starts the next one, after the current pause if there is one.
+// finish responds to a request and starts the next one in the queue. During a pause, it does so after the pause.
 func (s *Store) finish(request job) {
 	if pause := s.remainingPause(); pause > 0 {
 		s.network.Schedule(s.node, pause, func() { s.finish(request) })
@@ -165,7 +168,7 @@
 	}
 }
 
-// updateArrivalRate counts an arrival in the exponentially smoothed rate.
+// updateArrivalRate adds an arrival to the exponentially smoothed rate.
 func (s *Store) updateArrivalRate() {
 	now := s.network.Now()
 	s.arrivalRate = s.decayedArrivalRate(now) + 1
@@ -176,7 +179,7 @@
 	return s.arrivalRate * math.Exp(-float64(now-s.arrivalRateAt)/microsPerSecond)
 }
 
-// loadReport returns the current load report, which may be as old as the report interval.
+// loadReport returns the load report, which is updated at most once per ReportInterval.
 func (s *Store) loadReport() policy.LoadReport {
 	now := s.network.Now()
 	if s.reportedAt == 0 || now-s.reportedAt >= s.ReportInterval {
@@ -188,7 +191,7 @@
 	return s.report
 }
 
-// connect handles a new connection.
+// connect accepts a new connection, whose handshake is a request as well.
 func (s *Store) connect() {
 	s.Stats.Connections++
 	handshake := float64(s.HandshakeWork)
@@ -199,7 +202,7 @@
 	})
 }
 
-// checkHealth calls back with the load report after the current pause and the work of a health check.
+// checkHealth calls respond with the load report after the current pause and the duration of a health check.
 func (s *Store) checkHealth(respond func(policy.LoadReport)) {
 	s.Stats.HealthChecks++
 	s.network.Schedule(s.node, s.remainingPause()+s.HealthCheckWork, func() { respond(s.loadReport()) })
@@ -208,18 +211,18 @@
 // remainingPause returns the remaining time of the current pause, or 0 if there is none.
 func (s *Store) remainingPause() Micros { return max(0, s.pausedUntil-s.network.Now()) }
 
-// PauseFor pauses the store: it accepts requests and answers none.
+// PauseFor pauses the store for a duration, in which it accepts requests but completes none.
 func (s *Store) PauseFor(duration Micros) {
 	s.pausedUntil = max(s.pausedUntil, s.network.Now()+duration)
 }
 
-// SlowDown slows the store down by a factor for a duration.
+// SlowDown divides the store's speed by a factor for a duration.
 func (s *Store) SlowDown(factor float64, duration Micros) {
 	s.Speed /= factor
 	s.network.Schedule(s.node, duration, func() { s.Speed *= factor })
 }
 
-// schedulePauses schedules the store's regular pauses.
+// schedulePauses schedules the store's next pause and, after it, the following ones.
 func (s *Store) schedulePauses() {
 	if s.PauseInterval <= 0 {
 		return
--- a/internal/simnet/simnet_test.go
+++ b/internal/simnet/simnet_test.go
@@ -10,8 +10,8 @@
 
 var allNodes = []NodeID{1, 2, 3}
 
-// runChatter has each node send to each other every 10 ms. It returns the network and the times of the arrivals, counted
-// from the start.
+// runChatter simulates nodes that each send a datagram to each other node every 10 ms. It returns the network and the
+// arrival times by route, relative to the start.
 func runChatter(seed uint64, link Link, duration Micros, inject func(*Network)) (*Network, map[route][]Micros) {
 	network := New(seed, link)
 	arrivals := map[route][]Micros{}
@@ -35,6 +35,7 @@
 	return network, arrivals
 }
 
+// Runs of the same seed must be identical, and loss and duplication must have their configured rates.
 func TestRunIsDeterministic(t *testing.T) {
 	link := Link{MinDelay: millisecond, MaxDelay: 30 * millisecond, LossRate: 0.2, DuplicationRate: 0.1}
 	const duration = 2000 * millisecond
@@ -89,6 +90,7 @@
 	}
 }
 
+// Timers that are due during a pause must fire after it, in the order of their due times.
 func TestPausedNodeReceivesInOrder(t *testing.T) {
 	network := New(1, Link{})
 	var called []int
@@ -102,6 +104,7 @@
 	assert.Equal(t, []int{1, 2, 3, 4, 5}, called)
 }
 
+// A node that was restarted must not receive the timers and messages of the time before its crash.
 func TestEventsOfAnEarlierIncarnationAreDropped(t *testing.T) {
 	network := New(1, Link{MinDelay: 20 * millisecond, MaxDelay: 20 * millisecond})
 	beforeCrash, afterRestart := 0, 0
@@ -117,6 +120,7 @@
 	assert.Equal(t, 1, afterRestart)
 }
 
+// Messages of SendOrdered must all arrive once and in order, even if the link loses, duplicates and reorders datagrams.
 func TestOrderedMessagesKeepTheirOrder(t *testing.T) {
 	const messages = 50
 	network := New(3, Link{MinDelay: 0, MaxDelay: 50 * millisecond, LossRate: 0.5, DuplicationRate: 0.5})
--- a/internal/testserver/client.go
+++ b/internal/testserver/client.go
@@ -11,14 +11,14 @@
 	"alderproxy/httpwire"
 )
 
-// The timeouts of a client and of NextRequest.
+// Timeouts of connections and of the waits of tests.
 const (
 	dialTimeout    = 5 * time.Second
 	clientTimeout  = 10 * time.Second
 	requestTimeout = 5 * time.Second
 )
 
-// Client is a client's connection.
+// Client is the connection of an HTTP client.
 type Client struct {
 	net.Conn
 
@@ -27,7 +27,7 @@
 	t *testing.T
 }
 
-// Dial connects a client, whose reads and writes must be over within ten seconds from now.
+// Dial connects a client. Its reads and writes fail ten seconds later.
 func Dial(t *testing.T, addr string) *Client {
 	t.Helper()
 	c, err := (&net.Dialer{Timeout: dialTimeout}).Dial("tcp", addr)
@@ -37,7 +37,7 @@
 	return &Client{Conn: c, Reader: bufio.NewReader(c), t: t}
 }
 
-// SendRequest writes a request. header is pairs of a name and a value.
+// SendRequest writes a request. header contains the names of fields, each followed by its value.
 func (c *Client) SendRequest(method, target, body string, header ...string) {
 	var lines httpwire.Header
 	for i := 0; i+1 < len(header); i += 2 {
@@ -54,14 +54,14 @@
 	return response
 }
 
-// NextRequest returns the next request that came to a store.
+// NextRequest returns the next request that a store has received, and waits for it if necessary.
 func NextRequest(t *testing.T, s *Store) string {
 	t.Helper()
 	select {
 	case request := <-s.Requests:
 		return request
 	case <-time.After(requestTimeout):
-		require.Fail(t, "nothing came to the store")
+		require.Fail(t, "the store received no request within the timeout")
 		return ""
 	}
 }
--- a/internal/testserver/disconnect.go
+++ b/internal/testserver/disconnect.go
@@ -12,14 +12,14 @@
 	"alderproxy/httpwire"
 )
 
-// gatedListener is a listener whose connections call a function before each read, with its number from 1.
+// gatedListener is a listener whose connections call beforeRead before each read. Reads are numbered from 1.
 type gatedListener struct {
 	*net.TCPListener
 
 	beforeRead func(c *net.TCPConn, readNumber int)
 }
 
-// Accept accepts a connection.
+// Accept implements net.Listener.
 func (l gatedListener) Accept() (net.Conn, error) {
 	c, err := l.AcceptTCP()
 	if err != nil {
@@ -28,6 +28,7 @@
 	return &gatedConn{TCPConn: c, listener: l}, nil
 }
 
+// gatedConn is a connection of a gatedListener.
 type gatedConn struct {
 	*net.TCPConn
 
@@ -35,14 +36,14 @@
 	reads    int
 }
 
-// Read calls the listener's function and reads.
+// Read calls the listener's beforeRead and then reads.
 func (c *gatedConn) Read(b []byte) (int, error) {
 	c.reads++
 	c.listener.beforeRead(c.TCPConn, c.reads)
 	return c.TCPConn.Read(b)
 }
 
-// PeerClosed reports whether the other side has closed its side of a connection, whether or not what it sent was read.
+// PeerClosed reports whether the other side has closed its side of a connection, even if data that it sent before is unread.
 func PeerClosed(c *net.TCPConn) (closed bool) {
 	const closeWait = 8 // TCP_CLOSE_WAIT of Linux
 	raw, err := c.SyscallConn()
@@ -50,15 +51,16 @@
 		return false
 	}
 	err = raw.Control(func(fd uintptr) {
-		state, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) // its first byte
+		// The state is the first byte of tcp_info.
+		state, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		closed = err == nil && state&0xff == closeWait
 	})
 	return err == nil && closed
 }
 
-// SendAndDisconnect has a server with a handler read a request only once its client has closed the connection, as a process
-// does that was held up. It returns when the handler has returned, or waits for the client; further reads wait until release
-// is called.
+// SendAndDisconnect sends a request to a server with a handler and closes the connection before the server reads the request,
+// as can happen with a process that was paused. It returns when the handler has returned or the server reads from the
+// connection again. Such further reads block until release is called.
 func SendAndDisconnect(t *testing.T, handle func(*httpwire.Exchange) *httpwire.Reply, send func(*Client)) (release func()) {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -69,8 +71,8 @@
 		defer markHandled()
 		return handle(x)
 	}}
-	gated := gatedListener{listener.(*net.TCPListener), func(c *net.TCPConn, read int) {
-		if read == 1 {
+	gated := gatedListener{listener.(*net.TCPListener), func(c *net.TCPConn, readNumber int) {
+		if readNumber == 1 {
 			awaitPeerClosed(c)
 			return
 		}
@@ -89,12 +91,12 @@
 	select {
 	case <-handled:
 	case <-time.After(clientTimeout):
-		require.Fail(t, "the request was not read")
+		require.Fail(t, "the server did not handle the request within the timeout")
 	}
 	return release
 }
 
-// awaitPeerClosed waits until the other side has closed its side, up to five seconds.
+// awaitPeerClosed waits until the other side has closed its side of a connection, for at most five seconds.
 func awaitPeerClosed(c *net.TCPConn) {
 	deadline := time.Now().Add(requestTimeout)
 	for !PeerClosed(c) && time.Now().Before(deadline) {
--- a/internal/testserver/discovery.go
+++ b/internal/testserver/discovery.go
@@ -17,24 +17,25 @@
 	"alderproxy/httpwire"
 )
 
-// Discovery is a discovery service. It answers a call with what was published last, at once or when the timeout of a watch
-// is over.
+// Discovery is a discovery service. It answers a call at once with the list or change that was published last, unless the
+// caller already has that version. In that case, it answers with the next one, or with an empty change when the timeout of
+// the watch is over.
 type Discovery struct {
 	Addr  string
-	Calls chan string // the targets of calls; what the test does not read is dropped
+	Calls chan string // the targets of calls; those beyond the capacity of the channel are dropped
 
 	mu           sync.Mutex
 	listener     net.Listener
 	version      int
 	answer       string
-	changed      chan struct{} // closed, and replaced, when something is published
-	nextStatus   int           // of the next call's response; 0: the list
+	changed      chan struct{} // closed and replaced when a list or change is published
+	nextStatus   int           // status of the next response, without a list; 0: none
 	unresponsive bool
-	rawAnswer    string                 // sent in place of a response, and nothing after it
-	connections  map[net.Conn]chan bool // closed where a connection stalls
+	rawAnswer    string                 // sent instead of a response; empty: none
+	connections  map[net.Conn]chan bool // the open ones; the channel is closed to stall one
 }
 
-// NewDiscovery starts discovery with a full list of entries.
+// NewDiscovery starts a discovery service with a full list of entries.
 func NewDiscovery(t *testing.T, entries ...string) *Discovery {
 	t.Helper()
 	d := &Discovery{
@@ -49,15 +50,15 @@
 	return d
 }
 
-// EndpointEntry returns one entry of an endpoint list.
+// EndpointEntry returns an entry of an endpoint list for a store.
 func EndpointEntry(name string, s *Store, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":0,"state":%q,"weight":1,"started_ms":0}`,
 		name, s.Addr, state)
 }
 
-// Start listens on the address, again after a Stop.
+// Start starts listening on the address, the first time or after Stop.
 func (d *Discovery) Start() error {
-	listener, err := net.Listen("tcp", d.Addr) //nolint:noctx // it may be called when the test's context is done
+	listener, err := net.Listen("tcp", d.Addr) //nolint:noctx // it may be called after the test's context is done
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// Stop ends the service: connections are closed and new ones refused.
+// Stop closes the listener and all open connections.
 func (d *Discovery) Stop() {
 	d.mu.Lock()
 	d.listener.Close()
@@ -94,7 +95,8 @@
 	}
 }
 
-// StallConnections has all open connections stay open and answer nothing any more. New ones are served.
+// StallConnections makes the open connections stall: they stay open, but their pending calls are never answered, nor are
+// later ones that have to wait for a change. Connections that are opened later are served.
 func (d *Discovery) StallConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,7 +108,8 @@
 	}
 }
 
-// SetUnresponsive has the open calls and those that come from now on never answered. False ends it for later calls.
+// SetUnresponsive sets whether the service is unresponsive: it then leaves the pending calls and all later ones unanswered.
+// After the end of that state, calls on new connections are answered again.
 func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
 	d.unresponsive = on
@@ -116,7 +119,9 @@
 	}
 }
 
-// SetRawAnswer has each connection send a text where a response is due, and then nothing more. An empty text ends it.
+// SetRawAnswer stalls the open connections, as StallConnections does, and makes the service answer later calls with a text
+// instead of a response, after which their connections send nothing. After a call with an empty text, calls on new connections
+// are answered normally again.
 func (d *Discovery) SetRawAnswer(text string) {
 	d.mu.Lock()
 	d.rawAnswer = text
@@ -124,7 +129,7 @@
 	d.StallConnections()
 }
 
-// Publish publishes a full list, or a change of it.
+// Publish publishes a full list, or a change to it.
 func (d *Discovery) Publish(full bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,21 +139,21 @@
 	d.changed = make(chan struct{})
 }
 
-// Version returns the version that was published last.
+// Version returns the version of the list or change that was published last.
 func (d *Discovery) Version() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// RejectNext has the next call answered with a status and no list; 0: with the list.
+// RejectNext makes the service answer the next call with a status and without a list. Status 0 undoes it.
 func (d *Discovery) RejectNext(status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.nextStatus = status
 }
 
-// takeRejection returns the status that RejectNext set for this call.
+// takeRejection returns the status that RejectNext set, and resets it.
 func (d *Discovery) takeRejection() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,7 +179,7 @@
 	}
 }
 
-// serveCall answers one call. An error ends the connection.
+// serveCall answers one call. After an error, the connection is closed.
 func (d *Discovery) serveCall(c net.Conn, r *bufio.Reader, stalled <-chan bool) error {
 	request, err := httpwire.ReadRequest(r)
 	if err != nil {
@@ -185,7 +190,7 @@
 	default:
 	}
 	if status := d.takeRejection(); status != 0 {
-		_, _ = c.Write(httpwire.AppendResponse(nil, status, nil, nil, false)) // an error shows in the next read
+		_, _ = c.Write(httpwire.AppendResponse(nil, status, nil, nil, false)) // after an error, the next read fails
 		return nil
 	}
 	answer, keepServing := d.awaitAnswer(request.Target, stalled)
@@ -197,7 +202,8 @@
 	return nil
 }
 
-// awaitAnswer waits until an answer is due and returns it. more says whether others may follow on the connection.
+// awaitAnswer waits until an answer is due and returns it. keepServing is false if the connection must not send anything
+// after it.
 func (d *Discovery) awaitAnswer(target string, stalled <-chan bool) (answer []byte, keepServing bool) {
 	timeout := time.After(watchTimeout(target))
 	for {
@@ -225,7 +231,7 @@
 	}
 }
 
-// watchTimeout returns the timeout that a watch names; 0: the call is none.
+// watchTimeout returns the timeout of a watch, or 0 if the call is not a watch.
 func watchTimeout(target string) time.Duration {
 	_, text, _ := strings.Cut(target, "hold_ms=")
 	ms, err := strconv.Atoi(text)
--- a/internal/testserver/doc.go
+++ b/internal/testserver/doc.go
@@ -1,5 +1,5 @@
-// Package testserver has the servers and the client that the tests of both fronts share: stores that speak the platform's
-// frames or answer searches, with faults to inject, and discovery.
+// Package testserver provides the servers and the client that the tests of both fronts share: stores that use the platform's
+// frames or answer searches, into which a test can inject faults, and a discovery service.
 package testserver
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// DiscardLog returns a logger that writes nothing.
+// DiscardLog returns a logger that discards all entries.
 func DiscardLog() *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/testserver/fault.go
+++ b/internal/testserver/fault.go
@@ -1,31 +1,31 @@
 package testserver
 
-// Fault is what a store does with a request instead of answering it.
+// Fault is what a store does with a request instead of answering it normally.
 type Fault string
 
 // The faults that can be injected.
 const (
 	None         Fault = ""
-	ServerError  Fault = "error"     // answers with an error
-	Partial      Fault = "partial"   // answers a search with a failed shard; with frames, as ServerError
-	TimedOut     Fault = "late"      // answers a search as timed out; with frames, as ServerError
+	ServerError  Fault = "error"     // responds with an error
+	Partial      Fault = "partial"   // answers a search with a failed shard; a frame as ServerError
+	TimedOut     Fault = "late"      // answers a search as timed out; a frame as ServerError
 	Rejecting    Fault = "busy"      // rejects the request
 	Reset        Fault = "reset"     // closes the connection instead of answering
-	Unresponsive Fault = "silent"    // accepts the request and does not answer
-	Stalled      Fault = "mute"      // keeps the connection open and answers nothing on it any more; frames only
-	Malformed    Fault = "malformed" // answers with bytes that are not of the protocol
-	Down         Fault = "down"      // accepts no connection
+	Unresponsive Fault = "silent"    // reads the request and does not answer it
+	Stalled      Fault = "mute"      // stops answering on the connection and keeps it open; frames only
+	Malformed    Fault = "malformed" // responds with bytes that violate the protocol
+	Down         Fault = "down"      // closes the connections and accepts none
 )
 
-// FaultCase is one row of the table of faults that both fronts must handle alike.
+// FaultCase is a row of the table of faults that both fronts are tested with. The statuses are those that the client gets.
 type FaultCase struct {
 	Fault            Fault
-	OneReplicaStatus int // where one replica of two has the fault
-	PlatformStatus   int // where both have it
-	OpenSearchStatus int // where both have it
+	OneReplicaStatus int // if one of two replicas has the fault
+	PlatformStatus   int // of the platform's front, if both replicas have it
+	OpenSearchStatus int // of the OpenSearch front, if both replicas have it
 }
 
-// FaultCases is the table.
+// FaultCases is the table of faults.
 var FaultCases = []FaultCase{
 	{None, 200, 200, 200},
 	{ServerError, 200, 429, 503},
--- a/internal/testserver/framestore.go
+++ b/internal/testserver/framestore.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The kinds of frames that a store gets and sends.
+// The kinds of frames that a store receives or sends.
 const (
 	callFrame      = '1'
 	loadCheckFrame = '4'
@@ -19,7 +19,7 @@
 
 const frameLengthBytes = 4
 
-// NewFrameStore starts a store that speaks the platform's frames. The value of a part is "v" and its shard.
+// NewFrameStore starts a store that uses the platform's frames. Its value for a part is "v" followed by the shard.
 func NewFrameStore(t *testing.T) *Store {
 	t.Helper()
 	return startStore(t, func(s *Store, c net.Conn) {
@@ -30,7 +30,7 @@
 	})
 }
 
-// frameConnection is a connection to a store that speaks frames.
+// frameConnection is a connection to a store that uses the platform's frames.
 type frameConnection struct {
 	store  *Store
 	conn   net.Conn
@@ -38,7 +38,7 @@
 	mu     sync.Mutex // held while a frame is written
 }
 
-// serveFrame reads one frame and answers it. An error ends the connection.
+// serveFrame reads one frame and answers it. After an error, the connection is closed.
 func (f *frameConnection) serveFrame() error {
 	kind, text, err := readFrame(f.reader)
 	if err != nil {
@@ -66,7 +66,7 @@
 	case Malformed:
 		f.send(resultFrame, "nonsense")
 	case Stalled:
-		_, _ = io.Copy(io.Discard, f.reader) // until the other side closes
+		_, _ = io.Copy(io.Discard, f.reader) // until the other side closes the connection
 		return io.EOF
 	case Reset:
 		return io.EOF
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// send writes a frame. An error shows in what the other side reads.
+// send writes a frame. It ignores errors, which the other side notices when it reads.
 func (f *frameConnection) send(kind byte, text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testserver/searchstore.go
+++ b/internal/testserver/searchstore.go
@@ -12,8 +12,7 @@
 	"alderproxy/httpwire"
 )
 
-// NewSearchStore starts a store that answers searches. Its hits are the lines of docs that begin with the shard and a blank;
-// the rest of a line is the hit.
+// NewSearchStore starts a store that answers searches. Each line of docs is a shard, a space and a hit of that shard.
 func NewSearchStore(t *testing.T, docs string) *Store {
 	t.Helper()
 	return startStore(t, func(s *Store, c net.Conn) {
@@ -24,7 +23,7 @@
 	})
 }
 
-// serveSearch reads one search and answers it. An error ends the connection.
+// serveSearch reads one search and answers it. After an error, the connection is closed.
 func (s *Store) serveSearch(c net.Conn, r *bufio.Reader, docs string) error {
 	request, err := httpwire.ReadRequest(r)
 	if err != nil {
@@ -51,7 +50,7 @@
 	case Reset:
 		return io.EOF
 	case Unresponsive:
-		_, _ = io.Copy(io.Discard, r) // until the other side closes
+		_, _ = io.Copy(io.Discard, r) // until the other side closes the connection
 		return io.EOF
 	case Stalled, Down:
 	case None:
@@ -64,13 +63,14 @@
 	return err
 }
 
-// shardOf returns the shard that a search's target names.
+// shardOf returns the shard that the target of a search contains.
 func shardOf(target string) string {
 	_, shard, _ := strings.Cut(target, "_shards:")
 	shard, _, _ = strings.Cut(shard, "&")
 	return shard
 }
 
+// searchHits returns the response to a search with the hits of its shard.
 func searchHits(docs, target string) string {
 	shard := shardOf(target)
 	var hits []string
--- a/internal/testserver/store.go
+++ b/internal/testserver/store.go
@@ -9,26 +9,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordCapacity is how many records a server keeps that the test has not read.
+// recordCapacity is the capacity of the channels in which servers record requests and closed connections.
 const recordCapacity = 256
 
-// Store is a store of one of the two protocols.
+// Store is a store that uses the platform's frames or answers searches.
 type Store struct {
 	Addr     string
-	Requests chan string   // what came, in order: a frame's text, or a search's target and body
-	Closed   chan struct{} // gets a value for each connection that has ended
+	Requests chan string   // the requests in order: the kind and text of a frame, or the target and body of a search
+	Closed   chan struct{} // receives a value for each closed connection; those beyond the capacity are dropped
 
 	listener    net.Listener
-	acceptEnded chan struct{} // closed when the listener is
+	acceptEnded chan struct{} // closed when the store no longer accepts connections
 
 	mu          sync.Mutex
 	fault       Fault
-	faultShard  string        // the shard that has the fault; empty: all
-	hold        chan struct{} // answers wait until it is closed; nil: they don't
+	faultShard  string        // the shard to which the fault is limited; empty: all
+	hold        chan struct{} // answers wait until it is closed; nil: they are sent at once
 	connections map[net.Conn]bool
 }
 
-// startStore starts a store whose connections are served by a function.
+// startStore starts a store that calls serve for each connection.
 func startStore(t *testing.T, serve func(*Store, net.Conn)) *Store {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -70,13 +70,13 @@
 	s.mu.Unlock()
 	select {
 	case s.Closed <- struct{}{}:
-	default: // the test does not count them
+	default: // the test does not read them
 	}
 }
 
-// SetFault changes what the store does from now on.
+// SetFault sets the fault of the store for later requests. Down cannot be undone.
 func (s *Store) SetFault(f Fault) {
-	if f == Down { // until Accept has returned, the kernel would go on accepting connections
+	if f == Down { // until Accept has returned, the kernel continues to accept connections
 		s.listener.Close()
 		<-s.acceptEnded
 	}
@@ -88,7 +88,8 @@
 	}
 }
 
-// SetShardFault is SetFault for requests to one shard.
+// SetShardFault sets the fault of the store for later requests to one shard. Later calls of SetFault are limited to this
+// shard too.
 func (s *Store) SetShardFault(shard int, f Fault) {
 	s.SetFault(f)
 	s.mu.Lock()
@@ -96,7 +97,7 @@
 	s.faultShard = strconv.Itoa(shard)
 }
 
-// HoldAnswers makes answers wait until release is called.
+// HoldAnswers delays the answers to later requests until release is called.
 func (s *Store) HoldAnswers() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +106,7 @@
 	return sync.OnceFunc(func() { close(hold) })
 }
 
-// CloseConnections closes the open connections, and not the listener.
+// CloseConnections closes the open connections, but not the listener.
 func (s *Store) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +122,8 @@
 	return len(s.connections)
 }
 
-// behavior returns what the store does with a request to a shard: a fault, and what its answer waits for, if anything.
+// behavior returns the fault that applies to a request to a shard, and the channel whose closing its answer must wait for,
+// or nil.
 func (s *Store) behavior(shard string) (Fault, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
