--- a/internal/jsonscan/jsonscan_test.go
+++ b/internal/jsonscan/jsonscan_test.go
@@ -43,7 +43,7 @@
 }
 
 // Values that are only forwarded must keep their bytes, including white space and escapes within them.
-func TestObjectHandsOutTheBytesThatCame(t *testing.T) {
+func TestObjectPassesTheOriginalBytes(t *testing.T) {
 	got := map[string]string{}
 	err := Object([]byte(` {"a" : [1, 2] ,"b\u00e9":"x\"y","c":{"d" :null}}`), func(key string, raw []byte) error {
 		got[key] = string(raw)
--- a/internal/platformsettings/json.go
+++ b/internal/platformsettings/json.go
@@ -31,8 +31,8 @@
 	return err
 }
 
-// flattenArray adds an array of scalars as a comma-separated list, and an array of objects as a count and the values in
-// each, with its index in their paths. An empty array is added in both forms.
+// flattenArray adds an array of scalars as a comma-separated list, and an array of objects or arrays as a count and the
+// values in each, with its index in their paths. An empty array is added in both forms.
 func (v *Values) flattenArray(path string, raw []byte) error {
 	var scalars []string
 	count := 0
--- a/internal/platformsettings/loadreport.go
+++ b/internal/platformsettings/loadreport.go
@@ -2,8 +2,8 @@
 
 import "alderproxy/policy"
 
-// The exclusive upper limit of a load value, and the conversion of the unit of its latency.
 const (
+	// maxLoadValue is the exclusive upper limit of the values of a load report.
 	maxLoadValue         = 1e9
 	microsPerMillisecond = 1000
 )
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -109,8 +109,8 @@
 // refers to the list received last before it, also if that was in an earlier batch.
 func TestListNumbersAreReused(t *testing.T) {
 	first, second := "11 0000 00000000 02000000", "11 0000 15000000 01000000"
-	use := "18 0000 2900000000000000 01"
-	in := append(frame(1, listEntries, selectInstance3, first, use, second, use), frame(2, nil, selectInstance3, use)...)
+	listChange := "18 0000 2900000000000000 01"
+	in := append(frame(1, listEntries, selectInstance3, first, listChange, second, listChange), frame(2, nil, selectInstance3, listChange)...)
 	d := NewDecoder(bytes.NewReader(in))
 	a, err := d.Next()
 	if err != nil {
@@ -135,29 +135,29 @@
 func TestApply(t *testing.T) {
 	removed := listEndpoints[0]
 	removed.State = policy.Removed
-	now := List{Mode: Cached, Entries: []policy.Endpoint{listEndpoints[1], listEndpoints[0]}}.Apply(nil)
-	if !reflect.DeepEqual(now, listEndpoints) {
-		t.Fatalf("cached: %+v", now)
+	current := List{Mode: Cached, Entries: []policy.Endpoint{listEndpoints[1], listEndpoints[0]}}.Apply(nil)
+	if !reflect.DeepEqual(current, listEndpoints) {
+		t.Fatalf("cached: %+v", current)
 	}
-	if now = (List{Mode: Delta, Entries: []policy.Endpoint{removed}}).Apply(now); !reflect.DeepEqual(now, listEndpoints[1:]) {
-		t.Fatalf("delta: %+v", now)
+	if current = (List{Mode: Delta, Entries: []policy.Endpoint{removed}}).Apply(current); !reflect.DeepEqual(current, listEndpoints[1:]) {
+		t.Fatalf("delta: %+v", current)
 	}
-	if now = (List{Mode: Full, Entries: listEndpoints[:1]}).Apply(now); !reflect.DeepEqual(now, listEndpoints[:1]) {
-		t.Fatalf("full: %+v", now)
+	if current = (List{Mode: Full, Entries: listEndpoints[:1]}).Apply(current); !reflect.DeepEqual(current, listEndpoints[:1]) {
+		t.Fatalf("full: %+v", current)
 	}
 }
 
 // TestMalformed guards against malformed frames that are accepted, cause a panic or are taken for the end of the input.
 func TestMalformed(t *testing.T) {
-	huge := frame(1, nil)
-	binary.LittleEndian.PutUint32(huge[4:], math.MaxUint32)
-	count := frame(1, nil)
-	binary.LittleEndian.PutUint32(count[0:], math.MaxUint32)
+	bodySizeTooLarge := frame(1, nil)
+	binary.LittleEndian.PutUint32(bodySizeTooLarge[4:], math.MaxUint32)
+	recordCountTooLarge := frame(1, nil)
+	binary.LittleEndian.PutUint32(recordCountTooLarge[0:], math.MaxUint32)
 	cases := map[string][]byte{
 		"truncated header":         frame(1, nil)[:7],
 		"truncated body":           frame(1, nil, selectInstance3)[:40],
-		"body size too large":      huge,
-		"record count too large":   count,
+		"body size too large":      bodySizeTooLarge,
+		"record count too large":   recordCountTooLarge,
 		"unknown event code":       frame(1, nil, selectInstance3, "63"),
 		"no instance selected":     frame(1, nil, "15"),
 		"unknown status code":      frame(1, nil, selectInstance3, "12 c4913a5dbb660100 0000 074a1203 09"),
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestGoldenReply guards the layout of each action on the wire: it compares the encoded actions with bytes composed by hand.
-func TestGoldenReply(t *testing.T) {
+// TestGoldenActions guards the layout of each action on the wire: it compares the encoded actions with bytes composed by hand.
+func TestGoldenActions(t *testing.T) {
 	id := uint64(0x166bb5d3a91c4)
 	cases := []struct {
 		action any
--- a/internal/simcodec/codes.go
+++ b/internal/simcodec/codes.go
@@ -10,7 +10,7 @@
 	maxLists         = 16
 )
 
-// Codes of the event records. eventSelectInstance, TO in the protocol, is no event: it selects the instance that the events
+// Codes of the event records. eventSelectInstance (TO in the protocol) is no event: it selects the instance that the events
 // after it concern.
 const (
 	eventRequest           = 16
@@ -27,8 +27,8 @@
 	eventStop              = 27
 )
 
-// Codes of the action records. actionSelectInstance, FOR in the protocol, is no action: it selects the instance that the
-// actions after it concern.
+// Codes of the action records. actionSelectInstance is no action: it selects the instance that the actions after it
+// concern.
 const (
 	actionSendAttempt    = 16
 	actionReject         = 17
--- a/internal/simcodec/decode.go
+++ b/internal/simcodec/decode.go
@@ -77,13 +77,13 @@
 // with the data of variable size.
 func (d *Decoder) decodeRecords(batch *Batch, body []byte, count int) error {
 	tail := body[count*eventSize:]
-	addressed := false
+	instanceSelected := false
 	var instance uint16
 	for i := range count {
 		rec := record(body[i*eventSize : (i+1)*eventSize])
 		switch rec[0] {
 		case eventSelectInstance:
-			addressed = true
+			instanceSelected = true
 			instance = rec.u16(1)
 			continue
 		case eventList:
@@ -93,7 +93,7 @@
 			continue
 		}
 		value, err := d.decodeEvent(rec, tail)
-		if err == nil && !addressed {
+		if err == nil && !instanceSelected {
 			err = malformed("event code %d precedes the first TO record", rec[0])
 		}
 		if err != nil {
