--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -6,15 +6,15 @@
 	"alderproxy/policy"
 )
 
-// idempotencies are the protocol's names of what a retry of a class does.
-var idempotencies = map[string]policy.Idempotency{
+// idempotencyByEffect maps the values of the platform's setting effect.
+var idempotencyByEffect = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentByKey,
 	"non_idempotent":  policy.NonIdempotent,
 }
 
-// Settings returns the decision module's settings. A missing value means none, as the protocol has it. The error names the
-// first value that cannot be read.
+// Settings returns the settings of package policy. A missing setting has its zero value, except that MinCoverage and
+// RequiredCoverage are 1 then, and that a class must have an effect. The error names the first setting that is invalid.
 func (v *Values) Settings() (policy.Settings, error) {
 	s := policy.Settings{
 		InstanceIndex:                 v.integer("my_number"),
@@ -65,7 +65,7 @@
 
 func (v *Values) class(index int) policy.Class {
 	prefix := fmt.Sprintf("grades.%d.", index)
-	idempotency, known := idempotencies[v.texts[prefix+"effect"]]
+	idempotency, known := idempotencyByEffect[v.texts[prefix+"effect"]]
 	if !known {
 		v.fail(prefix+"effect", errUnknownIdempotency)
 	}
@@ -77,10 +77,10 @@
 		LateWeight:          v.number(prefix + "late_worth"),
 		Idempotency:         idempotency,
 		DeduplicationWindow: v.Micros(prefix + "window_us"),
-		MinCoverage:         v.item("family_info.least_share", index, 1),
-		RequiredCoverage:    v.item("family_info.need_by_class", index, 1),
-		PartialWeight:       v.item("family_info.partial_earns", index, 0),
-		MaxFetchParts:       int(v.item("family_info.fetch_parts", index, 0)),
+		MinCoverage:         v.listNumber("family_info.least_share", index, 1),
+		RequiredCoverage:    v.listNumber("family_info.need_by_class", index, 1),
+		PartialWeight:       v.listNumber("family_info.partial_earns", index, 0),
+		MaxFetchParts:       int(v.listNumber("family_info.fetch_parts", index, 0)),
 	}
 }
 
--- a/internal/simnet/simfleet/arrivals.go
+++ b/internal/simnet/simfleet/arrivals.go
@@ -8,9 +8,9 @@
 	"alderproxy/internal/simnet"
 )
 
-// scheduleArrivals starts a query and schedules the next one. Arrivals are a Poisson process.
+// scheduleArrivals starts a query and schedules the next call of itself. Arrivals are a Poisson process.
 func (f *Fleet) scheduleArrivals() {
-	rate := f.plan.Rate(f.Network.Now() - simnet.StartTime)
+	rate := f.scenario.Rate(f.Network.Now() - simnet.StartTime)
 	if rate > 0 {
 		f.startQuery()
 	}
@@ -18,11 +18,11 @@
 	f.Network.Schedule(noNode, Micros(interval), f.scheduleArrivals)
 }
 
-// startQuery offers a random query to a random aggregator. It is lost if the aggregator is down.
+// startQuery sends a random query to a random aggregator. If the aggregator is down, the query counts as offered only.
 func (f *Fleet) startQuery() {
 	aggregator := f.Aggregators[drawIndex(f.aggregatorWeights, f.queryRand)]
 	class := f.drawClass()
-	settings := f.plan.Settings.Classes[class]
+	settings := f.scenario.Settings.Classes[class]
 	now := f.Network.Now()
 	q := &query{class: class, startedAt: now, deadline: now + settings.Timeout}
 	f.addRandomParts(q)
@@ -39,16 +39,16 @@
 func (f *Fleet) drawClass() int {
 	class := 0
 	remaining := f.queryRand.Float64()
-	for class < len(f.plan.Mix)-1 && remaining >= f.plan.Mix[class].Share {
-		remaining -= f.plan.Mix[class].Share
+	for class < len(f.scenario.Mix)-1 && remaining >= f.scenario.Mix[class].QueryFraction {
+		remaining -= f.scenario.Mix[class].QueryFraction
 		class++
 	}
 	return class
 }
 
-// addRandomParts adds parts of distinct shards, whose work has a log-normal distribution.
+// addRandomParts adds parts for distinct random shards to a query. The work of a part has a log-normal distribution.
 func (f *Fleet) addRandomParts(q *query) {
-	class := f.plan.Mix[q.class]
+	class := f.scenario.Mix[q.class]
 	shards := len(f.shardWeights)
 	count := class.MinParts + f.queryRand.IntN(class.MaxParts-class.MinParts+1)
 	used := map[int]bool{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawIndex draws an index by cumulative weights.
+// drawIndex returns a random index with a probability proportional to its weight. The weights are cumulative.
 func drawIndex(cumulativeWeights []float64, rng *rand.Rand) int {
 	last := len(cumulativeWeights) - 1
 	index, _ := slices.BinarySearch(cumulativeWeights, rng.Float64()*cumulativeWeights[last])
