--- a/processtest/client_gone_test.go
+++ b/processtest/client_gone_test.go
@@ -23,23 +23,23 @@
 		require.NoError(t, c.Process.Signal(syscall.SIGSTOP))
 		require.Eventually(t, func() bool { return allThreadsStopped(t, c.Process.Pid) }, 5*time.Second, time.Millisecond)
 		for i := range 8 * (round + 1) {
-			left := testserver.Dial(t, cl.RemoteAddr().String()) // the kernel accepts it
-			sendLookup(left, fmt.Sprintf("left%d-%d", round, i))
-			left.Close()
+			disconnecting := testserver.Dial(t, cl.RemoteAddr().String()) // the kernel accepts it
+			sendLookup(disconnecting, fmt.Sprintf("left%d-%d", round, i))
+			disconnecting.Close()
 		}
 		require.NoError(t, c.Process.Signal(syscall.SIGCONT))
-		behind := testserver.Dial(t, cl.RemoteAddr().String())
-		sendLookup(behind, fmt.Sprint("behind", round))
-		assert.Equal(t, 200, behind.ReadResponse().Status)
-		behind.Close()
+		next := testserver.Dial(t, cl.RemoteAddr().String())
+		sendLookup(next, fmt.Sprint("behind", round))
+		assert.Equal(t, 200, next.ReadResponse().Status)
+		next.Close()
 	}
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, c.Wait()) // what it was ever to send is there
-	var begun []string
+	var forwarded []string
 	for len(s.Requests) > 0 {
 		if frame := <-s.Requests; strings.HasPrefix(frame, "1left") {
-			begun = append(begun, frame)
+			forwarded = append(forwarded, frame)
 		}
 	}
-	assert.Empty(t, begun)
+	assert.Empty(t, forwarded)
 }
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -64,17 +64,17 @@
 	adminAddr    string
 	mu           sync.Mutex
 	log          *strings.Builder // guarded by mu
-	ended        chan struct{}    // closed when the process has ended
+	exited       chan struct{}    // closed when the process has ended
 }
 
 // startCluster starts three voters. The first one kills itself at the given step of a configuration change, if any.
-func startCluster(t *testing.T, bound time.Duration, dieAt string) *cluster {
+func startCluster(t *testing.T, bound time.Duration, killAtStep string) *cluster {
 	t.Helper()
-	return startClusterWithFollowers(t, bound, dieAt, false, 0)
+	return startClusterWithFollowers(t, bound, killAtStep, false, 0)
 }
 
 // startClusterWithFollowers starts three voters, n1 to n3, and a number of followers, f1 and on.
-func startClusterWithFollowers(t *testing.T, bound time.Duration, dieAt string, gossip bool, followers int) *cluster {
+func startClusterWithFollowers(t *testing.T, bound time.Duration, killAtStep string, gossip bool, followerCount int) *cluster {
 	t.Helper()
 	r := &cluster{
 		t:              t,
@@ -86,24 +86,24 @@
 	}
 	r.startServers()
 	voters := []string{"n1", "n2", "n3"}
-	var following []string
-	for n := range followers {
-		following = append(following, fmt.Sprint("f", n+1))
+	var followers []string
+	for n := range followerCount {
+		followers = append(followers, fmt.Sprint("f", n+1))
 	}
 	for _, name := range voters {
 		r.addInstance(name, true)
 	}
-	for _, name := range following {
+	for _, name := range followers {
 		r.addInstance(name, false)
 	}
 	for _, i := range r.instances { // all addresses are known by now
 		i.writeConfig()
 	}
-	r.bootstrap(voters, dieAt)
-	for _, name := range following {
+	r.bootstrap(voters, killAtStep)
+	for _, name := range followers {
 		r.instances[name].start("")
 	}
-	r.waitUntilServing(1, append(voters, following...)...)
+	r.waitUntilServing(1, append(voters, followers...)...)
 	return r
 }
 
@@ -143,13 +143,13 @@
 }
 
 // bootstrap starts the voters, the first of them as the only member of a new group, and adds the others to it.
-func (r *cluster) bootstrap(voters []string, dieAt string) {
+func (r *cluster) bootstrap(voters []string, killAtStep string) {
 	first := r.instances[voters[0]]
 	c, err := config.Load(first.path("ini"))
 	require.NoError(r.t, err)
 	_, err = alderproxy.Init(c, fmt.Sprintf(documentTemplate, 1), "test")
 	require.NoError(r.t, err)
-	first.start(dieAt)
+	first.start(killAtStep)
 	for _, name := range voters[1:] {
 		r.instances[name].start("")
 		add := &sharedconfig.Member{Name: name, Addr: r.instances[name].peerProxy.Addr()}
@@ -159,7 +159,9 @@
 	}
 }
 
-func (i *instance) path(kind string) string { return filepath.Join(i.cluster.dir, i.name+"."+kind) }
+func (i *instance) path(extension string) string {
+	return filepath.Join(i.cluster.dir, i.name+"."+extension)
+}
 
 func (i *instance) writeConfig() {
 	r := i.cluster
@@ -183,46 +185,46 @@
 	require.NoError(r.t, os.WriteFile(i.path("ini"), []byte(text), 0o600))
 }
 
-// listening matches the log lines that name an address on which the process serves.
-var listening = regexp.MustCompile(
+// listenLogPattern matches the log lines that name an address on which the process serves.
+var listenLogPattern = regexp.MustCompile(
 	`msg="?(reachable for instances|reachable for members|serving operators|serving OpenSearch-style queries|serving)"? .*listen="?([0-9.:]+)`)
 
-// listener is what one such line says.
-type listener struct{ service, addr string }
+// serviceAddress is what one such line says.
+type serviceAddress struct{ service, addr string }
 
 // start starts the process and returns once it serves on all its addresses.
-func (i *instance) start(dieAt string) {
-	i.startCommand(dieAt, exec.CommandContext(i.cluster.t.Context(), os.Args[0]))
+func (i *instance) start(killAtStep string) {
+	i.startCommand(killAtStep, exec.CommandContext(i.cluster.t.Context(), os.Args[0]))
 }
 
-func (i *instance) startCommand(dieAt string, cmd *exec.Cmd) {
+func (i *instance) startCommand(killAtStep string, cmd *exec.Cmd) {
 	t := i.cluster.t
 	i.cmd = cmd
-	i.cmd.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+i.path("ini"), "ALDERPROXY_TEST_DIE_AT="+dieAt)
+	i.cmd.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+i.path("ini"), "ALDERPROXY_TEST_DIE_AT="+killAtStep)
 	out, err := i.cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, i.cmd.Start())
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	log := &strings.Builder{}
-	i.ended, i.log = ended, log
+	i.exited, i.log = exited, log
 	t.Cleanup(func() {
 		resumeAndKill(cmd)
-		<-ended
+		<-exited
 	})
-	found := make(chan listener, 16)
+	found := make(chan serviceAddress, 16)
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			i.mu.Lock()
 			log.WriteString(lines.Text() + "\n")
 			i.mu.Unlock()
-			if m := listening.FindStringSubmatch(lines.Text()); m != nil {
-				found <- listener{m[1], m[2]}
+			if m := listenLogPattern.FindStringSubmatch(lines.Text()); m != nil {
+				found <- serviceAddress{m[1], m[2]}
 			}
 		}
 		_ = cmd.Wait() // tests read the exit status from ProcessState
 	}()
-	i.awaitListeners(found)
+	i.awaitServices(found)
 }
 
 // resumeAndKill ends a process that may be stopped or may have ended.
@@ -231,8 +233,8 @@
 	_ = cmd.Process.Kill()
 }
 
-// awaitListeners waits until the process has logged the address of each service that its configuration has.
-func (i *instance) awaitListeners(found <-chan listener) {
+// awaitServices waits until the process has logged the address of each service that its configuration has.
+func (i *instance) awaitServices(found <-chan serviceAddress) {
 	t := i.cluster.t
 	services := 3
 	if i.peerProxy != nil {
@@ -244,8 +246,8 @@
 	for range services {
 		select {
 		case l := <-found:
-			i.connect(l)
-		case <-i.ended:
+			i.recordAddress(l)
+		case <-i.exited:
 			require.Fail(t, "ended: "+i.logged())
 		case <-time.After(20 * time.Second):
 			require.Fail(t, "did not start: "+i.logged())
@@ -253,7 +255,7 @@
 	}
 }
 
-func (i *instance) connect(l listener) {
+func (i *instance) recordAddress(l serviceAddress) {
 	switch l.service {
 	case "reachable for members":
 		require.NoError(i.cluster.t, i.gossipProxy.SetTarget(l.addr))
@@ -337,8 +339,8 @@
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
-func without(all []string, out ...string) []string {
-	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(out, n) })
+func without(all []string, excluded ...string) []string {
+	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(excluded, n) })
 }
 
 func (r *cluster) instanceNames() (all []string) {
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -33,7 +33,7 @@
 			} else {
 				require.ErrorIs(t, err, admin.ErrUnreachable)
 			}
-			<-n1.ended
+			<-n1.exited
 			n1.start("")
 			var versions [3]uint64
 			require.Eventually(t, func() bool { // the survivors agree on what became of it, and so does the one that died
@@ -104,7 +104,7 @@
 }
 
 // Concurrent changes of one version through different instances: exactly one of them is made.
-func TestTwoChangesAtOnce(t *testing.T) {
+func TestConcurrentChangesOfOneVersion(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, 2*time.Second, "")
 	for round := range uint64(5) {
@@ -125,19 +125,19 @@
 		assert.Equal(t, map[sharedconfig.Status]int{sharedconfig.StatusDone: 1, sharedconfig.StatusConflict: 2}, count)
 	}
 	r.waitUntilServing(6, "n1", "n2", "n3")
-	for what, text := range map[string]string{ // a document that one front cannot serve is activated nowhere
+	for reason, text := range map[string]string{ // a document that one front cannot serve is activated nowhere
 		"index catalogue: no store here holds slice 1":            strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 2\ncells = 2", 1),
 		"differs from the effect in the platform's configuration": "[class lookup]\naim = 1s\ngive_up = 2s\neffect = keyed\nwindow = 3s\n",
 		"index catalogue.slices: 1 is not below 1":                strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 1", 1),
 		"settings: Classes is empty":                              "[layout]\nslices = 2\n",
 	} {
-		o, err := r.instances["n3"].client().Put(admin.ConfigChange{Request: what, Expect: 6, Text: text, Author: "test"})
+		o, err := r.instances["n3"].client().Put(admin.ConfigChange{Request: reason, Expect: 6, Text: text, Author: "test"})
 		if err == nil {
 			assert.Equal(t, sharedconfig.StatusRejected, o.Status)
 			assert.NotEmpty(t, o.RejectedBy)
 			err = errors.New(o.Reason)
 		}
-		require.ErrorContains(t, err, what)
+		require.ErrorContains(t, err, reason)
 	}
 	r.waitUntilServing(6, "n1", "n2", "n3")
 }
--- a/processtest/data_directory_test.go
+++ b/processtest/data_directory_test.go
@@ -18,12 +18,12 @@
 )
 
 // An unusable data directory ends the start with one line on standard error, and nothing is served.
-func TestCorruptDataDirectoryEndsTheStart(t *testing.T) {
+func TestCorruptDataDirectoryPreventsStart(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, 2*time.Second, "")
 	n3 := r.instances["n3"]
 	n3.signal(syscall.SIGTERM)
-	<-n3.ended
+	<-n3.exited
 	require.Equal(t, 0, n3.cmd.ProcessState.ExitCode(), n3.logged())
 	db := filepath.Join(n3.path("folder"), "agreed.db")
 	intact, err := os.ReadFile(db)
@@ -39,8 +39,8 @@
 		assert.Equal(t, 1, c.ProcessState.ExitCode(), "it served: %s", out.String())
 		return out.String()
 	}
-	at := strings.Index(string(intact), "worth = 1")
-	require.Positive(t, at)
+	offset := strings.Index(string(intact), "worth = 1")
+	require.Positive(t, offset)
 	corrupt := []byte(strings.ReplaceAll(string(intact), "worth = 1", "worth = 7"))
 	require.NoError(t, os.WriteFile(db, corrupt, 0o600))
 	assert.Regexp(t, `^alderproxy: agreement: folder: [^\n]*agreed.db: [^\n]*corrupt\n$`, run())
@@ -64,7 +64,7 @@
 	r.transferLeadershipToN1()
 	n3 := r.instances["n3"]
 	n3.signal(syscall.SIGTERM)
-	<-n3.ended
+	<-n3.exited
 	f, err := os.Stat(filepath.Join(n3.path("folder"), "agreed.db"))
 	require.NoError(t, err)
 	// The limit on file sizes makes writes fail as a full disk does.
@@ -85,7 +85,7 @@
 	assert.True(t, err != nil || status == 429, "served by version %s: %s", version, n3.logged())
 	r.waitUntilServing(6, "n1", "n2")
 	require.NoError(t, n3.cmd.Process.Kill())
-	<-n3.ended
+	<-n3.exited
 	assert.Contains(t, n3.logged(), "file too large")
 	n3.start("")
 	r.waitUntilServing(6, "n3")
--- a/processtest/descriptors_test.go
+++ b/processtest/descriptors_test.go
@@ -40,13 +40,13 @@
 	t.Cleanup(func() { _ = c.Process.Kill() })
 	lines := bufio.NewScanner(out)
 	addr := waitForLog(t, lines, listenPattern)[1]
-	var full atomic.Int64
-	ended := make(chan struct{})
+	var exhausted atomic.Int64
+	logClosed := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(logClosed)
 		for lines.Scan() {
 			if strings.Contains(lines.Text(), "too many open files") {
-				full.Add(1)
+				exhausted.Add(1)
 			}
 		}
 	}()
@@ -61,13 +61,13 @@
 	}
 	d.SetUnresponsive(false)
 	d.Publish(false, testserver.EndpointEntry("s-0", s, "terminating"))
-	heard := fmt.Sprintf("from=%d&", d.Version())
-	require.Eventually(t, func() bool { return strings.Contains(<-d.Calls, heard) }, 5*time.Second, time.Millisecond)
+	acknowledged := fmt.Sprintf("from=%d&", d.Version())
+	require.Eventually(t, func() bool { return strings.Contains(<-d.Calls, acknowledged) }, 5*time.Second, time.Millisecond)
 	stopClients()
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
-	<-ended
+	<-logClosed
 	assert.NoError(t, c.Wait())
-	assert.Zero(t, full.Load(), "descriptors ran out")
+	assert.Zero(t, exhausted.Load(), "descriptors ran out")
 }
 
 // startShortLivedClients starts clients that connect, send a request (three in four of them) and wait for the answer, again
--- a/processtest/draining_store_test.go
+++ b/processtest/draining_store_test.go
@@ -37,7 +37,7 @@
 	return a
 }
 
-func (a *callTimes) between(from, to time.Time) (n int) {
+func (a *callTimes) countBetween(from, to time.Time) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, t := range a.at {
@@ -55,7 +55,7 @@
 	running  sync.WaitGroup
 	nextID   atomic.Int64
 	answered atomic.Int64
-	failed   atomic.Int64 // answered with another status than 200
+	unserved atomic.Int64 // answered with another status than 200
 }
 
 func (c *lookupClients) run(cl *testserver.Client) {
@@ -74,7 +74,7 @@
 			return
 		}
 		if c.answered.Add(1); resp.Status != 200 {
-			c.failed.Add(1)
+			c.unserved.Add(1)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -127,10 +127,10 @@
 // store begins to drain right when discovery is back.
 func TestNoProcessCallsADrainingStoreDespiteDiscoveryFaults(t *testing.T) {
 	const processes, grace = 4, 550 * time.Millisecond
-	leaving, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
-	calls := recordCalls(leaving)
+	drainingStore, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
+	storeCalls := recordCalls(drainingStore)
 	recordCalls(other)
-	ready, draining := testserver.EndpointEntry("s-1", leaving, "in_service"), testserver.EndpointEntry("s-1", leaving, "terminating")
+	ready, draining := testserver.EndpointEntry("s-1", drainingStore, "in_service"), testserver.EndpointEntry("s-1", drainingStore, "terminating")
 	otherReady := testserver.EndpointEntry("s-2", other, "in_service")
 	d := testserver.NewDiscovery(t, ready, otherReady)
 	known := fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s,%s]}`, ready, otherReady)
@@ -145,10 +145,10 @@
 		all[i] = clients.startQueried(config())
 	}
 	for _, c := range []struct {
-		name        string
-		fail        func()
-		afterDrain  func() // right after discovery has reported the drain
-		whenExpired func() // when the grace has passed twice
+		name       string
+		fail       func()
+		afterDrain func() // right after discovery has reported the drain
+		afterGrace func() // when the grace has passed twice
 	}{
 		{name: "no fault", fail: func() {}},
 		{name: "silent for a while", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, 6*processes); d.SetUnresponsive(false) }},
@@ -158,7 +158,7 @@
 		{name: "a process starts anew", fail: func() { all[0].kill(); all[0] = clients.startQueried(config()) }},
 		{
 			name: "stopped, and resumed late", fail: func() { all[1].signal(syscall.SIGSTOP) },
-			whenExpired: func() { all[1].signal(syscall.SIGCONT); time.Sleep(grace) },
+			afterGrace: func() { all[1].signal(syscall.SIGCONT); time.Sleep(grace) },
 		},
 		{ // what the agent has counts from a new process's first moment
 			name: "killed, and discovery too", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, processes); all[0].kill(); d.SetUnresponsive(false) },
@@ -166,8 +166,8 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			before := calls.between(time.Time{}, time.Now())
-			require.Eventually(t, func() bool { return calls.between(time.Time{}, time.Now()) > before+20 }, 10*time.Second, time.Millisecond,
+			before := storeCalls.countBetween(time.Time{}, time.Now())
+			require.Eventually(t, func() bool { return storeCalls.countBetween(time.Time{}, time.Now()) > before+20 }, 10*time.Second, time.Millisecond,
 				"the store is in use")
 			c.fail()
 			d.Publish(true, draining, otherReady)
@@ -175,17 +175,17 @@
 			if c.afterDrain != nil {
 				c.afterDrain()
 			}
-			since := clients.answered.Load()
+			answeredBefore := clients.answered.Load()
 			time.Sleep(time.Until(reported.Add(2 * grace))) // the rule is about time
-			if c.whenExpired != nil {
-				c.whenExpired()
+			if c.afterGrace != nil {
+				c.afterGrace()
 			}
-			require.Greater(t, clients.answered.Load(), since, "queries went on")
-			assert.Zero(t, calls.between(reported.Add(grace), time.Now()), "calls reached the draining store")
+			require.Greater(t, clients.answered.Load(), answeredBefore, "queries went on")
+			assert.Zero(t, storeCalls.countBetween(reported.Add(grace), time.Now()), "calls reached the draining store")
 			d.Publish(true, ready, otherReady)
 		})
 	}
-	t.Logf("%d queries answered, %d of them not served", clients.answered.Load(), clients.failed.Load())
+	t.Logf("%d queries answered, %d of them not served", clients.answered.Load(), clients.unserved.Load())
 	// A process that was stopped finds its calls late, and in a large fleet admits few queries of their class for some seconds.
-	assert.Less(t, clients.failed.Load(), clients.answered.Load()/5, "queries failed")
+	assert.Less(t, clients.unserved.Load(), clients.answered.Load()/5, "queries failed")
 }
--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -22,8 +22,8 @@
 	t.Parallel()
 	r := startClusterWithFollowers(t, 3*time.Second, "", true, 5)
 	all := r.instanceNames()
-	follow := without(all, "n1", "n2", "n3")
-	load := r.startLoad(follow...)
+	followers := without(all, "n1", "n2", "n3")
+	load := r.startLoad(followers...)
 	r.faults.SetDefault(faultnet.Rule{LossPercent: 0, MaxDelay: 30 * time.Millisecond})
 	version := uint64(1)
 	for round := range 3 {
@@ -31,19 +31,19 @@
 		client := r.instances["n1"].client()
 		require.Eventually(t, func() bool { s, err := client.Status(); leader = s.Leader; return err == nil && leader != "" }, 20*time.Second, 20*time.Millisecond)
 		r.instances[leader].signal(syscall.SIGKILL)
-		<-r.instances[leader].ended
-		asked := without([]string{"n1", "n2", "n3"}, leader)[0]
+		<-r.instances[leader].exited
+		survivor := without([]string{"n1", "n2", "n3"}, leader)[0]
 		var o sharedconfig.Outcome
 		var err error
 		require.Eventually(t, func() bool {
-			o, err = r.instances[asked].client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
+			o, err = r.instances[survivor].client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
 			return !errors.Is(err, admin.ErrUnreachable) && o.Status != sharedconfig.StatusUnknown
 		}, 20*time.Second, 20*time.Millisecond)
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		load.versionReplaced(version)
 		version++
-		r.waitUntilServing(version, follow...)
+		r.waitUntilServing(version, followers...)
 		r.instances[leader].start("")
 		r.waitUntilServing(version, all...)
 	}
--- a/processtest/main_test.go
+++ b/processtest/main_test.go
@@ -16,8 +16,8 @@
 	}
 	var onStep func(string)
 	if step := os.Getenv("ALDERPROXY_TEST_DIE_AT"); step != "" {
-		onStep = func(at string) {
-			if at == step {
+		onStep = func(reached string) {
+			if reached == step {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				select {}
 			}
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -30,17 +30,17 @@
 	"alderproxy/sharedconfig"
 )
 
-func quantiles(t *testing.T, all []time.Duration) (median, p99, most time.Duration) {
+func quantiles(t *testing.T, all []time.Duration) (median, p99, longest time.Duration) {
 	t.Helper()
 	require.NotEmpty(t, all)
 	slices.Sort(all)
 	return all[len(all)/2], all[len(all)*99/100], all[len(all)-1]
 }
 
-// until polls as fast as it can.
-func until(t *testing.T, is func() bool) {
+// pollUntil polls as fast as it can.
+func pollUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for began := time.Now(); !is(); time.Sleep(200 * time.Microsecond) {
+	for began := time.Now(); !condition(); time.Sleep(200 * time.Microsecond) {
 		require.Less(t, time.Since(began), 30*time.Second)
 	}
 }
@@ -59,30 +59,30 @@
 func TestMeasurePutToActive(t *testing.T) {
 	r := startCluster(t, 5*time.Second, "")
 	r.transferLeadershipToN1()
-	var done, everywhere []time.Duration
+	var done, active []time.Duration
 	for v := uint64(1); v <= 200; v++ {
 		began := time.Now()
 		o, err := r.instances["n2"].client().Put(configPut(fmt.Sprint(v), v, int(v)+1))
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		done = append(done, time.Since(began))
-		until(t, func() bool { return r.allServe(v+1, "n1", "n2", "n3") })
-		everywhere = append(everywhere, time.Since(began))
+		pollUntil(t, func() bool { return r.allServe(v+1, "n1", "n2", "n3") })
+		active = append(active, time.Since(began))
 	}
-	for what, all := range map[string][]time.Duration{"done": done, "active at all three": everywhere} {
-		median, p99, most := quantiles(t, all)
-		t.Logf("put to %s: median %v, p99 %v, longest %v (%d changes)", what, median, p99, most, len(all))
+	for event, all := range map[string][]time.Duration{"done": done, "active at all three": active} {
+		median, p99, longest := quantiles(t, all)
+		t.Logf("put to %s: median %v, p99 %v, longest %v (%d changes)", event, median, p99, longest, len(all))
 	}
 }
 
 // Time without a leader after a kill, and queries that were not served meanwhile.
 func TestMeasureLeaderKilled(t *testing.T) {
 	r := startCluster(t, 5*time.Second, "")
-	var gaps, puts []time.Duration
-	var asked, lost atomic.Int64
+	var elections, puts []time.Duration
+	var queries, unserved atomic.Int64
 	for round := range 20 {
 		var leader string
-		until(t, func() bool {
+		pollUntil(t, func() bool {
 			s, err := r.instances["n2"].client().Status()
 			leader = s.Leader
 			return err == nil && leader != "" && s.Reason == ""
@@ -101,8 +101,8 @@
 				defer wg.Done()
 				for n := 0; !stop.Load(); n++ {
 					status, _, err := r.instances[name].search()
-					if asked.Add(1); status != 200 || err != nil {
-						lost.Add(1)
+					if queries.Add(1); status != 200 || err != nil {
+						unserved.Add(1)
 					}
 				}
 			}()
@@ -110,11 +110,11 @@
 		time.Sleep(200 * time.Millisecond)
 		began := time.Now()
 		r.instances[leader].signal(syscall.SIGKILL)
-		until(t, func() bool {
+		pollUntil(t, func() bool {
 			s, err := r.instances[others[0]].client().Status()
 			return err == nil && s.Leader != "" && s.Leader != leader
 		})
-		gaps = append(gaps, time.Since(began))
+		elections = append(elections, time.Since(began))
 		v, err := r.instances[others[0]].client().Show(0, false)
 		require.NoError(t, err)
 		o, err := r.instances[others[0]].client().Put(configPut(fmt.Sprint("after ", round), v.Number, round+1000))
@@ -123,15 +123,15 @@
 		puts = append(puts, time.Since(began))
 		stop.Store(true)
 		wg.Wait()
-		<-r.instances[leader].ended
+		<-r.instances[leader].exited
 		r.instances[leader].start("")
 		r.waitUntilServing(o.Version, "n1", "n2", "n3")
 	}
-	for what, all := range map[string][]time.Duration{"a new leader is known": gaps, "a change is done": puts} {
-		median, _, most := quantiles(t, all)
-		t.Logf("from SIGKILL until %s: median %v, longest %v (%d kills, elections in half the usual times)", what, median, most, len(all))
+	for event, all := range map[string][]time.Duration{"a new leader is known": elections, "a change is done": puts} {
+		median, _, longest := quantiles(t, all)
+		t.Logf("from SIGKILL until %s: median %v, longest %v (%d kills, elections in half the usual times)", event, median, longest, len(all))
 	}
-	t.Logf("queries at the other two meanwhile: %d, not served: %d", asked.Load(), lost.Load())
+	t.Logf("queries at the other two meanwhile: %d, not served: %d", queries.Load(), unserved.Load())
 }
 
 // Throughput and tail of the OpenSearch front during ten changes in ten seconds, beside none; in turns.
@@ -140,14 +140,14 @@
 	r.transferLeadershipToN1()
 	load := func(changes bool) *hdrhistogram.Histogram {
 		var mu sync.Mutex
-		sum := hdrhistogram.New(1, 10_000_000, 3)
+		latencies := hdrhistogram.New(1, 10_000_000, 3)
 		var wg sync.WaitGroup
 		end := time.Now().Add(10 * time.Second)
 		for range 8 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				own := hdrhistogram.New(1, 10_000_000, 3)
+				clientLatencies := hdrhistogram.New(1, 10_000_000, 3)
 				c, err := new(net.Dialer).DialContext(t.Context(), "tcp", r.instances["n2"].searchAddr)
 				if !assert.NoError(t, err) {
 					return
@@ -161,11 +161,11 @@
 					if !assert.NoError(t, err) || !assert.Equal(t, 200, status) {
 						return
 					}
-					assert.NoError(t, own.RecordValue(time.Since(began).Microseconds()))
+					assert.NoError(t, clientLatencies.RecordValue(time.Since(began).Microseconds()))
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				sum.Merge(own)
+				latencies.Merge(clientLatencies)
 			}()
 		}
 		for k := 0; changes && k < 10; k++ {
@@ -177,7 +177,7 @@
 			require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		}
 		wg.Wait()
-		return sum
+		return latencies
 	}
 	load(false) // warm
 	for round := range 3 {
@@ -194,9 +194,9 @@
 	quiet := logrus.New()
 	quiet.SetLevel(logrus.ErrorLevel)
 	for _, after := range []int{100_000, 200} {
-		lone := t.TempDir()
+		dataDirectory := t.TempDir()
 		text := fmt.Sprintf("[instance]\nid = n1\nfolder = %s\nadmin = 127.0.0.1:0\n[agreement]\nlisten = 127.0.0.1:0\nspeed = 4\nsnapshot_after = %d\n",
-			lone, after)
+			dataDirectory, after)
 		c, err := config.Parse("lone.ini", text)
 		require.NoError(t, err)
 		first := fmt.Sprintf(documentTemplate, 1)
@@ -206,7 +206,7 @@
 			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			n, err := raftnode.Open(raftnode.Config{
-				Name: "n1", DataDirectory: lone, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, RaftSpeedup: 4,
+				Name: "n1", DataDirectory: dataDirectory, Listener: l, Address: l.Addr().String(), StalenessBound: 5 * time.Second, RaftSpeedup: 4,
 				SnapshotThreshold: after, Log: quiet.WithField("measure", true),
 				Check: func(string) error { return nil }, Activate: func(sharedconfig.Version) error { return nil },
 			})
@@ -222,7 +222,7 @@
 		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
 		require.NoError(t, n.Close())
 		var size int64
-		require.NoError(t, filepath.Walk(lone, func(_ string, f os.FileInfo, err error) error {
+		require.NoError(t, filepath.Walk(dataDirectory, func(_ string, f os.FileInfo, err error) error {
 			if err == nil {
 				size += f.Size()
 			}
@@ -231,7 +231,7 @@
 		began := time.Now()
 		n = open()
 		opened := time.Since(began)
-		until(t, func() bool { ok, _ := n.Gate(n.ServedVersion()); return ok && n.State().Active().Number == 1000 })
+		pollUntil(t, func() bool { ok, _ := n.Gate(n.ServedVersion()); return ok && n.State().Active().Number == 1000 })
 		st := n.Status()
 		t.Logf("1,000 versions, snapshot_after %d: folder %d KiB, log entries %d to %d, opened in %v, serving by version %d after %v", after, size>>10,
 			st.FirstLogIndex, st.LastLogIndex, opened, n.ServedVersion(), time.Since(began))
@@ -256,9 +256,9 @@
 	load = r.startLoad(followers...)
 	version := uint64(1)
 	for round := range 6 {
-		took := r.measureLeaderKill(load, round, version, followers)
+		elapsed := r.measureLeaderKill(load, round, version, followers)
 		version++
-		t.Logf("leader kill %d: all seven followers serve version %d after %v", round+1, version, took)
+		t.Logf("leader kill %d: all seven followers serve version %d after %v", round+1, version, elapsed)
 		r.waitUntilServing(version, all...)
 	}
 	sum = load.stop()
@@ -267,7 +267,7 @@
 }
 
 // detectionTimes are the times from SIGKILL until a share of the other members considers the killed one dead.
-type detectionTimes struct{ one, half, all []time.Duration }
+type detectionTimes struct{ first, half, all []time.Duration }
 
 // measureDeathDetection kills f7 fifteen times.
 func (r *cluster) measureDeathDetection(all, others []string) {
@@ -278,16 +278,16 @@
 		victim := r.instances["f7"]
 		victim.signal(syscall.SIGKILL)
 		began := time.Now()
-		<-victim.ended
+		<-victim.exited
 		r.awaitDeath("f7", others, began, &times)
 		victim.start("")
 		r.waitForView(all, 30*time.Second)
 	}
 	datagramsAfter, bytesAfter := r.sent(others)
 	memberSeconds := time.Since(started).Seconds() * float64(len(others))
-	for what, took := range map[string][]time.Duration{"one": times.one, "half": times.half, "all": times.all} {
-		median, p99, most := quantiles(r.t, took)
-		r.t.Logf("from SIGKILL until known to %s of nine: median %v, p99 %v, most %v; times 5 at the usual ones", what, median, p99, most)
+	for observers, took := range map[string][]time.Duration{"one": times.first, "half": times.half, "all": times.all} {
+		median, p99, longest := quantiles(r.t, took)
+		r.t.Logf("from SIGKILL until known to %s of nine: median %v, p99 %v, most %v; times 5 at the usual ones", observers, median, p99, longest)
 	}
 	r.t.Logf("%.1f datagrams and %.0f bytes a member and second at a period of 200 ms; %d deaths logged for 15 kills",
 		float64(datagramsAfter-datagrams)/memberSeconds, float64(bytesAfter-bytes)/memberSeconds, len(r.loggedDeaths()))
@@ -314,8 +314,8 @@
 		}
 		took := time.Since(began)
 		require.Less(r.t, took, 30*time.Second)
-		if known >= 1 && len(times.one) == len(times.all) {
-			times.one = append(times.one, took)
+		if known >= 1 && len(times.first) == len(times.all) {
+			times.first = append(times.first, took)
 		}
 		if 2*known >= len(others) && len(times.half) == len(times.all) {
 			times.half = append(times.half, took)
@@ -329,8 +329,8 @@
 func (r *cluster) measureLeaderKill(load *queryLoad, round int, version uint64, followers []string) time.Duration {
 	voters := []string{"n1", "n2", "n3"}
 	leader := ""
-	until(r.t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.LeaseRemaining > 0 })
-	until(r.t, func() bool {
+	pollUntil(r.t, func() bool { s, err := r.instances["f1"].client().Status(); return err == nil && s.LeaseRemaining > 0 })
+	pollUntil(r.t, func() bool {
 		for _, name := range voters {
 			if s, err := r.instances[name].client().Status(); err == nil && s.Leader != "" {
 				leader = s.Leader
@@ -339,15 +339,15 @@
 		return leader != ""
 	})
 	r.instances[leader].signal(syscall.SIGKILL)
-	<-r.instances[leader].ended
+	<-r.instances[leader].exited
 	survivor := r.instances[without(voters, leader)[0]]
-	until(r.t, func() bool {
+	pollUntil(r.t, func() bool {
 		o, _ := survivor.client().Put(configPut(fmt.Sprint("round", round), version, int(version)+1))
 		return o.Status == sharedconfig.StatusDone
 	})
 	load.versionReplaced(version)
 	began := time.Now()
-	until(r.t, func() bool { return r.allServe(version+1, followers...) })
+	pollUntil(r.t, func() bool { return r.allServe(version+1, followers...) })
 	took := time.Since(began)
 	r.instances[leader].start("")
 	return took
@@ -371,7 +371,7 @@
 		c, _, cl, lines := startProcess(t, strings.Replace(platformConfig(d), `"settings"`, fmt.Sprintf(
 			`"limits":{"sockets":4096,"memory_mb":192},"known":{"version":1,"full":true,"servers":[%s]},"settings"`, strings.Join(entries, ",")), 1))
 		go discardLog(lines)
-		listed := func() string {
+		resourceUsage := func() string {
 			status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
 			require.NoError(t, err)
 			fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.Process.Pid))
@@ -380,12 +380,12 @@
 			threads := regexp.MustCompile(`Threads:\s+(\d+)`).FindSubmatch(status)
 			return fmt.Sprintf("%s KB resident, %s threads, %d descriptors", rss[1], threads[1], len(fds))
 		}
-		t.Logf("%4d stores, just listed: %s", stores, listed())
+		t.Logf("%4d stores, just listed: %s", stores, resourceUsage())
 		for i := range 6 * stores {
 			sendLookup(cl, fmt.Sprint("q", i))
 			require.Equal(t, 200, cl.ReadResponse().Status)
 		}
-		t.Logf("%4d stores, %d connections: %s", stores, s.Connections(), listed())
+		t.Logf("%4d stores, %d connections: %s", stores, s.Connections(), resourceUsage())
 		began := time.Now()
 		const lists = 50
 		for range lists {
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -42,13 +42,13 @@
 }
 
 // waitForView waits until each of the given instances considers exactly these present, and returns how long that took.
-func (r *cluster) waitForView(these []string, within time.Duration) time.Duration {
+func (r *cluster) waitForView(names []string, within time.Duration) time.Duration {
 	began := time.Now()
-	slices.Sort(these)
-	for _, name := range these {
+	slices.Sort(names)
+	for _, name := range names {
 		i := r.instances[name]
-		require.Eventually(r.t, func() bool { return slices.Equal(i.presentMembers(), these) }, within, 20*time.Millisecond, "%s considers %v present, not %v: %s",
-			name, i.presentMembers(), these, i.logged())
+		require.Eventually(r.t, func() bool { return slices.Equal(i.presentMembers(), names) }, within, 20*time.Millisecond, "%s considers %v present, not %v: %s",
+			name, i.presentMembers(), names, i.logged())
 	}
 	return time.Since(began)
 }
@@ -116,13 +116,13 @@
 
 	// A killed member is dead to all, and logged once.
 	r.instances["f5"].signal(syscall.SIGKILL)
-	<-r.instances["f5"].ended
+	<-r.instances["f5"].exited
 	took := r.waitForView(without(all, "f5"), 20*time.Second)
 	t.Logf("a killed process is out of all views after %v, at a fifth of the usual times", took)
 	require.Eventually(t, func() bool { return len(r.loggedDeaths()) > 0 }, 5*time.Second, 20*time.Millisecond)
 	assert.Len(t, r.loggedDeaths(), 1, "each death is logged by one member")
-	for _, kind := range []string{"folder", "ini"} { // it starts again, with an empty data directory
-		require.NoError(t, os.RemoveAll(r.instances["f5"].path(kind)))
+	for _, extension := range []string{"folder", "ini"} { // it starts again, with an empty data directory
+		require.NoError(t, os.RemoveAll(r.instances["f5"].path(extension)))
 	}
 	r.instances["f5"].writeConfig()
 	r.instances["f5"].start("")
@@ -132,7 +132,7 @@
 	r.instances["f3"].signal(syscall.SIGTERM)
 	require.Eventually(t, func() bool { return r.instances["n1"].member("f3").State == "left" }, 2*time.Second, 10*time.Millisecond)
 	r.waitForView(without(all, "f3"), 5*time.Second)
-	<-r.instances["f3"].ended
+	<-r.instances["f3"].exited
 	assert.Equal(t, 0, r.instances["f3"].cmd.ProcessState.ExitCode(), r.instances["f3"].logged())
 	assert.Len(t, r.loggedDeaths(), 1)
 
@@ -150,11 +150,11 @@
 	r.transferLeadershipToN1()
 	r.waitForView(all, 20*time.Second)
 	load := r.startLoad("n2", "n3", "f1")
-	for _, span := range []time.Duration{5 * time.Second, 20 * time.Second} { // 25 and 100 s at the usual times: deaths
+	for _, suspension := range []time.Duration{5 * time.Second, 20 * time.Second} { // 25 and 100 s at the usual times: deaths
 		f2 := r.instances["f2"]
 		f2.signal(syscall.SIGSTOP)
-		until := time.Now().Add(span)
-		r.waitForView(without(all, "f2"), span)
+		until := time.Now().Add(suspension)
+		r.waitForView(without(all, "f2"), suspension)
 		time.Sleep(time.Until(until)) // the stop
 		f2.signal(syscall.SIGCONT)
 		r.waitForView(all, 20*time.Second)
@@ -164,9 +164,9 @@
 		}
 	}
 
-	here, there := []string{"n1", "f3", "f4"}, []string{"n2", "n3", "f1", "f2", "f5"}
-	for _, name := range here {
-		r.faults.Isolate(name, there...)
+	smallerSide, largerSide := []string{"n1", "f3", "f4"}, []string{"n2", "n3", "f1", "f2", "f5"}
+	for _, name := range smallerSide {
+		r.faults.Isolate(name, largerSide...)
 	}
 	client := r.instances["n2"].client()
 	require.Eventually(t, func() bool { // the larger side elects another leader
@@ -177,9 +177,9 @@
 	require.NoError(t, err)
 	require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 	load.versionReplaced(1)
-	r.waitForView(there, 30*time.Second)
+	r.waitForView(largerSide, 30*time.Second)
 	// The smaller side stops serving within the staleness bound: its version may have been replaced.
-	for _, name := range here {
+	for _, name := range smallerSide {
 		require.Eventually(t, func() bool { s, _, err := r.instances[name].search(); return err == nil && s == 503 }, 2*r.stalenessBound, 50*time.Millisecond, name)
 	}
 	r.faults.Clear()
--- a/processtest/query_load_test.go
+++ b/processtest/query_load_test.go
@@ -31,7 +31,7 @@
 	violations []string
 }
 
-func (r *loadResult) violation(values ...any) {
+func (r *loadResult) addViolation(values ...any) {
 	r.violations = append(r.violations, fmt.Sprint(values...))
 }
 
@@ -47,10 +47,10 @@
 }
 
 // versionReplaced records that a version has been replaced by now.
-func (l *queryLoad) versionReplaced(old uint64) {
+func (l *queryLoad) versionReplaced(version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.replacedAt[fmt.Sprint(old)] = time.Now()
+	l.replacedAt[fmt.Sprint(version)] = time.Now()
 }
 
 func (l *queryLoad) run(addr string, request func(int) []byte) {
@@ -60,7 +60,7 @@
 	// One connection: a second answer to a query would come before the answer to the next one.
 	c, err := new(net.Dialer).DialContext(l.cluster.t.Context(), "tcp", addr)
 	if err != nil {
-		sum.violation(err)
+		sum.addViolation(err)
 		return
 	}
 	defer c.Close()
@@ -72,17 +72,17 @@
 		status, version, err := readAnswer(in)
 		sum.sent++
 		l.mu.Lock()
-		at, old := l.replacedAt[version]
+		replacedAt, replaced := l.replacedAt[version]
 		l.mu.Unlock()
 		switch {
 		case err != nil || in.Buffered() > 0 || status != 200 && status != 429 && status != 503:
-			sum.violation(status, " ", err, " ", in.Buffered())
+			sum.addViolation(status, " ", err, " ", in.Buffered())
 		case status != 200:
 			sum.rejected++
 		case len(version) < len(last) || len(version) == len(last) && version < last:
-			sum.violation(version, " after ", last)
-		case old && began.Sub(at) > l.cluster.stalenessBound:
-			sum.violation("version ", version, " served ", began.Sub(at), " after it was replaced")
+			sum.addViolation(version, " after ", last)
+		case replaced && began.Sub(replacedAt) > l.cluster.stalenessBound:
+			sum.addViolation("version ", version, " served ", began.Sub(replacedAt), " after it was replaced")
 		default:
 			sum.served++
 			last = version
@@ -96,7 +96,7 @@
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		sum.violation("more came than was asked for: ", err)
+		sum.addViolation("more came than was asked for: ", err)
 	}
 }
 
--- a/processtest/reload_test.go
+++ b/processtest/reload_test.go
@@ -18,7 +18,7 @@
 func TestSIGHUPChangesDiscoveryAndKeepsOpenRequests(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	entry := testserver.EndpointEntry("s-1", s, "in_service")
-	old, moved := testserver.NewDiscovery(t, entry), testserver.NewDiscovery(t, entry)
+	old, replacement := testserver.NewDiscovery(t, entry), testserver.NewDiscovery(t, entry)
 	c, path, cl, lines := startProcess(t, platformConfig(old))
 	release := s.HoldAnswers()
 	sendLookup(cl, "q1")
@@ -26,12 +26,12 @@
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":`), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	waitForLog(t, lines, "new configuration unusable")
-	require.NoError(t, os.WriteFile(path, []byte(platformConfig(moved)), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(platformConfig(replacement)), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	waitForLog(t, lines, `discovery address changed`)
 	for target := ""; !strings.Contains(target, "hold_ms"); { // it watches the new one: it has taken its list in
 		select {
-		case target = <-moved.Calls:
+		case target = <-replacement.Calls:
 		case <-time.After(5 * time.Second):
 			require.Fail(t, "the new address was not asked")
 		}
@@ -55,10 +55,10 @@
 	release := s.HoldAnswers()
 	sendLookup(cl, "q1")
 	testserver.NextRequest(t, s)
-	reload := func(text, logs string) {
+	reload := func(text, logPattern string) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		require.NoError(t, c.Process.Signal(syscall.SIGHUP))
-		waitForLog(t, lines, logs)
+		waitForLog(t, lines, logPattern)
 	}
 	post := func(class, key string) int {
 		other := testserver.Dial(t, cl.RemoteAddr().String())
--- a/processtest/shutdown_test.go
+++ b/processtest/shutdown_test.go
@@ -49,8 +49,8 @@
 	rejectedOrFailed = []int{429, 503}
 )
 
-// shutdownMoments send SIGTERM at a moment of its own each, and return the statuses that the open request may get.
-var shutdownMoments = map[string]func(p *stoppingProcess) (statuses []int){
+// shutdownScenarios send SIGTERM at a moment of its own each, and return the statuses that the open request may get.
+var shutdownScenarios = map[string]func(p *stoppingProcess) (statuses []int){
 	"before the answer": func(p *stoppingProcess) []int {
 		p.signal(syscall.SIGTERM)
 		p.release()
@@ -95,7 +95,7 @@
 // A graceful shutdown may begin at any moment: every accepted request gets its complete answer, also for a client that
 // reads it after the process has ended, and the process exits with status 0 in time.
 func TestShutdownAtAnyMoment(t *testing.T) {
-	for name, terminate := range shutdownMoments {
+	for name, terminate := range shutdownScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := testserver.NewFrameStore(t)
@@ -150,7 +150,7 @@
 
 func stopUnderRandomClients(t *testing.T, seed uint64) {
 	t.Helper()
-	draw := rand.New(rand.NewPCG(seed, 7))
+	rng := rand.New(rand.NewPCG(seed, 7))
 	clients := &randomClients{t: t, stopping: make(chan struct{})}
 	var stores []*testserver.Store
 	var list []string
@@ -167,7 +167,7 @@
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
 		clients.running.Go(func() { clients.run(i, r) })
 	}
-	time.Sleep(time.Duration(300+draw.IntN(400)) * time.Millisecond) // any moment will do
+	time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // any moment will do
 	for _, s := range stores {
 		s.SetFault([]testserver.Fault{testserver.None, testserver.Unresponsive, testserver.Stalled, testserver.Reset, testserver.Rejecting}[seed%5])
 	}
--- a/processtest/startup_test.go
+++ b/processtest/startup_test.go
@@ -22,7 +22,7 @@
 	"alderproxy/platform"
 )
 
-func TestBadStartEndsWithOneLine(t *testing.T) {
+func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
 	for name, config := range map[string]string{"empty": "", "cut": `{"listen":`, "no settings": `{}`} {
 		c, _ := processCommand(t, config)
 		var out bytes.Buffer
@@ -37,10 +37,10 @@
 	require.NoError(t, err)
 	_, err = platform.ParseConfig(text)
 	require.NoError(t, err)
-	for path, on := range map[string]bool{"deploy/alderproxy.ini": false, "example/alderproxy.ini": true} {
+	for path, hasSearchFront := range map[string]bool{"deploy/alderproxy.ini": false, "example/alderproxy.ini": true} {
 		c, err := config.Load(filepath.Join(repositoryRoot, path))
 		require.NoError(t, err, path)
-		assert.Equal(t, on, c.OpenSearch != nil, path)
+		assert.Equal(t, hasSearchFront, c.OpenSearch != nil, path)
 		assert.Nil(t, c.Agreement, path)
 	}
 }
@@ -55,17 +55,17 @@
 	config := strings.TrimSuffix(platformConfig(d), "}") + fmt.Sprintf(`,"known":{"version":1,"full":true,"servers":[%s]}}`,
 		testserver.EndpointEntry("s-1", s, "in_service"))
 
-	var had, one unix.CPUSet
+	var originalCPUs, singleCPU unix.CPUSet
 	runtime.LockOSThread() // children have the cores of the thread that starts them
 	defer runtime.UnlockOSThread()
-	require.NoError(t, unix.SchedGetaffinity(0, &had))
+	require.NoError(t, unix.SchedGetaffinity(0, &originalCPUs))
 	for cpu := range 1024 {
-		if had.IsSet(cpu) {
-			one.Set(cpu)
+		if originalCPUs.IsSet(cpu) {
+			singleCPU.Set(cpu)
 			break
 		}
 	}
-	require.NoError(t, unix.SchedSetaffinity(0, &one))
+	require.NoError(t, unix.SchedSetaffinity(0, &singleCPU))
 	began, ready := time.Now(), make(chan time.Duration, processes)
 	for range processes {
 		c, _ := processCommand(t, config)
@@ -86,7 +86,7 @@
 			}
 		}()
 	}
-	require.NoError(t, unix.SchedSetaffinity(0, &had))
+	require.NoError(t, unix.SchedSetaffinity(0, &originalCPUs))
 	late := 0
 	for range processes {
 		select {
