--- a/example/demo/discovery.go
+++ b/example/demo/discovery.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	unchangedList = `{"version":1,"full":false,"servers":[]}`
-	listedStore   = `{"id":"s-%d","addr":"127.0.0.1:860%d","zone":"a","kind":"toy","cell":0,"state":"in_service","weight":1,"started_ms":0}`
+	unchangedList      = `{"version":1,"full":false,"servers":[]}`
+	storeEntryTemplate = `{"id":"s-%d","addr":"127.0.0.1:860%d","zone":"a","kind":"toy","cell":0,"state":"in_service","weight":1,"started_ms":0}`
 )
 
 // answerDiscovery answers one call to discovery. The list never changes, so a watch waits for its whole timeout.
@@ -28,15 +28,15 @@
 	if _, query, _ := strings.Cut(request.Target, "?"); strings.Contains(query, "from=1") {
 		time.Sleep(watchTimeout(query))
 	} else {
-		list = fmt.Sprintf(`{"version":1,"full":true,"servers":[`+listedStore+","+listedStore+`]}`, 1, 1, 2, 2)
+		list = fmt.Sprintf(`{"version":1,"full":true,"servers":[`+storeEntryTemplate+","+storeEntryTemplate+`]}`, 1, 1, 2, 2)
 	}
 	_, err = c.Write(httpwire.AppendResponse(nil, http.StatusOK, nil, []byte(list), false))
 	return err
 }
 
-// watchTimeout returns the timeout in a watch's query; 0: it has none that can be read.
+// watchTimeout returns the timeout in the query of a watch, or 0 if it has no valid one.
 func watchTimeout(query string) time.Duration {
-	values, _ := url.ParseQuery(query) // the values that can be read
+	values, _ := url.ParseQuery(query) // the valid values are returned despite an error
 	timeout, err := strconv.Atoi(values.Get("hold_ms"))
 	if err != nil {
 		return 0
--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo runs what is needed to try alderproxy on one machine: discovery, two stores that speak the platform's frames
-// and two that answer searches. Every store holds every shard and answers after a moment.
+// Command demo runs the services that are needed to try alderproxy on one machine: discovery, two stores that speak the
+// platform's frame protocol and two that answer searches. Every store holds every shard and answers after storeLatency.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// storeLatency is how long a store takes to answer.
+// storeLatency is the time that a store takes to answer.
 const storeLatency = 20 * time.Millisecond
 
 // handler answers one request on a connection.
@@ -35,7 +35,7 @@
 	select {}
 }
 
-// serve answers requests until the listener fails.
+// serve accepts connections and answers their requests until the listener fails.
 func serve(l net.Listener, answer handler) error {
 	for {
 		c, err := l.Accept()
--- a/example/demo/main_test.go
+++ b/example/demo/main_test.go
@@ -12,7 +12,8 @@
 	"alderproxy/httpwire"
 )
 
-// A watch is answered when its timeout is over: the program takes a later answer for an unresponsive discovery.
+// Guards against a watch that is answered too late: the program then considers discovery unresponsive. The answer must come
+// when the watch's timeout is over.
 func TestWatchIsAnsweredInItsTime(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -20,7 +21,7 @@
 	go func() {
 		if c, err := l.Accept(); err == nil {
 			defer c.Close()
-			_ = answerDiscovery(c, bufio.NewReader(c)) // an error shows in what the client reads
+			_ = answerDiscovery(c, bufio.NewReader(c)) // an error makes the client's read fail
 		}
 	}()
 	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
--- a/example/demo/stores.go
+++ b/example/demo/stores.go
@@ -20,7 +20,7 @@
 	minCallWords     = 4
 )
 
-// answerFrame answers one frame of the platform's protocol.
+// answerFrame reads one frame of the platform's protocol and answers it if it is a call.
 func answerFrame(c net.Conn, r *bufio.Reader) error {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
