--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -39,8 +39,8 @@
 slices = 0-1
 `
 
-// cluster is three voting processes of the program with both fronts, connected through a network with injected faults,
-// and the followers that a test asks for.
+// cluster is a group of processes of the program, each with both fronts: three voters, and as many followers as a test asks
+// for. Their connections and datagrams pass through a network that injects faults.
 type cluster struct {
 	t              *testing.T
 	dir            string
@@ -57,23 +57,24 @@
 	name         string
 	cluster      *cluster
 	cmd          *exec.Cmd
-	peerProxy    *faultnet.ConnectionProxy // nil: the instance follows and has no listener for other instances
-	gossipProxy  *faultnet.DatagramProxy   // nil: the instance has no gossip
+	peerProxy    *faultnet.ConnectionProxy // nil for a follower, which has no listener for other instances
+	gossipProxy  *faultnet.DatagramProxy   // nil without gossip
 	searchAddr   string
 	platformAddr string
 	adminAddr    string
 	mu           sync.Mutex
 	log          *strings.Builder // guarded by mu
-	exited       chan struct{}    // closed when the process has ended
+	exited       chan struct{}    // closed when the process has exited
 }
 
-// startCluster starts three voters. The first one kills itself at the given step of a configuration change, if any.
+// startCluster starts three voters. The first of them kills itself at the given step of a configuration change; an empty
+// step means never.
 func startCluster(t *testing.T, bound time.Duration, killAtStep string) *cluster {
 	t.Helper()
 	return startClusterWithFollowers(t, bound, killAtStep, false, 0)
 }
 
-// startClusterWithFollowers starts three voters, n1 to n3, and a number of followers, f1 and on.
+// startClusterWithFollowers starts three voters, n1 to n3, and the given number of followers, named from f1.
 func startClusterWithFollowers(t *testing.T, bound time.Duration, killAtStep string, gossip bool, followerCount int) *cluster {
 	t.Helper()
 	r := &cluster{
@@ -107,7 +108,7 @@
 	return r
 }
 
-// startServers starts the stores and the discovery service, and discards the record of the calls that they get.
+// startServers starts the stores and discovery, and discards the requests that they record.
 func (r *cluster) startServers() {
 	for range 2 {
 		s := testserver.NewSearchStore(r.t, "0 {\"_id\":\"a\",\"_score\":1}\n1 {\"_id\":\"b\",\"_score\":2}\n")
@@ -172,10 +173,10 @@
 		"[agreement]\nstale_after = %s\nspeed = 2\n", i.name, i.path("folder"), i.path("json"), r.stalenessBound)
 	if i.peerProxy != nil {
 		text += "listen = 127.0.0.1:0\naddress = " + i.peerProxy.Addr() + "\n"
-	} else { // one of the voters, by chance of the order, and an address at which nobody is
+	} else { // two of the voters, after an address at which nothing listens
 		text += "follow = 127.0.0.1:1, " + r.instances["n1"].peerProxy.Addr() + ", " + r.instances["n2"].peerProxy.Addr() + "\n"
 	}
-	if r.gossip { // a fifth of the usual times
+	if r.gossip { // a fifth of the default period
 		text += fmt.Sprintf("[membership]\nlisten = 127.0.0.1:0\naddress = %s\nseeds = 127.0.0.1:1, %s, %s\nperiod = 200ms\ndatagrams_per_s = 100\nzone = z%d\n",
 			i.gossipProxy.Addr(), r.instances["n1"].gossipProxy.Addr(), r.instances["n2"].gossipProxy.Addr(), len(i.name)%2)
 	}
@@ -185,11 +186,11 @@
 	require.NoError(r.t, os.WriteFile(i.path("ini"), []byte(text), 0o600))
 }
 
-// listenLogPattern matches the log lines that name an address on which the process serves.
+// listenLogPattern matches the log lines that contain the address on which a service of the process listens.
 var listenLogPattern = regexp.MustCompile(
 	`msg="?(reachable for instances|reachable for members|serving operators|serving OpenSearch-style queries|serving)"? .*listen="?([0-9.:]+)`)
 
-// serviceAddress is what one such line says.
+// serviceAddress is a service of a process, as named in the log, and the address on which it listens.
 type serviceAddress struct{ service, addr string }
 
 // start starts the process and returns once it serves on all its addresses.
@@ -227,13 +228,13 @@
 	i.awaitServices(found)
 }
 
-// resumeAndKill ends a process that may be stopped or may have ended.
+// resumeAndKill kills a process that may be suspended or may have exited already.
 func resumeAndKill(cmd *exec.Cmd) {
 	_ = cmd.Process.Signal(syscall.SIGCONT)
 	_ = cmd.Process.Kill()
 }
 
-// awaitServices waits until the process has logged the address of each service that its configuration has.
+// awaitServices waits until the process has logged the address of each service that its configuration enables.
 func (i *instance) awaitServices(found <-chan serviceAddress) {
 	t := i.cluster.t
 	services := 3
@@ -248,9 +249,9 @@
 		case l := <-found:
 			i.recordAddress(l)
 		case <-i.exited:
-			require.Fail(t, "ended: "+i.logged())
+			require.Fail(t, "the process exited: "+i.logged())
 		case <-time.After(20 * time.Second):
-			require.Fail(t, "did not start: "+i.logged())
+			require.Fail(t, "the process does not listen on all its addresses after 20 s: "+i.logged())
 		}
 	}
 }
@@ -293,7 +294,7 @@
 	}
 }
 
-// sendOnce sends one request on a connection of its own and reads the answer.
+// sendOnce sends one request on a new connection and returns the status and the configuration version of the answer.
 func sendOnce(addr string, request []byte) (status int, version string, err error) {
 	c, err := (&net.Dialer{Timeout: 5 * time.Second}).Dial("tcp", addr)
 	if err != nil {
@@ -329,7 +330,7 @@
 	return admin.ConfigChange{Request: request, Expect: expect, Text: fmt.Sprintf(documentTemplate, worth), Author: "test"}
 }
 
-// transferLeadershipToN1 waits until n1 leads.
+// transferLeadershipToN1 transfers the leadership to n1 and waits until n1 leads.
 func (r *cluster) transferLeadershipToN1() {
 	name := "n1"
 	require.Eventually(r.t, func() bool {
--- a/processtest/config_change_test.go
+++ b/processtest/config_change_test.go
@@ -17,8 +17,9 @@
 	"alderproxy/sharedconfig"
 )
 
-// The leader is killed at each step of a change, also between its two log entries. The client gets no answer. Afterwards
-// all instances have the new version or all have the old one, and a retry of the same request makes the change once.
+// Guards against a change that is made on some instances only, or twice. The leader is killed at each step of a change, also
+// between its two log entries, so that its client may get no answer. Afterwards all instances have the new version or all
+// have the old one, and a retry of the same request makes the change exactly once.
 func TestLeaderKilledAtEachStepOfAChange(t *testing.T) {
 	for _, step := range []string{"propose", "proposed", "check", "decide", "decided"} {
 		t.Run(step, func(t *testing.T) {
@@ -27,7 +28,7 @@
 			r.transferLeadershipToN1()
 			n1, n2 := r.instances["n1"], r.instances["n2"]
 			o, err := n1.client().Put(configPut("change", 1, 2))
-			if err == nil { // it may have answered right before it died
+			if err == nil { // the leader may have answered right before it was killed
 				require.Equal(t, "decided", step)
 				require.Equal(t, sharedconfig.Outcome{RequestID: "change", Status: sharedconfig.StatusDone, Version: 2}, o)
 			} else {
@@ -36,7 +37,7 @@
 			<-n1.exited
 			n1.start("")
 			var versions [3]uint64
-			require.Eventually(t, func() bool { // the survivors agree on what became of it, and so does the one that died
+			require.Eventually(t, func() bool { // the survivors and the restarted instance agree on the outcome
 				for k, name := range []string{"n1", "n2", "n3"} {
 					s, err := r.instances[name].client().Status()
 					if err != nil || s.Pending != "" || s.Leader == "" || s.Reason != "" {
@@ -56,7 +57,7 @@
 			for _, name := range []string{"n1", "n2", "n3"} {
 				all, err := r.instances[name].client().History(false)
 				require.NoError(t, err)
-				assert.Len(t, all, 2, "made twice")
+				assert.Len(t, all, 2, "the change is not in the history exactly once")
 			}
 			o, err = n2.client().Put(configPut("other", 1, 3))
 			require.NoError(t, err)
@@ -65,17 +66,17 @@
 	}
 }
 
-// A process is stopped for 20 s while the version that it serves is replaced. After it resumes, not even the first query
-// in its accept queue is served by the old version.
+// Guards against a resumed process that serves a replaced version. A process is suspended for 20 s while the version that it
+// serves is replaced. After it resumes, not even the first query in its accept queue may be served by the old version.
 func TestResumedInstanceServesNoReplacedVersion(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, time.Second, "")
 	r.transferLeadershipToN1()
-	for _, name := range []string{"n3", "n1"} { // one that follows, and the one that leads
+	for _, name := range []string{"n3", "n1"} { // a voter that does not lead, then the leader
 		i := r.instances[name]
 		i.signal(syscall.SIGSTOP)
 		s, err := r.instances["n2"].client().Show(0, false)
-		if name == "n1" { // the others have to find another leader first
+		if name == "n1" { // the others elect another leader first
 			require.Eventually(t, func() bool { s, err = r.instances["n2"].client().Show(0, false); return err == nil }, 20*time.Second, 50*time.Millisecond)
 		}
 		require.NoError(t, err)
@@ -83,7 +84,7 @@
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		var waiting []*bufio.Reader
-		for range 5 { // the kernel takes these for it
+		for range 5 { // the kernel accepts these while the process is suspended
 			c, err := new(net.Dialer).DialContext(t.Context(), "tcp", i.searchAddr)
 			require.NoError(t, err)
 			defer c.Close()
@@ -92,12 +93,12 @@
 			require.NoError(t, err)
 			waiting = append(waiting, bufio.NewReader(c))
 		}
-		time.Sleep(20 * time.Second) // not a wait for an event: it is the stop
+		time.Sleep(20 * time.Second) // the length of the suspension, not a wait for an event
 		i.signal(syscall.SIGCONT)
 		for _, w := range waiting {
 			status, version, err := readAnswer(w)
 			require.NoError(t, err)
-			assert.True(t, status == 503 && version == "" || status == 200 && version == fmt.Sprint(o.Version), "%s: status %d by version %s", name, status, version)
+			assert.True(t, status == 503 && version == "" || status == 200 && version == fmt.Sprint(o.Version), "%s answered with status %d and version %s", name, status, version)
 		}
 		r.waitUntilServing(o.Version, "n1", "n2", "n3")
 	}
@@ -125,7 +126,7 @@
 		assert.Equal(t, map[sharedconfig.Status]int{sharedconfig.StatusDone: 1, sharedconfig.StatusConflict: 2}, count)
 	}
 	r.waitUntilServing(6, "n1", "n2", "n3")
-	for reason, text := range map[string]string{ // a document that one front cannot serve is activated nowhere
+	for reason, text := range map[string]string{ // a document that one front cannot serve is activated on no instance
 		"index catalogue: no store here holds slice 1":            strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 2\ncells = 2", 1),
 		"differs from the effect in the platform's configuration": "[class lookup]\naim = 1s\ngive_up = 2s\neffect = keyed\nwindow = 3s\n",
 		"index catalogue.slices: 1 is not below 1":                strings.Replace(fmt.Sprintf(documentTemplate, 1), "slices = 2", "slices = 1", 1),
@@ -142,8 +143,9 @@
 	r.waitUntilServing(6, "n1", "n2", "n3")
 }
 
-// Changes while queries run on both fronts, and the leader is killed during one: each query has one final answer, none is
-// rejected, and the versions in the answers never decrease.
+// Guards against queries that are lost, rejected or answered by an older version during changes. The configuration changes
+// eight times while queries run on both fronts, and the leader is killed during one of the changes. Each query gets exactly
+// one final answer, none is rejected, and the versions in the answers never decrease.
 func TestChangesUnderQueryLoadWithTheLeaderKilled(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, 4*time.Second, "")
@@ -165,6 +167,6 @@
 	r.waitUntilServing(9, "n2", "n3")
 	sum := load.stop()
 	assert.Empty(t, sum.violations)
-	assert.Zero(t, sum.rejected, "refused though a majority was there")
+	assert.Zero(t, sum.rejected, "queries were rejected although a majority was available")
 	assert.Greater(t, sum.sent, 200)
 }
--- a/processtest/data_directory_test.go
+++ b/processtest/data_directory_test.go
@@ -17,7 +17,8 @@
 	"alderproxy/sharedconfig"
 )
 
-// An unusable data directory ends the start with one line on standard error, and nothing is served.
+// With an unusable data directory (a corrupt or truncated database, or a file in its place) the program must not serve: it
+// exits with status 1 and one line on standard error.
 func TestCorruptDataDirectoryPreventsStart(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, 2*time.Second, "")
@@ -36,7 +37,7 @@
 		c.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+n3.path("ini"))
 		c.Stderr = &out
 		require.Error(t, c.Run())
-		assert.Equal(t, 1, c.ProcessState.ExitCode(), "it served: %s", out.String())
+		assert.Equal(t, 1, c.ProcessState.ExitCode(), "the program did not exit with status 1: %s", out.String())
 		return out.String()
 	}
 	offset := strings.Index(string(intact), "worth = 1")
@@ -56,8 +57,8 @@
 	r.waitUntilServing(1, "n3")
 }
 
-// The disk is full: the instance cannot store new log entries, logs that, and stops serving within the staleness bound
-// while the others go on. With space again it catches up.
+// On a full disk an instance cannot store new log entries. It logs that and stops serving within the staleness bound, while
+// the others go on. Once there is space again it catches up.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, time.Second, "")
@@ -78,11 +79,11 @@
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 	}
-	time.Sleep(time.Second) // the bound
+	time.Sleep(time.Second) // the staleness bound
 	status, version, err := n3.search()
-	assert.True(t, err != nil || status == 503, "served by version %s: %s", version, n3.logged())
+	assert.True(t, err != nil || status == 503, "not rejected; version %s: %s", version, n3.logged())
 	status, version, err = n3.lookup("refused")
-	assert.True(t, err != nil || status == 429, "served by version %s: %s", version, n3.logged())
+	assert.True(t, err != nil || status == 429, "not rejected; version %s: %s", version, n3.logged())
 	r.waitUntilServing(6, "n1", "n2")
 	require.NoError(t, n3.cmd.Process.Kill())
 	<-n3.exited
--- a/processtest/descriptors_test.go
+++ b/processtest/descriptors_test.go
@@ -19,15 +19,16 @@
 	"alderproxy/internal/testserver"
 )
 
-// Clients use all descriptors that they may, some without sending anything, some waiting for unresponsive stores;
-// connections to stores use the rest, and discovery does not answer meanwhile. A drain that discovery reports when it is
-// back is received nevertheless: descriptors are reserved for it.
+// Guards against a drain that is missed because all descriptors are in use. Clients use all the descriptors that they may,
+// some without sending anything, some waiting for unresponsive stores. Connections to stores use the rest, and discovery does
+// not answer meanwhile. When it answers again, the drain that it reports must be received: descriptors are reserved for its
+// calls.
 func TestClientsAtTheBoundLeaveDescriptorsForDiscovery(t *testing.T) {
 	const sockets = 64
 	s := testserver.NewFrameStore(t)
 	recordCalls(s)
 	var entries []string
-	for i := range 24 { // more stores than there is room for connections
+	for i := range 24 { // more stores than there are descriptors for connections
 		entries = append(entries, testserver.EndpointEntry(fmt.Sprint("s-", i), s, "in_service"))
 	}
 	d := testserver.NewDiscovery(t, entries...)
@@ -56,7 +57,7 @@
 	for len(d.Calls) > 0 {
 		<-d.Calls
 	}
-	for range 30 { // calls that are out, each with a descriptor
+	for range 30 { // none of these is answered, and each uses a descriptor while it is open
 		<-d.Calls
 	}
 	d.SetUnresponsive(false)
@@ -67,11 +68,11 @@
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
 	<-logClosed
 	assert.NoError(t, c.Wait())
-	assert.Zero(t, exhausted.Load(), "descriptors ran out")
+	assert.Zero(t, exhausted.Load(), "the process ran out of descriptors")
 }
 
-// startShortLivedClients starts clients that connect, send a request (three in four of them) and wait for the answer, again
-// and again, until the returned function is called.
+// startShortLivedClients starts clients that repeatedly connect, send a request (three in four of the clients do) and wait
+// for the answer, until stop is called.
 func startShortLivedClients(addr string, count int) (stop func()) {
 	stopping := make(chan struct{})
 	var clients sync.WaitGroup
--- a/processtest/draining_store_test.go
+++ b/processtest/draining_store_test.go
@@ -17,7 +17,7 @@
 	"alderproxy/internal/testserver"
 )
 
-// callTimes records when calls came to a store.
+// callTimes records the times at which calls reached a store.
 type callTimes struct {
 	mu sync.Mutex
 	at []time.Time
@@ -55,7 +55,7 @@
 	running  sync.WaitGroup
 	nextID   atomic.Int64
 	answered atomic.Int64
-	unserved atomic.Int64 // answered with another status than 200
+	unserved atomic.Int64 // answers with another status than 200
 }
 
 func (c *lookupClients) run(cl *testserver.Client) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// startQueried starts a process with eight clients.
+// startQueried starts a process and eight clients that query it.
 func (c *lookupClients) startQueried(config string) *queriedProcess {
 	command, _, cl, lines := startProcess(c.t, config)
 	go discardLog(lines)
@@ -106,7 +106,7 @@
 	assert.NoError(p.t, p.command.Process.Signal(s))
 }
 
-// awaitCalls waits until discovery has received a number of further calls.
+// awaitCalls waits until discovery has received n more calls.
 func awaitCalls(t *testing.T, d *testserver.Discovery, n int) {
 	t.Helper()
 	for len(d.Calls) > 0 {
@@ -116,15 +116,15 @@
 		select {
 		case <-d.Calls:
 		case <-time.After(10 * time.Second):
-			require.Fail(t, "discovery gets no calls")
+			require.Fail(t, "discovery received no call for 10 s")
 		}
 	}
 }
 
-// The rule, checked at the store: no call reaches it later than the grace (and the protocol's 50 ms) after discovery
-// reported that it drains. Processes of a large fleet serve queries while discovery fails in each of its ways, one of them
-// killed and started again with an old list, another stopped through the drain with queries in its accept queue, and a
-// store begins to drain right when discovery is back.
+// Guards against calls to a draining store: none may reach it later than the grace period, plus the 50 ms that the protocol
+// allows, after discovery reported the drain. Processes of a large fleet serve queries while discovery fails in each of its
+// ways; one of them is killed and restarted with an old list, another is suspended during the drain with queries in its
+// accept queue. The store begins to drain right after each fault.
 func TestNoProcessCallsADrainingStoreDespiteDiscoveryFaults(t *testing.T) {
 	const processes, grace = 4, 550 * time.Millisecond
 	drainingStore, other := testserver.NewFrameStore(t), testserver.NewFrameStore(t)
@@ -147,28 +147,28 @@
 	for _, c := range []struct {
 		name       string
 		fail       func()
-		afterDrain func() // right after discovery has reported the drain
-		afterGrace func() // when the grace has passed twice
+		afterDrain func() // called right after discovery has reported the drain
+		afterGrace func() // called when twice the grace period has passed
 	}{
 		{name: "no fault", fail: func() {}},
-		{name: "silent for a while", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, 6*processes); d.SetUnresponsive(false) }},
-		{name: "open watches fall silent", fail: d.StallConnections},
-		{name: "watches are reset", fail: d.ResetConnections},
-		{name: "down and back", fail: func() { d.Stop(); require.NoError(t, d.Start()) }},
-		{name: "a process starts anew", fail: func() { all[0].kill(); all[0] = clients.startQueried(config()) }},
+		{name: "discovery is unresponsive for a while", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, 6*processes); d.SetUnresponsive(false) }},
+		{name: "open watches stall", fail: d.StallConnections},
+		{name: "open watches are reset", fail: d.ResetConnections},
+		{name: "discovery restarts", fail: func() { d.Stop(); require.NoError(t, d.Start()) }},
+		{name: "a process is killed and restarted", fail: func() { all[0].kill(); all[0] = clients.startQueried(config()) }},
 		{
-			name: "stopped, and resumed late", fail: func() { all[1].signal(syscall.SIGSTOP) },
+			name: "a process is suspended beyond the grace period", fail: func() { all[1].signal(syscall.SIGSTOP) },
 			afterGrace: func() { all[1].signal(syscall.SIGCONT); time.Sleep(grace) },
 		},
-		{ // what the agent has counts from a new process's first moment
-			name: "killed, and discovery too", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, processes); all[0].kill(); d.SetUnresponsive(false) },
+		{ // a new process must apply a drain that discovery reported before it started
+			name: "a process is killed while discovery is unresponsive", fail: func() { d.SetUnresponsive(true); awaitCalls(t, d, processes); all[0].kill(); d.SetUnresponsive(false) },
 			afterDrain: func() { all[0] = clients.startQueried(config()) },
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before := storeCalls.countBetween(time.Time{}, time.Now())
 			require.Eventually(t, func() bool { return storeCalls.countBetween(time.Time{}, time.Now()) > before+20 }, 10*time.Second, time.Millisecond,
-				"the store is in use")
+				"the store received too few calls before the fault")
 			c.fail()
 			d.Publish(true, draining, otherReady)
 			reported := time.Now()
@@ -176,16 +176,17 @@
 				c.afterDrain()
 			}
 			answeredBefore := clients.answered.Load()
-			time.Sleep(time.Until(reported.Add(2 * grace))) // the rule is about time
+			time.Sleep(time.Until(reported.Add(2 * grace))) // the limit is a time, so there is no event to wait for
 			if c.afterGrace != nil {
 				c.afterGrace()
 			}
-			require.Greater(t, clients.answered.Load(), answeredBefore, "queries went on")
+			require.Greater(t, clients.answered.Load(), answeredBefore, "no query was answered after the drain")
 			assert.Zero(t, storeCalls.countBetween(reported.Add(grace), time.Now()), "calls reached the draining store")
 			d.Publish(true, ready, otherReady)
 		})
 	}
 	t.Logf("%d queries answered, %d of them not served", clients.answered.Load(), clients.unserved.Load())
-	// A process that was stopped finds its calls late, and in a large fleet admits few queries of their class for some seconds.
-	assert.Less(t, clients.unserved.Load(), clients.answered.Load()/5, "queries failed")
+	// A process that was suspended finds that its calls are late and, as it is part of a large fleet, admits few queries of
+	// their class for some seconds.
+	assert.Less(t, clients.unserved.Load(), clients.answered.Load()/5, "too many queries were not served")
 }
--- a/processtest/followers_test.go
+++ b/processtest/followers_test.go
@@ -16,8 +16,9 @@
 	"alderproxy/sharedconfig"
 )
 
-// Three voters and five followers, while leaders are killed and versions change: no instance serves a replaced version beyond
-// the staleness bound, and followers go on with the remaining voters.
+// Guards against followers that serve a replaced version, or stop serving, after a leader is killed. With three voters and
+// five followers, leaders are killed and versions change: no follower serves a replaced version beyond the staleness bound,
+// and all follow the remaining voters.
 func TestFollowersThroughLeaderKills(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 3*time.Second, "", true, 5)
@@ -47,7 +48,7 @@
 		r.instances[leader].start("")
 		r.waitUntilServing(version, all...)
 	}
-	// A follower rejects a change and names the voters; the version that it serves can be read there.
+	// A follower rejects a change and names the voters; the version that it serves can be read from it.
 	f1 := r.instances["f1"].client()
 	o, err := f1.Put(configPut("elsewhere", version, 99))
 	require.NoError(t, err)
@@ -56,7 +57,7 @@
 	v, err := f1.Show(0, true)
 	require.NoError(t, err)
 	assert.Equal(t, version, v.Number)
-	// All members publish what they serve: one version, one list of stores.
+	// All members publish the same facts: one version and one list of stores.
 	require.Eventually(t, func() bool {
 		values := map[string]int{}
 		for _, m := range r.instances["f2"].members().Members {
--- a/processtest/main_test.go
+++ b/processtest/main_test.go
@@ -9,7 +9,8 @@
 	"alderproxy"
 )
 
-// TestMain lets the tests start the program itself: the test binary runs it when told to.
+// TestMain runs the program instead of the tests if ALDERPROXY_TEST is "program", so that tests can start the test binary as
+// the program. The program then kills itself at the step of a configuration change that ALDERPROXY_TEST_DIE_AT names, if any.
 func TestMain(m *testing.M) {
 	if os.Getenv("ALDERPROXY_TEST") != "program" {
 		os.Exit(m.Run())
--- a/processtest/measure_test.go
+++ b/processtest/measure_test.go
@@ -37,7 +37,7 @@
 	return all[len(all)/2], all[len(all)*99/100], all[len(all)-1]
 }
 
-// pollUntil polls as fast as it can.
+// pollUntil polls a condition every 200 us, for at most 30 s.
 func pollUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	for began := time.Now(); !condition(); time.Sleep(200 * time.Microsecond) {
@@ -55,7 +55,7 @@
 	return true
 }
 
-// From put to done, and to active at all three; real processes.
+// Measures the time from a put until it is done, and until its version is active at all three processes.
 func TestMeasurePutToActive(t *testing.T) {
 	r := startCluster(t, 5*time.Second, "")
 	r.transferLeadershipToN1()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Time without a leader after a kill, and queries that were not served meanwhile.
+// Measures the time without a leader after the leader is killed, and counts the queries that are not served meanwhile.
 func TestMeasureLeaderKilled(t *testing.T) {
 	r := startCluster(t, 5*time.Second, "")
 	var elections, puts []time.Duration
@@ -129,12 +129,13 @@
 	}
 	for event, all := range map[string][]time.Duration{"a new leader is known": elections, "a change is done": puts} {
 		median, _, longest := quantiles(t, all)
-		t.Logf("from SIGKILL until %s: median %v, longest %v (%d kills, elections in half the usual times)", event, median, longest, len(all))
+		t.Logf("from SIGKILL until %s: median %v, longest %v (%d kills, election timeouts half the default)", event, median, longest, len(all))
 	}
 	t.Logf("queries at the other two meanwhile: %d, not served: %d", queries.Load(), unserved.Load())
 }
 
-// Throughput and tail of the OpenSearch front during ten changes in ten seconds, beside none; in turns.
+// Measures the throughput and tail latency of the OpenSearch front, in alternating runs of ten seconds: without changes and
+// with ten changes.
 func TestMeasureFrontDuringChanges(t *testing.T) {
 	r := startCluster(t, 5*time.Second, "")
 	r.transferLeadershipToN1()
@@ -156,7 +157,7 @@
 				c.SetDeadline(end.Add(10 * time.Second))
 				for in := bufio.NewReader(c); time.Now().Before(end); {
 					began := time.Now()
-					_, _ = c.Write(searchRequest()) // an error shows in what is read
+					_, _ = c.Write(searchRequest()) // a failed write makes the read fail
 					status, _, err := readAnswer(in)
 					if !assert.NoError(t, err) || !assert.Equal(t, 200, status) {
 						return
@@ -179,7 +180,7 @@
 		wg.Wait()
 		return latencies
 	}
-	load(false) // warm
+	load(false) // warm-up
 	for round := range 3 {
 		for _, changes := range []bool{false, true} {
 			h := load(changes)
@@ -189,7 +190,7 @@
 	}
 }
 
-// Size of the folder and time to start with 1,000 versions, compacted and not.
+// Measures the size of the data directory and the time to start with 1,000 versions, with a compacted log and without.
 func TestMeasureThousandVersions(t *testing.T) {
 	quiet := logrus.New()
 	quiet.SetLevel(logrus.ErrorLevel)
@@ -219,7 +220,7 @@
 			o := n.Execute(raftnode.Command{Change: &sharedconfig.Change{RequestID: fmt.Sprint(v), ExpectedVersion: v, Text: text, Digest: document.Digest(text)}}, 10*time.Second)
 			require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 		}
-		time.Sleep(5 * time.Second) // Raft looks every two seconds to four whether to compact
+		time.Sleep(5 * time.Second) // Raft checks every 2 to 4 s whether to compact its log
 		require.NoError(t, n.Close())
 		var size int64
 		require.NoError(t, filepath.Walk(dataDirectory, func(_ string, f os.FileInfo, err error) error {
@@ -233,15 +234,16 @@
 		opened := time.Since(began)
 		pollUntil(t, func() bool { ok, _ := n.Gate(n.ServedVersion()); return ok && n.State().Active().Number == 1000 })
 		st := n.Status()
-		t.Logf("1,000 versions, snapshot_after %d: folder %d KiB, log entries %d to %d, opened in %v, serving by version %d after %v", after, size>>10,
+		t.Logf("1,000 versions, snapshot_after %d: folder %d KiB, log entries %d to %d, opened in %v, serving version %d after %v", after, size>>10,
 			st.FirstLogIndex, st.LastLogIndex, opened, n.ServedVersion(), time.Since(began))
 		require.NoError(t, n.Close())
 	}
 }
 
-// Ten processes with a fifth of the usual periods, under queries. One is killed again and again: how long it takes until
-// one, half and all of the others consider it dead, and what each sends meanwhile. Then leaders are killed: how soon all
-// followers serve the next version, and that none serves a replaced one for longer than the staleness bound.
+// Measures ten processes with a fifth of the default gossip period, under queries. One is killed repeatedly: measured are the
+// times until one, half and all of the others consider it dead, and the datagrams that each sends meanwhile. Then leaders are
+// killed: measured is the time until all followers serve the next version, and none may serve a replaced one beyond the
+// staleness bound.
 func TestMeasureFleetOfProcesses(t *testing.T) {
 	r := startClusterWithFollowers(t, 3*time.Second, "", true, 7)
 	all := r.instanceNames()
@@ -262,14 +264,14 @@
 		r.waitUntilServing(version, all...)
 	}
 	sum = load.stop()
-	require.Empty(t, sum.violations, "none may serve a replaced version beyond the bound of 3 s")
+	require.Empty(t, sum.violations, "a replaced version was served beyond the staleness bound of 3 s")
 	t.Logf("%d queries to followers, %d rejected", sum.sent, sum.rejected)
 }
 
-// detectionTimes are the times from SIGKILL until a share of the other members considers the killed one dead.
+// detectionTimes are the times from SIGKILL until the first, half and all of the other members consider the killed one dead.
 type detectionTimes struct{ first, half, all []time.Duration }
 
-// measureDeathDetection kills f7 fifteen times.
+// measureDeathDetection kills f7 fifteen times, and logs how soon the others consider it dead and what they send.
 func (r *cluster) measureDeathDetection(all, others []string) {
 	datagrams, bytes := r.sent(others)
 	started := time.Now()
@@ -287,13 +289,13 @@
 	memberSeconds := time.Since(started).Seconds() * float64(len(others))
 	for observers, took := range map[string][]time.Duration{"one": times.first, "half": times.half, "all": times.all} {
 		median, p99, longest := quantiles(r.t, took)
-		r.t.Logf("from SIGKILL until known to %s of nine: median %v, p99 %v, most %v; times 5 at the usual ones", observers, median, p99, longest)
+		r.t.Logf("from SIGKILL until %s of nine consider it dead: median %v, p99 %v, longest %v; 5 times as long at the default period", observers, median, p99, longest)
 	}
-	r.t.Logf("%.1f datagrams and %.0f bytes a member and second at a period of 200 ms; %d deaths logged for 15 kills",
+	r.t.Logf("%.1f datagrams and %.0f bytes per member and second at a period of 200 ms; %d deaths logged for 15 kills",
 		float64(datagramsAfter-datagrams)/memberSeconds, float64(bytesAfter-bytes)/memberSeconds, len(r.loggedDeaths()))
 }
 
-// sent returns how many datagrams and bytes some members have sent.
+// sent returns the numbers of datagrams and bytes that the named members have sent.
 func (r *cluster) sent(names []string) (datagrams, bytes uint64) {
 	for _, name := range names {
 		counts := r.instances[name].members().Datagrams
@@ -303,7 +305,7 @@
 	return datagrams, bytes
 }
 
-// awaitDeath waits until all the others consider a member dead, and records when the first, half and all of them do.
+// awaitDeath waits until all the others consider a member dead, and records how long the first, half and all of them took.
 func (r *cluster) awaitDeath(victim string, others []string, began time.Time, times *detectionTimes) {
 	for known := 0; known < len(others); time.Sleep(5 * time.Millisecond) {
 		known = 0
@@ -324,8 +326,8 @@
 	times.all = append(times.all, time.Since(began))
 }
 
-// measureLeaderKill kills the leader, changes the configuration and returns how long it took until all followers served
-// the new version. It starts the killed instance again.
+// measureLeaderKill kills the leader, changes the configuration, and returns the time from the change until all followers
+// served the new version. It restarts the killed instance.
 func (r *cluster) measureLeaderKill(load *queryLoad, round int, version uint64, followers []string) time.Duration {
 	voters := []string{"n1", "n2", "n3"}
 	leader := ""
@@ -353,7 +355,8 @@
 	return took
 }
 
-// What one gatherer takes at so many stores: a process that has asked each of them, once idle and once while lists come.
+// Measures the memory, threads and descriptors of one process by its number of stores, before and after it has called them,
+// and the time that it takes to process a full list.
 func TestMeasureStores(t *testing.T) {
 	for _, stores := range []int{16, 200, 1024} {
 		s := testserver.NewFrameStore(t)
@@ -367,7 +370,7 @@
 			entries = append(entries, testserver.EndpointEntry(fmt.Sprintf("s-%08x", i), s, "in_service"))
 		}
 		d.Publish(true, entries...)
-		// The list is known at the start, so that its log lines come before anybody waits for the program.
+		// The list is in the configuration, so that its log lines come while startProcess still reads the log.
 		c, _, cl, lines := startProcess(t, strings.Replace(platformConfig(d), `"settings"`, fmt.Sprintf(
 			`"limits":{"sockets":4096,"memory_mb":192},"known":{"version":1,"full":true,"servers":[%s]},"settings"`, strings.Join(entries, ",")), 1))
 		go discardLog(lines)
@@ -380,7 +383,7 @@
 			threads := regexp.MustCompile(`Threads:\s+(\d+)`).FindSubmatch(status)
 			return fmt.Sprintf("%s KB resident, %s threads, %d descriptors", rss[1], threads[1], len(fds))
 		}
-		t.Logf("%4d stores, just listed: %s", stores, resourceUsage())
+		t.Logf("%4d stores, listed only: %s", stores, resourceUsage())
 		for i := range 6 * stores {
 			sendLookup(cl, fmt.Sprint("q", i))
 			require.Equal(t, 200, cl.ReadResponse().Status)
@@ -394,7 +397,7 @@
 				target = <-d.Calls
 			}
 		}
-		t.Logf("%4d stores, a whole list from discovery's word to the next call: %v", stores, time.Since(began)/lists)
+		t.Logf("%4d stores, full list from its publication to the next call: %v", stores, time.Since(began)/lists)
 		require.NoError(t, c.Process.Kill())
 		require.Error(t, c.Wait(), "killed")
 	}
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -31,7 +31,7 @@
 	return all[k]
 }
 
-// presentMembers returns the names of the members that an instance considers present.
+// presentMembers returns the names of the members that an instance considers present, which are alive or suspected.
 func (i *instance) presentMembers() (all []string) {
 	for _, m := range i.members().Members {
 		if m.State == "alive" || m.State == "suspect" {
@@ -41,7 +41,7 @@
 	return all
 }
 
-// waitForView waits until each of the given instances considers exactly these present, and returns how long that took.
+// waitForView waits until each of the named instances considers exactly the named ones present, and returns the time it took.
 func (r *cluster) waitForView(names []string, within time.Duration) time.Duration {
 	began := time.Now()
 	slices.Sort(names)
@@ -53,7 +53,7 @@
 	return time.Since(began)
 }
 
-// waitUntilReachable waits until an instance reaches others directly.
+// waitUntilReachable waits until the observer reports that it reaches each of the others directly.
 func (r *cluster) waitUntilReachable(observer string, others ...string) {
 	for _, name := range others {
 		require.Eventually(r.t, func() bool { return r.instances[observer].member(name).Reachability == "reachable" },
@@ -61,7 +61,7 @@
 	}
 }
 
-// loggedDeaths returns the log lines about dead members of all instances.
+// loggedDeaths returns the lines of all instances' logs that report a member as dead.
 func (r *cluster) loggedDeaths() (all []string) {
 	for _, i := range r.instances {
 		for line := range strings.Lines(i.logged()) {
@@ -73,14 +73,15 @@
 	return all
 }
 
-// Nine processes with a fifth of the usual periods. A member that is slow, or whose datagrams are lost or cut off in one
-// direction, is not declared dead; one that is killed is, by all, and each death is logged by one member.
+// Guards against members that are declared dead although they are only slow. Nine processes run with a fifth of the default
+// gossip period. A member that is slow, or whose datagrams are lost or cut off in one direction, is not declared dead. A
+// killed one is declared dead by all, and each death is logged by one member.
 func TestMembershipDistinguishesSlowFromDead(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 4*time.Second, "", true, 6)
 	all := r.instanceNames()
 	r.waitForView(all, 20*time.Second)
-	for _, name := range all { // each takes a ninth of the stores' capacity, though no file has their number
+	for _, name := range all { // each uses a ninth of the stores' capacity, though no configuration file has the number of instances
 		i := r.instances[name]
 		require.Eventually(t, func() bool { return strings.Contains(i.logged(), "fleet=9") }, 10*time.Second, 20*time.Millisecond, i.logged())
 	}
@@ -90,19 +91,19 @@
 		assert.Equal(t, digest, r.instances[name].members().Digest)
 	}
 
-	// 30 % of all datagrams are lost, some duplicated, some delayed; and a process is stopped for a fifth of the 5 s that are
-	// allowed.
+	// 30 % of all datagrams are lost, some are duplicated and some delayed. In addition a process is suspended for 1 s, a
+	// fifth of the 5 s that are allowed.
 	r.faults.SetDefault(faultnet.Rule{LossPercent: 30, DuplicatePercent: 10, MaxDelay: 100 * time.Millisecond})
 	r.instances["f4"].signal(syscall.SIGSTOP)
-	time.Sleep(time.Second) // the stop
+	time.Sleep(time.Second) // the suspension
 	r.instances["f4"].signal(syscall.SIGCONT)
-	time.Sleep(4 * time.Second) // not a wait for an event: nothing is to happen
+	time.Sleep(4 * time.Second) // no event to wait for: nothing must happen
 	r.faults.Clear()
 	r.waitForView(all, 10*time.Second)
 	assert.Empty(t, r.loggedDeaths())
 
-	// f3 receives nothing from f2, which receives f3's messages: both stay members, and f3 can say why. What the loss has
-	// left of a member's reachability lasts until the next probe of it.
+	// f3 receives nothing from f2, which receives f3's messages: both stay members, and f3 reports f2 as one-way. First, each
+	// member's reachability must recover from the loss above, which takes until the next probe of that member.
 	for _, name := range all {
 		r.waitUntilReachable(name, without(all, name)...)
 	}
@@ -114,11 +115,11 @@
 	r.waitUntilReachable("f3", "f2")
 	assert.Empty(t, r.loggedDeaths())
 
-	// A killed member is dead to all, and logged once.
+	// A killed member is declared dead by all, and its death is logged once.
 	r.instances["f5"].signal(syscall.SIGKILL)
 	<-r.instances["f5"].exited
 	took := r.waitForView(without(all, "f5"), 20*time.Second)
-	t.Logf("a killed process is out of all views after %v, at a fifth of the usual times", took)
+	t.Logf("a killed process is removed from all views after %v, with a fifth of the default period", took)
 	require.Eventually(t, func() bool { return len(r.loggedDeaths()) > 0 }, 5*time.Second, 20*time.Millisecond)
 	assert.Len(t, r.loggedDeaths(), 1, "each death is logged by one member")
 	for _, extension := range []string{"folder", "ini"} { // it starts again, with an empty data directory
@@ -128,7 +129,7 @@
 	r.instances["f5"].start("")
 	r.waitForView(all, 20*time.Second)
 
-	// A graceful shutdown is announced at once, before the process has ended.
+	// A graceful shutdown is announced at once, before the process has exited.
 	r.instances["f3"].signal(syscall.SIGTERM)
 	require.Eventually(t, func() bool { return r.instances["n1"].member("f3").State == "left" }, 2*time.Second, 10*time.Millisecond)
 	r.waitForView(without(all, "f3"), 5*time.Second)
@@ -138,11 +139,12 @@
 
 	sum := load.stop()
 	assert.Empty(t, sum.violations)
-	t.Logf("%d queries meanwhile, %d rejected: the loss met the voters' frames too", sum.sent, sum.rejected)
+	t.Logf("%d queries meanwhile, %d rejected: the loss also affected the frames between voters", sum.sent, sum.rejected)
 }
 
-// Long suspensions, and a partition with the leader on the smaller side: a suspended member accuses nobody, both sides go on,
-// and are one again afterwards.
+// Guards against members that declare others dead after a suspension, and against fleets that stay split after a partition.
+// A member is suspended for a long time; then a partition leaves the leader on the smaller side. The larger side goes on, the
+// smaller side stops serving, and both merge afterwards.
 func TestMembershipThroughSuspensionsAndPartitions(t *testing.T) {
 	t.Parallel()
 	r := startClusterWithFollowers(t, 4*time.Second, "", true, 5)
@@ -150,17 +152,17 @@
 	r.transferLeadershipToN1()
 	r.waitForView(all, 20*time.Second)
 	load := r.startLoad("n2", "n3", "f1")
-	for _, suspension := range []time.Duration{5 * time.Second, 20 * time.Second} { // 25 and 100 s at the usual times: deaths
+	for _, suspension := range []time.Duration{5 * time.Second, 20 * time.Second} { // 25 and 100 s at the default period, long enough to be declared dead
 		f2 := r.instances["f2"]
 		f2.signal(syscall.SIGSTOP)
 		until := time.Now().Add(suspension)
 		r.waitForView(without(all, "f2"), suspension)
-		time.Sleep(time.Until(until)) // the stop
+		time.Sleep(time.Until(until)) // the suspension
 		f2.signal(syscall.SIGCONT)
 		r.waitForView(all, 20*time.Second)
 		assert.Contains(t, f2.logged(), "this process was paused")
 		for _, line := range r.loggedDeaths() {
-			assert.Contains(t, line, "[f2]", "a suspended member accuses nobody")
+			assert.Contains(t, line, "[f2]", "a suspended member must not declare others dead")
 		}
 	}
 
--- a/processtest/process_test.go
+++ b/processtest/process_test.go
@@ -17,7 +17,7 @@
 	"alderproxy/internal/testserver"
 )
 
-// repositoryRoot is the working directory of the processes: the deployment's own file is found relative to it.
+// repositoryRoot is the working directory of the processes, relative to which they find deploy/alderproxy.ini.
 const repositoryRoot = ".."
 
 // processCommand returns the command that runs the program with a platform configuration, and the path of that file.
@@ -31,18 +31,19 @@
 	return c, path
 }
 
-// startProcess starts the program and returns once it is ready, with a client of it and its log.
+// startProcess starts the program, waits until it is ready, and returns it with the path of its configuration, a client and
+// its log.
 func startProcess(t *testing.T, config string) (c *exec.Cmd, path string, cl *testserver.Client, lines *bufio.Scanner) {
 	t.Helper()
 	c, path = processCommand(t, config)
 	out, err := c.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, c.Start())
-	t.Cleanup(func() { _ = c.Process.Kill() }) // if the test fails before the program has ended
+	t.Cleanup(func() { _ = c.Process.Kill() }) // if the test fails before the program has exited
 	lines = bufio.NewScanner(out)
 	m := waitForLog(t, lines, listenPattern)
 	cl = testserver.Dial(t, m[1])
-	require.Eventually(t, func() bool { // as the platform does: clients come once it is ready
+	require.Eventually(t, func() bool { // the platform also sends clients only once the process is ready
 		cl.SendRequest("GET", "/healthz", "")
 		return cl.ReadResponse().Status == 200
 	}, 10*time.Second, 5*time.Millisecond)
@@ -52,7 +53,7 @@
 // listenPattern matches the log line with the address of the platform's front.
 const listenPattern = `msg=serving.*listen="([^"]+)"`
 
-// waitForLog reads the log up to the first line that matches the pattern and returns its submatches.
+// waitForLog reads a log up to the first line that matches the pattern and returns its submatches.
 func waitForLog(t *testing.T, lines *bufio.Scanner, pattern string) []string {
 	t.Helper()
 	for lines.Scan() {
@@ -60,7 +61,7 @@
 			return m
 		}
 	}
-	require.Fail(t, "not logged: "+pattern)
+	require.Fail(t, "the log has ended without a line that matches "+pattern)
 	return nil
 }
 
--- a/processtest/query_load_test.go
+++ b/processtest/query_load_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// queryLoad sends queries to both fronts of some instances, one after the other on one connection for each front, until it
-// is stopped.
+// queryLoad sends queries to both fronts of instances, one after the other on one connection for each front, until it is
+// stopped.
 type queryLoad struct {
 	cluster    *cluster
 	stopping   atomic.Bool
 	mu         sync.Mutex
-	replacedAt map[string]time.Time // when a version was known to be replaced
+	replacedAt map[string]time.Time // by version: the time at which it was known to be replaced
 	results    chan loadResult
 	workers    int
 }
 
-// loadResult counts queries. A violation is a query without exactly one final answer, an answer by a version that was
-// replaced longer ago than the staleness bound, or by a version older than that of the answer before.
+// loadResult contains the outcomes of queries. A violation is a query without exactly one final answer, or an answer by a
+// version that was replaced longer ago than the staleness bound or that is older than the one of the previous answer.
 type loadResult struct {
 	sent       int
 	served     int
@@ -57,7 +57,7 @@
 	var sum loadResult
 	defer func() { l.results <- sum }()
 	last := ""
-	// One connection: a second answer to a query would come before the answer to the next one.
+	// On a single connection, a second answer to a query would be read before the answer to the next one.
 	c, err := new(net.Dialer).DialContext(l.cluster.t.Context(), "tcp", addr)
 	if err != nil {
 		sum.addViolation(err)
@@ -68,7 +68,7 @@
 	for n := 0; !l.stopping.Load() && len(sum.violations) == 0; n++ {
 		began := time.Now()
 		c.SetDeadline(began.Add(5 * time.Second))
-		_, _ = c.Write(request(n)) // an error shows in what is read
+		_, _ = c.Write(request(n)) // a failed write makes the read fail
 		status, version, err := readAnswer(in)
 		sum.sent++
 		l.mu.Lock()
@@ -76,11 +76,11 @@
 		l.mu.Unlock()
 		switch {
 		case err != nil || in.Buffered() > 0 || status != 200 && status != 429 && status != 503:
-			sum.addViolation(status, " ", err, " ", in.Buffered())
+			sum.addViolation("status ", status, ", error ", err, ", unread bytes ", in.Buffered())
 		case status != 200:
 			sum.rejected++
 		case len(version) < len(last) || len(version) == len(last) && version < last:
-			sum.addViolation(version, " after ", last)
+			sum.addViolation("version ", version, " after version ", last)
 		case replaced && began.Sub(replacedAt) > l.cluster.stalenessBound:
 			sum.addViolation("version ", version, " served ", began.Sub(replacedAt), " after it was replaced")
 		default:
@@ -88,7 +88,7 @@
 			last = version
 		}
 		if status != 200 {
-			time.Sleep(10 * time.Millisecond) // as Retry-After asks, but sooner
+			time.Sleep(10 * time.Millisecond) // retries as Retry-After demands, but sooner
 		}
 	}
 	if len(sum.violations) > 0 {
@@ -96,7 +96,7 @@
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		sum.addViolation("more came than was asked for: ", err)
+		sum.addViolation("data or an error other than a timeout after the last answer: ", err)
 	}
 }
 
--- a/processtest/reload_test.go
+++ b/processtest/reload_test.go
@@ -13,8 +13,8 @@
 	"alderproxy/internal/testserver"
 )
 
-// Go ends a process on a SIGHUP that nobody takes. It must move the watch and keep every open request; a file that
-// can't be used must change nothing.
+// Guards against a SIGHUP that ends the process, as it does in Go without a handler, or that interrupts requests. SIGHUP must
+// move the watch to the new discovery address and keep every open request. An unusable file must change nothing.
 func TestSIGHUPChangesDiscoveryAndKeepsOpenRequests(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	entry := testserver.EndpointEntry("s-1", s, "in_service")
@@ -29,25 +29,26 @@
 	require.NoError(t, os.WriteFile(path, []byte(platformConfig(replacement)), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	waitForLog(t, lines, `discovery address changed`)
-	for target := ""; !strings.Contains(target, "hold_ms"); { // it watches the new one: it has taken its list in
+	for target := ""; !strings.Contains(target, "hold_ms"); { // a watch there shows that the list of the new address was received
 		select {
 		case target = <-replacement.Calls:
 		case <-time.After(5 * time.Second):
-			require.Fail(t, "the new address was not asked")
+			require.Fail(t, "the new address received no call for 5 s")
 		}
 	}
 	release()
 	assert.Equal(t, 200, cl.ReadResponse().Status)
-	sendLookup(cl, "q2") // and it serves on
+	sendLookup(cl, "q2") // and the process still serves
 	assert.Equal(t, 200, cl.ReadResponse().Status)
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
-	for lines.Scan() { // to the end
+	for lines.Scan() { // until the log ends
 	}
 	assert.NoError(t, c.Wait())
 }
 
-// The settings of another customer come with SIGHUP: from then on none of the old ones is in force, and what was taken by
-// them is answered by them. Settings that cannot be served change nothing.
+// Guards against a reload that replaces only a part of the settings. SIGHUP brings the settings of another customer: from
+// then on none of the old ones applies to new requests, while requests that were accepted under the old ones are answered by
+// them. Settings that cannot be served change nothing.
 func TestSIGHUPReplacesAllSettings(t *testing.T) {
 	s := testserver.NewFrameStore(t)
 	d := testserver.NewDiscovery(t, testserver.EndpointEntry("s-1", s, "in_service"))
@@ -70,12 +71,12 @@
 		`"drain_grace_us":500000`, `"drain_grace_us":250000`, `"max_streams":32`, `"max_streams":1`).Replace(platformConfig(d))
 	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "new configuration unusable")
 	reload(booking, `configuration reloaded.*next_start="\[\]".*settings=true`)
-	assert.Equal(t, 404, post("lookup", ""), "an old class is in force")
-	assert.Equal(t, 400, post("booking", ""), "the new class is keyed")
+	assert.Equal(t, 404, post("lookup", ""), "a class of the old settings is still served")
+	assert.Equal(t, 400, post("booking", ""), "the new class requires an Idempotency-Key")
 	release()
 	assert.Equal(t, 200, post("booking", "k"))
-	assert.Equal(t, 200, cl.ReadResponse().Status, "what was taken by the old ones")
-	require.Eventually(t, func() bool { // and lists are asked for by the new grace
+	assert.Equal(t, 200, cl.ReadResponse().Status, "a request that was accepted under the old settings")
+	require.Eventually(t, func() bool { // watches use a timeout that follows from the new drain grace period
 		select {
 		case target := <-d.Calls:
 			return strings.HasSuffix(target, "hold_ms=125")
@@ -84,7 +85,7 @@
 		}
 	}, 5*time.Second, time.Millisecond)
 	require.NoError(t, c.Process.Signal(syscall.SIGTERM))
-	for lines.Scan() { // to the end
+	for lines.Scan() { // until the log ends
 	}
 	assert.NoError(t, c.Wait())
 }
--- a/processtest/shutdown_test.go
+++ b/processtest/shutdown_test.go
@@ -31,13 +31,13 @@
 	assert.NoError(t, c.Wait())
 }
 
-// stoppingProcess is a process with one open request, about to get SIGTERM.
+// stoppingProcess is a process with one open request, about to receive SIGTERM.
 type stoppingProcess struct {
 	t         *testing.T
 	command   *exec.Cmd
 	discovery *testserver.Discovery
 	store     *testserver.Store
-	release   func() // has the store answer
+	release   func() // makes the store answer
 }
 
 func (p *stoppingProcess) signal(s syscall.Signal) {
@@ -49,14 +49,15 @@
 	rejectedOrFailed = []int{429, 503}
 )
 
-// shutdownScenarios send SIGTERM at a moment of its own each, and return the statuses that the open request may get.
+// shutdownScenarios are functions that each send SIGTERM at another moment and return the statuses that the open
+// request may be answered with.
 var shutdownScenarios = map[string]func(p *stoppingProcess) (statuses []int){
 	"before the answer": func(p *stoppingProcess) []int {
 		p.signal(syscall.SIGTERM)
 		p.release()
 		return served
 	},
-	"twice, and SIGHUP between": func(p *stoppingProcess) []int {
+	"twice, with SIGHUP in between": func(p *stoppingProcess) []int {
 		p.signal(syscall.SIGTERM)
 		p.signal(syscall.SIGHUP)
 		p.signal(syscall.SIGTERM)
@@ -92,8 +93,9 @@
 	},
 }
 
-// A graceful shutdown may begin at any moment: every accepted request gets its complete answer, also for a client that
-// reads it after the process has ended, and the process exits with status 0 in time.
+// Guards against a graceful shutdown that loses an accepted request at some moment. Whenever it begins, every accepted
+// request gets its complete answer, which a client can also read after the process has exited, and the process exits with
+// status 0 within 5 s.
 func TestShutdownAtAnyMoment(t *testing.T) {
 	for name, terminate := range shutdownScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +106,7 @@
 			release := s.HoldAnswers()
 			sendLookup(cl, "q1")
 			testserver.NextRequest(t, s)
-			_, err := cl.Write([]byte("POST /lookup HTTP/1.1\r\nConte")) // half of the next request lies unread
+			_, err := cl.Write([]byte("POST /lookup HTTP/1.1\r\nConte")) // the next request is incomplete
 			require.NoError(t, err)
 			began := time.Now()
 			want := terminate(&stoppingProcess{t: t, command: c, discovery: d, store: s, release: release})
@@ -112,11 +114,11 @@
 			require.NoError(t, c.Wait())
 			assert.Less(t, time.Since(began), 5*time.Second)
 			assert.Contains(t, want, cl.ReadResponse().Status)
-			if _, err := cl.Reader.Peek(1); err == nil { // the answer to the half request
+			if _, err := cl.Reader.Peek(1); err == nil { // the answer to the incomplete request
 				assert.Equal(t, 408, cl.ReadResponse().Status)
 			}
 			_, err = cl.Reader.Peek(1)
-			assert.ErrorIs(t, err, io.EOF, "the connection ends without a reset")
+			assert.ErrorIs(t, err, io.EOF, "the connection must end without a reset")
 		})
 	}
 	t.Run("before it is ready", func(t *testing.T) {
@@ -135,10 +137,11 @@
 	})
 }
 
-// A graceful shutdown under clients that connect, stay, rest until the process closes their connection and write slowly,
-// while stores serve or fail. A forwarded request is answered, no kept connection is reset, and the process exits with
-// status 0. A request on a connection that ended with EOF before an answer was not read: its client retries. At most one in
-// two hundred new connections is reset: the system may hold one in its accept queue when the listener closes.
+// Guards against requests that a graceful shutdown loses. Clients connect, keep their connections, leave them idle until the
+// process closes them, and write slowly, while stores serve or fail. Every forwarded request is answered, no kept connection
+// is reset, and the process exits with status 0. A request on a connection that ended with EOF before an answer was not read
+// by the process, and its client retries it. At most one in two hundred requests may fail on a new connection, as the system
+// may hold the connection in its accept queue when the listener closes.
 func TestShutdownUnderRandomClients(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -167,7 +170,7 @@
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
 		clients.running.Go(func() { clients.run(i, r) })
 	}
-	time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // any moment will do
+	time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // a random moment
 	for _, s := range stores {
 		s.SetFault([]testserver.Fault{testserver.None, testserver.Unresponsive, testserver.Stalled, testserver.Reset, testserver.Rejecting}[seed%5])
 	}
@@ -175,17 +178,17 @@
 	require.NoError(t, c.Wait())
 	close(clients.stopping)
 	clients.running.Wait()
-	assert.LessOrEqual(t, clients.resets, clients.requests/200, "of %d", clients.requests)
+	assert.LessOrEqual(t, clients.resets, clients.requests/200, "new connections reset, of %d requests", clients.requests)
 	t.Logf("%d requests, %d new connections reset", clients.requests, clients.resets)
 }
 
-// randomClients send requests at random times and check what becomes of each.
+// randomClients send requests at random times and check the outcome of each.
 type randomClients struct {
 	t         *testing.T
 	addr      string
 	stopping  chan struct{}
 	running   sync.WaitGroup
-	forwarded sync.Map // request ids that came to a store
+	forwarded sync.Map // ids of the requests that reached a store
 
 	mu       sync.Mutex
 	requests int
@@ -204,7 +207,8 @@
 	}
 }
 
-// run is one client. One in three writes slowly, one in four has a connection of its own for each request.
+// run sends the requests of one client until it is stopped. One client in three writes slowly, and one in four opens a
+// connection for each request.
 func (c *randomClients) run(number int, r *rand.Rand) {
 	var nc net.Conn
 	var br *bufio.Reader
@@ -214,13 +218,13 @@
 			return
 		default:
 		}
-		time.Sleep(time.Duration(r.IntN(120)) * time.Millisecond) // the load
+		time.Sleep(time.Duration(r.IntN(120)) * time.Millisecond) // the interval between requests
 		first := nc == nil
 		if first {
 			var err error
 			if nc, err = (&net.Dialer{Timeout: time.Second}).Dial("tcp", c.addr); err != nil {
 				nc = nil
-				continue // the process has ended
+				continue // the process has exited
 			}
 			br = bufio.NewReader(nc)
 		}
@@ -234,7 +238,7 @@
 
 func requestID(client, n int) string { return fmt.Sprintf("q%d-%d", client, n) }
 
-// write sends a request. An error shows in what is read.
+// write sends a request. It ignores errors, as the read that follows fails then.
 func (c *randomClients) write(r *rand.Rand, nc net.Conn, request []byte, slowly bool) {
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	at := 0
@@ -258,7 +262,7 @@
 	case err == nil:
 		assert.Contains(c.t, []int{200, 408, 429, 502, 503, 504}, resp.Status)
 	case forwarded:
-		assert.Fail(c.t, "forwarded, and lost", "%s: %v", id, err)
+		assert.Fail(c.t, "a forwarded request got no answer", "%s: %v", id, err)
 	case first:
 		c.resets++
 	case !closed:
--- a/processtest/startup_test.go
+++ b/processtest/startup_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
-	for name, config := range map[string]string{"empty": "", "cut": `{"listen":`, "no settings": `{}`} {
+	for name, config := range map[string]string{"empty": "", "truncated": `{"listen":`, "no settings": `{}`} {
 		c, _ := processCommand(t, config)
 		var out bytes.Buffer
 		c.Stderr = &out
@@ -45,8 +45,8 @@
 	}
 }
 
-// All processes start at once on one core while discovery is unresponsive. Nine in ten are ready within 10 s, with the
-// endpoint list that their configuration has.
+// Guards against processes that start too slowly or depend on discovery to start. Ten processes start at once on one core
+// while discovery is unresponsive. Nine in ten must be ready within 10 s, with the endpoint list of their configuration.
 func TestNineInTenProcessesAreReadyInTimeOnOneCoreWithoutDiscovery(t *testing.T) {
 	const processes = 10
 	s := testserver.NewFrameStore(t)
@@ -56,7 +56,7 @@
 		testserver.EndpointEntry("s-1", s, "in_service"))
 
 	var originalCPUs, singleCPU unix.CPUSet
-	runtime.LockOSThread() // children have the cores of the thread that starts them
+	runtime.LockOSThread() // a child process inherits the CPU affinity of the thread that starts it
 	defer runtime.UnlockOSThread()
 	require.NoError(t, unix.SchedGetaffinity(0, &originalCPUs))
 	for cpu := range 1024 {
@@ -82,7 +82,7 @@
 					ready <- time.Since(began)
 					return
 				}
-				time.Sleep(10 * time.Millisecond) // as the front layer does
+				time.Sleep(10 * time.Millisecond) // the platform's front layer also polls
 			}
 		}()
 	}
@@ -95,14 +95,15 @@
 				late++
 			}
 		case <-time.After(30 * time.Second):
-			require.Fail(t, "some are never ready")
+			require.Fail(t, "some processes are not ready after 30 s")
 		}
 	}
 	t.Logf("all ready after %v", time.Since(began).Round(time.Millisecond))
 	assert.LessOrEqual(t, late, processes/10)
 }
 
-// scanForAddress reads a process's log to its end and sends the address on which it serves; empty: it never did.
+// scanForAddress reads a process's log to its end and sends the address on which it serves, or an empty string if the
+// log contains none.
 func scanForAddress(log io.Reader, addr chan<- string) {
 	pattern := regexp.MustCompile(listenPattern)
 	found := false
