--- a/processtest/data_directory_test.go
+++ b/processtest/data_directory_test.go
@@ -17,13 +17,14 @@
 	"alderproxy/sharedconfig"
 )
 
-// An unusable data directory ends the start with one line on standard error, and nothing is served.
-func TestCorruptDataDirectoryEndsTheStart(t *testing.T) {
+// With an unusable data directory (a corrupt or truncated database, or a file in its place) the program must not serve: it
+// exits with status 1 and one line on standard error.
+func TestCorruptDataDirectoryPreventsStart(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, 2*time.Second, "")
 	n3 := r.instances["n3"]
 	n3.signal(syscall.SIGTERM)
-	<-n3.ended
+	<-n3.exited
 	require.Equal(t, 0, n3.cmd.ProcessState.ExitCode(), n3.logged())
 	db := filepath.Join(n3.path("folder"), "agreed.db")
 	intact, err := os.ReadFile(db)
@@ -36,11 +37,11 @@
 		c.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+n3.path("ini"))
 		c.Stderr = &out
 		require.Error(t, c.Run())
-		assert.Equal(t, 1, c.ProcessState.ExitCode(), "it served: %s", out.String())
+		assert.Equal(t, 1, c.ProcessState.ExitCode(), "the program did not exit with status 1: %s", out.String())
 		return out.String()
 	}
-	at := strings.Index(string(intact), "worth = 1")
-	require.Positive(t, at)
+	offset := strings.Index(string(intact), "worth = 1")
+	require.Positive(t, offset)
 	corrupt := []byte(strings.ReplaceAll(string(intact), "worth = 1", "worth = 7"))
 	require.NoError(t, os.WriteFile(db, corrupt, 0o600))
 	assert.Regexp(t, `^alderproxy: agreement: cannot open the data directory: [^\n]*agreed.db: [^\n]*corrupt\n$`, run())
@@ -56,15 +57,15 @@
 	r.waitUntilServing(1, "n3")
 }
 
-// The disk is full: the instance cannot store new log entries, logs that, and stops serving within the staleness bound
-// while the others go on. With space again it catches up.
+// On a full disk an instance cannot store new log entries. It logs that and stops serving within the staleness bound, while
+// the others go on. Once there is space again it catches up.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	r := startCluster(t, time.Second, "")
 	r.transferLeadershipToN1()
 	n3 := r.instances["n3"]
 	n3.signal(syscall.SIGTERM)
-	<-n3.ended
+	<-n3.exited
 	f, err := os.Stat(filepath.Join(n3.path("folder"), "agreed.db"))
 	require.NoError(t, err)
 	// The limit on file sizes makes writes fail as a full disk does.
@@ -78,14 +79,14 @@
 		require.NoError(t, err)
 		require.Equal(t, sharedconfig.StatusDone, o.Status, o.Reason)
 	}
-	time.Sleep(time.Second) // the bound
+	time.Sleep(time.Second) // the staleness bound
 	status, version, err := n3.search()
-	assert.True(t, err != nil || status == 503, "served by version %s: %s", version, n3.logged())
+	assert.True(t, err != nil || status == 503, "not rejected; version %s: %s", version, n3.logged())
 	status, version, err = n3.lookup("refused")
-	assert.True(t, err != nil || status == 429, "served by version %s: %s", version, n3.logged())
+	assert.True(t, err != nil || status == 429, "not rejected; version %s: %s", version, n3.logged())
 	r.waitUntilServing(6, "n1", "n2")
 	require.NoError(t, n3.cmd.Process.Kill())
-	<-n3.ended
+	<-n3.exited
 	assert.Contains(t, n3.logged(), "file too large")
 	n3.start("")
 	r.waitUntilServing(6, "n3")
--- a/processtest/main_test.go
+++ b/processtest/main_test.go
@@ -9,15 +9,16 @@
 	"alderproxy"
 )
 
-// TestMain lets the tests start the program itself: the test binary runs it when told to.
+// TestMain runs the program instead of the tests if ALDERPROXY_TEST is "program", so that tests can start the test binary as
+// the program. The program then kills itself at the step of a configuration change that ALDERPROXY_TEST_DIE_AT names, if any.
 func TestMain(m *testing.M) {
 	if os.Getenv("ALDERPROXY_TEST") != "program" {
 		os.Exit(m.Run())
 	}
 	var onStep func(string)
 	if step := os.Getenv("ALDERPROXY_TEST_DIE_AT"); step != "" {
-		onStep = func(at string) {
-			if at == step {
+		onStep = func(reached string) {
+			if reached == step {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				select {}
 			}
