--- a/config/config_test.go
+++ b/config/config_test.go
@@ -62,7 +62,7 @@
 		{"listen = 127.0.0.1:7401", "address = 127.0.0.1:1", "n1.ini:14: agreement.listen: is missing"},
 		{"stale_after = 2s", "stale_after = 1ms", "n1.ini:16: agreement.stale_after: 1ms is not between 200ms and 1h0m0s"},
 		{"addr = 127.0.0.1:9302", "addr = 127.0.0.1:9301", "n1.ini:12: store s-2.addr: 127.0.0.1:9301 is the address of store s-1"},
-		{"cell = 1\n", "cell = 2\n", "n1.ini:7: opensearch: store s-2 is in cell 2, and the layout has 2"},
+		{"cell = 1\n", "cell = 2\n", "n1.ini:7: opensearch: store s-2 is in cell 2, but the layout has only 2 cells"},
 		{"[class lookup]", "[klass lookup]", "n1.ini:19: klass lookup: unknown section"},
 		{"format = json", "format = xml", `n1.ini:6: log.format: "xml" is none of text, json`},
 	} {
--- a/processtest/membership_test.go
+++ b/processtest/membership_test.go
@@ -65,7 +65,7 @@
 func (r *cluster) loggedDeaths() (all []string) {
 	for _, i := range r.instances {
 		for line := range strings.Lines(i.logged()) {
-			if strings.Contains(line, "fleet changed") && strings.Contains(line, "what=dead") {
+			if strings.Contains(line, "membership changed") && strings.Contains(line, "what=dead") {
 				all = append(all, line)
 			}
 		}
