--- a/admin/config.go
+++ b/admin/config.go
@@ -22,12 +22,12 @@
 
 // ConfigChange is a change of the shared document: to a text, or, where Restores is set, back to an earlier version.
 type ConfigChange struct {
-	Request  string `json:"request"` // identifies the change: a retry with the same id does not make it twice
-	Expect   uint64 `json:"expect"`  // the version that it replaces
-	Text     string `json:"text,omitempty"`
-	Restores uint64 `json:"restores,omitempty"` // the version that it brings back; 0: none
-	Author   string `json:"author"`
-	Reason   string `json:"reason"`
+	Request         string `json:"request"` // identifies the change: a retry with the same id does not make it twice
+	Expect          uint64 `json:"expect"`  // the version that it replaces
+	Text            string `json:"text,omitempty"`
+	RestoredVersion uint64 `json:"restores,omitempty"` // the version that it brings back; 0: none
+	Author          string `json:"author"`
+	Reason          string `json:"reason"`
 }
 
 func (c *ConfigChange) validate() error {
@@ -94,14 +94,14 @@
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	if change.Restores > 0 {
+	if change.RestoredVersion > 0 {
 		state, ok := s.readState(w, r)
 		if !ok {
 			return
 		}
-		version, found := state.Version(change.Restores)
+		version, found := state.Version(change.RestoredVersion)
 		if !found {
-			writeError(w, http.StatusNotFound, fmt.Errorf("version %d is not kept", change.Restores))
+			writeError(w, http.StatusNotFound, fmt.Errorf("version %d is not kept", change.RestoredVersion))
 			return
 		}
 		change.Text = version.Text
@@ -118,7 +118,7 @@
 		Author:            change.Author,
 		Reason:            change.Reason,
 		RequestedAtMillis: time.Now().UnixMilli(),
-		RestoredVersion:   change.Restores,
+		RestoredVersion:   change.RestoredVersion,
 	}})
 }
 
--- a/cmd/alderproxy/config.go
+++ b/cmd/alderproxy/config.go
@@ -163,7 +163,7 @@
 			if flags.reason == "" {
 				flags.reason = fmt.Sprintf("back to version %d", version)
 			}
-			return a.change(c, flags, admin.ConfigChange{Restores: version})
+			return a.change(c, flags, admin.ConfigChange{RestoredVersion: version})
 		},
 	}
 	flags.addTo(c)
--- a/config/config.go
+++ b/config/config.go
@@ -43,15 +43,15 @@
 
 // Agreement says how an instance takes part in the replicated configuration.
 type Agreement struct {
-	Listen         string        // address for the other instances, on this machine
-	Address        string        // the same as the other instances reach it
-	Voters         []string      // addresses of voters to follow, for an instance without a vote; it has no listener
-	KeyFile        string        // holds the key that the instances of a group share; empty: none
-	StalenessBound time.Duration // how long a version may be served after it was replaced
-	ServeWhenStale bool          // serve beyond the bound rather than reject
-	Speed          int           // divides Raft's usual timeouts
-	KeepVersions   int           // in the history
-	SnapshotAfter  int           // log entries after which the log is compacted
+	Listen            string        // address for the other instances, on this machine
+	Address           string        // the same as the other instances reach it
+	Voters            []string      // addresses of voters to follow, for an instance without a vote; it has no listener
+	KeyFile           string        // holds the key that the instances of a group share; empty: none
+	StalenessBound    time.Duration // how long a version may be served after it was replaced
+	ServeWhenStale    bool          // serve beyond the bound rather than reject
+	RaftSpeedup       int           // divides Raft's usual timeouts
+	KeepVersions      int           // in the history
+	SnapshotThreshold int           // log entries after which the log is compacted
 }
 
 // Membership says how an instance takes part in the membership of its fleet.
@@ -217,14 +217,14 @@
 		return
 	}
 	a := &Agreement{
-		Listen:         s.Addr("listen"),
-		Address:        s.Addr("address"),
-		KeyFile:        s.Text("key_file", ""),
-		StalenessBound: s.Duration("stale_after", 5*time.Second, 200*time.Millisecond, time.Hour),
-		ServeWhenStale: s.Choice("when_stale", "refuse", "refuse", "serve") == "serve",
-		Speed:          s.Int("speed", 1, 1, 20),
-		KeepVersions:   s.Int("keep", 1000, 2, 100_000),
-		SnapshotAfter:  s.Int("snapshot_after", 200, 8, 100_000),
+		Listen:            s.Addr("listen"),
+		Address:           s.Addr("address"),
+		KeyFile:           s.Text("key_file", ""),
+		StalenessBound:    s.Duration("stale_after", 5*time.Second, 200*time.Millisecond, time.Hour),
+		ServeWhenStale:    s.Choice("when_stale", "refuse", "refuse", "serve") == "serve",
+		RaftSpeedup:       s.Int("speed", 1, 1, 20),
+		KeepVersions:      s.Int("keep", 1000, 2, 100_000),
+		SnapshotThreshold: s.Int("snapshot_after", 200, 8, 100_000),
 	}
 	for _, voter := range s.AddrPorts("follow") {
 		a.Voters = append(a.Voters, voter.String())
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,8 +41,8 @@
 	require.NoError(t, err)
 	assert.Equal(t, "json", c.Log.Format)
 	assert.Equal(t, Agreement{
-		Listen: "127.0.0.1:7401", Address: "127.0.0.1:7401", StalenessBound: 2 * time.Second, Speed: 1,
-		KeepVersions: 1000, SnapshotAfter: 200,
+		Listen: "127.0.0.1:7401", Address: "127.0.0.1:7401", StalenessBound: 2 * time.Second, RaftSpeedup: 1,
+		KeepVersions: 1000, SnapshotThreshold: 200,
 	}, *c.Agreement)
 	require.Len(t, c.OpenSearch.Stores, 2)
 	assert.Equal(t, 1, c.OpenSearch.Stores[1].RingPosition)
