--- a/admin/client.go
+++ b/admin/client.go
@@ -55,9 +55,9 @@
 	}
 	response, err := httpClient.Do(request)
 	if err != nil {
-		var withURL *url.Error
-		if errors.As(err, &withURL) {
-			err = withURL.Err
+		var urlErr *url.Error
+		if errors.As(err, &urlErr) {
+			err = urlErr.Err
 		}
 		return fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
 	}
--- a/admin/members.go
+++ b/admin/members.go
@@ -16,12 +16,12 @@
 			writeError(w, http.StatusBadRequest, fmt.Errorf("%q is no view", text))
 			return
 		}
-		s.awaitOtherView(r, version)
+		s.awaitViewChange(r, version)
 	}
 	writeJSON(w, http.StatusOK, s.gossip.Status())
 }
 
-func (s *Server) awaitOtherView(r *http.Request, version uint64) {
+func (s *Server) awaitViewChange(r *http.Request, version uint64) {
 	timeout := time.NewTimer(readTimeout)
 	defer timeout.Stop()
 	for {
--- a/admin/server.go
+++ b/admin/server.go
@@ -44,9 +44,9 @@
 	// State returns the group's state as this instance has it.
 	State() sharedconfig.State
 	// Read returns the group's state as a majority confirms it.
-	Read(within time.Duration) (sharedconfig.State, error)
+	Read(timeout time.Duration) (sharedconfig.State, error)
 	// Execute has the leader execute a command.
-	Execute(c raftnode.Command, within time.Duration) sharedconfig.Outcome
+	Execute(c raftnode.Command, timeout time.Duration) sharedconfig.Outcome
 }
 
 // Server is the admin server.
--- a/adminserver.go
+++ b/adminserver.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	parts := admin.Services{Gossip: p.gossip}
+	services := admin.Services{Gossip: p.gossip}
 	if p.sharedConfig != nil {
-		parts.Config = p.sharedConfig.node
+		services.Config = p.sharedConfig.node
 	}
-	p.admin = admin.Start(listener, parts, string(token), p.log.WithField("instance", p.config.ID))
+	p.admin = admin.Start(listener, services, string(token), p.log.WithField("instance", p.config.ID))
 	return nil
 }
--- a/alderproxy.go
+++ b/alderproxy.go
@@ -29,14 +29,14 @@
 
 // ConfigPath returns the path of the instance's file: the given one, else the value of ALDERPROXY_CONFIG, else that of the
 // deployment. It is empty where none is named and the deployment has none.
-func ConfigPath(named string) string {
-	if named == "" {
-		named = os.Getenv("ALDERPROXY_CONFIG")
+func ConfigPath(path string) string {
+	if path == "" {
+		path = os.Getenv("ALDERPROXY_CONFIG")
 	}
-	if _, err := os.Stat(defaultConfigFile); named == "" && !errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(defaultConfigFile); path == "" && !errors.Is(err, fs.ErrNotExist) {
 		return defaultConfigFile
 	}
-	return named
+	return path
 }
 
 // Options say how a process is run.
@@ -74,7 +74,7 @@
 			p.log.WithField("signal", s.String()).Info("stopping")
 			p.shutdown(time.Now())
 			return nil
-		case err := <-p.served:
+		case err := <-p.serveError:
 			return fmt.Errorf("stopped serving: %w", err)
 		}
 	}
@@ -115,14 +115,14 @@
 	log          *logrus.Logger
 	onChangeStep func(step string) // see Options
 
-	sharedConfig *sharedConfig        // nil: the instance has its own configuration only
-	gossip       *gossip.Node         // nil: the instance is not a member of a fleet
-	admin        *admin.Server        // nil: the admin server is off
-	openSearch   *opensearch.Service  // nil: this front is off
-	aggregator   *platform.Aggregator // nil: this front is off
-	served       <-chan error         // yields why the platform's front stopped serving
-	publisher    *worker              // publishes this instance's facts to the fleet
-	quotas       *worker              // follows this instance's quota of the stores' capacity
+	sharedConfig  *sharedConfig        // nil: the instance has its own configuration only
+	gossip        *gossip.Node         // nil: the instance is not a member of a fleet
+	admin         *admin.Server        // nil: the admin server is off
+	openSearch    *opensearch.Service  // nil: this front is off
+	aggregator    *platform.Aggregator // nil: this front is off
+	serveError    <-chan error         // yields why the platform's front stopped serving
+	factPublisher *worker              // publishes this instance's facts to the fleet
+	quotaUpdater  *worker              // follows this instance's quota of the stores' capacity
 }
 
 // worker is a goroutine that runs until it is stopped.
@@ -151,19 +151,19 @@
 }
 
 func (p *program) start() error {
-	edge, err := p.loadPlatformConfig()
+	platformConfig, err := p.loadPlatformConfig()
 	if err != nil {
 		return err
 	}
-	if edge != nil {
-		applyResourceLimits(edge)
+	if platformConfig != nil {
+		applyResourceLimits(platformConfig)
 	}
 	if p.config.Agreement != nil {
-		if err := p.joinConfigGroup(edge); err != nil {
+		if err := p.joinConfigGroup(platformConfig); err != nil {
 			return err
 		}
 	}
-	if err := p.startMembership(edge); err != nil {
+	if err := p.startMembership(platformConfig); err != nil {
 		return err
 	}
 	if p.config.AdminAddr != "" {
@@ -172,13 +172,13 @@
 		}
 	}
 	if p.sharedConfig == nil {
-		return p.startStandalone(edge)
+		return p.startStandalone(platformConfig)
 	}
-	return p.sharedConfig.startFronts(edge)
+	return p.sharedConfig.startFronts(platformConfig)
 }
 
 // startStandalone starts the fronts by the instance's own configuration.
-func (p *program) startStandalone(edge *platform.Config) error {
+func (p *program) startStandalone(platformConfig *platform.Config) error {
 	var terms *broker.Terms
 	if p.config.OpenSearch != nil {
 		var err error
@@ -186,33 +186,33 @@
 			return err
 		}
 	}
-	return p.startFronts(edge, terms, nil, nil)
+	return p.startFronts(platformConfig, terms, nil, nil)
 }
 
 // startFronts starts the fronts that are on, and the workers that depend on them.
-func (p *program) startFronts(edge *platform.Config, terms *broker.Terms, gate broker.Gate, agreed *platform.ReplicatedTerms) (err error) {
+func (p *program) startFronts(platformConfig *platform.Config, terms *broker.Terms, gate broker.Gate, replicated *platform.ReplicatedTerms) (err error) {
 	if p.config.OpenSearch != nil {
 		if p.openSearch, err = opensearch.Start(p.config.OpenSearch, terms, gate, p.log.WithField("front", "opensearch")); err != nil {
 			return err
 		}
 	}
-	if edge != nil {
-		if p.aggregator, err = platform.Start(edge, agreed, p.log.WithField("gatherer", edge.Name)); err != nil {
+	if platformConfig != nil {
+		if p.aggregator, err = platform.Start(platformConfig, replicated, p.log.WithField("gatherer", platformConfig.Name)); err != nil {
 			return err
 		}
-		p.served = p.aggregator.ServeError()
+		p.serveError = p.aggregator.ServeError()
 	}
 	if p.gossip != nil {
-		p.publisher = startWorker(p.publishFacts)
+		p.factPublisher = startWorker(p.publishFacts)
 		if p.openSearch != nil {
-			p.quotas = startWorker(p.followQuota)
+			p.quotaUpdater = startWorker(p.updateQuota)
 		}
 	}
 	return nil
 }
 
 // shutdown makes the graceful shutdown of a process that received its signal at the given time.
-func (p *program) shutdown(began time.Time) {
+func (p *program) shutdown(signaledAt time.Time) {
 	if p.gossip != nil {
 		p.gossip.Leave()
 	}
@@ -220,11 +220,11 @@
 	go func() {
 		defer close(done)
 		if p.openSearch != nil {
-			p.openSearch.Shutdown(began.Add(platform.MinServeDuration), began.Add(platform.MaxDrainDuration))
+			p.openSearch.Shutdown(signaledAt.Add(platform.MinServeDuration), signaledAt.Add(platform.MaxDrainDuration))
 		}
 	}()
 	if p.aggregator != nil {
-		p.aggregator.Shutdown(began)
+		p.aggregator.Shutdown(signaledAt)
 	}
 	<-done
 }
--- a/cmd/alderproxy/check.go
+++ b/cmd/alderproxy/check.go
@@ -18,10 +18,10 @@
 		Short: "Tell all that is wrong with instances' files or documents",
 		Args:  checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, files []string) error {
-			out := &output{to: c.OutOrStdout()}
+			out := &output{w: c.OutOrStdout()}
 			count := 0
 			for _, path := range files {
-				faults := faultsOf(checkFile(path, isDocument))
+				faults := splitFaults(checkFile(path, isDocument))
 				for _, fault := range faults {
 					out.printf("%v\n", fault)
 				}
@@ -50,8 +50,8 @@
 	return err
 }
 
-// faultsOf returns the faults of a file, each as an error of its own.
-func faultsOf(err error) []error {
+// splitFaults returns the faults of a file, each as an error of its own.
+func splitFaults(err error) []error {
 	var faults inifile.Faults
 	switch {
 	case errors.As(err, &faults):
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -21,15 +21,15 @@
 	"alderproxy/sharedconfig"
 )
 
-const first = "[class lookup]\naim = 1s\ngive_up = 2s\n"
+const initialDocument = "[class lookup]\naim = 1s\ngive_up = 2s\n"
 
-// instance starts an instance with an admin server and without fronts. It cannot serve documents with an index.
-func instance(t *testing.T, token string) (addr string) {
+// startInstance starts an startInstance with an admin server and without fronts. It cannot serve documents with an index.
+func startInstance(t *testing.T, token string) (addr string) {
 	t.Helper()
 	folder := t.TempDir()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), first, document.Digest(first), "test", 100, time.Now()))
+	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), initialDocument, document.Digest(initialDocument), "test", 100, time.Now()))
 	n, err := raftnode.Open(raftnode.Config{
 		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
 		Log: testserver.DiscardLog(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
@@ -49,14 +49,14 @@
 	return s.Addr()
 }
 
-func command(args ...string) (status int, out, errs string) {
+func runCommand(args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
 	status = run(args, &o, &e)
 	return status, o.String(), e.String()
 }
 
 func TestOperators(t *testing.T) {
-	addr := instance(t, "a secret word")
+	addr := startInstance(t, "a secret word")
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -64,27 +64,27 @@
 		return path
 	}
 	token := file("token", "a secret word\n")
-	quick := file("quick.ini", strings.Replace(first, "1s", "500ms", 1))
+	quick := file("quick.ini", strings.Replace(initialDocument, "1s", "500ms", 1))
 	for _, c := range []struct {
 		args      string
 		status    int
 		out, errs string // what must be in there
 	}{
-		{"config show", 0, first, ""},
+		{"config show", 0, initialDocument, ""},
 		{"config diff " + quick, 0, "-aim = 1s\n+aim = 500ms\n", ""},
 		{"config put " + quick + " --reason tender --author ada", 0, "version 2 is active\n", ""},
 		{"config put " + quick, 0, "nothing to change", ""},
 		{"config put " + quick + " --expect 1", 1, "", "alderproxy: conflict: version 2 is active and not 1\n"},
-		{"config put " + file("odd.ini", first+"odd = 1\n"), 1, "", "alderproxy: refused: document:4: class lookup.odd: unknown key\n"},
-		{"config put " + file("index.ini", first+"[index i]\nclass = lookup\nslices = 0\n"), 1, "", "alderproxy: refused: n1 says: no store here holds slice 0\n"},
+		{"config put " + file("odd.ini", initialDocument+"odd = 1\n"), 1, "", "alderproxy: refused: document:4: class lookup.odd: unknown key\n"},
+		{"config put " + file("index.ini", initialDocument+"[index i]\nclass = lookup\nslices = 0\n"), 1, "", "alderproxy: refused: n1 says: no store here holds slice 0\n"},
 		{"config put " + filepath.Join(dir, "none"), 1, "", "no such file"},
 		{"config history", 0, "ada", ""},
-		{"config show --version 1", 0, first, ""},
+		{"config show --version 1", 0, initialDocument, ""},
 		{"config show --version 9", 1, "", "alderproxy: refused: version \"9\" is not kept\n"},
 		{"config rollback 1 --request once", 0, "version 3 is active\n", ""},
 		{"config rollback 1 --request once", 0, "version 3 is active\n", ""},
 		{"config rollback 9", 1, "", "version 9 is not kept"},
-		{"config show --local", 0, first, ""},
+		{"config show --local", 0, initialDocument, ""},
 		{"instances list", 0, "n1 serves version 3 of 3", ""},
 		{"instances add n2 127.0.0.1:1", 1, "", "alderproxy: refused: no instance answers at 127.0.0.1:1"},
 		{"instances remove n2", 1, "", "alderproxy: refused: cannot remove n2: it is not a member\n"},
@@ -95,13 +95,13 @@
 		{"config put --odd", 2, "", "unknown flag"},
 		{"instances add n2", 2, "", "accepts 2 arg(s)"},
 	} {
-		status, out, errs := command(append(strings.Fields(c.args), "--admin", addr, "--token-file", token)...)
+		status, out, errs := runCommand(append(strings.Fields(c.args), "--admin", addr, "--token-file", token)...)
 		assert.Equal(t, c.status, status, "%s: %s%s", c.args, out, errs)
 		assert.Contains(t, out, c.out, c.args)
 		assert.Contains(t, errs, c.errs, c.args)
 		assert.LessOrEqual(t, strings.Count(errs, "\n"), 1, c.args)
 	}
-	status, out, _ := command("config", "history", "--json", "--admin", addr, "--token-file", token)
+	status, out, _ := runCommand("config", "history", "--json", "--admin", addr, "--token-file", token)
 	assert.Zero(t, status)
 	var all []sharedconfig.Version
 	require.NoError(t, json.Unmarshal([]byte(out), &all))
@@ -109,10 +109,10 @@
 	assert.Equal(t, uint64(1), all[2].RestoredVersion)
 	assert.Equal(t, "back to version 1", all[2].Reason)
 	assert.Equal(t, all[0].Digest, all[2].Digest)
-	status, _, errs := command("config", "show", "--admin", addr)
+	status, _, errs := runCommand("config", "show", "--admin", addr)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, errs, "token is missing or wrong")
-	status, _, errs = command("config", "show", "--admin", "127.0.0.1:1")
+	status, _, errs = runCommand("config", "show", "--admin", "127.0.0.1:1")
 	assert.Equal(t, 1, status)
 	assert.Contains(t, errs, "no answer from 127.0.0.1:1")
 }
@@ -120,19 +120,19 @@
 func TestCheckTellsAllFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.ini")
 	require.NoError(t, os.WriteFile(path, []byte("[instance]\nodd = 1\n[log]\nformat = xml\n[class a]\naim = 0\n"), 0o600))
-	status, out, errs := command("check", path)
+	status, out, errs := runCommand("check", path)
 	assert.Equal(t, 1, status)
 	assert.Equal(t, path+":2: instance.odd: unknown key\n"+path+":4: log.format: \"xml\" is none of text, json\n"+
 		path+":5: class a.give_up: is missing\n"+path+":6: class a.aim: \"0\" is no time such as 250ms or 2s\n", strings.ReplaceAll(out, "0s is not between 1ms and 1h0m0s", "\"0\" is no time such as 250ms or 2s"))
 	assert.Equal(t, "alderproxy: faults found: 4\n", errs)
-	status, _, _ = command("check", "../../example/alderproxy.ini", "../../example/three-nodes/n1.ini", "../../deploy/alderproxy.ini")
+	status, _, _ = runCommand("check", "../../example/alderproxy.ini", "../../example/three-nodes/n1.ini", "../../deploy/alderproxy.ini")
 	assert.Zero(t, status)
-	status, _, _ = command("check", "--shared", "../../example/three-nodes/first.ini", "../../example/three-nodes/quicker.ini")
+	status, _, _ = runCommand("check", "--shared", "../../example/three-nodes/first.ini", "../../example/three-nodes/quicker.ini")
 	assert.Zero(t, status)
-	status, out, _ = command("--version")
+	status, out, _ = runCommand("--version")
 	assert.Zero(t, status)
 	assert.Contains(t, out, "alderproxy version")
-	status, out, _ = command("completion", "bash")
+	status, out, _ = runCommand("completion", "bash")
 	assert.Zero(t, status)
 	assert.Contains(t, out, "bash completion")
 }
@@ -140,20 +140,20 @@
 func TestRecoverAsksFirst(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n1.ini")
-	require.NoError(t, os.WriteFile(path, []byte("[instance]\nid = n1\nfolder = "+dir+"/f\nadmin = 127.0.0.1:0\n[agreement]\nlisten = 127.0.0.1:7400\n"+first), 0o600))
-	status, _, errs := command("recover", "--config", path)
+	require.NoError(t, os.WriteFile(path, []byte("[instance]\nid = n1\nfolder = "+dir+"/f\nadmin = 127.0.0.1:0\n[agreement]\nlisten = 127.0.0.1:7400\n"+initialDocument), 0o600))
+	status, _, errs := runCommand("recover", "--config", path)
 	assert.Equal(t, 1, status, errs)
-	status, out, errs := command("init", "--config", path)
+	status, out, errs := runCommand("init", "--config", path)
 	require.Equal(t, 0, status, errs)
 	assert.Contains(t, out, "a new group begins with n1 and version 1")
-	status, _, errs = command("init", "--config", path)
+	status, _, errs = runCommand("init", "--config", path)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, errs, "belongs to a group already")
-	status, out, errs = command("recover", "--config", path)
+	status, out, errs = runCommand("recover", "--config", path)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, out, "WARNING")
 	assert.Contains(t, errs, "nothing was done")
-	status, out, errs = command("recover", "--config", path, "--i-may-lose-changes")
+	status, out, errs = runCommand("recover", "--config", path, "--i-may-lose-changes")
 	assert.Equal(t, 0, status, errs)
 	assert.Contains(t, out, "only member of a new group")
 }
--- a/cmd/alderproxy/client.go
+++ b/cmd/alderproxy/client.go
@@ -13,20 +13,20 @@
 	"alderproxy/sharedconfig"
 )
 
-// adminCommand is the flags of a command that calls an instance's admin server.
-type adminCommand struct {
+// adminFlags is the flags of a command that calls an instance's admin server.
+type adminFlags struct {
 	addr      string
 	tokenFile string
 	json      bool
 }
 
-func (a *adminCommand) addFlags(c *cobra.Command) {
+func (a *adminFlags) addFlags(c *cobra.Command) {
 	c.PersistentFlags().StringVar(&a.addr, "admin", "127.0.0.1:9400", "an instance's operators' address")
 	c.PersistentFlags().StringVar(&a.tokenFile, "token-file", "", "a file with the operators' token")
 	c.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON")
 }
 
-func (a *adminCommand) client() (admin.Client, error) {
+func (a *adminFlags) client() (admin.Client, error) {
 	client := admin.Client{Addr: a.addr}
 	if a.tokenFile != "" {
 		text, err := os.ReadFile(a.tokenFile)
@@ -39,17 +39,17 @@
 }
 
 // print writes a value as JSON where the flags ask for that, else as text by the given function.
-func (a *adminCommand) print(to io.Writer, value any, text func(*output)) error {
+func (a *adminFlags) print(to io.Writer, value any, text func(*output)) error {
 	if a.json {
 		return writeJSON(to, value)
 	}
-	out := &output{to: to}
+	out := &output{w: to}
 	text(out)
 	return out.err
 }
 
 // printOutcome prints the outcome of a change or of a command about instances. One that was not done is an error.
-func (a *adminCommand) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
+func (a *adminFlags) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
 	if outcome.Status == sharedconfig.StatusDone || a.json {
 		err := a.print(to, outcome, func(out *output) { printDone(out, outcome) })
 		if err != nil || outcome.Status == sharedconfig.StatusDone {
--- a/cmd/alderproxy/config.go
+++ b/cmd/alderproxy/config.go
@@ -17,14 +17,14 @@
 const diffContext = 3
 
 func configCommand() *cobra.Command {
-	var a adminCommand
+	var a adminFlags
 	c := &cobra.Command{Use: "config", Short: "Read and change the agreed document"}
 	a.addFlags(c)
 	c.AddCommand(a.showCommand(), a.diffCommand(), a.putCommand(), a.historyCommand(), a.rollbackCommand())
 	return c
 }
 
-func (a *adminCommand) showCommand() *cobra.Command {
+func (a *adminFlags) showCommand() *cobra.Command {
 	var version uint64
 	var local bool
 	c := &cobra.Command{
@@ -54,7 +54,7 @@
 	Diff    string `json:"diff"`
 }
 
-func (a *adminCommand) diffCommand() *cobra.Command {
+func (a *adminFlags) diffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE",
 		Short: "Print what putting a file would change",
@@ -103,7 +103,7 @@
 }
 
 // change sends a change and prints its outcome.
-func (a *adminCommand) change(c *cobra.Command, flags changeFlags, change admin.ConfigChange) error {
+func (a *adminFlags) change(c *cobra.Command, flags changeFlags, change admin.ConfigChange) error {
 	client, err := a.client()
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 	return a.printOutcome(c.OutOrStdout(), outcome)
 }
 
-func (a *adminCommand) putCommand() *cobra.Command {
+func (a *adminFlags) putCommand() *cobra.Command {
 	var flags changeFlags
 	c := &cobra.Command{
 		Use:   "put FILE",
@@ -149,16 +149,16 @@
 	return c
 }
 
-func (a *adminCommand) rollbackCommand() *cobra.Command {
+func (a *adminFlags) rollbackCommand() *cobra.Command {
 	var flags changeFlags
 	c := &cobra.Command{
 		Use:   "rollback VERSION",
 		Short: "Bring back a version that is kept, as a new one",
 		Args:  checkArgs(cobra.ExactArgs(1)),
-		RunE: func(c *cobra.Command, given []string) error {
-			version, err := strconv.ParseUint(given[0], 10, 64)
+		RunE: func(c *cobra.Command, args []string) error {
+			version, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || version == 0 {
-				return usageError{fmt.Errorf("%q is no version", given[0])}
+				return usageError{fmt.Errorf("%q is no version", args[0])}
 			}
 			if flags.reason == "" {
 				flags.reason = fmt.Sprintf("back to version %d", version)
@@ -170,7 +170,7 @@
 	return c
 }
 
-func (a *adminCommand) historyCommand() *cobra.Command {
+func (a *adminFlags) historyCommand() *cobra.Command {
 	var local bool
 	c := &cobra.Command{
 		Use:   "history",
--- a/cmd/alderproxy/instances.go
+++ b/cmd/alderproxy/instances.go
@@ -11,20 +11,20 @@
 )
 
 func instancesCommand() *cobra.Command {
-	var a adminCommand
+	var a adminFlags
 	c := &cobra.Command{Use: "instances", Short: "Read and change who holds the agreed document"}
 	a.addFlags(c)
 	c.AddCommand(
 		a.listInstancesCommand(),
 		a.groupCommand("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2),
-			func(given []string) raftnode.Command {
-				return raftnode.Command{Add: &sharedconfig.Member{Name: given[0], Addr: given[1]}}
+			func(args []string) raftnode.Command {
+				return raftnode.Command{Add: &sharedconfig.Member{Name: args[0], Addr: args[1]}}
 			}),
 		a.groupCommand("remove ID", "Remove an instance for good", cobra.ExactArgs(1),
-			func(given []string) raftnode.Command { return raftnode.Command{Remove: given[0]} }),
+			func(args []string) raftnode.Command { return raftnode.Command{Remove: args[0]} }),
 		a.groupCommand("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1),
-			func(given []string) raftnode.Command {
-				successor := strings.Join(given, "")
+			func(args []string) raftnode.Command {
+				successor := strings.Join(args, "")
 				return raftnode.Command{TransferLeadership: &successor}
 			}),
 	)
@@ -32,17 +32,17 @@
 }
 
 // groupCommand returns a command that has the leader execute a command about the group's instances.
-func (a *adminCommand) groupCommand(use, short string, count cobra.PositionalArgs, parse func(given []string) raftnode.Command) *cobra.Command {
+func (a *adminFlags) groupCommand(use, short string, count cobra.PositionalArgs, parse func(given []string) raftnode.Command) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  checkArgs(count),
-		RunE: func(c *cobra.Command, given []string) error {
+		RunE: func(c *cobra.Command, args []string) error {
 			client, err := a.client()
 			if err != nil {
 				return err
 			}
-			outcome, err := client.Execute(parse(given))
+			outcome, err := client.Execute(parse(args))
 			if err != nil {
 				return err
 			}
@@ -51,7 +51,7 @@
 	}
 }
 
-func (a *adminCommand) listInstancesCommand() *cobra.Command {
+func (a *adminFlags) listInstancesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the instances, as the one that is asked sees them",
--- a/cmd/alderproxy/members.go
+++ b/cmd/alderproxy/members.go
@@ -13,7 +13,7 @@
 )
 
 func membersCommand() *cobra.Command {
-	var a adminCommand
+	var a adminFlags
 	c := &cobra.Command{Use: "members", Short: "Who of the fleet is there, as one instance sees it"}
 	a.addFlags(c)
 	c.AddCommand(a.listMembersCommand(), a.watchMembersCommand(), a.explainMemberCommand(), a.factsCommand())
@@ -22,7 +22,7 @@
 
 // gossipStatus returns the instance's view of the fleet. Where after is the version of a view, the instance waits some
 // seconds for another one.
-func (a *adminCommand) gossipStatus(after uint64) (gossip.Status, error) {
+func (a *adminFlags) gossipStatus(after uint64) (gossip.Status, error) {
 	client, err := a.client()
 	if err != nil {
 		return gossip.Status{}, err
@@ -30,7 +30,7 @@
 	return client.Members(after)
 }
 
-func (a *adminCommand) listMembersCommand() *cobra.Command {
+func (a *adminFlags) listMembersCommand() *cobra.Command {
 	var all bool
 	c := &cobra.Command{
 		Use:   "list",
@@ -79,7 +79,7 @@
 	return "trusted"
 }
 
-func (a *adminCommand) watchMembersCommand() *cobra.Command {
+func (a *adminFlags) watchMembersCommand() *cobra.Command {
 	var changes int
 	c := &cobra.Command{
 		Use:   "watch",
@@ -92,7 +92,7 @@
 }
 
 // watchMembers prints the view and then its changes, of which 0 stands for any number.
-func (a *adminCommand) watchMembers(c *cobra.Command, changes int) error {
+func (a *adminFlags) watchMembers(c *cobra.Command, changes int) error {
 	status, err := a.gossipStatus(0)
 	if err != nil {
 		return err
@@ -146,19 +146,19 @@
 	"unreachable":    "no member that was asked received a message from it",
 }
 
-func (a *adminCommand) explainMemberCommand() *cobra.Command {
+func (a *adminFlags) explainMemberCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain NAME",
 		Short: "Tell all that is known of a member",
 		Args:  checkArgs(cobra.ExactArgs(1)),
-		RunE: func(c *cobra.Command, given []string) error {
+		RunE: func(c *cobra.Command, args []string) error {
 			status, err := a.gossipStatus(0)
 			if err != nil {
 				return err
 			}
-			i := slices.IndexFunc(status.Members, func(m gossip.Member) bool { return m.Name == given[0] })
+			i := slices.IndexFunc(status.Members, func(m gossip.Member) bool { return m.Name == args[0] })
 			if i < 0 {
-				return fmt.Errorf("%s knows no member %s", status.Name, given[0])
+				return fmt.Errorf("%s knows no member %s", status.Name, args[0])
 			}
 			member := status.Members[i]
 			return a.print(c.OutOrStdout(), member, func(out *output) { explainMember(out, status, member) })
@@ -188,7 +188,7 @@
 	gossip.Fact
 }
 
-func (a *adminCommand) factsCommand() *cobra.Command {
+func (a *adminFlags) factsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "facts",
 		Short: "List what the members tell of themselves",
--- a/cmd/alderproxy/output.go
+++ b/cmd/alderproxy/output.go
@@ -9,13 +9,13 @@
 
 // output writes a command's result and keeps the first error of writing.
 type output struct {
-	to  io.Writer
+	w   io.Writer
 	err error
 }
 
 func (o *output) printf(format string, values ...any) {
 	if o.err == nil {
-		_, o.err = fmt.Fprintf(o.to, format, values...)
+		_, o.err = fmt.Fprintf(o.w, format, values...)
 	}
 }
 
@@ -24,7 +24,7 @@
 	if o.err != nil {
 		return
 	}
-	columns := tabwriter.NewWriter(o.to, 0, 8, 2, ' ', 0)
+	columns := tabwriter.NewWriter(o.w, 0, 8, 2, ' ', 0)
 	for _, line := range append([]string{header}, rows...) {
 		if _, o.err = fmt.Fprintln(columns, line); o.err != nil {
 			return
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			out := &output{to: c.OutOrStdout()}
+			out := &output{w: c.OutOrStdout()}
 			printRecoveryReport(out, file.DataDirectory, report)
 			if !confirmed {
 				return errors.New("nothing was done: give --i-may-lose-changes to go on")
--- a/cmd/alderproxy/root.go
+++ b/cmd/alderproxy/root.go
@@ -13,7 +13,7 @@
 
 // Exit statuses.
 const (
-	exitDone   = 0
+	exitOK     = 0
 	exitFailed = 1 // with the reason in one line
 	exitUsage  = 2 // the program was called wrongly
 )
@@ -34,7 +34,7 @@
 	var usage usageError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitOK
 	case errors.As(err, &usage):
 		_, _ = fmt.Fprintf(stderr, "alderproxy: %v (see alderproxy --help)\n", err)
 		return exitUsage
@@ -78,8 +78,8 @@
 
 // checkArgs turns errors about a command's arguments into usage errors.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
-	return func(c *cobra.Command, given []string) error {
-		if err := check(c, given); err != nil {
+	return func(c *cobra.Command, args []string) error {
+		if err := check(c, args); err != nil {
 			return usageError{err}
 		}
 		return nil
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -15,7 +15,7 @@
 // host is the instances by number.
 type host struct {
 	instances map[uint16]*instance
-	order     []uint16 // instances with events in this batch, by first mention
+	pending   []uint16 // instances with events in this batch, by first mention
 }
 
 // instance is one decision module.
@@ -29,19 +29,19 @@
 
 // step hands each instance its events of the batch in one Step, in the order of first mention.
 func (h *host) step(batch simcodec.Batch) ([]simcodec.Addressed, error) {
-	h.order = h.order[:0]
+	h.pending = h.pending[:0]
 	for _, event := range batch.Events {
 		if err := h.queue(event); err != nil {
 			return nil, fmt.Errorf("instance %d: %w", event.Instance, err)
 		}
 	}
 	var actions []simcodec.Addressed
-	for _, number := range h.order {
-		it := h.instances[number]
-		if it == nil || !it.queued {
+	for _, number := range h.pending {
+		inst := h.instances[number]
+		if inst == nil || !inst.queued {
 			continue // stopped within the batch, or served already
 		}
-		for _, action := range it.step(batch.Clock) {
+		for _, action := range inst.step(batch.Clock) {
 			actions = append(actions, simcodec.Addressed{Instance: number, Value: action})
 		}
 	}
@@ -53,20 +53,20 @@
 	if start, ok := event.Value.(simcodec.Start); ok {
 		return h.start(event.Instance, start)
 	}
-	it := h.instances[event.Instance]
-	if it == nil {
+	inst := h.instances[event.Instance]
+	if inst == nil {
 		return fmt.Errorf("%T for %w", event.Value, errNotStarted)
 	}
 	if _, ok := event.Value.(simcodec.Stop); ok {
 		delete(h.instances, event.Instance)
 		return nil
 	}
-	if !it.queued {
-		it.queued = true
-		h.order = append(h.order, event.Instance)
+	if !inst.queued {
+		inst.queued = true
+		h.pending = append(h.pending, event.Instance)
 	}
-	if translated := it.translate(event.Value); translated != nil {
-		it.events = append(it.events, translated)
+	if translated := inst.translate(event.Value); translated != nil {
+		inst.events = append(inst.events, translated)
 	}
 	return nil
 }
@@ -82,40 +82,40 @@
 		return fmt.Errorf("start: %w", err)
 	}
 	h.instances[number] = &instance{settings: values, policy: aggregator, queued: true}
-	h.order = append(h.order, number)
+	h.pending = append(h.pending, number)
 	return nil
 }
 
 // step returns the actions of a batch, or, where the decision module panics, a crash.
-func (it *instance) step(now policy.Micros) (actions []any) {
-	events := it.events
-	it.queued = false
-	it.events = it.events[:0]
+func (inst *instance) step(now policy.Micros) (actions []any) {
+	events := inst.events
+	inst.queued = false
+	inst.events = inst.events[:0]
 	defer func() {
 		if cause := recover(); cause != nil {
 			actions = []any{simcodec.Crash{Text: fmt.Sprint("decision code panicked: ", cause)}}
 		}
 	}()
-	for _, action := range it.policy.Step(now, events) {
+	for _, action := range inst.policy.Step(now, events) {
 		actions = append(actions, action)
 	}
 	return actions
 }
 
 // translate returns the decision module's event; nil: it has none.
-func (it *instance) translate(event any) policy.Event {
+func (inst *instance) translate(event any) policy.Event {
 	switch e := event.(type) {
 	case simcodec.List:
 		if e.Mode == simcodec.Failed {
 			return policy.EndpointListFailed{}
 		}
-		it.endpoints = e.Apply(it.endpoints)
-		return policy.EndpointList{Endpoints: it.endpoints}
+		inst.endpoints = e.Apply(inst.endpoints)
+		return policy.EndpointList{Endpoints: inst.endpoints}
 	case simcodec.AttemptResult:
-		e.Report = it.settings.LoadReport(e.LoadValues)
+		e.Report = inst.settings.LoadReport(e.LoadValues)
 		return e.AttemptResult
 	case simcodec.HealthCheckResult:
-		e.Report = it.settings.LoadReport(e.LoadValues)
+		e.Report = inst.settings.LoadReport(e.LoadValues)
 		return e.HealthCheckResult
 	case policy.Event:
 		return e
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,12 +8,12 @@
 	"alderproxy/policy"
 )
 
-const facts = "fleet_size=1\ntick_us=5000\nfamily_info.slices=2\nfamily_info.cells=2\nfamily_info.reach=1\n" +
+const testSettings = "fleet_size=1\ntick_us=5000\nfamily_info.slices=2\nfamily_info.cells=2\nfamily_info.reach=1\n" +
 	"grades.count=1\ngrades.0.effect=read_like\ngrades.0.promise_us=1000000\ngrades.0.give_up_us=2000000\ngrades.0.gain=1\n"
 
-func batch(what ...any) simcodec.Batch {
+func batch(values ...any) simcodec.Batch {
 	b := simcodec.Batch{Clock: 1_000_000}
-	for _, w := range what {
+	for _, w := range values {
 		b.Events = append(b.Events, simcodec.Addressed{Instance: 3, Value: w})
 	}
 	return b
@@ -24,7 +24,7 @@
 // TestRestartWithinOneBatch: events before Stop are dropped, what comes after Start counts.
 func TestRestartWithinOneBatch(t *testing.T) {
 	h := host{instances: map[uint16]*instance{}}
-	start := simcodec.Start{Salt: 1, Settings: facts}
+	start := simcodec.Start{Salt: 1, Settings: testSettings}
 	list := simcodec.List{Mode: simcodec.Cached, Entries: []policy.Endpoint{{ID: 5, State: policy.Ready}}}
 	if _, err := h.step(batch(start, list)); err != nil {
 		t.Fatal(err)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `[instance]
+const validText = `[instance]
 id = n1
 folder = /var/lib/alderproxy
 admin = 127.0.0.1:9400
@@ -37,7 +37,7 @@
 `
 
 func TestParse(t *testing.T) {
-	c, err := Parse("n1.ini", good)
+	c, err := Parse("n1.ini", validText)
 	require.NoError(t, err)
 	assert.Equal(t, "json", c.Log.Format)
 	assert.Equal(t, Agreement{
@@ -48,11 +48,11 @@
 	assert.Equal(t, 1, c.OpenSearch.Stores[1].RingPosition)
 	assert.Len(t, c.Document.Indices, 1)
 	assert.NotEmpty(t, c.DocumentText)
-	alone, err := Parse("f", "[log]\n")
+	minimal, err := Parse("f", "[log]\n")
 	require.NoError(t, err)
-	assert.Nil(t, alone.OpenSearch)
-	assert.Nil(t, alone.Agreement)
-	assert.Empty(t, alone.DocumentText)
+	assert.Nil(t, minimal.OpenSearch)
+	assert.Nil(t, minimal.Agreement)
+	assert.Empty(t, minimal.DocumentText)
 }
 
 func TestFaults(t *testing.T) {
@@ -66,7 +66,7 @@
 		{"[class lookup]", "[klass lookup]", "n1.ini:19: klass lookup: unknown section"},
 		{"format = json", "format = xml", `n1.ini:6: log.format: "xml" is none of text, json`},
 	} {
-		_, err := Parse("n1.ini", strings.Replace(good, c.old, c.new, 1))
+		_, err := Parse("n1.ini", strings.Replace(validText, c.old, c.new, 1))
 		if assert.Error(t, err, c.new) {
 			assert.Equal(t, c.want, err.Error())
 		}
@@ -75,7 +75,7 @@
 
 // Some hundreds of stores and indices, with room to spare: no bound on a file may cap their lists.
 func TestThousandStoresAndIndicesFitAFile(t *testing.T) {
-	text := strings.NewReplacer("cells = 2", "cells = 1024", "[store s-2]\naddr = 127.0.0.1:9302\ncell = 1\n", "").Replace(good)
+	text := strings.NewReplacer("cells = 2", "cells = 1024", "[store s-2]\naddr = 127.0.0.1:9302\ncell = 1\n", "").Replace(validText)
 	for i := range 1023 {
 		text += fmt.Sprintf("\n[store s-%s-%d]\n# %s\naddr = 10.%d.%d.1:9301\ncell = %d\nsize = 1.5\n[index i-%s-%d]\nclass = lookup\nslices = 0\n",
 			strings.Repeat("s", 16), i, strings.Repeat("x", 200), i/256, i%256, i, strings.Repeat("n", 16), i)
--- a/membership.go
+++ b/membership.go
@@ -20,18 +20,18 @@
 	platformSuspicionTimeout = 8 * platformProbeInterval // how long a suspected member is kept
 	platformTombstoneTTL     = time.Hour                 // after which a dead member is forgotten
 	platformMaxSendRate      = 30                        // datagrams a second
-	platformMembers          = "tier"                    // the group's name
+	platformGroup            = "tier"                    // the group's name
 )
 
 // platformMembership is the configuration of a member of the platform's gossip group. The platform has no key.
-func platformMembership(edge *platform.Config) *config.Membership {
+func platformMembership(platformConfig *platform.Config) *config.Membership {
 	return &config.Membership{
-		Listen: edge.Gossip.Listen,
-		Group:  platformMembers,
+		Listen: platformConfig.Gossip.Listen,
+		Group:  platformGroup,
 		Member: membership.Config{
-			Name:             edge.Name,
-			Addr:             edge.Gossip.Addresses[edge.Settings.InstanceIndex],
-			Seeds:            edge.Gossip.Addresses,
+			Name:             platformConfig.Name,
+			Addr:             platformConfig.Gossip.Addresses[platformConfig.Settings.InstanceIndex],
+			Seeds:            platformConfig.Gossip.Addresses,
 			ProbeInterval:    platformProbeInterval.Microseconds(),
 			SuspicionTimeout: platformSuspicionTimeout.Microseconds(),
 			MaxSendRate:      platformMaxSendRate,
@@ -41,12 +41,12 @@
 }
 
 // startMembership makes this instance a member of the fleet that its file or the platform's configuration names, if any.
-func (p *program) startMembership(edge *platform.Config) error {
+func (p *program) startMembership(platformConfig *platform.Config) error {
 	switch {
 	case p.config.Membership != nil:
 		return p.startGossip(p.config.Membership, nil)
-	case p.config.PlatformMembership && edge != nil && len(edge.Gossip.Addresses) > 0:
-		return p.startGossip(platformMembership(edge), platformClock())
+	case p.config.PlatformMembership && platformConfig != nil && len(platformConfig.Gossip.Addresses) > 0:
+		return p.startGossip(platformMembership(platformConfig), platformClock())
 	}
 	return nil
 }
@@ -80,31 +80,31 @@
 	}
 	p.gossip = node
 	log.WithField("listen", conn.LocalAddr().String()).WithField("address", c.Member.Addr.String()).Info("reachable for members")
-	if search := p.config.OpenSearch; search != nil {
+	if openSearch := p.config.OpenSearch; openSearch != nil {
 		self := membership.IDFromName(c.Member.Name)
-		search.Quota = func() (number, fleet int) {
-			return node.View().CapacityShare(self, search.InstanceIndex, search.InstanceCount)
+		openSearch.Quota = func() (index, count int) {
+			return node.View().CapacityShare(self, openSearch.InstanceIndex, openSearch.InstanceCount)
 		}
 	}
 	return nil
 }
 
 // quota is this instance's part of what the stores serve: one of a number of equal parts.
-type quota struct{ number, fleet int }
+type quota struct{ index, count int }
 
-// followQuota has the OpenSearch front follow its quota as the view of the fleet changes. The platform tells its own front
+// updateQuota has the OpenSearch front follow its quota as the view of the fleet changes. The platform tells its own front
 // how many instances there are.
-func (p *program) followQuota(stopping <-chan struct{}) {
+func (p *program) updateQuota(stopping <-chan struct{}) {
 	var applied quota
 	for {
 		changed := p.gossip.ViewChanged()
-		number, fleet := p.config.OpenSearch.Quota()
-		if now := (quota{number, fleet}); now != applied {
+		index, count := p.config.OpenSearch.Quota()
+		if now := (quota{index, count}); now != applied {
 			applied = now
 			if err := p.applyQuota(); err != nil {
 				p.log.WithError(err).Error("the share of the stores could not be changed")
 			} else {
-				p.log.WithFields(logrus.Fields{"number": number, "fleet": fleet}).Info("share of the stores")
+				p.log.WithFields(logrus.Fields{"number": index, "fleet": count}).Info("share of the stores")
 			}
 		}
 		select {
@@ -123,11 +123,11 @@
 		if shared.document == nil {
 			return nil // the first version's terms will have the quota
 		}
-		search, _, err := shared.terms(shared.version, shared.document)
+		terms, _, err := shared.terms(shared.version, shared.document)
 		if err != nil {
 			return err
 		}
-		return p.openSearch.SetTerms(search)
+		return p.openSearch.SetTerms(terms)
 	}
 	terms, err := p.config.OpenSearch.Terms(0, p.config.Document)
 	if err != nil {
@@ -145,8 +145,8 @@
 
 // servedState is what this instance serves by; 0: none.
 type servedState struct {
-	version uint64 // of the shared document
-	stores  uint64 // digest of all stores
+	documentVersion uint64 // of the shared document
+	storesDigest    uint64 // digest of all stores
 }
 
 // publishFacts publishes what this instance serves by as it changes, and again before it expires.
@@ -159,8 +159,8 @@
 		if now := p.servedState(); now != published || time.Since(publishedAt) > factLifetime/3 {
 			published = now
 			publishedAt = time.Now()
-			p.publishFact(membership.DocumentVersionFact, now.version)
-			p.publishFact(membership.StoresDigestFact, now.stores)
+			p.publishFact(membership.DocumentVersionFact, now.documentVersion)
+			p.publishFact(membership.StoresDigestFact, now.storesDigest)
 		}
 		select {
 		case <-ticker.C:
@@ -179,22 +179,22 @@
 func (p *program) servedState() servedState {
 	var served servedState
 	if p.sharedConfig != nil {
-		served.version = p.sharedConfig.node.ServedVersion()
+		served.documentVersion = p.sharedConfig.node.ServedVersion()
 	}
 	if c := p.config.OpenSearch; c != nil {
-		served.stores = storepool.Digest(c.Stores)
+		served.storesDigest = storepool.Digest(c.Stores)
 	}
 	if p.aggregator != nil {
-		served.stores ^= storepool.Digest(p.aggregator.Stores())
+		served.storesDigest ^= storepool.Digest(p.aggregator.Stores())
 	}
 	return served
 }
 
 // stopGossip ends this instance's membership.
 func (p *program) stopGossip() {
-	p.publisher.stop()
+	p.factPublisher.stop()
 	if err := p.gossip.Close(); err != nil {
 		p.log.WithError(err).Warn("membership not closed cleanly")
 	}
-	p.quotas.stop()
+	p.quotaUpdater.stop()
 }
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -27,10 +27,10 @@
 	program *program
 	node    configNode
 
-	mu       sync.Mutex                      // held while the fronts start or change their terms
-	version  uint64                          // of document
-	document *document.Document              // nil: none is known yet
-	platform atomic.Pointer[platform.Config] // nil: the platform's front is off
+	mu             sync.Mutex                      // held while the fronts start or change their terms
+	version        uint64                          // of document
+	document       *document.Document              // nil: none is known yet
+	platformConfig atomic.Pointer[platform.Config] // nil: the platform's front is off
 }
 
 // configNode is a voter or a follower of the replicated configuration.
@@ -63,14 +63,14 @@
 }
 
 // joinConfigGroup starts this instance's node, as a voter or, where the file names voters to follow, as a follower.
-func (p *program) joinConfigGroup(edge *platform.Config) error {
+func (p *program) joinConfigGroup(platformConfig *platform.Config) error {
 	c := p.config.Agreement
 	key, err := readSecret(c.KeyFile)
 	if err != nil {
 		return fmt.Errorf("agreement.key_file: %w", err)
 	}
 	shared := &sharedConfig{program: p}
-	shared.platform.Store(edge)
+	shared.platformConfig.Store(platformConfig)
 	log := p.log.WithField("instance", p.config.ID)
 	node := raftnode.Config{
 		Name:              p.config.ID,
@@ -88,9 +88,9 @@
 		OnStep:            p.onChangeStep,
 	}
 	if len(c.Voters) > 0 {
-		err = shared.follow(node)
+		err = shared.startFollower(node)
 	} else {
-		err = shared.vote(node, c.Listen)
+		err = shared.startVoter(node, c.Listen)
 	}
 	if err != nil {
 		return fmt.Errorf("agreement: %w", err)
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (s *sharedConfig) follow(c raftnode.Config) error {
+func (s *sharedConfig) startFollower(c raftnode.Config) error {
 	follower, err := raftnode.Follow(c)
 	if err != nil {
 		return err
@@ -109,8 +109,8 @@
 	return nil
 }
 
-func (s *sharedConfig) vote(c raftnode.Config, address string) error {
-	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
+func (s *sharedConfig) startVoter(c raftnode.Config, listenAddr string) error {
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", listenAddr)
 	if err != nil {
 		return err
 	}
@@ -126,14 +126,14 @@
 }
 
 // startFronts starts the fronts with the version that is in force.
-func (s *sharedConfig) startFronts(edge *platform.Config) error {
+func (s *sharedConfig) startFronts(platformConfig *platform.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	search, own, err := s.initialTerms()
+	openSearchTerms, platformTerms, err := s.initialTerms()
 	if err != nil {
 		return err
 	}
-	return s.program.startFronts(edge, search, s.allowsQueries, &platform.ReplicatedTerms{Initial: own, Gate: s.allowsQueries})
+	return s.program.startFronts(platformConfig, openSearchTerms, s.gate, &platform.ReplicatedTerms{Initial: platformTerms, Gate: s.gate})
 }
 
 func (s *sharedConfig) close() {
@@ -145,24 +145,24 @@
 	}
 }
 
-// allowsQueries is the brokers' gate.
-func (s *sharedConfig) allowsQueries(t *broker.Terms) (open bool, retryAfter time.Duration) {
+// gate is the brokers' gate.
+func (s *sharedConfig) gate(t *broker.Terms) (open bool, retryAfter time.Duration) {
 	return s.node.Gate(t.Version)
 }
 
 // terms returns what this instance's fronts would serve a document by. An error says why one of them cannot.
-func (s *sharedConfig) terms(version uint64, d *document.Document) (search, edge *broker.Terms, err error) {
+func (s *sharedConfig) terms(version uint64, d *document.Document) (openSearchTerms, platformTerms *broker.Terms, err error) {
 	if c := s.program.config.OpenSearch; c != nil {
-		if search, err = c.Terms(version, d); err != nil {
+		if openSearchTerms, err = c.Terms(version, d); err != nil {
 			return nil, nil, err
 		}
 	}
-	if c := s.platform.Load(); c != nil {
-		if edge, err = c.Terms(version, d); err != nil {
+	if c := s.platformConfig.Load(); c != nil {
+		if platformTerms, err = c.Terms(version, d); err != nil {
 			return nil, nil, err
 		}
 	}
-	return search, edge, nil
+	return openSearchTerms, platformTerms, nil
 }
 
 // check returns an error that says why this instance could not serve a document, if it could not.
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	search, edge, err := s.terms(v.Number, d)
+	openSearchTerms, platformTerms, err := s.terms(v.Number, d)
 	if err != nil {
 		return err
 	}
@@ -190,12 +190,12 @@
 	s.version = v.Number
 	s.document = d
 	if s.program.openSearch != nil {
-		if err := s.program.openSearch.SetTerms(search); err != nil {
+		if err := s.program.openSearch.SetTerms(openSearchTerms); err != nil {
 			return err
 		}
 	}
 	if s.program.aggregator != nil {
-		return s.program.aggregator.SetTerms(edge)
+		return s.program.aggregator.SetTerms(platformTerms)
 	}
 	return nil
 }
@@ -214,19 +214,19 @@
 	if err := s.program.aggregator.Reload(c); err != nil {
 		return err
 	}
-	s.platform.Store(c)
+	s.platformConfig.Store(c)
 	return s.program.aggregator.SetTerms(terms)
 }
 
 // initialTerms returns the terms with which the fronts start. The caller holds the lock.
-func (s *sharedConfig) initialTerms() (search, edge *broker.Terms, err error) {
+func (s *sharedConfig) initialTerms() (openSearchTerms, platformTerms *broker.Terms, err error) {
 	if s.document != nil {
 		return s.terms(s.version, s.document)
 	}
-	if c := s.platform.Load(); c != nil {
-		edge = &broker.Terms{Settings: c.Settings}
+	if c := s.platformConfig.Load(); c != nil {
+		platformTerms = &broker.Terms{Settings: c.Settings}
 	}
-	return opensearch.UnknownTerms(), edge, nil
+	return opensearch.UnknownTerms(), platformTerms, nil
 }
 
 // Init bootstraps a new group in an instance's data directory. The group's first version is the given document, which this
