--- a/admin/client.go
+++ b/admin/client.go
@@ -17,30 +17,30 @@
 	"alderproxy/sharedconfig"
 )
 
-// Errors of calls.
+// The errors of a Client's calls.
 var (
 	// ErrRejected is wrapped by the errors of requests that the instance rejected.
 	ErrRejected = errors.New("refused")
-	// ErrUnreachable is wrapped by the errors of calls that got no usable response.
+	// ErrUnreachable is wrapped by the errors of calls without a response, or with one that is not JSON.
 	ErrUnreachable = errors.New("no answer")
 )
 
 // Client calls the admin server of one instance.
 type Client struct {
 	Addr  string
-	Token string // empty: none
+	Token string // sent with each request; empty: none
 }
 
 var httpClient = &http.Client{Timeout: commandTimeout + clientGracePeriod}
 
-// NewRequestID returns an id for a change.
+// NewRequestID returns a random id for a change.
 func NewRequestID() string {
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails, as its documentation says
 	return hex.EncodeToString(id[:])
 }
 
-// call sends a request with a JSON body and decodes the JSON response.
+// call sends a request with a JSON body and decodes the JSON response into a value.
 func (c Client) call(method, path string, body, into any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -61,7 +61,7 @@
 		}
 		return fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // the body was only read
 	var raw json.RawMessage
 	if err := json.NewDecoder(response.Body).Decode(&raw); err != nil {
 		return fmt.Errorf("%w from %s: %w", ErrUnreachable, c.Addr, err)
@@ -90,8 +90,8 @@
 	return s, err
 }
 
-// Show returns a version of the shared document; 0: the active one. local reads the instance's own state, which a majority
-// need not confirm.
+// Show returns a version of the shared document; 0 means the active one. With local it reads the instance's own state, which
+// no majority has to confirm.
 func (c Client) Show(version uint64, local bool) (v sharedconfig.Version, err error) {
 	q := url.Values{}
 	if version > 0 {
@@ -104,7 +104,7 @@
 	return v, err
 }
 
-// History returns the versions in the history without their texts, the oldest first. local is as in Show.
+// History returns the versions in the history, the oldest first and without their texts. local is as for Show.
 func (c Client) History(local bool) (all []sharedconfig.Version, err error) {
 	path := "/v1/config/history"
 	if local {
--- a/admin/config.go
+++ b/admin/config.go
@@ -20,19 +20,19 @@
 	maxReasonBytes    = 1024
 )
 
-// ConfigChange is a change of the shared document: to a text, or, where Restores is set, back to an earlier version.
+// ConfigChange replaces the shared document by Text or, if RestoredVersion is set, by the text of that version.
 type ConfigChange struct {
 	Request         string `json:"request"` // identifies the change: a retry with the same id does not make it twice
-	Expect          uint64 `json:"expect"`  // the version that it replaces
+	Expect          uint64 `json:"expect"`  // version that the change must replace
 	Text            string `json:"text,omitempty"`
-	RestoredVersion uint64 `json:"restores,omitempty"` // the version that it brings back; 0: none
+	RestoredVersion uint64 `json:"restores,omitempty"` // version in the history whose text is used; 0: Text is used
 	Author          string `json:"author"`
 	Reason          string `json:"reason"`
 }
 
 func (c *ConfigChange) validate() error {
 	if c.Request == "" || len(c.Request) > maxRequestIDBytes || len(c.Author) > maxAuthorBytes || len(c.Reason) > maxReasonBytes {
-		return errors.New("a request's name of at most 64 bytes is needed, an author of at most 128 and a reason of at most 1,024")
+		return errors.New("expected a request id of 1 to 64 bytes, an author of at most 128 bytes and a reason of at most 1,024 bytes")
 	}
 	return nil
 }
@@ -41,8 +41,8 @@
 	writeJSON(w, http.StatusOK, s.config.Status())
 }
 
-// readState returns the group's state as a majority confirms it, or, with local=1, as this instance has it. Where it cannot,
-// it writes the error and returns false.
+// readState returns the group's state as a majority confirms it or, with local=1, as this instance has it. If the read fails,
+// it writes the error to the response and returns false.
 func (s *Server) readState(w http.ResponseWriter, r *http.Request) (sharedconfig.State, bool) {
 	if r.FormValue("local") == "1" {
 		return s.config.State(), true
@@ -64,7 +64,7 @@
 	if text := r.FormValue("version"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
 		if version, ok = state.Version(number); err != nil || !ok {
-			writeError(w, http.StatusNotFound, fmt.Errorf("version %q is not kept", text))
+			writeError(w, http.StatusNotFound, fmt.Errorf("version %q is not in the history", text))
 			return
 		}
 	}
@@ -101,12 +101,12 @@
 		}
 		version, found := state.Version(change.RestoredVersion)
 		if !found {
-			writeError(w, http.StatusNotFound, fmt.Errorf("version %d is not kept", change.RestoredVersion))
+			writeError(w, http.StatusNotFound, fmt.Errorf("version %d is not in the history", change.RestoredVersion))
 			return
 		}
 		change.Text = version.Text
 	}
-	if _, err := document.Parse("document", change.Text); err != nil { // no other instance need check it
+	if _, err := document.Parse("document", change.Text); err != nil { // rejected here, before the group has to check it
 		writeError(w, http.StatusUnprocessableEntity, err)
 		return
 	}
@@ -125,7 +125,7 @@
 func (s *Server) handleInstances(w http.ResponseWriter, r *http.Request) {
 	var command raftnode.Command
 	if err := json.NewDecoder(r.Body).Decode(&command); err != nil || command.Change != nil {
-		writeError(w, http.StatusBadRequest, errors.Join(err, errors.New("no order about instances")))
+		writeError(w, http.StatusBadRequest, errors.Join(err, errors.New("expected a command about instances")))
 		return
 	}
 	s.execute(w, command)
--- a/admin/doc.go
+++ b/admin/doc.go
@@ -1,2 +1,2 @@
-// Package admin is the admin server of an instance, which operators call over HTTP with JSON, and the client for it.
+// Package admin implements the admin server of an instance, which operators call over HTTP with JSON, and its client.
 package admin
--- a/admin/listener.go
+++ b/admin/listener.go
@@ -2,14 +2,14 @@
 
 import "net"
 
-// limitedListener accepts no more connections at a time than its channel has slots.
+// limitedListener limits the number of open connections to the capacity of slots.
 type limitedListener struct {
 	net.Listener
 
 	slots chan struct{}
 }
 
-// Accept waits for a slot and then for a connection, which returns the slot when it is closed.
+// Accept waits for a free slot and then for a connection. The connection frees the slot when it is closed.
 func (l limitedListener) Accept() (net.Conn, error) {
 	l.slots <- struct{}{}
 	conn, err := l.Listener.Accept()
@@ -26,10 +26,10 @@
 	slots chan struct{}
 }
 
-// Close closes the connection and returns its slot.
+// Close closes the connection and frees its slot.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	if err == nil { // closing again is an error, and returns no slot
+	if err == nil { // a second Close fails, and must not free another slot
 		<-c.slots
 	}
 	return err
--- a/admin/members.go
+++ b/admin/members.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// handleMembers answers with this instance's view of the fleet. With after=VERSION it waits for a view of another version,
-// up to the read timeout.
+// handleMembers responds with this instance's view of the fleet. With after=VERSION it first waits, up to readTimeout, for a
+// view of another version.
 func (s *Server) handleMembers(w http.ResponseWriter, r *http.Request) {
 	if text := r.FormValue("after"); text != "" {
 		version, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			writeError(w, http.StatusBadRequest, fmt.Errorf("%q is no view", text))
+			writeError(w, http.StatusBadRequest, fmt.Errorf("invalid view version %q: expected a whole number", text))
 			return
 		}
 		s.awaitViewChange(r, version)
@@ -21,6 +21,8 @@
 	writeJSON(w, http.StatusOK, s.gossip.Status())
 }
 
+// awaitViewChange waits until the view has another version than the given one, readTimeout has passed or the client has
+// disconnected.
 func (s *Server) awaitViewChange(r *http.Request, version uint64) {
 	timeout := time.NewTimer(readTimeout)
 	defer timeout.Stop()
--- a/admin/server.go
+++ b/admin/server.go
@@ -18,11 +18,11 @@
 	"alderproxy/sharedconfig"
 )
 
-// The limits on one call.
+// The limits on requests and connections.
 const (
-	commandTimeout    = 20 * time.Second // for a command that the leader executes
-	readTimeout       = 5 * time.Second  // for a confirmed read, or a wait for a view
-	clientGracePeriod = 10 * time.Second // added to commandTimeout for the transfer
+	commandTimeout    = 20 * time.Second // of a command that the leader executes
+	readTimeout       = 5 * time.Second  // of a confirmed read, and of a wait for another view
+	clientGracePeriod = 10 * time.Second // added to commandTimeout for the transfer of the request and the response
 	headerTimeout     = 5 * time.Second
 	requestTimeout    = 10 * time.Second
 	idleTimeout       = 30 * time.Second
@@ -31,13 +31,13 @@
 	maxConnections    = 64
 )
 
-// Services are what operators can call of an instance. A nil one has no pages.
+// Services are the parts of an instance that operators can call. The paths of a nil part are not served.
 type Services struct {
 	Config ConfigNode
 	Gossip *gossip.Node
 }
 
-// ConfigNode is a voter or a follower of the replicated configuration.
+// ConfigNode is this instance's node of the replicated configuration: a voter or a follower.
 type ConfigNode interface {
 	// Status returns how this instance sees its group.
 	Status() raftnode.Status
@@ -45,7 +45,7 @@
 	State() sharedconfig.State
 	// Read returns the group's state as a majority confirms it.
 	Read(timeout time.Duration) (sharedconfig.State, error)
-	// Execute has the leader execute a command.
+	// Execute has the leader execute a command, and returns the outcome.
 	Execute(c raftnode.Command, timeout time.Duration) sharedconfig.Outcome
 }
 
@@ -58,7 +58,7 @@
 	listener net.Listener
 }
 
-// Start starts the server on a listener, which it closes in the end. Where there is a token, every request needs it.
+// Start starts the server on a listener, which Close closes. Unless the token is empty, every request must have it.
 func Start(listener net.Listener, services Services, token string, log *logrus.Entry) *Server {
 	s := &Server{config: services.Config, gossip: services.Gossip, token: token, listener: listener}
 	s.http = &http.Server{
@@ -71,7 +71,7 @@
 	}
 	go func() {
 		if err := s.http.Serve(limitedListener{listener, make(chan struct{}, maxConnections)}); !errors.Is(err, http.ErrServerClosed) {
-			log.WithError(err).Error("operators are no longer served")
+			log.WithError(err).Error("admin server stopped")
 		}
 	}()
 	log.WithField("listen", listener.Addr().String()).Info("serving operators")
@@ -81,7 +81,7 @@
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /", func(w http.ResponseWriter, r *http.Request) {
-		writeError(w, http.StatusNotFound, fmt.Errorf("this instance has no page %s: the part that it is of is off here", r.URL.Path))
+		writeError(w, http.StatusNotFound, fmt.Errorf("this instance does not serve %s: the path is unknown, or the component that it belongs to is off", r.URL.Path))
 	})
 	if s.config != nil {
 		mux.HandleFunc("GET /v1/status", s.handleStatus)
@@ -102,7 +102,7 @@
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// authorize rejects requests without the token, and bounds their bodies.
+// authorize rejects requests without the token, and limits the size of request bodies.
 func (s *Server) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -115,7 +115,7 @@
 	})
 }
 
-// errorBody is the body of a response to a request that was rejected.
+// errorBody is the body of a response to a rejected request.
 type errorBody struct {
 	Error string `json:"error"`
 }
@@ -127,5 +127,5 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // it fails where the client has gone
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
--- a/cmd/alderproxy/check.go
+++ b/cmd/alderproxy/check.go
@@ -15,7 +15,7 @@
 	var isDocument bool
 	c := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Tell all that is wrong with instances' files or documents",
+		Short: "Report all faults in instances' files or shared documents",
 		Args:  checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, files []string) error {
 			out := &output{w: c.OutOrStdout()}
@@ -33,10 +33,11 @@
 			return out.err
 		},
 	}
-	c.Flags().BoolVar(&isDocument, "shared", false, "the files hold shared sections only, as the agreed document does")
+	c.Flags().BoolVar(&isDocument, "shared", false, "the files are shared documents: they hold shared sections only")
 	return c
 }
 
+// checkFile returns the faults of an instance's file or, with isDocument, of a shared document.
 func checkFile(path string, isDocument bool) error {
 	if !isDocument {
 		_, err := config.Load(path)
@@ -50,7 +51,7 @@
 	return err
 }
 
-// splitFaults returns the faults of a file, each as an error of its own.
+// splitFaults returns each fault that err holds as a separate error, or err alone if it holds none.
 func splitFaults(err error) []error {
 	var faults inifile.Faults
 	switch {
--- a/cmd/alderproxy/cli_test.go
+++ b/cmd/alderproxy/cli_test.go
@@ -23,15 +23,15 @@
 
 const initialDocument = "[class lookup]\naim = 1s\ngive_up = 2s\n"
 
-// startInstance starts an startInstance with an admin server and without fronts. It cannot serve documents with an index.
+// startInstance starts an instance with an admin server and without fronts. Its check rejects documents with an index.
 func startInstance(t *testing.T, token string) (addr string) {
 	t.Helper()
-	folder := t.TempDir()
+	dataDirectory := t.TempDir()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.NoError(t, raftnode.Bootstrap(folder, "n1", l.Addr().String(), initialDocument, document.Digest(initialDocument), "test", 100, time.Now()))
+	require.NoError(t, raftnode.Bootstrap(dataDirectory, "n1", l.Addr().String(), initialDocument, document.Digest(initialDocument), "test", 100, time.Now()))
 	n, err := raftnode.Open(raftnode.Config{
-		Name: "n1", DataDirectory: folder, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
+		Name: "n1", DataDirectory: dataDirectory, Listener: l, Address: l.Addr().String(), StalenessBound: time.Second, RaftSpeedup: 5,
 		Log: testserver.DiscardLog(), Activate: func(sharedconfig.Version) error { return nil }, Check: func(text string) error {
 			if strings.Contains(text, "[index") {
 				return errors.New("no store here holds slice 0")
@@ -55,6 +55,8 @@
 	return status, o.String(), e.String()
 }
 
+// TestOperators checks the exit status and the output of each command that calls the admin server. An error must be a single
+// line on standard error.
 func TestOperators(t *testing.T) {
 	addr := startInstance(t, "a secret word")
 	dir := t.TempDir()
@@ -68,7 +70,7 @@
 	for _, c := range []struct {
 		args      string
 		status    int
-		out, errs string // what must be in there
+		out, errs string // substrings of the outputs
 	}{
 		{"config show", 0, initialDocument, ""},
 		{"config diff " + quick, 0, "-aim = 1s\n+aim = 500ms\n", ""},
@@ -76,21 +78,21 @@
 		{"config put " + quick, 0, "nothing to change", ""},
 		{"config put " + quick + " --expect 1", 1, "", "alderproxy: conflict: version 2 is active and not 1\n"},
 		{"config put " + file("odd.ini", initialDocument+"odd = 1\n"), 1, "", "alderproxy: refused: document:4: class lookup.odd: unknown key\n"},
-		{"config put " + file("index.ini", initialDocument+"[index i]\nclass = lookup\nslices = 0\n"), 1, "", "alderproxy: refused: n1 says: no store here holds slice 0\n"},
+		{"config put " + file("index.ini", initialDocument+"[index i]\nclass = lookup\nslices = 0\n"), 1, "", "alderproxy: refused by n1: no store here holds slice 0\n"},
 		{"config put " + filepath.Join(dir, "none"), 1, "", "no such file"},
 		{"config history", 0, "ada", ""},
 		{"config show --version 1", 0, initialDocument, ""},
-		{"config show --version 9", 1, "", "alderproxy: refused: version \"9\" is not kept\n"},
+		{"config show --version 9", 1, "", "alderproxy: refused: version \"9\" is not in the history\n"},
 		{"config rollback 1 --request once", 0, "version 3 is active\n", ""},
 		{"config rollback 1 --request once", 0, "version 3 is active\n", ""},
-		{"config rollback 9", 1, "", "version 9 is not kept"},
+		{"config rollback 9", 1, "", "version 9 is not in the history"},
 		{"config show --local", 0, initialDocument, ""},
 		{"instances list", 0, "n1 serves version 3 of 3", ""},
 		{"instances add n2 127.0.0.1:1", 1, "", "alderproxy: refused: no instance answers at 127.0.0.1:1"},
 		{"instances remove n2", 1, "", "alderproxy: refused: cannot remove n2: it is not a member\n"},
 		{"instances remove n1", 1, "", "alderproxy: refused: cannot remove n1: it is the last voter\n"},
 		{"instances hand-over n2", 1, "", "alderproxy: refused: there is no instance n2 with a vote\n"},
-		{"config rollback none", 2, "", "\"none\" is no version"},
+		{"config rollback none", 2, "", "invalid version \"none\": expected a positive whole number"},
 		{"config put", 2, "", "accepts 1 arg(s)"},
 		{"config put --odd", 2, "", "unknown flag"},
 		{"instances add n2", 2, "", "accepts 2 arg(s)"},
@@ -117,13 +119,15 @@
 	assert.Contains(t, errs, "no answer from 127.0.0.1:1")
 }
 
-func TestCheckTellsAllFaults(t *testing.T) {
+// TestCheckReportsAllFaults checks that the check command reports every fault of a file, not only the first, and accepts the
+// files of the repository.
+func TestCheckReportsAllFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.ini")
 	require.NoError(t, os.WriteFile(path, []byte("[instance]\nodd = 1\n[log]\nformat = xml\n[class a]\naim = 0\n"), 0o600))
 	status, out, errs := runCommand("check", path)
 	assert.Equal(t, 1, status)
-	assert.Equal(t, path+":2: instance.odd: unknown key\n"+path+":4: log.format: \"xml\" is none of text, json\n"+
-		path+":5: class a.give_up: is missing\n"+path+":6: class a.aim: \"0\" is no time such as 250ms or 2s\n", strings.ReplaceAll(out, "0s is not between 1ms and 1h0m0s", "\"0\" is no time such as 250ms or 2s"))
+	assert.Equal(t, path+":2: instance.odd: unknown key\n"+path+":4: log.format: invalid value \"xml\": expected one of text, json\n"+
+		path+":5: class a.give_up: is missing\n"+path+":6: class a.aim: is 0s, but must be between 1ms and 1h0m0s\n", out)
 	assert.Equal(t, "alderproxy: faults found: 4\n", errs)
 	status, _, _ = runCommand("check", "../../example/alderproxy.ini", "../../example/three-nodes/n1.ini", "../../deploy/alderproxy.ini")
 	assert.Zero(t, status)
@@ -137,7 +141,9 @@
 	assert.Contains(t, out, "bash completion")
 }
 
-func TestRecoverAsksFirst(t *testing.T) {
+// TestRecoverRequiresConfirmation checks that recover changes nothing without --i-may-lose-changes, since changes can be lost,
+// and that init does not replace an existing group.
+func TestRecoverRequiresConfirmation(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n1.ini")
 	require.NoError(t, os.WriteFile(path, []byte("[instance]\nid = n1\nfolder = "+dir+"/f\nadmin = 127.0.0.1:0\n[agreement]\nlisten = 127.0.0.1:7400\n"+initialDocument), 0o600))
@@ -145,7 +151,7 @@
 	assert.Equal(t, 1, status, errs)
 	status, out, errs := runCommand("init", "--config", path)
 	require.Equal(t, 0, status, errs)
-	assert.Contains(t, out, "a new group begins with n1 and version 1")
+	assert.Contains(t, out, "bootstrapped a new group: member n1, version 1")
 	status, _, errs = runCommand("init", "--config", path)
 	assert.Equal(t, 1, status)
 	assert.Contains(t, errs, "belongs to a group already")
--- a/cmd/alderproxy/client.go
+++ b/cmd/alderproxy/client.go
@@ -13,7 +13,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// adminFlags is the flags of a command that calls an instance's admin server.
+// adminFlags holds the flags of a command that calls an instance's admin server.
 type adminFlags struct {
 	addr      string
 	tokenFile string
@@ -21,8 +21,8 @@
 }
 
 func (a *adminFlags) addFlags(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&a.addr, "admin", "127.0.0.1:9400", "an instance's operators' address")
-	c.PersistentFlags().StringVar(&a.tokenFile, "token-file", "", "a file with the operators' token")
+	c.PersistentFlags().StringVar(&a.addr, "admin", "127.0.0.1:9400", "address of an instance's admin server")
+	c.PersistentFlags().StringVar(&a.tokenFile, "token-file", "", "file that holds the token of the admin server")
 	c.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON")
 }
 
@@ -38,7 +38,7 @@
 	return client, nil
 }
 
-// print writes a value as JSON where the flags ask for that, else as text by the given function.
+// print writes value as JSON if the flag is set; otherwise text writes it.
 func (a *adminFlags) print(to io.Writer, value any, text func(*output)) error {
 	if a.json {
 		return writeJSON(to, value)
@@ -48,7 +48,7 @@
 	return out.err
 }
 
-// printOutcome prints the outcome of a change or of a command about instances. One that was not done is an error.
+// printOutcome prints the outcome of a change or of a command about instances. It returns an error unless it was done.
 func (a *adminFlags) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
 	if outcome.Status == sharedconfig.StatusDone || a.json {
 		err := a.print(to, outcome, func(out *output) { printDone(out, outcome) })
@@ -58,11 +58,11 @@
 	}
 	switch {
 	case outcome.Status == sharedconfig.StatusUnknown && outcome.RequestID != "":
-		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Reason, outcome.RequestID)
+		return fmt.Errorf("unknown whether the change was made: %s (to retry it, give --request %s)", outcome.Reason, outcome.RequestID)
 	case outcome.Status == sharedconfig.StatusUnknown:
-		return fmt.Errorf("unknown whether it was done: %s", outcome.Reason)
+		return fmt.Errorf("unknown whether the command was executed: %s", outcome.Reason)
 	case outcome.RejectedBy != "":
-		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.RejectedBy, outcome.Reason)
+		return fmt.Errorf("%s by %s: %s", outcome.Status, outcome.RejectedBy, outcome.Reason)
 	}
 	return fmt.Errorf("%s: %s", outcome.Status, outcome.Reason)
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// defaultAuthor is the name under which the history records a change where none is given.
+// defaultAuthor returns the author of changes that are made without --author: the name of the user's account.
 func defaultAuthor() string {
 	if account, err := user.Current(); err == nil {
 		return account.Username
--- a/cmd/alderproxy/config.go
+++ b/cmd/alderproxy/config.go
@@ -13,12 +13,12 @@
 	"alderproxy/sharedconfig"
 )
 
-// diffContext is how many unchanged lines a diff prints around a change.
+// diffContext is the number of unchanged lines that a diff prints before and after a change.
 const diffContext = 3
 
 func configCommand() *cobra.Command {
 	var a adminFlags
-	c := &cobra.Command{Use: "config", Short: "Read and change the agreed document"}
+	c := &cobra.Command{Use: "config", Short: "Read and change the shared document"}
 	a.addFlags(c)
 	c.AddCommand(a.showCommand(), a.diffCommand(), a.putCommand(), a.historyCommand(), a.rollbackCommand())
 	return c
@@ -29,7 +29,7 @@
 	var local bool
 	c := &cobra.Command{
 		Use:   "show",
-		Short: "Print the active version, or another one",
+		Short: "Print the active version of the shared document, or another version",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := a.client()
@@ -43,7 +43,7 @@
 			return a.print(c.OutOrStdout(), shown, func(out *output) { out.printf("%s", shown.Text) })
 		},
 	}
-	c.Flags().Uint64Var(&version, "version", 0, "the version (default: the active one)")
+	c.Flags().Uint64Var(&version, "version", 0, "version to print (default: the active one)")
 	addLocalFlag(c, &local)
 	return c
 }
@@ -57,7 +57,7 @@
 func (a *adminFlags) diffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE",
-		Short: "Print what putting a file would change",
+		Short: "Print the difference between the active version and a file",
 		Args:  checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, files []string) error {
 			client, err := a.client()
@@ -87,7 +87,7 @@
 	}
 }
 
-// changeFlags are the flags of commands that change the document.
+// changeFlags holds the flags of commands that change the shared document.
 type changeFlags struct {
 	expect  uint64
 	author  string
@@ -96,13 +96,13 @@
 }
 
 func (f *changeFlags) addTo(c *cobra.Command) {
-	c.Flags().Uint64Var(&f.expect, "expect", 0, "the version that the change is made for (default: the active one)")
-	c.Flags().StringVar(&f.author, "author", defaultAuthor(), "who makes it")
-	c.Flags().StringVar(&f.reason, "reason", "", "why")
-	c.Flags().StringVar(&f.request, "request", "", "the name of a change that was asked for before: it is not made twice")
+	c.Flags().Uint64Var(&f.expect, "expect", 0, "version that the change must replace (default: the active one)")
+	c.Flags().StringVar(&f.author, "author", defaultAuthor(), "author of the change in the history")
+	c.Flags().StringVar(&f.reason, "reason", "", "reason for the change in the history")
+	c.Flags().StringVar(&f.request, "request", "", "id of the change: a retry with the same id does not make it twice (default: a new id)")
 }
 
-// change sends a change and prints its outcome.
+// change sends a change and prints its outcome. Without an answer, the outcome is unknown.
 func (a *adminFlags) change(c *cobra.Command, flags changeFlags, change admin.ConfigChange) error {
 	client, err := a.client()
 	if err != nil {
@@ -135,7 +135,7 @@
 	var flags changeFlags
 	c := &cobra.Command{
 		Use:   "put FILE",
-		Short: "Replace the agreed document: everywhere or nowhere",
+		Short: "Replace the shared document, on all instances or on none",
 		Args:  checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, files []string) error {
 			text, err := readText(files[0])
@@ -153,12 +153,12 @@
 	var flags changeFlags
 	c := &cobra.Command{
 		Use:   "rollback VERSION",
-		Short: "Bring back a version that is kept, as a new one",
+		Short: "Make the text of an earlier version active again, as a new version",
 		Args:  checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			version, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || version == 0 {
-				return usageError{fmt.Errorf("%q is no version", args[0])}
+				return usageError{fmt.Errorf("invalid version %q: expected a positive whole number", args[0])}
 			}
 			if flags.reason == "" {
 				flags.reason = fmt.Sprintf("back to version %d", version)
@@ -174,7 +174,7 @@
 	var local bool
 	c := &cobra.Command{
 		Use:   "history",
-		Short: "List the versions that are kept",
+		Short: "List the versions in the history",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := a.client()
@@ -200,5 +200,5 @@
 }
 
 func addLocalFlag(c *cobra.Command, local *bool) {
-	c.Flags().BoolVar(local, "local", false, "as this instance has it, without asking the others")
+	c.Flags().BoolVar(local, "local", false, "read the state of this instance, without confirmation by a majority")
 }
--- a/cmd/alderproxy/init.go
+++ b/cmd/alderproxy/init.go
@@ -13,9 +13,9 @@
 	var configPath, documentPath, author string
 	c := &cobra.Command{
 		Use:   "init --config FILE",
-		Short: "Make this instance's folder the first of a new group",
-		Long: "The shared sections of the file become version 1 of the agreed document. Other instances start with empty folders\n" +
-			"and are added by \"alderproxy instances add\".",
+		Short: "Bootstrap a new group in this instance's data directory",
+		Long: "The shared sections of the file become version 1 of the shared document. Other instances start with empty data\n" +
+			"directories and are added by \"alderproxy instances add\".",
 		Args: checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			file, err := config.Load(alderproxy.ConfigPath(configPath))
@@ -32,12 +32,12 @@
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "a new group begins with %s and version 1 (%s)\n", file.ID, digest)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "bootstrapped a new group: member %s, version 1 (digest %s)\n", file.ID, digest)
 			return err
 		},
 	}
 	addConfigFlag(c, &configPath, "the instance's file")
-	c.Flags().StringVar(&documentPath, "shared", "", "a file with the first document, in place of the shared sections of the instance's file")
-	c.Flags().StringVar(&author, "author", defaultAuthor(), "who begins it")
+	c.Flags().StringVar(&documentPath, "shared", "", "file with version 1 of the shared document, in place of the shared sections of the instance's file")
+	c.Flags().StringVar(&author, "author", defaultAuthor(), "author of version 1 in the history")
 	return c
 }
--- a/cmd/alderproxy/instances.go
+++ b/cmd/alderproxy/instances.go
@@ -12,17 +12,17 @@
 
 func instancesCommand() *cobra.Command {
 	var a adminFlags
-	c := &cobra.Command{Use: "instances", Short: "Read and change who holds the agreed document"}
+	c := &cobra.Command{Use: "instances", Short: "Read and change the group of instances that replicate the shared document"}
 	a.addFlags(c)
 	c.AddCommand(
 		a.listInstancesCommand(),
-		a.groupCommand("add ID ADDR", "Take an instance in, or give one that has moved its new address", cobra.ExactArgs(2),
+		a.groupCommand("add ID ADDR", "Add an instance, or change the address of one that has moved", cobra.ExactArgs(2),
 			func(args []string) raftnode.Command {
 				return raftnode.Command{Add: &sharedconfig.Member{Name: args[0], Addr: args[1]}}
 			}),
-		a.groupCommand("remove ID", "Remove an instance for good", cobra.ExactArgs(1),
+		a.groupCommand("remove ID", "Remove an instance permanently", cobra.ExactArgs(1),
 			func(args []string) raftnode.Command { return raftnode.Command{Remove: args[0]} }),
-		a.groupCommand("hand-over [ID]", "Give the lead to an instance, or to any", cobra.MaximumNArgs(1),
+		a.groupCommand("hand-over [ID]", "Transfer the leadership to an instance, or to any voter", cobra.MaximumNArgs(1),
 			func(args []string) raftnode.Command {
 				successor := strings.Join(args, "")
 				return raftnode.Command{TransferLeadership: &successor}
@@ -31,7 +31,7 @@
 	return c
 }
 
-// groupCommand returns a command that has the leader execute a command about the group's instances.
+// groupCommand returns a command-line command that has the leader execute the command that parse returns.
 func (a *adminFlags) groupCommand(use, short string, count cobra.PositionalArgs, parse func(given []string) raftnode.Command) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -54,7 +54,7 @@
 func (a *adminFlags) listInstancesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "List the instances, as the one that is asked sees them",
+		Short: "List the instances of the group, as the one that is asked sees them",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := a.client()
@@ -78,7 +78,7 @@
 	out.table("INSTANCE\tADDRESS\tVOTE\tLEADS\tFOLDER", rows)
 	out.printf("%s serves version %d of %d; term %d", status.Name, status.Serving, status.Version, status.Term)
 	if status.Reason != "" {
-		out.printf("; not as agreed: %s", status.Reason)
+		out.printf("; not serving under a lease: %s", status.Reason)
 	}
 	out.printf("\n")
 }
--- a/cmd/alderproxy/main.go
+++ b/cmd/alderproxy/main.go
@@ -1,4 +1,4 @@
-// Command alderproxy is one instance of the broker, and the operators' tool for it; see the README.
+// Command alderproxy runs one instance of the broker, and has the commands by which operators inspect and change it.
 package main
 
 import (
--- a/cmd/alderproxy/members.go
+++ b/cmd/alderproxy/members.go
@@ -14,14 +14,14 @@
 
 func membersCommand() *cobra.Command {
 	var a adminFlags
-	c := &cobra.Command{Use: "members", Short: "Who of the fleet is there, as one instance sees it"}
+	c := &cobra.Command{Use: "members", Short: "Show the members of the fleet, as one instance sees them"}
 	a.addFlags(c)
 	c.AddCommand(a.listMembersCommand(), a.watchMembersCommand(), a.explainMemberCommand(), a.factsCommand())
 	return c
 }
 
-// gossipStatus returns the instance's view of the fleet. Where after is the version of a view, the instance waits some
-// seconds for another one.
+// gossipStatus returns the instance's view of the fleet. If after is not 0, the instance waits up to five seconds for a view
+// of another version.
 func (a *adminFlags) gossipStatus(after uint64) (gossip.Status, error) {
 	client, err := a.client()
 	if err != nil {
@@ -44,7 +44,7 @@
 			return a.print(c.OutOrStdout(), status, func(out *output) { printMembers(out, status, all) })
 		},
 	}
-	c.Flags().BoolVar(&all, "all", false, "with those that left or died and are remembered")
+	c.Flags().BoolVar(&all, "all", false, "include members that have left or died and are not forgotten yet")
 	return c
 }
 
@@ -57,10 +57,10 @@
 		}
 	}
 	out.table("MEMBER\tZONE\tADDRESS\tSTATE\tREACH\tSINCE\tHEARD\tSEEN BY", rows)
-	out.printf("%s sees %d members there, by view %d (%s), %s\n", status.Name, status.AliveCount, status.ViewVersion, status.Digest, formatTrust(status))
+	out.printf("%s sees %d members present (view %d, digest %s); %s\n", status.Name, status.AliveCount, status.ViewVersion, status.Digest, formatTrust(status))
 }
 
-// formatAge formats a time in milliseconds; below 0: never.
+// formatAge formats an age in milliseconds. A negative age means never.
 func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
@@ -68,37 +68,37 @@
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// formatTrust says how far a view can be relied on.
+// formatTrust says whether a view can be relied on.
 func formatTrust(status gossip.Status) string {
 	switch {
 	case status.NameTakenBy != "":
-		return "no member: the instance at " + status.NameTakenBy + " has its name"
+		return "it is not a member: the instance at " + status.NameTakenBy + " owns its name"
 	case !status.Trusted:
-		return "NOT trusted: it may be cut off, and its view stands still"
+		return "the view is NOT trusted: the instance may be isolated and declares no member dead"
 	}
-	return "trusted"
+	return "the view is trusted"
 }
 
 func (a *adminFlags) watchMembersCommand() *cobra.Command {
 	var changes int
 	c := &cobra.Command{
 		Use:   "watch",
-		Short: "Print what changes, until it is interrupted",
+		Short: "Print changes of the view until interrupted",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE:  func(c *cobra.Command, _ []string) error { return a.watchMembers(c, changes) },
 	}
-	c.Flags().IntVar(&changes, "changes", 0, "end after so many changes (default: go on)")
+	c.Flags().IntVar(&changes, "changes", 0, "number of changes after which to end (default: no limit)")
 	return c
 }
 
-// watchMembers prints the view and then its changes, of which 0 stands for any number.
+// watchMembers prints the view and then its changes, up to a number of them; 0 means no limit.
 func (a *adminFlags) watchMembers(c *cobra.Command, changes int) error {
 	status, err := a.gossipStatus(0)
 	if err != nil {
 		return err
 	}
 	err = a.print(c.OutOrStdout(), status, func(out *output) {
-		out.printf("view %d: %d members there, %s\n", status.ViewVersion, status.AliveCount, formatTrust(status))
+		out.printf("view %d: %d members present; %s\n", status.ViewVersion, status.AliveCount, formatTrust(status))
 	})
 	for n := 0; err == nil && (changes == 0 || n < changes); {
 		var next gossip.Status
@@ -110,7 +110,7 @@
 		}
 		n++
 		err = a.print(c.OutOrStdout(), next, func(out *output) {
-			out.printf("view %d: %d members there, %s%s\n", next.ViewVersion, next.AliveCount, formatTrust(next), formatChanges(status, next))
+			out.printf("view %d: %d members present; %s%s\n", next.ViewVersion, next.AliveCount, formatTrust(next), formatChanges(status, next))
 		})
 		status = next
 	}
@@ -129,7 +129,7 @@
 		case old.State != m.State:
 			fmt.Fprintf(&out, "; %s %s -> %s (%s)", m.Name, old.State, m.State, cmp.Or(m.StateReason, "started"))
 		case old.StartedUnixMillis != m.StartedUnixMillis:
-			fmt.Fprintf(&out, "; %s started anew", m.Name)
+			fmt.Fprintf(&out, "; %s restarted", m.Name)
 		case old.Reachability != m.Reachability:
 			fmt.Fprintf(&out, "; %s %s -> %s", m.Name, old.Reachability, m.Reachability)
 		}
@@ -137,19 +137,20 @@
 	return out.String()
 }
 
-// reachabilityTexts say what each kind of reachability means.
+// reachabilityTexts explain the values of membership.Reachability by their names. The reporting instance is the one whose
+// view is shown.
 var reachabilityTexts = map[string]string{
-	"unknown":        "this instance has had no message from it yet",
-	"reachable":      "it and this instance reach each other",
-	"one-way":        "it receives this instance's messages, which hears of it through others only",
-	"through others": "neither receives the other's messages; others receive them",
-	"unreachable":    "no member that was asked received a message from it",
+	"unknown":        "no probe has determined it yet",
+	"reachable":      "messages arrive in both directions",
+	"one-way":        "the reporting instance's messages arrive; this member's acks come through helpers only",
+	"through others": "the reporting instance's messages are not known to arrive, but helpers reach this member",
+	"unreachable":    "neither the reporting instance nor a helper reaches this member, or it is dead or left",
 }
 
 func (a *adminFlags) explainMemberCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain NAME",
-		Short: "Tell all that is known of a member",
+		Short: "Show everything that an instance knows about a member",
 		Args:  checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			status, err := a.gossipStatus(0)
@@ -169,20 +170,20 @@
 func explainMember(out *output, status gossip.Status, m gossip.Member) {
 	started := time.UnixMilli(m.StartedUnixMillis).UTC().Format(time.DateTime)
 	out.printf("%s (zone %q) at %s, started %s\n", m.Name, m.Zone, m.Addr, started)
-	out.printf("  %s for %s: %s\n", m.State, formatAge(m.StateAgeMillis), cmp.Or(m.StateReason, "no member has reported it"))
+	out.printf("  %s for %s: %s\n", m.State, formatAge(m.StateAgeMillis), cmp.Or(m.StateReason, "its state has not changed"))
 	out.printf("  %s: %s\n", m.Reachability, reachabilityTexts[m.Reachability])
-	out.printf("  last message from it to %s: %s ago; in the newest periods it answered %d members that reported it\n",
+	out.printf("  time since the last message directly from it to %s: %s; members known to have recently received an ack or sent a refutation of it: %d\n",
 		status.Name, formatAge(m.LastContactAgeMillis), m.SeenByCount)
 	if m.Distrusted {
-		out.printf("  distrusted: most of the members that it accused answered\n")
+		out.printf("  distrusted: its accusations are ignored because too many of them were refuted\n")
 	}
 	for _, f := range m.Facts {
 		out.printf("  fact %s = %s (version %d)\n", f.Name, f.Value, f.Version)
 	}
-	out.printf("reported by %s, whose view is %s\n", status.Name, formatTrust(status))
+	out.printf("reported by %s; %s\n", status.Name, formatTrust(status))
 }
 
-// memberFact is a fact with the member that published it.
+// memberFact is a fact and the name of the member that published it.
 type memberFact struct {
 	Member string `json:"member"`
 	gossip.Fact
@@ -191,7 +192,7 @@
 func (a *adminFlags) factsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "facts",
-		Short: "List what the members tell of themselves",
+		Short: "List the facts that members publish about themselves",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := a.gossipStatus(0)
--- a/cmd/alderproxy/output.go
+++ b/cmd/alderproxy/output.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// output writes a command's result and keeps the first error of writing.
+// output writes the result of a command. It keeps the first write error and writes nothing after it.
 type output struct {
 	w   io.Writer
 	err error
@@ -19,7 +19,7 @@
 	}
 }
 
-// table writes a header and rows, all with cells that are separated by tabs, in aligned columns.
+// table writes a header and rows in aligned columns. Tabs separate the cells of each line.
 func (o *output) table(header string, rows []string) {
 	if o.err != nil {
 		return
--- a/cmd/alderproxy/root.go
+++ b/cmd/alderproxy/root.go
@@ -14,17 +14,17 @@
 // Exit statuses.
 const (
 	exitOK     = 0
-	exitFailed = 1 // with the reason in one line
-	exitUsage  = 2 // the program was called wrongly
+	exitFailed = 1 // the reason is printed as one line
+	exitUsage  = 2 // the command line is invalid
 )
 
-// usageError is an error about how the program was called.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
-// Unwrap returns the error itself.
+// Unwrap returns the error without its type.
 func (e usageError) Unwrap() error { return e.error }
 
-// run runs the program and returns its exit status.
+// run executes the command line and returns the exit status.
 func run(args []string, stdout, stderr io.Writer) int {
 	c := rootCommand()
 	c.SetArgs(args)
@@ -50,9 +50,9 @@
 	}
 	root := &cobra.Command{
 		Use:   "alderproxy",
-		Short: "A broker between the services of many teams",
+		Short: "A broker that fans queries out over sharded, replicated stores",
 		Long: "alderproxy takes queries, fans each one out over sharded, replicated stores, and gives every query exactly one\n" +
-			"final answer in time. Without a command it serves.",
+			"final answer in time. Without a command it runs \"serve\".",
 		Args:          checkArgs(cobra.NoArgs),
 		RunE:          serve,
 		SilenceErrors: true,
@@ -60,7 +60,7 @@
 		Version:       version(),
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	serveCommand := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM", Args: checkArgs(cobra.NoArgs), RunE: serve}
+	serveCommand := &cobra.Command{Use: "serve", Short: "Serve queries until SIGTERM or SIGINT", Args: checkArgs(cobra.NoArgs), RunE: serve}
 	for _, c := range []*cobra.Command{root, serveCommand} {
 		addConfigFlag(c, &configPath, "the instance's file (default: $ALDERPROXY_CONFIG, else deploy/alderproxy.ini)")
 	}
@@ -68,7 +68,7 @@
 	return root
 }
 
-// addConfigFlag adds the flag that names the instance's file.
+// addConfigFlag adds the flag --config for the path of the instance's file.
 func addConfigFlag(c *cobra.Command, path *string, usage string) {
 	c.Flags().StringVar(path, "config", "", usage)
 	if err := c.MarkFlagFilename("config", "ini"); err != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// checkArgs turns errors about a command's arguments into usage errors.
+// checkArgs returns check with its errors converted to usage errors.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// version returns the module's version, the revision that it was built from, where the build knows it, and Go's version.
+// version returns the module's version, the revision that it was built from, if the build recorded it, and the version of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/alderproxy/textfile.go
+++ b/cmd/alderproxy/textfile.go
@@ -8,7 +8,8 @@
 	"alderproxy/inifile"
 )
 
-// readText reads a file, or standard input where the path is -, up to one byte more than a file may have.
+// readText reads a file, or standard input if the path is -. It reads at most one byte more than inifile.MaxSize, so that the
+// parser still detects a file that is too large.
 func readText(path string) (string, error) {
 	f := os.Stdin
 	if path != "-" {
@@ -16,7 +17,7 @@
 		if f, err = os.Open(path); err != nil {
 			return "", err
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // the file was only read
 	}
 	text, err := io.ReadAll(io.LimitReader(f, inifile.MaxSize+1))
 	if err != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads an instance's own file: its identity, its fronts, the stores that it reaches, its logging, and, where
-// it has no replicated configuration or bootstraps one, the shared sections.
+// Package config reads an instance's file. The file configures the identity, fronts, stores and logging of the instance, and its
+// part in a replicated configuration and in a fleet. It has the shared sections too if the instance has no replicated
+// configuration or bootstraps one.
 package config
 
 import (
@@ -19,63 +20,63 @@
 	"alderproxy/storepool"
 )
 
-// Config is the configuration in an instance's file.
+// Config is the content of an instance's file.
 type Config struct {
-	ID                 string // the instance's name in logs and in its group
-	DataDirectory      string // holds what must survive a crash
-	AdminAddr          string // of the admin server; empty: it is off
-	AdminTokenFile     string // holds the token of the admin server; empty: requests need none
-	PlatformConfigPath string // of the platform's JSON configuration; empty: the platform's front is off
-	PlatformMembership bool   // join the platform's gossip group, where the platform allows datagrams
-	OpenSearch         *opensearch.Config
+	ID                 string             // the instance's name in logs, in its group and in its fleet
+	DataDirectory      string             // directory of the state that must survive a crash
+	AdminAddr          string             // address of the admin server; empty: it is off
+	AdminTokenFile     string             // file that holds the token of the admin server; empty: requests need none
+	PlatformConfigPath string             // path of the platform's JSON configuration; empty: the platform's front is off
+	PlatformMembership bool               // join the platform's gossip group, where the platform allows datagrams
+	OpenSearch         *opensearch.Config // nil: the OpenSearch front is off
 	Log                Log
-	Agreement          *Agreement         // nil: the instance has its own configuration only
+	Agreement          *Agreement         // nil: the instance has no replicated configuration
 	Membership         *Membership        // nil: the instance is not a member of a fleet
 	Document           *document.Document // the file's shared sections
-	DocumentText       string             // their text; empty: the file has none
+	DocumentText       string             // the text of the shared sections; empty: the file has none
 }
 
-// Log says how an instance logs.
+// Log configures logging.
 type Log struct {
 	Format string // text or json
 	Level  string // debug, info, warning or error
 }
 
-// Agreement says how an instance takes part in the replicated configuration.
+// Agreement configures an instance's part in the replicated configuration.
 type Agreement struct {
-	Listen            string        // address for the other instances, on this machine
-	Address           string        // the same as the other instances reach it
-	Voters            []string      // addresses of voters to follow, for an instance without a vote; it has no listener
-	KeyFile           string        // holds the key that the instances of a group share; empty: none
-	StalenessBound    time.Duration // how long a version may be served after it was replaced
-	ServeWhenStale    bool          // serve beyond the bound rather than reject
-	RaftSpeedup       int           // divides Raft's usual timeouts
-	KeepVersions      int           // in the history
-	SnapshotThreshold int           // log entries after which the log is compacted
+	Listen            string        // local address on which the other instances are accepted; empty for a follower
+	Address           string        // address under which the other instances reach Listen, which is the default; empty for a follower
+	Voters            []string      // addresses of the voters that a follower asks first; empty: the instance is a voter
+	KeyFile           string        // file that holds the key that the instances of a group share; empty: none
+	StalenessBound    time.Duration // maximum time for which a version is served after it was replaced
+	ServeWhenStale    bool          // serve queries beyond the bound rather than reject them
+	RaftSpeedup       int           // divisor of Raft's default timeouts
+	KeepVersions      int           // number of versions in the history of a group that this instance bootstraps
+	SnapshotThreshold int           // number of log entries from which the log is compacted
 }
 
-// Membership says how an instance takes part in the membership of its fleet.
+// Membership configures an instance's membership of its fleet.
 type Membership struct {
-	Listen  string // address for datagrams
-	Group   string // datagrams of other groups are ignored
-	KeyFile string // holds the key that members share; empty: none
+	Listen  string // local address for datagrams
+	Group   string // name of the group; datagrams of other groups are ignored
+	KeyFile string // file that holds the key that the members share; empty: none
 	Member  membership.Config
 }
 
-// sectionKinds are the kinds of sections beside the shared ones; true: each section has a name.
+// sectionKinds has the kinds of sections besides the shared ones. The value is true if sections of the kind have names.
 var sectionKinds = map[string]bool{
 	"instance": false, "log": false, "gatherer": false, "opensearch": false, "store": true,
 	"agreement": false, "membership": false,
 }
 
-// The bounds on the number of instances that share the stores' capacity, and on ids.
+// The maximum values of settings.
 const (
-	maxInstances    = 1000
+	maxInstances    = 1000 // that share the stores' capacity
 	maxRingPosition = 4095
-	maxIDBytes      = 32
+	maxIDBytes      = 32 // of an instance's id
 )
 
-// Load reads an instance's file.
+// Load reads an instance's file from a path.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads the text of an instance's file. An error about its content is of type inifile.Faults.
+// Parse parses the text of an instance's file. name identifies the file in faults. The error is of type inifile.Faults.
 func Parse(name, text string) (*Config, error) {
 	f := inifile.Read(name, text)
 	if err := f.Err(); err != nil {
@@ -116,7 +117,7 @@
 	return c, f.Err()
 }
 
-// quota is this instance among those that share the stores' capacity.
+// quota is one of count equal parts of the stores' capacity: the part of the instance with this index.
 type quota struct {
 	index int
 	count int
@@ -125,14 +126,14 @@
 func (c *Config) readInstance(s *inifile.Section) quota {
 	c.ID = s.Text("id", "alderproxy")
 	if !isID(c.ID) {
-		s.Fault("id", "%q is not made of at most %d small letters, digits and -", c.ID, maxIDBytes)
+		s.Fault("id", "invalid id %q: expected up to %d lower-case letters, digits and -, the first a letter or digit", c.ID, maxIDBytes)
 	}
 	c.DataDirectory = s.Text("folder", "")
 	c.AdminAddr = s.Addr("admin")
 	c.AdminTokenFile = s.Text("admin_token_file", "")
 	q := quota{count: s.Int("fleet", 1, 1, maxInstances), index: s.Int("number", 0, 0, maxInstances-1)}
 	if q.index >= q.count {
-		s.Fault("number", "%d is not below the fleet of %d", q.index, q.count)
+		s.Fault("number", "is %d, but must be below instance.fleet (%d)", q.index, q.count)
 	}
 	s.CheckUnused()
 	return q
@@ -150,17 +151,17 @@
 	s.CheckUnused()
 }
 
-// checkAdmin requires a token where the admin server can be reached from other machines.
+// checkAdmin requires a token if the admin server can be reached from other machines, and a component that it serves.
 func (c *Config) checkAdmin(instance *inifile.Section) {
 	if c.AdminAddr != "" && c.Agreement == nil && c.Membership == nil {
-		instance.Fault("admin", "there is nothing to operate without [agreement] or [membership]")
+		instance.Fault("admin", "the admin server needs a section [agreement] or [membership]")
 	}
 	host, _, err := net.SplitHostPort(c.AdminAddr)
 	if err != nil || c.AdminTokenFile != "" {
 		return
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		instance.Fault("admin", "%s can be reached from elsewhere: set admin_token_file", c.AdminAddr)
+		instance.Fault("admin", "%s can be reached from other machines: set admin_token_file", c.AdminAddr)
 	}
 }
 
@@ -185,7 +186,7 @@
 }
 
 func (c *Config) readStores(f *inifile.File) {
-	names := map[string]string{} // by address
+	names := map[string]string{} // names of the stores by address
 	for i, s := range f.SectionsOf("store") {
 		store := storepool.Store{
 			Name: s.Name,
@@ -199,7 +200,7 @@
 		s.Required("addr")
 		store.Addr = s.Addr("addr")
 		if other := names[store.Addr]; other != "" && store.Addr != "" {
-			s.Fault("addr", "%s is the address of store %s", store.Addr, other)
+			s.Fault("addr", "%s is also the address of store %s", store.Addr, other)
 		}
 		names[store.Addr] = s.Name
 		s.CheckUnused()
@@ -208,7 +209,7 @@
 		}
 	}
 	if c.OpenSearch != nil && len(c.OpenSearch.Stores) == 0 {
-		f.Section("opensearch").Fault("", "the front has no [store NAME]")
+		f.Section("opensearch").Fault("", "needs at least one section [store NAME]")
 	}
 }
 
@@ -233,7 +234,7 @@
 	case !s.Has("follow"):
 		s.Required("listen")
 	case a.Listen != "" || a.Address != "":
-		s.Fault("follow", "an instance without a vote has no listen or address: nobody dials it")
+		s.Fault("follow", "expected only without listen and address: no other instance connects to a follower")
 	}
 	a.Address = cmp.Or(a.Address, a.Listen)
 	s.CheckUnused()
@@ -245,7 +246,7 @@
 	c.Agreement = a
 }
 
-// readMembership reads the membership of a fleet. The instance's id is its name there.
+// readMembership reads the membership of a fleet, in which the instance's id is its name.
 func (c *Config) readMembership(s *inifile.Section) {
 	if !s.Present() {
 		return
@@ -279,11 +280,11 @@
 	addr, err := netip.ParseAddrPort(address)
 	m.Member.Addr = addr
 	if err != nil {
-		s.Fault("address", "%q is no address of a machine such as 10.0.0.4:7946", address)
+		s.Fault("address", "invalid address %q: expected an IP address and a port, such as 10.0.0.4:7946", address)
 		return false
 	}
 	if addr.Addr().IsUnspecified() {
-		s.Fault("address", "%s cannot be reached by others: set address", address)
+		s.Fault("address", "%s cannot be reached by other members: set address to an address of this machine", address)
 		return false
 	}
 	if err := m.Member.Validate(); err != nil {
@@ -292,7 +293,7 @@
 	return true
 }
 
-// isID reports whether a text is a name of small letters, digits and dashes that does not begin with a dash.
+// isID reports whether a text is a valid id: up to maxIDBytes lower-case letters, digits and dashes, the first not a dash.
 func isID(text string) bool {
 	for i := range len(text) {
 		c := text[i]
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -55,16 +55,17 @@
 	assert.Empty(t, minimal.DocumentText)
 }
 
+// TestFaults checks that the first fault of a file names the line, section and key, and says what is expected.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{"id = n1", "id = N 1", `n1.ini:2: instance.id: "N 1" is not made of at most 32 small letters, digits and -`},
+		{"id = n1", "id = N 1", `n1.ini:2: instance.id: invalid id "N 1": expected up to 32 lower-case letters, digits and -, the first a letter or digit`},
 		{"folder = /var/lib/alderproxy\n", "", "n1.ini:13: agreement: needs instance.folder"},
 		{"listen = 127.0.0.1:7401", "address = 127.0.0.1:1", "n1.ini:14: agreement.listen: is missing"},
-		{"stale_after = 2s", "stale_after = 1ms", "n1.ini:16: agreement.stale_after: 1ms is not between 200ms and 1h0m0s"},
-		{"addr = 127.0.0.1:9302", "addr = 127.0.0.1:9301", "n1.ini:12: store s-2.addr: 127.0.0.1:9301 is the address of store s-1"},
+		{"stale_after = 2s", "stale_after = 1ms", "n1.ini:16: agreement.stale_after: is 1ms, but must be between 200ms and 1h0m0s"},
+		{"addr = 127.0.0.1:9302", "addr = 127.0.0.1:9301", "n1.ini:12: store s-2.addr: 127.0.0.1:9301 is also the address of store s-1"},
 		{"cell = 1\n", "cell = 2\n", "n1.ini:7: opensearch: store s-2 is in cell 2, and the layout has 2"},
 		{"[class lookup]", "[klass lookup]", "n1.ini:19: klass lookup: unknown section"},
-		{"format = json", "format = xml", `n1.ini:6: log.format: "xml" is none of text, json`},
+		{"format = json", "format = xml", `n1.ini:6: log.format: invalid value "xml": expected one of text, json`},
 	} {
 		_, err := Parse("n1.ini", strings.Replace(validText, c.old, c.new, 1))
 		if assert.Error(t, err, c.new) {
@@ -73,7 +74,8 @@
 	}
 }
 
-// Some hundreds of stores and indices, with room to spare: no bound on a file may cap their lists.
+// TestThousandStoresAndIndicesFitAFile checks that the limits on a file's size and sections do not limit deployments, which have
+// some hundreds of stores and indices.
 func TestThousandStoresAndIndicesFitAFile(t *testing.T) {
 	text := strings.NewReplacer("cells = 2", "cells = 1024", "[store s-2]\naddr = 127.0.0.1:9302\ncell = 1\n", "").Replace(validText)
 	for i := range 1023 {
--- a/inifile/doc.go
+++ b/inifile/doc.go
@@ -1,3 +1,3 @@
-// Package inifile reads INI files strictly, on gopkg.in/ini.v1: every section and key must be known, none may occur twice,
-// and each fault is reported with its file, line, section and key.
+// Package inifile reads INI files with gopkg.in/ini.v1, but strictly: unknown sections and keys, and those that occur twice,
+// are faults. Each fault is reported with its file, line, section and key.
 package inifile
--- a/inifile/fault.go
+++ b/inifile/fault.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct { //nolint:errname // a fault is a row of Faults, which is the error
+// Fault is one fault of a file.
+type Fault struct { //nolint:errname // a fault is an element of Faults, which is the usual error
 	File     string
-	Line     int    // from 1; 0: the file as a whole
-	Location string // section.key, or the section; empty: neither
+	Line     int    // from 1; 0: the fault is of the whole file
+	Location string // section.key, section or key; empty: none
 	Message  string
 }
 
-// Error returns the fault as FILE:LINE: section.key: message.
+// Error returns the fault as FILE:LINE: LOCATION: MESSAGE, without the parts that it does not have.
 func (f Fault) Error() string {
 	location := ""
 	if f.Location != "" {
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d: %s%s", f.File, f.Line, location, f.Message)
 }
 
-// Faults is all that is wrong with a file, by line. It is never empty.
+// Faults holds all faults of a file, sorted by line. It is never empty when it is returned as an error.
 type Faults []Fault //nolint:errname // the plural of Fault
 
 // Error returns the first fault, in one line.
@@ -36,7 +36,7 @@
 	f.faults = append(f.faults, Fault{File: f.Name, Line: line, Location: location, Message: fmt.Sprintf(format, args...)})
 }
 
-// Err returns what is wrong with the file as Faults, or nil.
+// Err returns the faults found so far as Faults, or nil if there are none.
 func (f *File) Err() error {
 	if len(f.faults) == 0 {
 		return nil
@@ -45,5 +45,5 @@
 	return f.faults
 }
 
-// Malformed reports whether the text could not be parsed into sections: those that the file has mean nothing.
+// Malformed reports whether the text could not be parsed. The file's sections must not be used then.
 func (f *File) Malformed() bool { return f.malformed }
--- a/inifile/parse.go
+++ b/inifile/parse.go
@@ -7,7 +7,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Read parses the text of a file. Its faults are kept until Err is called.
+// Read parses the text of a file. File.Err returns the faults.
 func Read(name, text string) *File {
 	f := &File{Name: name, Text: text}
 	f.parse(text)
@@ -18,7 +18,7 @@
 func (f *File) parse(text string) {
 	switch {
 	case len(text) > MaxSize:
-		f.addFault(0, "", "is over %d bytes", MaxSize)
+		f.addFault(0, "", "is larger than %d bytes", MaxSize)
 		return
 	case !utf8.ValidString(text):
 		f.addFault(0, "", "is not UTF-8")
@@ -31,8 +31,8 @@
 	}
 }
 
-// readValues has the library read the values. The scan has excluded the library's looser forms: continued lines, quotes, and
-// keys and sections that occur twice.
+// readValues sets the values of all keys as the library reads them. The scan has already rejected the looser forms that the
+// library accepts, such as quoted values, and keys and sections that occur twice.
 func (f *File) readValues(text string) {
 	options := ini.LoadOptions{IgnoreContinuation: true, SpaceBeforeInlineComment: true, KeyValueDelimiters: "="}
 	read, err := ini.LoadSources(options, []byte(text))
@@ -43,7 +43,7 @@
 	for _, s := range f.Sections {
 		values := read.Section(s.title())
 		if count := len(values.Keys()); count != len(s.keys) {
-			f.addFault(s.Line, s.title(), "%d keys, but %d are read", len(s.keys), count)
+			f.addFault(s.Line, s.title(), "has %d keys, but the INI library has read %d", len(s.keys), count)
 			return
 		}
 		for _, k := range s.keys {
@@ -52,7 +52,7 @@
 	}
 }
 
-// scan finds the lines of sections and keys, which the library does not report.
+// scan finds the sections and keys with their line numbers, which the library does not report.
 func (f *File) scan(text string) {
 	scanner := lineScanner{file: f, titles: map[string]int{}}
 	for line := range strings.Lines(text) {
@@ -67,15 +67,15 @@
 // lineScanner is the state of a scan.
 type lineScanner struct {
 	file    *File
-	line    int            // from 1
-	section *Section       // nil: none has begun
-	titles  map[string]int // the line of each section
+	line    int            // number of the current line, from 1
+	section *Section       // the current section; nil: none has begun, or its header is invalid
+	titles  map[string]int // the line number of each section by its title
 }
 
 func (s *lineScanner) scan(line string) {
 	switch {
 	case strings.ContainsFunc(line, isControl):
-		s.file.addFault(s.line, "", "a control character")
+		s.file.addFault(s.line, "", "invalid line: contains a control character")
 	case line == "" || isComment(line):
 	case line[0] == '[':
 		s.scanSection(line)
@@ -88,20 +88,20 @@
 
 func isComment(text string) bool { return text[0] == '#' || text[0] == ';' }
 
-// scanSection reads a line such as [class lookup], behind which a comment may follow.
+// scanSection reads a section header such as [class lookup], which a comment may follow.
 func (s *lineScanner) scanSection(line string) {
 	title, rest, closed := strings.Cut(line[1:], "]")
 	kind, name, named := strings.Cut(title, " ")
 	rest = strings.TrimSpace(rest)
 	badName := named && (name == "" || strings.ContainsAny(name, " \t\"'`["))
 	if !closed || !isIdentifier(kind) || badName || rest != "" && !isComment(rest) {
-		s.file.addFault(s.line, "", "a section is [kind] or [kind name]")
+		s.file.addFault(s.line, "", "invalid section header: expected [KIND] or [KIND NAME]")
 		s.section = nil
 		return
 	}
 	s.section = &Section{Kind: kind, Name: name, Line: s.line, file: s.file}
 	if first := s.titles[title]; first > 0 {
-		s.file.addFault(s.line, title, "comes twice, first in line %d", first)
+		s.file.addFault(s.line, title, "duplicate section: first in line %d", first)
 	}
 	s.titles[title] = s.line
 	s.file.Sections = append(s.file.Sections, s.section)
@@ -114,19 +114,19 @@
 	value = strings.TrimSpace(value)
 	switch {
 	case !assigned || !isIdentifier(name):
-		s.file.addFault(s.line, "", "neither a section nor key = value")
+		s.file.addFault(s.line, "", "invalid line: expected a section header or key = value")
 	case s.section == nil:
-		s.file.addFault(s.line, name, "stands in no section")
+		s.file.addFault(s.line, name, "is outside of any section")
 	case value != "" && strings.ContainsRune("\"'`", rune(value[0])):
-		s.file.addFault(s.line, s.section.title()+"."+name, "values stand without quotes")
+		s.file.addFault(s.line, s.section.title()+"."+name, "values must not be quoted")
 	case s.section.find(name) != nil:
-		s.file.addFault(s.line, s.section.title()+"."+name, "comes twice, first in line %d", s.section.find(name).line)
+		s.file.addFault(s.line, s.section.title()+"."+name, "duplicate key: first in line %d", s.section.find(name).line)
 	default:
 		s.section.keys = append(s.section.keys, &key{name: name, line: s.line})
 	}
 }
 
-// isIdentifier reports whether a text has small letters, digits and underscores only, and at least one of them.
+// isIdentifier reports whether a text consists of lower-case letters, digits and underscores, and is not empty.
 func isIdentifier(text string) bool {
 	for _, c := range text {
 		isLetter := c >= 'a' && c <= 'z'
--- a/inifile/section.go
+++ b/inifile/section.go
@@ -2,12 +2,13 @@
 
 import "strings"
 
-// Section is one section. "[class a]" has the kind class and the name a, "[limits]" has no name.
+// Section is one section. The header [class a] gives it the kind class and the name a, and [limits] the kind limits and no
+// name.
 type Section struct {
 	Kind     string
 	Name     string
-	Line     int // of its title, from 1; 0: the file does not have the section
-	LastLine int
+	Line     int // of its header, from 1; 0: the file does not have the section
+	LastLine int // before the next section, from 1
 
 	file *File
 	keys []*key
@@ -17,9 +18,10 @@
 	name  string
 	value string
 	line  int
-	used  bool // a value was read by this key
+	used  bool // the value was requested
 }
 
+// title returns the text of the section's header between the brackets.
 func (s *Section) title() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
 
 // Present reports whether the section is in the file.
@@ -37,7 +39,8 @@
 	return nil
 }
 
-// Fault adds a fault about a key, or, where the name is empty, about the section.
+// Fault adds a fault about a key or, if name is empty, about the section. If the section does not have the key, the line is
+// that of the section.
 func (s *Section) Fault(name, format string, args ...any) {
 	line := s.Line
 	location := s.title()
@@ -50,7 +53,7 @@
 	s.file.addFault(line, location, format, args...)
 }
 
-// CheckUnused adds a fault for each key whose value was not read.
+// CheckUnused adds a fault for each key whose value has not been requested, since no other key is known.
 func (s *Section) CheckUnused() {
 	for _, k := range s.keys {
 		if !k.used {
--- a/inifile/values.go
+++ b/inifile/values.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxPort is the greatest port number.
+// maxPort is the highest port number.
 const maxPort = 65535
 
-// value returns the value of a key and whether there is one. An empty value counts as missing.
+// value returns the value of a key and reports whether it has one. An empty value counts as missing.
 func (s *Section) value(name string) (string, bool) {
 	k := s.find(name)
 	if k == nil {
@@ -24,7 +24,7 @@
 	return k.value, k.value != ""
 }
 
-// Text returns the value of a key, or a default where it is missing.
+// Text returns the value of a key, or a default if it is missing.
 func (s *Section) Text(name, def string) string {
 	if v, ok := s.value(name); ok {
 		return v
@@ -32,7 +32,7 @@
 	return def
 }
 
-// Required returns the value of a key, and adds a fault where it is missing.
+// Required returns the value of a key, and adds a fault if it is missing.
 func (s *Section) Required(name string) string {
 	v, ok := s.value(name)
 	if !ok {
@@ -41,7 +41,8 @@
 	return v
 }
 
-// parseBetween returns the value of a key between two bounds, or the default where it is missing or faulty.
+// parseBetween returns the value of a key between two bounds, both allowed, or a default if it is missing. An invalid value is
+// a fault and gives the default too. form describes valid values.
 func parseBetween[T cmp.Ordered](s *Section, name string, def, lowest, highest T, form string, parse func(string) (T, error)) T {
 	v, ok := s.value(name)
 	if !ok {
@@ -49,27 +50,27 @@
 	}
 	parsed, err := parse(v)
 	if err != nil {
-		s.Fault(name, "%q is no %s", v, form)
+		s.Fault(name, "invalid value %q: expected a %s", v, form)
 		return def
 	}
 	if parsed < lowest || parsed > highest {
-		s.Fault(name, "%v is not between %v and %v", parsed, lowest, highest)
+		s.Fault(name, "is %v, but must be between %v and %v", parsed, lowest, highest)
 		return def
 	}
 	return parsed
 }
 
-// Duration returns a duration such as 250ms or 2s between two bounds, or a default where it is missing.
+// Duration returns a duration such as 250ms or 2s between two bounds, or a default if it is missing.
 func (s *Section) Duration(name string, def, lowest, highest time.Duration) time.Duration {
-	return parseBetween(s, name, def, lowest, highest, "time such as 250ms or 2s", time.ParseDuration)
+	return parseBetween(s, name, def, lowest, highest, "duration such as 250ms or 2s", time.ParseDuration)
 }
 
-// Int returns an integer between two bounds, or a default where it is missing.
+// Int returns an integer between two bounds, or a default if it is missing.
 func (s *Section) Int(name string, def, lowest, highest int) int {
 	return parseBetween(s, name, def, lowest, highest, "whole number", strconv.Atoi)
 }
 
-// Float returns a finite number between two bounds, or a default where it is missing.
+// Float returns a finite number between two bounds, or a default if it is missing.
 func (s *Section) Float(name string, def, lowest, highest float64) float64 {
 	return parseBetween(s, name, def, lowest, highest, "number", parseFinite)
 }
@@ -82,7 +83,7 @@
 	return v, err
 }
 
-// Bool returns whether the value of a key is yes rather than no, or a default where it is missing.
+// Bool reports whether the value of a key is yes rather than no, and returns a default if it is missing.
 func (s *Section) Bool(name string, def bool) bool {
 	text := "no"
 	if def {
@@ -91,20 +92,20 @@
 	return s.Choice(name, text, "yes", "no") == "yes"
 }
 
-// Choice returns one of some values, or a default where it is missing.
+// Choice returns the value of a key, which must be one of the choices, or a default if it is missing.
 func (s *Section) Choice(name, def string, choices ...string) string {
 	v, ok := s.value(name)
 	if !ok {
 		return def
 	}
 	if !slices.Contains(choices, v) {
-		s.Fault(name, "%q is none of %s", v, strings.Join(choices, ", "))
+		s.Fault(name, "invalid value %q: expected one of %s", v, strings.Join(choices, ", "))
 		return def
 	}
 	return v
 }
 
-// Addr returns an address of the form host:port; empty: it is missing.
+// Addr returns an address of the form host:port, or an empty string if it is missing or invalid.
 func (s *Section) Addr(name string) string {
 	v, ok := s.value(name)
 	if !ok {
@@ -113,13 +114,14 @@
 	host, port, err := net.SplitHostPort(v)
 	number, portErr := strconv.Atoi(port)
 	if err != nil || host == "" || portErr != nil || number < 0 || number > maxPort {
-		s.Fault(name, "%q is no address such as 127.0.0.1:9200", v)
+		s.Fault(name, "invalid address %q: expected HOST:PORT, such as 127.0.0.1:9200", v)
 		return ""
 	}
 	return v
 }
 
-// AddrPorts returns a list of IPv4 addresses with ports, such as 10.0.0.4:7946; nil: it is missing.
+// AddrPorts returns a comma-separated list of IPv4 addresses with ports, such as 10.0.0.4:7946, or nil if it is missing.
+// Invalid addresses are faults and left out.
 func (s *Section) AddrPorts(name string) []netip.AddrPort {
 	v, ok := s.value(name)
 	if !ok {
@@ -130,7 +132,7 @@
 		item = strings.TrimSpace(item)
 		addr, err := netip.ParseAddrPort(item)
 		if err != nil || !addr.Addr().Is4() || addr.Port() == 0 {
-			s.Fault(name, "%q is no address such as 10.0.0.4:7946", item)
+			s.Fault(name, "invalid address %q: expected an IPv4 address and a port, such as 10.0.0.4:7946", item)
 			continue
 		}
 		addrs = append(addrs, addr)
@@ -138,7 +140,8 @@
 	return addrs
 }
 
-// Range returns a list of integers from 0 to below a limit, each at most once, such as "0-3, 7". The key is required.
+// Range returns a list of distinct integers from 0 to limit-1, which is written with ranges such as "0-3, 7". The key is
+// required.
 func (s *Section) Range(name string, limit int) []int {
 	v := s.Required(name)
 	if v == "" {
@@ -149,7 +152,7 @@
 	for item := range strings.SplitSeq(v, ",") {
 		first, last, err := parseSpan(strings.TrimSpace(item))
 		if err != nil || first < 0 || last < first {
-			s.Fault(name, "%q is no list such as 0-3, 7", v)
+			s.Fault(name, "invalid list %q: expected numbers and ranges, such as 0-3, 7", v)
 			return nil
 		}
 		if last >= limit {
@@ -158,7 +161,7 @@
 		}
 		for n := first; n <= last; n++ {
 			if seen[n] {
-				s.Fault(name, "%d comes twice", n)
+				s.Fault(name, "%d occurs twice", n)
 				return nil
 			}
 			seen[n] = true
@@ -168,7 +171,7 @@
 	return numbers
 }
 
-// parseSpan reads a number, or two that are joined by a dash.
+// parseSpan parses a range such as 0-3, or a single number, which is both the first and the last.
 func parseSpan(text string) (first, last int, err error) {
 	from, to, isSpan := strings.Cut(text, "-")
 	if first, err = strconv.Atoi(from); err != nil {
