--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -9,25 +9,26 @@
 	"alderproxy/policy"
 )
 
-// errNotStarted is the error of an event for an instance that does not exist.
-var errNotStarted = errors.New("an instance that was never started")
+// errNotStarted is the error of an event for an instance that does not run.
+var errNotStarted = errors.New("the instance was never started or has stopped")
 
-// host is the instances by number.
+// host runs the instances of the decision module, which the simulator identifies by number.
 type host struct {
 	instances map[uint16]*instance
-	pending   []uint16 // instances with events in this batch, by first mention
+	pending   []uint16 // instances with events in this batch, in the order of their first events
 }
 
-// instance is one decision module.
+// instance is one instance of the decision module.
 type instance struct {
 	settings  *platformsettings.Values
 	policy    *policy.Aggregator
 	endpoints []policy.Endpoint
-	events    []policy.Event // of this batch
-	queued    bool           // it is in the host's order
+	events    []policy.Event // events of this batch
+	queued    bool           // it is in host.pending
 }
 
-// step hands each instance its events of the batch in one Step, in the order of first mention.
+// step passes each instance its events of the batch in a single Step, in the order of their first events, and returns all
+// actions.
 func (h *host) step(batch simcodec.Batch) ([]simcodec.Addressed, error) {
 	h.pending = h.pending[:0]
 	for _, event := range batch.Events {
@@ -39,7 +40,7 @@
 	for _, number := range h.pending {
 		inst := h.instances[number]
 		if inst == nil || !inst.queued {
-			continue // stopped within the batch, or served already
+			continue // it was stopped within the batch, or its events were passed already
 		}
 		for _, action := range inst.step(batch.Clock) {
 			actions = append(actions, simcodec.Addressed{Instance: number, Value: action})
@@ -48,14 +49,14 @@
 	return actions, nil
 }
 
-// queue takes one event of a batch.
+// queue queues one event for its instance. Start and Stop take effect immediately.
 func (h *host) queue(event simcodec.Addressed) error {
 	if start, ok := event.Value.(simcodec.Start); ok {
 		return h.start(event.Instance, start)
 	}
 	inst := h.instances[event.Instance]
 	if inst == nil {
-		return fmt.Errorf("%T for %w", event.Value, errNotStarted)
+		return fmt.Errorf("%T: %w", event.Value, errNotStarted)
 	}
 	if _, ok := event.Value.(simcodec.Stop); ok {
 		delete(h.instances, event.Instance)
@@ -79,14 +80,14 @@
 	}
 	aggregator, err := policy.New(settings, start.Salt)
 	if err != nil {
-		return fmt.Errorf("start: %w", err)
+		return fmt.Errorf("create aggregator: %w", err)
 	}
 	h.instances[number] = &instance{settings: values, policy: aggregator, queued: true}
 	h.pending = append(h.pending, number)
 	return nil
 }
 
-// step returns the actions of a batch, or, where the decision module panics, a crash.
+// step returns the actions for the events of a batch. If the decision module panics, it returns a Crash alone.
 func (inst *instance) step(now policy.Micros) (actions []any) {
 	events := inst.events
 	inst.queued = false
@@ -102,7 +103,7 @@
 	return actions
 }
 
-// translate returns the decision module's event; nil: it has none.
+// translate returns the decision module's form of an event; nil if it has none.
 func (inst *instance) translate(event any) policy.Event {
 	switch e := event.(type) {
 	case simcodec.List:
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter connects the decision module with the operators' simulator: it runs any number of instances of the
-// module, keeps the endpoint list of each, and translates events and actions. It decides nothing.
+// Command simadapter connects the decision module to the operators' simulator through standard input and output. It runs
+// any number of instances of the module, maintains the endpoint list of each, and translates events and actions. All
+// decisions are the module's.
 package main
 
 import (
@@ -22,7 +23,7 @@
 	}
 }
 
-// run answers batches of events until the input ends.
+// run replies to each batch of events with a batch of actions, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simcodec.NewDecoder(bufio.NewReaderSize(in, bufferSize))
 	host := host{instances: map[uint16]*instance{}}
@@ -33,11 +34,11 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("read events: %w", err)
+			return fmt.Errorf("read batch: %w", err)
 		}
 		actions, err := host.step(batch)
 		if err != nil {
-			return fmt.Errorf("at clock %d: %w", batch.Clock, err)
+			return fmt.Errorf("batch at clock %d: %w", batch.Clock, err)
 		}
 		if err := simcodec.WriteActions(replies, actions); err != nil {
 			return err
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -21,7 +21,8 @@
 
 var oneQuery = []any{policy.Query{ID: 10, Number: 1, Deadline: 3_000_000, PartCount: 1}, policy.Part{ID: 11, QueryNumber: 1, Weight: 1}}
 
-// TestRestartWithinOneBatch: events before Stop are dropped, what comes after Start counts.
+// TestRestartWithinOneBatch checks that a batch with Stop and then Start drops the events before Stop, and passes those
+// after Start to the new instance.
 func TestRestartWithinOneBatch(t *testing.T) {
 	h := host{instances: map[uint16]*instance{}}
 	start := simcodec.Start{Salt: 1, Settings: testSettings}
@@ -40,33 +41,35 @@
 		if s, ok := a.Value.(policy.SendAttempt); ok {
 			sent++
 			if s.PartID != 21 || s.ServerID != 5 {
-				t.Fatalf("sent %+v, which the new instance was never given", s)
+				t.Fatalf("sent %+v, which is not of the new instance's query", s)
 			}
 		}
 	}
 	if sent != 1 {
-		t.Fatalf("%d attempts sent, want the new instance's one", sent)
+		t.Fatalf("%d attempts sent, want 1 for the new instance's query", sent)
 	}
 }
 
+// TestInvalidBatches checks that an event for an instance that does not run, and settings that cannot be used, are errors.
 func TestInvalidBatches(t *testing.T) {
 	for name, what := range map[string]any{
 		"never started": policy.TimerFired{}, "unusable settings": simcodec.Start{Settings: "tick_us=5"},
-		"no number": simcodec.Start{Settings: "tick_us=five"},
+		"not a number": simcodec.Start{Settings: "tick_us=five"},
 	} {
 		h := host{instances: map[uint16]*instance{}}
 		if _, err := h.step(batch(what)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
+// TestEndOfInput checks that the input may end after a batch, but not within a header.
 func TestEndOfInput(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(make([]byte, 16)), &out); err != nil || out.Len() != 8 {
 		t.Fatalf("an empty batch: error %v, %d bytes of reply", err, out.Len())
 	}
 	if err := run(bytes.NewReader(make([]byte, 9)), &out); err == nil {
-		t.Fatal("a cut header passed")
+		t.Fatal("no error for a truncated header")
 	}
 }
