--- a/adminserver.go
+++ b/adminserver.go
@@ -8,7 +8,7 @@
 	"alderproxy/admin"
 )
 
-// startAdmin starts the admin server on the parts that are on. They have been started before.
+// startAdmin starts the admin server for the components that are on, which must have been started already.
 func (p *program) startAdmin() error {
 	token, err := readSecret(p.config.AdminTokenFile)
 	if err != nil {
--- a/alderproxy.go
+++ b/alderproxy.go
@@ -1,6 +1,6 @@
-// Package alderproxy assembles the program: the front for the platform's protocol, the front for OpenSearch-style queries,
-// the shared configuration, the membership of a fleet and the admin server, as the instance's file has them. Each part is
-// set up in one file of this package; this file has the order in which they start and stop.
+// Package alderproxy assembles the program from the components that the instance's file configures: the fronts for the
+// platform's protocol and for OpenSearch-style queries, the replicated configuration, the membership of a fleet and the admin
+// server. This file defines the order in which they start and stop.
 package alderproxy
 
 import (
@@ -24,11 +24,11 @@
 	"alderproxy/platform"
 )
 
-// defaultConfigFile is the operators' own file where none is named.
+// defaultConfigFile is the path of the instance's file if none is given.
 const defaultConfigFile = "deploy/alderproxy.ini"
 
-// ConfigPath returns the path of the instance's file: the given one, else the value of ALDERPROXY_CONFIG, else that of the
-// deployment. It is empty where none is named and the deployment has none.
+// ConfigPath returns the path of the instance's file: path unless it is empty, else the value of ALDERPROXY_CONFIG, else
+// deploy/alderproxy.ini if that exists. It returns an empty path if there is none of these.
 func ConfigPath(path string) string {
 	if path == "" {
 		path = os.Getenv("ALDERPROXY_CONFIG")
@@ -39,19 +39,19 @@
 	return path
 }
 
-// Options say how a process is run.
+// Options configures Serve.
 type Options struct {
-	ConfigPath string // the instance's own file; empty: see ConfigPath
-	// OnChangeStep is called before each step that a leader takes with a configuration change; see raftnode.Config. It is
-	// for tests that kill an instance in the middle of a change; nil: not called.
+	ConfigPath string // path of the instance's file; empty: see ConfigPath
+	// OnChangeStep is called at the steps of a configuration change on the leader; see raftnode.Config.OnStep. Tests use it to
+	// kill an instance in the middle of a change. Nil: not called.
 	OnChangeStep func(step string)
 }
 
-// Serve runs one instance until SIGTERM or SIGINT and returns nil after a graceful shutdown. EDGE_CONFIG takes precedence
-// over the file's name for the platform's configuration. SIGHUP reloads the platform's configuration.
+// Serve runs one instance until SIGTERM or SIGINT and returns nil after a graceful shutdown. The path of the platform's
+// configuration in EDGE_CONFIG takes precedence over that in the instance's file. SIGHUP reloads the platform's configuration.
 func Serve(options Options) error {
-	// Each signal has a channel of its own, so that a burst of one does not displace the other. Go ends a process on a
-	// SIGHUP that is not handled, and with it every open request: it stays handled during the shutdown too.
+	// SIGHUP has a channel of its own, so that a burst of it does not displace a signal to stop. It stays handled during the
+	// shutdown, since the Go runtime ends the process, with all open requests, on a SIGHUP that is not handled.
 	signals, hangups := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -92,7 +92,7 @@
 		c.PlatformConfigPath = named
 	}
 	if c.PlatformConfigPath == "" && c.OpenSearch == nil {
-		return nil, errors.New("nothing to serve: EDGE_CONFIG names no configuration and the OpenSearch front is off")
+		return nil, errors.New("nothing to serve: neither EDGE_CONFIG nor gatherer.config names the platform's configuration, and the OpenSearch front is off")
 	}
 	return c, nil
 }
@@ -109,29 +109,29 @@
 	return l
 }
 
-// program is the parts that one process runs, in the order in which they start.
+// program holds the components that one process runs, in the order in which they start.
 type program struct {
 	config       *config.Config
 	log          *logrus.Logger
 	onChangeStep func(step string) // see Options
 
-	sharedConfig  *sharedConfig        // nil: the instance has its own configuration only
+	sharedConfig  *sharedConfig        // nil: the instance has no replicated configuration
 	gossip        *gossip.Node         // nil: the instance is not a member of a fleet
 	admin         *admin.Server        // nil: the admin server is off
-	openSearch    *opensearch.Service  // nil: this front is off
-	aggregator    *platform.Aggregator // nil: this front is off
-	serveError    <-chan error         // yields why the platform's front stopped serving
-	factPublisher *worker              // publishes this instance's facts to the fleet
-	quotaUpdater  *worker              // follows this instance's quota of the stores' capacity
+	openSearch    *opensearch.Service  // nil: the OpenSearch front is off
+	aggregator    *platform.Aggregator // nil: the platform's front is off
+	serveError    <-chan error         // yields the error with which the platform's front stopped serving
+	factPublisher *worker              // publishes this instance's facts to the fleet; nil: not started
+	quotaUpdater  *worker              // applies this instance's quota of the stores' capacity; nil: not started
 }
 
-// worker is a goroutine that runs until it is stopped.
+// worker is a goroutine that runs until stop is called.
 type worker struct {
 	stopping chan struct{}
 	done     chan struct{}
 }
 
-// startWorker runs a function in a goroutine. It has to return once the channel that it gets is closed.
+// startWorker runs a function in a new goroutine. The function must return once its channel is closed.
 func startWorker(run func(stopping <-chan struct{})) *worker {
 	w := &worker{stopping: make(chan struct{}), done: make(chan struct{})}
 	go func() {
@@ -141,7 +141,7 @@
 	return w
 }
 
-// stop ends the worker and waits until it has returned. A nil worker never ran.
+// stop ends the worker and waits until its function has returned. It does nothing for nil.
 func (w *worker) stop() {
 	if w == nil {
 		return
@@ -177,7 +177,7 @@
 	return p.sharedConfig.startFronts(platformConfig)
 }
 
-// startStandalone starts the fronts by the instance's own configuration.
+// startStandalone starts the fronts of an instance that has no replicated configuration.
 func (p *program) startStandalone(platformConfig *platform.Config) error {
 	var terms *broker.Terms
 	if p.config.OpenSearch != nil {
@@ -189,7 +189,8 @@
 	return p.startFronts(platformConfig, terms, nil, nil)
 }
 
-// startFronts starts the fronts that are on, and the workers that depend on them.
+// startFronts starts the fronts that are on, and then the workers that need them. gate and replicated are nil without a
+// replicated configuration.
 func (p *program) startFronts(platformConfig *platform.Config, terms *broker.Terms, gate broker.Gate, replicated *platform.ReplicatedTerms) (err error) {
 	if p.config.OpenSearch != nil {
 		if p.openSearch, err = opensearch.Start(p.config.OpenSearch, terms, gate, p.log.WithField("front", "opensearch")); err != nil {
@@ -211,7 +212,8 @@
 	return nil
 }
 
-// shutdown makes the graceful shutdown of a process that received its signal at the given time.
+// shutdown leaves the fleet and shuts down both fronts concurrently and gracefully. Their time limits count from the time of
+// the signal.
 func (p *program) shutdown(signaledAt time.Time) {
 	if p.gossip != nil {
 		p.gossip.Leave()
@@ -232,7 +234,7 @@
 func (p *program) close() {
 	if p.admin != nil {
 		if err := p.admin.Close(); err != nil {
-			p.log.WithError(err).Warn("admin server not closed cleanly")
+			p.log.WithError(err).Warn("cannot close the admin server")
 		}
 	}
 	if p.gossip != nil {
@@ -243,10 +245,10 @@
 	}
 }
 
-// reload reads the platform's configuration again. One that cannot be used changes nothing.
+// reload reads the platform's configuration again. If it cannot be used, the previous one stays in effect.
 func (p *program) reload() {
 	if err := p.applyPlatformConfig(); err != nil {
-		p.log.WithError(err).Error("new configuration unusable: the old one stands")
+		p.log.WithError(err).Error("cannot use the new configuration of the platform: the previous one stays in effect")
 	}
 }
 
@@ -267,7 +269,7 @@
 	return nil
 }
 
-// loadPlatformConfig reads the platform's configuration; nil: the instance has none.
+// loadPlatformConfig reads the platform's configuration. It returns nil if the platform's front is off.
 func (p *program) loadPlatformConfig() (*platform.Config, error) {
 	if p.config.PlatformConfigPath == "" {
 		return nil, nil
@@ -279,9 +281,9 @@
 	return platform.ParseConfig(text)
 }
 
-// applyResourceLimits keeps the process within the memory and the cores that its configuration grants.
+// applyResourceLimits limits the process to the memory and the cores that the platform's configuration grants.
 func applyResourceLimits(c *platform.Config) {
-	if c.MemoryMB > 0 { // a quarter is left for memory that the collector does not count
+	if c.MemoryMB > 0 { // a quarter is left for memory that the Go runtime does not count
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 3 / 4)
 	}
 	if c.Cores > 0 {
--- a/ci_test.go
+++ b/ci_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// CI passes over the tests that KNOWN-RED.txt lists, and over nothing that is listed wrongly.
+// TestKnownRedListIsStrict checks that .ci/known-red prints the tests of a well-formed list, which CI skips, and fails on every
+// malformed entry, which would otherwise skip nothing or the wrong tests.
 func TestKnownRedListIsStrict(t *testing.T) {
 	const (
 		test = "TestKnownRedListIsStrict"
--- a/membership.go
+++ b/membership.go
@@ -14,16 +14,16 @@
 	"alderproxy/storepool"
 )
 
-// The membership of a platform's gossip group.
+// The settings of the membership of the platform's gossip group.
 const (
 	platformProbeInterval    = time.Second
-	platformSuspicionTimeout = 8 * platformProbeInterval // how long a suspected member is kept
-	platformTombstoneTTL     = time.Hour                 // after which a dead member is forgotten
+	platformSuspicionTimeout = 8 * platformProbeInterval // time after which a suspected member is declared dead
+	platformTombstoneTTL     = time.Hour                 // time after which a dead member is forgotten
 	platformMaxSendRate      = 30                        // datagrams a second
 	platformGroup            = "tier"                    // the group's name
 )
 
-// platformMembership is the configuration of a member of the platform's gossip group. The platform has no key.
+// platformMembership returns the configuration of this instance as a member of the platform's gossip group, which has no key.
 func platformMembership(platformConfig *platform.Config) *config.Membership {
 	return &config.Membership{
 		Listen: platformConfig.Gossip.Listen,
@@ -40,7 +40,8 @@
 	}
 }
 
-// startMembership makes this instance a member of the fleet that its file or the platform's configuration names, if any.
+// startMembership makes this instance a member of the fleet that its file configures, else of the platform's gossip group if
+// its file allows that and the platform's configuration has one.
 func (p *program) startMembership(platformConfig *platform.Config) error {
 	switch {
 	case p.config.Membership != nil:
@@ -51,14 +52,14 @@
 	return nil
 }
 
-// platformClock returns a clock that is read through the standard library, as the platform requires. It does not advance
-// while the machine sleeps, which machines there do not do.
+// platformClock returns a clock that uses the standard library, as the platform requires. It does not advance while the
+// machine is suspended, but the platform's machines never are.
 func platformClock() func() membership.Micros {
 	began := time.Now()
 	return func() membership.Micros { return time.Since(began).Microseconds() + 1 }
 }
 
-// startGossip starts the gossip node. A nil clock stands for the node's own.
+// startGossip starts the gossip node. A nil clock selects the node's default.
 func (p *program) startGossip(c *config.Membership, now func() membership.Micros) error {
 	key, err := readSecret(c.KeyFile)
 	if err != nil {
@@ -89,11 +90,11 @@
 	return nil
 }
 
-// quota is this instance's part of what the stores serve: one of a number of equal parts.
+// quota is one of count equal parts of the stores' capacity: the part of the instance with this index.
 type quota struct{ index, count int }
 
-// updateQuota has the OpenSearch front follow its quota as the view of the fleet changes. The platform tells its own front
-// how many instances there are.
+// updateQuota applies this instance's quota to the OpenSearch front whenever the view of the fleet changes it. The platform's
+// front has the number of instances from the platform's configuration.
 func (p *program) updateQuota(stopping <-chan struct{}) {
 	var applied quota
 	for {
@@ -102,9 +103,9 @@
 		if now := (quota{index, count}); now != applied {
 			applied = now
 			if err := p.applyQuota(); err != nil {
-				p.log.WithError(err).Error("the share of the stores could not be changed")
+				p.log.WithError(err).Error("cannot change this instance's share of the stores' capacity")
 			} else {
-				p.log.WithFields(logrus.Fields{"number": index, "fleet": count}).Info("share of the stores")
+				p.log.WithFields(logrus.Fields{"number": index, "fleet": count}).Info("applied the share of the stores' capacity")
 			}
 		}
 		select {
@@ -115,13 +116,13 @@
 	}
 }
 
-// applyQuota has the OpenSearch front serve by terms with the present quota.
+// applyQuota sets the terms of the OpenSearch front anew, which then have the current quota.
 func (p *program) applyQuota() error {
 	if shared := p.sharedConfig; shared != nil {
 		shared.mu.Lock()
 		defer shared.mu.Unlock()
 		if shared.document == nil {
-			return nil // the first version's terms will have the quota
+			return nil // the terms of the first version will have the quota
 		}
 		terms, _, err := shared.terms(shared.version, shared.document)
 		if err != nil {
@@ -137,19 +138,19 @@
 }
 
 const (
-	// factInterval is the time between two checks whether this instance's facts have changed.
+	// factInterval is the time between two checks for changes of this instance's facts.
 	factInterval = 2 * time.Second
-	// factLifetime is how long a published fact is valid: longer than it takes to detect that an instance is dead.
+	// factLifetime is the time for which a published fact is valid. It is longer than the time to detect a dead instance.
 	factLifetime = 60 * time.Second
 )
 
-// servedState is what this instance serves by; 0: none.
+// servedState holds the values of the facts that this instance publishes; 0: none.
 type servedState struct {
-	documentVersion uint64 // of the shared document
-	storesDigest    uint64 // digest of all stores
+	documentVersion uint64 // served version of the shared document
+	storesDigest    uint64 // digest of the stores of both fronts
 }
 
-// publishFacts publishes what this instance serves by as it changes, and again before it expires.
+// publishFacts publishes this instance's facts whenever they change, and again before they expire.
 func (p *program) publishFacts(stopping <-chan struct{}) {
 	ticker := time.NewTicker(factInterval)
 	defer ticker.Stop()
@@ -190,11 +191,11 @@
 	return served
 }
 
-// stopGossip ends this instance's membership.
+// stopGossip stops the gossip node and the workers that use it.
 func (p *program) stopGossip() {
 	p.factPublisher.stop()
 	if err := p.gossip.Close(); err != nil {
-		p.log.WithError(err).Warn("membership not closed cleanly")
+		p.log.WithError(err).Warn("cannot close the membership")
 	}
 	p.quotaUpdater.stop()
 }
--- a/processtest/reload_test.go
+++ b/processtest/reload_test.go
@@ -25,7 +25,7 @@
 	testserver.NextRequest(t, s)
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":`), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
-	waitForLog(t, lines, "new configuration unusable")
+	waitForLog(t, lines, "cannot use the new configuration of the platform")
 	require.NoError(t, os.WriteFile(path, []byte(platformConfig(moved)), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	waitForLog(t, lines, `discovery moved`)
@@ -68,7 +68,7 @@
 	}
 	booking := strings.NewReplacer(testserver.LookupClass, `{"name":"booking","effect":"idempotency_key","window_us":400000,"promise_us":300000,"give_up_us":900000,"gain":4}`,
 		`"drain_grace_us":500000`, `"drain_grace_us":250000`, `"max_streams":32`, `"max_streams":1`).Replace(platformConfig(d))
-	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "new configuration unusable")
+	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "cannot use the new configuration of the platform")
 	reload(booking, `configuration read again.*next_start="\[\]".*settings=true`)
 	assert.Equal(t, 404, post("lookup", ""), "an old class is in force")
 	assert.Equal(t, 400, post("booking", ""), "the new class is keyed")
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -21,32 +21,32 @@
 	"alderproxy/sharedconfig"
 )
 
-// sharedConfig connects the instance's part in the replicated configuration with the fronts: it has them serve each version
-// of the shared document.
+// sharedConfig connects this instance's node of the replicated configuration to the fronts, which serve each version of the
+// shared document that becomes active.
 type sharedConfig struct {
 	program *program
 	node    configNode
 
 	mu             sync.Mutex                      // held while the fronts start or change their terms
-	version        uint64                          // of document
-	document       *document.Document              // nil: none is known yet
+	version        uint64                          // of document; 0: none is known yet
+	document       *document.Document              // the served document; nil: none is known yet
 	platformConfig atomic.Pointer[platform.Config] // nil: the platform's front is off
 }
 
-// configNode is a voter or a follower of the replicated configuration.
+// configNode is this instance's node of the replicated configuration: a voter or a follower.
 type configNode interface {
 	admin.ConfigNode
-	// Gate reports whether queries may be admitted by a version now, and if not, after which time to retry.
+	// Gate reports whether queries may be admitted by a version now, and if not, the time after which clients should retry.
 	Gate(version uint64) (open bool, retryAfter time.Duration)
-	// ServedVersion returns the version that this instance serves; 0: none.
+	// ServedVersion returns the version that this instance serves, or 0 if there is none.
 	ServedVersion() uint64
 	Close() error
 }
 
-// minSecretBytes is the least length of a key or token.
+// minSecretBytes is the minimum length of a key or token.
 const minSecretBytes = 8
 
-// readSecret reads a file that holds one key or token; an empty path means none.
+// readSecret reads a file that holds a key or token, without the white space around it. It returns nil for an empty path.
 func readSecret(path string) ([]byte, error) {
 	if path == "" {
 		return nil, nil
@@ -57,12 +57,13 @@
 	}
 	text = bytes.TrimSpace(text)
 	if len(text) < minSecretBytes {
-		return nil, fmt.Errorf("%s: a word of at least %d bytes is wanted", path, minSecretBytes)
+		return nil, fmt.Errorf("%s: the key or token must have at least %d bytes", path, minSecretBytes)
 	}
 	return text, nil
 }
 
-// joinConfigGroup starts this instance's node, as a voter or, where the file names voters to follow, as a follower.
+// joinConfigGroup starts this instance's node of the replicated configuration. The node is a follower if the file names voters
+// to follow, else a voter.
 func (p *program) joinConfigGroup(platformConfig *platform.Config) error {
 	c := p.config.Agreement
 	key, err := readSecret(c.KeyFile)
@@ -105,7 +106,7 @@
 		return err
 	}
 	s.node = follower
-	c.Log.WithField("voters", c.Voters).Info("following")
+	c.Log.WithField("voters", c.Voters).Info("following voters")
 	return nil
 }
 
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// startFronts starts the fronts with the version that is in force.
+// startFronts starts the fronts with the active version as this instance knows it.
 func (s *sharedConfig) startFronts(platformConfig *platform.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,7 @@
 		voter.TransferLeadership(time.Second)
 	}
 	if err := s.node.Close(); err != nil {
-		s.program.log.WithError(err).Warn("agreement not closed cleanly")
+		s.program.log.WithError(err).Warn("cannot close the replicated configuration")
 	}
 }
 
@@ -150,7 +151,8 @@
 	return s.node.Gate(t.Version)
 }
 
-// terms returns what this instance's fronts would serve a document by. An error says why one of them cannot.
+// terms returns the terms by which this instance's fronts serve a document; nil for a front that is off. It returns an error
+// if one of the fronts cannot serve the document.
 func (s *sharedConfig) terms(version uint64, d *document.Document) (openSearchTerms, platformTerms *broker.Terms, err error) {
 	if c := s.program.config.OpenSearch; c != nil {
 		if openSearchTerms, err = c.Terms(version, d); err != nil {
@@ -165,7 +167,7 @@
 	return openSearchTerms, platformTerms, nil
 }
 
-// check returns an error that says why this instance could not serve a document, if it could not.
+// check returns an error if this instance cannot serve a document.
 func (s *sharedConfig) check(text string) error {
 	d, err := document.Parse("document", text)
 	if err != nil {
@@ -175,7 +177,7 @@
 	return err
 }
 
-// activate has the fronts serve a version. Fronts that have not started yet start with it.
+// activate makes the fronts serve a version. Fronts that have not started yet will start with it.
 func (s *sharedConfig) activate(v sharedconfig.Version) error {
 	d, err := document.Parse("document", v.Text)
 	if err != nil {
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// reload has the platform's front serve by a new configuration of its own, under the version that is in force.
+// reload applies a new configuration to the platform's front, which keeps serving the same version of the shared document.
 func (s *sharedConfig) reload(c *platform.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +220,7 @@
 	return s.program.aggregator.SetTerms(terms)
 }
 
-// initialTerms returns the terms with which the fronts start. The caller holds the lock.
+// initialTerms returns the terms with which the fronts start. The caller must hold mu.
 func (s *sharedConfig) initialTerms() (openSearchTerms, platformTerms *broker.Terms, err error) {
 	if s.document != nil {
 		return s.terms(s.version, s.document)
@@ -229,21 +231,21 @@
 	return opensearch.UnknownTerms(), platformTerms, nil
 }
 
-// Init bootstraps a new group in an instance's data directory. The group's first version is the given document, which this
-// instance must be able to serve; its digest is returned. The instance must not run meanwhile.
+// Init bootstraps a new group in an instance's data directory and returns the digest of its first version, which is the given
+// document. It checks that the instance's OpenSearch front can serve the document. The instance must not run meanwhile.
 func Init(c *config.Config, text, author string) (digest string, err error) {
 	if c.Agreement == nil {
-		return "", errors.New("the instance's file has no [agreement]")
+		return "", errors.New("the instance's file has no section [agreement]")
 	}
 	if len(c.Agreement.Voters) > 0 {
-		return "", errors.New("this instance follows others (agreement.follow): it cannot begin a group")
+		return "", errors.New("cannot bootstrap a group with a follower: the instance's file has agreement.follow")
 	}
 	d, err := document.Parse("document", text)
 	if err != nil {
 		return "", err
 	}
 	if len(d.Classes) == 0 {
-		return "", errors.New("there are no shared sections to begin with: no class stands in them")
+		return "", errors.New("cannot bootstrap a group: the shared sections have no section [class NAME]")
 	}
 	if c.OpenSearch != nil {
 		if _, err := c.OpenSearch.Terms(1, d); err != nil {
