--- a/cmd/alderproxy/init.go
+++ b/cmd/alderproxy/init.go
@@ -36,7 +36,7 @@
 			return err
 		},
 	}
-	addConfigFlag(c, &configPath, "the instance's file")
+	addConfigFlag(c, &configPath, "path of the instance's file")
 	c.Flags().StringVar(&documentPath, "shared", "", "file with version 1 of the shared document, in place of the shared sections of the instance's file")
 	c.Flags().StringVar(&author, "author", defaultAuthor(), "author of version 1 in the history")
 	return c
--- a/cmd/alderproxy/recover.go
+++ b/cmd/alderproxy/recover.go
@@ -43,7 +43,7 @@
 			return out.err
 		},
 	}
-	addConfigFlag(c, &configPath, "the instance's file")
+	addConfigFlag(c, &configPath, "path of the instance's file")
 	c.Flags().BoolVar(&confirmed, "i-may-lose-changes", false, "recover, although changes may be lost")
 	return c
 }
--- a/cmd/alderproxy/root.go
+++ b/cmd/alderproxy/root.go
@@ -62,7 +62,7 @@
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	serveCommand := &cobra.Command{Use: "serve", Short: "Serve queries until SIGTERM or SIGINT", Args: checkArgs(cobra.NoArgs), RunE: serve}
 	for _, c := range []*cobra.Command{root, serveCommand} {
-		addConfigFlag(c, &configPath, "the instance's file (default: $ALDERPROXY_CONFIG, else deploy/alderproxy.ini)")
+		addConfigFlag(c, &configPath, "path of the instance's file (default: $ALDERPROXY_CONFIG, else deploy/alderproxy.ini)")
 	}
 	root.AddCommand(serveCommand, checkCommand(), initCommand(), configCommand(), instancesCommand(), membersCommand(), recoverCommand())
 	return root
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -15,7 +15,7 @@
 // host runs the instances of the decision module, which the simulator identifies by number.
 type host struct {
 	instances map[uint16]*instance
-	pending   []uint16 // instances with events in this batch, in the order of their first events
+	pending   []uint16 // instances with a start or an event in this batch, in the order of their first one
 }
 
 // instance is one instance of the decision module.
--- a/inifile/parse.go
+++ b/inifile/parse.go
@@ -32,7 +32,7 @@
 }
 
 // readValues sets the values of all keys as the library reads them. The scan has already rejected the looser forms that the
-// library accepts, such as quoted values, and keys and sections that occur twice.
+// library accepts: continued lines, quoted values, and keys and sections that occur twice.
 func (f *File) readValues(text string) {
 	options := ini.LoadOptions{IgnoreContinuation: true, SpaceBeforeInlineComment: true, KeyValueDelimiters: "="}
 	read, err := ini.LoadSources(options, []byte(text))
--- a/inifile/section.go
+++ b/inifile/section.go
@@ -8,7 +8,7 @@
 	Kind     string
 	Name     string
 	Line     int // of its header, from 1; 0: the file does not have the section
-	LastLine int // before the next section, from 1
+	LastLine int // last line before the next header or the end of the file, from 1
 
 	file *File
 	keys []*key
--- a/sharedconfig.go
+++ b/sharedconfig.go
@@ -36,7 +36,7 @@
 // configNode is this instance's node of the replicated configuration: a voter or a follower.
 type configNode interface {
 	admin.ConfigNode
-	// Gate reports whether queries may be admitted by a version now, and if not, the time after which clients should retry.
+	// Gate reports whether queries may be admitted under a version now, and if not, the time after which clients should retry.
 	Gate(version uint64) (open bool, retryAfter time.Duration)
 	// ServedVersion returns the version that this instance serves, or 0 if there is none.
 	ServedVersion() uint64
@@ -146,7 +146,7 @@
 	}
 }
 
-// gate is the brokers' gate.
+// gate is the broker.Gate of both fronts.
 func (s *sharedConfig) gate(t *broker.Terms) (open bool, retryAfter time.Duration) {
 	return s.node.Gate(t.Version)
 }
