--- a/processtest/reload_test.go
+++ b/processtest/reload_test.go
@@ -25,7 +25,7 @@
 	testserver.NextRequest(t, s)
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":`), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
-	waitForLog(t, lines, "new configuration unusable")
+	waitForLog(t, lines, "cannot use the new configuration of the platform")
 	require.NoError(t, os.WriteFile(path, []byte(platformConfig(replacement)), 0o600))
 	require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	waitForLog(t, lines, `discovery address changed`)
@@ -69,7 +69,7 @@
 	}
 	booking := strings.NewReplacer(testserver.LookupClass, `{"name":"booking","effect":"idempotency_key","window_us":400000,"promise_us":300000,"give_up_us":900000,"gain":4}`,
 		`"drain_grace_us":500000`, `"drain_grace_us":250000`, `"max_streams":32`, `"max_streams":1`).Replace(platformConfig(d))
-	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "new configuration unusable")
+	reload(strings.Replace(booking, `"promise_us":300000`, `"fetch":1,"promise_us":0`, 1), "cannot use the new configuration of the platform")
 	reload(booking, `configuration reloaded.*next_start="\[\]".*settings=true`)
 	assert.Equal(t, 404, post("lookup", ""), "a class of the old settings is still served")
 	assert.Equal(t, 400, post("booking", ""), "the new class requires an Idempotency-Key")
