--- a/cmd/alderproxy/client.go
+++ b/cmd/alderproxy/client.go
@@ -13,20 +13,20 @@
 	"alderproxy/sharedconfig"
 )
 
-// adminCommand is the flags of a command that calls an instance's admin server.
-type adminCommand struct {
+// adminFlags holds the flags of a command that calls an instance's admin server.
+type adminFlags struct {
 	addr      string
 	tokenFile string
 	json      bool
 }
 
-func (a *adminCommand) addFlags(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&a.addr, "admin", "127.0.0.1:9400", "an instance's operators' address")
-	c.PersistentFlags().StringVar(&a.tokenFile, "token-file", "", "a file with the operators' token")
+func (a *adminFlags) addFlags(c *cobra.Command) {
+	c.PersistentFlags().StringVar(&a.addr, "admin", "127.0.0.1:9400", "address of an instance's admin server")
+	c.PersistentFlags().StringVar(&a.tokenFile, "token-file", "", "file that holds the token of the admin server")
 	c.PersistentFlags().BoolVar(&a.json, "json", false, "print JSON")
 }
 
-func (a *adminCommand) client() (admin.Client, error) {
+func (a *adminFlags) client() (admin.Client, error) {
 	client := admin.Client{Addr: a.addr}
 	if a.tokenFile != "" {
 		text, err := os.ReadFile(a.tokenFile)
@@ -38,18 +38,18 @@
 	return client, nil
 }
 
-// print writes a value as JSON where the flags ask for that, else as text by the given function.
-func (a *adminCommand) print(to io.Writer, value any, text func(*output)) error {
+// print writes value as JSON if the flag is set; otherwise text writes it.
+func (a *adminFlags) print(to io.Writer, value any, text func(*output)) error {
 	if a.json {
 		return writeJSON(to, value)
 	}
-	out := &output{to: to}
+	out := &output{w: to}
 	text(out)
 	return out.err
 }
 
-// printOutcome prints the outcome of a change or of a command about instances. One that was not done is an error.
-func (a *adminCommand) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
+// printOutcome prints the outcome of a change or of a command about instances. It returns an error unless it was done.
+func (a *adminFlags) printOutcome(to io.Writer, outcome sharedconfig.Outcome) error {
 	if outcome.Status == sharedconfig.StatusDone || a.json {
 		err := a.print(to, outcome, func(out *output) { printDone(out, outcome) })
 		if err != nil || outcome.Status == sharedconfig.StatusDone {
@@ -58,11 +58,11 @@
 	}
 	switch {
 	case outcome.Status == sharedconfig.StatusUnknown && outcome.RequestID != "":
-		return fmt.Errorf("unknown whether it was made: %s (ask again with --request %s)", outcome.Reason, outcome.RequestID)
+		return fmt.Errorf("unknown whether the change was made: %s (to retry it, give --request %s)", outcome.Reason, outcome.RequestID)
 	case outcome.Status == sharedconfig.StatusUnknown:
-		return fmt.Errorf("unknown whether it was done: %s", outcome.Reason)
+		return fmt.Errorf("unknown whether the command was executed: %s", outcome.Reason)
 	case outcome.RejectedBy != "":
-		return fmt.Errorf("%s: %s says: %s", outcome.Status, outcome.RejectedBy, outcome.Reason)
+		return fmt.Errorf("%s by %s: %s", outcome.Status, outcome.RejectedBy, outcome.Reason)
 	}
 	return fmt.Errorf("%s: %s", outcome.Status, outcome.Reason)
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// defaultAuthor is the name under which the history records a change where none is given.
+// defaultAuthor returns the author of changes that are made without --author: the name of the user's account.
 func defaultAuthor() string {
 	if account, err := user.Current(); err == nil {
 		return account.Username
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -9,64 +9,65 @@
 	"alderproxy/policy"
 )
 
-// errNotStarted is the error of an event for an instance that does not exist.
-var errNotStarted = errors.New("an instance that was never started")
+// errNotStarted is the error of an event for an instance that does not run.
+var errNotStarted = errors.New("the instance was never started or has stopped")
 
-// host is the instances by number.
+// host runs the instances of the decision module, which the simulator identifies by number.
 type host struct {
 	instances map[uint16]*instance
-	order     []uint16 // instances with events in this batch, by first mention
+	pending   []uint16 // instances with a start or an event in this batch, in the order of their first one
 }
 
-// instance is one decision module.
+// instance is one instance of the decision module.
 type instance struct {
 	settings  *platformsettings.Values
 	policy    *policy.Aggregator
 	endpoints []policy.Endpoint
-	events    []policy.Event // of this batch
-	queued    bool           // it is in the host's order
+	events    []policy.Event // events of this batch
+	queued    bool           // it is in host.pending
 }
 
-// step hands each instance its events of the batch in one Step, in the order of first mention.
+// step passes each instance its events of the batch in a single Step, in the order of their first events, and returns all
+// actions.
 func (h *host) step(batch simcodec.Batch) ([]simcodec.Addressed, error) {
-	h.order = h.order[:0]
+	h.pending = h.pending[:0]
 	for _, event := range batch.Events {
 		if err := h.queue(event); err != nil {
 			return nil, fmt.Errorf("instance %d: %w", event.Instance, err)
 		}
 	}
 	var actions []simcodec.Addressed
-	for _, number := range h.order {
-		it := h.instances[number]
-		if it == nil || !it.queued {
-			continue // stopped within the batch, or served already
+	for _, number := range h.pending {
+		inst := h.instances[number]
+		if inst == nil || !inst.queued {
+			continue // it was stopped within the batch, or its events were passed already
 		}
-		for _, action := range it.step(batch.Clock) {
+		for _, action := range inst.step(batch.Clock) {
 			actions = append(actions, simcodec.Addressed{Instance: number, Value: action})
 		}
 	}
 	return actions, nil
 }
 
-// queue takes one event of a batch.
+// queue queues one event for its instance. Start and Stop take effect immediately.
 func (h *host) queue(event simcodec.Addressed) error {
 	if start, ok := event.Value.(simcodec.Start); ok {
 		return h.start(event.Instance, start)
 	}
-	it := h.instances[event.Instance]
-	if it == nil {
-		return fmt.Errorf("%T for %w", event.Value, errNotStarted)
+	inst := h.instances[event.Instance]
+	if inst == nil {
+		return fmt.Errorf("%T: %w", event.Value, errNotStarted)
 	}
 	if _, ok := event.Value.(simcodec.Stop); ok {
 		delete(h.instances, event.Instance)
 		return nil
 	}
-	if !it.queued {
-		it.queued = true
-		h.order = append(h.order, event.Instance)
+	if !inst.queued {
+		inst.queued = true
+		h.pending = append(h.pending, event.Instance)
 	}
-	if translated := it.translate(event.Value); translated != nil {
-		it.events = append(it.events, translated)
+	if translated := inst.translate(event.Value); translated != nil {
+		inst.events = append(inst.events, translated)
 	}
 	return nil
 }
@@ -77,45 +78,45 @@
 	if err != nil {
 		return fmt.Errorf("read settings: %w", err)
 	}
-	aggregator, err := policy.New(settings, start.Salt)
+	aggregator, err := policy.New(settings, start.Seed)
 	if err != nil {
-		return fmt.Errorf("start: %w", err)
+		return fmt.Errorf("create aggregator: %w", err)
 	}
 	h.instances[number] = &instance{settings: values, policy: aggregator, queued: true}
-	h.order = append(h.order, number)
+	h.pending = append(h.pending, number)
 	return nil
 }
 
-// step returns the actions of a batch, or, where the decision module panics, a crash.
-func (it *instance) step(now policy.Micros) (actions []any) {
-	events := it.events
-	it.queued = false
-	it.events = it.events[:0]
+// step returns the actions for the events of a batch. If the decision module panics, it returns a Crash alone.
+func (inst *instance) step(now policy.Micros) (actions []any) {
+	events := inst.events
+	inst.queued = false
+	inst.events = inst.events[:0]
 	defer func() {
 		if cause := recover(); cause != nil {
 			actions = []any{simcodec.Crash{Text: fmt.Sprint("decision code panicked: ", cause)}}
 		}
 	}()
-	for _, action := range it.policy.Step(now, events) {
+	for _, action := range inst.policy.Step(now, events) {
 		actions = append(actions, action)
 	}
 	return actions
 }
 
-// translate returns the decision module's event; nil: it has none.
-func (it *instance) translate(event any) policy.Event {
+// translate returns the decision module's form of an event; nil if it has none.
+func (inst *instance) translate(event any) policy.Event {
 	switch e := event.(type) {
 	case simcodec.List:
 		if e.Mode == simcodec.Failed {
 			return policy.EndpointListFailed{}
 		}
-		it.endpoints = e.Apply(it.endpoints)
-		return policy.EndpointList{Endpoints: it.endpoints}
+		inst.endpoints = e.Apply(inst.endpoints)
+		return policy.EndpointList{Endpoints: inst.endpoints}
 	case simcodec.AttemptResult:
-		e.Report = it.settings.LoadReport(e.LoadValues)
+		e.Report = inst.settings.LoadReport(e.LoadValues)
 		return e.AttemptResult
 	case simcodec.HealthCheckResult:
-		e.Report = it.settings.LoadReport(e.LoadValues)
+		e.Report = inst.settings.LoadReport(e.LoadValues)
 		return e.HealthCheckResult
 	case policy.Event:
 		return e
--- a/httpwire/accept.go
+++ b/httpwire/accept.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// acceptRetryInterval is the pause after an accept that failed.
+	// acceptRetryInterval is the delay after a failed accept.
 	acceptRetryInterval = 10 * time.Millisecond
-	// readBufferSize is a connection's buffer at first, in bytes.
+	// readBufferSize is the initial size of a connection's read buffer, in bytes.
 	readBufferSize = 4 << 10
 )
 
-type deadliner interface{ SetDeadline(t time.Time) error }
+type deadlineSetter interface{ SetDeadline(t time.Time) error }
 
 // Serve accepts connections until the listener or the server closes, and then closes the listener. Its error is always nil.
 func (s *Server) Serve(l net.Listener) error {
@@ -33,11 +33,11 @@
 		case err == nil:
 			s.startConnection(conn)
 		case stopped && !finalAccept:
-			// Closing the listener resets connections in the accept queue, together with their requests.
+			// Closing the listener would reset the connections in the accept queue, whose requests may have arrived already.
 			finalAccept = true
-			_ = l.(deadliner).SetDeadline(time.Now().Add(finalReadTimeout))
+			_ = l.(deadlineSetter).SetDeadline(time.Now().Add(finalReadTimeout))
 		case stopped:
-			// More may have come since that deadline if this process had to wait for a processor.
+			// More connections may have arrived after that deadline, while this goroutine waited to be scheduled.
 			pending := acceptPending(l)
 			l.Close()
 			for _, conn := range pending {
@@ -47,11 +47,12 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		default:
-			s.acceptFailed(err)
+			s.handleAcceptError(err)
 		}
 	}
 }
 
+// startServing registers the listener, and reports false if the server was closed before.
 func (s *Server) startServing(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,80 +65,82 @@
 	return true
 }
 
-// acceptFailed handles errors that are no reason to stop serving: descriptors have run out, or a connection ended early.
-func (s *Server) acceptFailed(err error) {
+// handleAcceptError handles an error after which the server goes on accepting: the process is out of file descriptors, or the
+// connection was aborted before it was accepted. It evicts a connection to free a descriptor.
+func (s *Server) handleAcceptError(err error) {
 	s.mu.Lock()
-	s.evict(0)
-	s.warnLimited("accept failed", err)
+	s.evictForNewConnection(0)
+	s.logRateLimited("accept failed", err)
 	s.mu.Unlock()
 	time.Sleep(acceptRetryInterval)
 }
 
-// startConnection serves a connection in a goroutine of its own, or rejects it where the bound is reached.
+// startConnection serves a connection in a goroutine of its own, or rejects it if the limit is reached and none can be evicted.
+// If too many connections are closing already, it closes a rejected one without a response.
 func (s *Server) startConnection(conn net.Conn) {
 	now := time.Now()
-	source := newSource(conn)
+	pollConn := newPollConn(conn)
 	x := &Exchange{
 		conn:        conn,
-		source:      source,
-		reader:      bufio.NewReaderSize(source, readBufferSize),
+		pollConn:    pollConn,
+		reader:      bufio.NewReaderSize(pollConn, readBufferSize),
 		connectedAt: now,
 		stateSince:  now,
 	}
 	s.mu.Lock()
-	full := s.MaxConnections > 0 && !s.evict(s.MaxConnections)
-	drop := full && s.closing >= s.maxClosing()
-	if full {
-		s.warnLimited("client rejected", errTooManyConnections)
-		if !drop {
-			s.closing++
+	atLimit := s.MaxConnections > 0 && !s.evictForNewConnection(s.MaxConnections)
+	closeNow := atLimit && s.closingCount >= s.maxClosingConnections()
+	if atLimit {
+		s.logRateLimited("client connection rejected", errTooManyConnections)
+		if !closeNow {
+			s.closingCount++
 		}
 	} else {
 		s.connections[x] = struct{}{}
 	}
 	s.mu.Unlock()
 	switch {
-	case drop:
+	case closeNow:
 		conn.Close()
-	case full:
+	case atLimit:
 		go s.reject(x)
 	default:
 		s.active.Add(1)
-		go s.run(x)
+		go s.serveConnection(x)
 	}
 }
 
-// reject answers a connection beyond the bound.
+// reject responds to a connection beyond the limit with a 503 and closes it.
 func (s *Server) reject(x *Exchange) {
-	s.respondAndClose(x, s.rejection(http.StatusServiceUnavailable, errTooManyConnections))
+	s.respondAndClose(x, s.rejectionReply(http.StatusServiceUnavailable, errTooManyConnections))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing--
+	s.closingCount--
 }
 
-// run serves a connection to its end.
-func (s *Server) run(x *Exchange) {
+// serveConnection serves a connection until it is closed, and then removes it from the server's connections.
+func (s *Server) serveConnection(x *Exchange) {
 	defer s.active.Done()
-	s.serve(x)
+	s.serveRequests(x)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removeConnection(x)
 	if x.evicted {
-		s.closing--
+		s.closingCount--
 	}
 }
 
-// acceptPending returns, without blocking, the connections in the accept queue of a listener.
+// acceptPending accepts the connections in a listener's accept queue without blocking.
 func acceptPending(l net.Listener) (pending []net.Conn) {
-	system, ok := l.(syscall.Conn)
+	sysConn, ok := l.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
-	_ = raw.Control(func(fd uintptr) { // it fails where the listener is closed: nothing is pending then
+	_ = raw.Control(func(fd uintptr) { // it fails if the listener is closed, when nothing is pending
 		for {
 			accepted, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			switch {
@@ -150,7 +153,7 @@
 			if conn, err := net.FileConn(file); err == nil {
 				pending = append(pending, conn)
 			}
-			_ = file.Close() // FileConn has a descriptor of its own
+			_ = file.Close() // FileConn has duplicated the descriptor
 		}
 	})
 	return pending
--- a/httpwire/request.go
+++ b/httpwire/request.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// ReadRequest reads one request. Its error is io.EOF where the peer has closed the connection between requests, or wraps
-// ErrMalformed, ErrTooLarge or the error of the stream.
+// ReadRequest reads one request. Its error is io.EOF if the peer has closed the connection before the request, or else wraps
+// ErrMalformed, ErrTooLarge or the error of the stream; io.ErrUnexpectedEOF means that the stream ended within the request.
 func ReadRequest(r *bufio.Reader) (*Request, error) {
 	h, err := readHead(r)
 	if err != nil {
 		return nil, err
 	}
 	words := strings.Split(h.startLine, " ")
-	if len(words) != 3 || !isToken(words[0]) || words[1] == "" || !isValue(words[1]) || !isVersion(words[2]) {
+	if len(words) != 3 || !isToken(words[0]) || words[1] == "" || !isFieldValue(words[1]) || !isSupportedVersion(words[2]) {
 		return nil, fmt.Errorf("%w: request line", ErrMalformed)
 	}
-	req := &Request{Method: words[0], Target: words[1], Header: h.Header, Close: h.closes(words[2])}
-	if req.Body, err = h.body(r, MaxBody, false); err != nil {
+	req := &Request{Method: words[0], Target: words[1], Header: h.Header, Close: h.closesConnection(words[2])}
+	if req.Body, err = h.readBody(r, MaxBody, false); err != nil {
 		return nil, err
 	}
 	return req, nil
--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/codec_test.go
@@ -14,7 +14,7 @@
 	"alderproxy/policy"
 )
 
-// frame composes a batch from records given as hex (spaces allowed) and padded to their size.
+// frame composes a frame of records, which are given in hexadecimal (spaces allowed) and padded to their size, and a tail.
 func frame(clock uint64, tail []byte, records ...string) []byte {
 	var body []byte
 	for _, r := range records {
@@ -40,17 +40,17 @@
 	return raw
 }
 
-const to3 = "1a 0300"
+const selectInstance3 = "1a 0300"
 
-var entries = unhex("00 0000803f 074a1203 01 0000000000000000 0000 00" +
+var listEntries = unhex("00 0000803f 074a1203 01 0000000000000000 0000 00" +
 	"00 0000c03f f211902c 02 20145d0000000000 0500 01")
 
-var listed = []policy.Endpoint{
+var listEndpoints = []policy.Endpoint{
 	{ID: 0x03124a07, State: policy.Ready, Capacity: 1},
 	{ID: 0x2c9011f2, State: policy.Draining, Capacity: 1.5, StartedAt: 0x5d1420, RingPosition: 5},
 }
 
-// TestGoldenEvents decodes frames composed by hand, one for each event.
+// TestGoldenEvents guards the layout of each event on the wire: it decodes frames that were composed by hand.
 func TestGoldenEvents(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -70,30 +70,30 @@
 			policy.Part{ID: 0x166bb5d3a91c4, QueryNumber: 0x43560000, AffinityKey: 0x91f03b7c55d20a64, Weight: 0.125, CostHint: 12_000},
 		},
 		{"timer", "15 4d000000", nil, policy.TimerFired{}},
-		{"client gone", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{QueryID: 0x35a0f0e6f2b19}},
+		{"client canceled", "14 192b6f0e0f5a0300", nil, policy.ClientCanceled{QueryID: 0x35a0f0e6f2b19}},
 		{
-			"outcome", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
+			"attempt result", "12 c4913a5dbb660100 0100 074a1203 05 44480000 01 02 0000803f 00000040", nil,
 			AttemptResult{AttemptResult: policy.AttemptResult{
 				PartID: 0x166bb5d3a91c4, AttemptIndex: 1, ServerID: 0x03124a07, Status: policy.ConnectFailed,
 				Elapsed: 0x4844,
 			}, LoadValues: []float32{1, 2}, Final: true},
 		},
 		{
-			"probe result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
+			"health check result", "16 78050000 f211902c 01 03 00006841 0000e040 00000c43", nil,
 			HealthCheckResult{HealthCheckResult: policy.HealthCheckResult{ServerID: 0x2c9011f2, Elapsed: 0x578}, LoadValues: []float32{14.5, 7, 140}},
 		},
 		{
 			"streaming", "13 c4913a5dbb660100 22240000 0200 074a1203", nil,
-			Streaming{Part: 0x166bb5d3a91c4, Attempt: 2, Server: 0x03124a07},
+			Streaming{PartID: 0x166bb5d3a91c4, AttemptIndex: 2, ServerID: 0x03124a07},
 		},
 		{"message", "17 0200 00000000 04000000", []byte("hi 7"), Message{From: 2, Data: []byte("hi 7")}},
-		{"hello", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Salt: 7, Settings: "a=b"}},
-		{"down", "1b", nil, Stop{}},
+		{"start", "19 0700000000000000 00000000 03000000", []byte("a=b"), Start{Seed: 7, Settings: "a=b"}},
+		{"stop", "1b", nil, Stop{}},
 		{"failed list", "18 ffff 0000000000000000 03", nil, List{Mode: Failed}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			batch, err := NewDecoder(bytes.NewReader(frame(9, c.tail, to3, c.record))).Next()
+			batch, err := NewDecoder(bytes.NewReader(frame(9, c.tail, selectInstance3, c.record))).Next()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -105,12 +105,12 @@
 	}
 }
 
-// TestListNumbersAreReused reads a list number that is overwritten within one batch and once more in
-// the next: each event means the list sent last before it.
+// TestListNumbersAreReused guards against events that get the wrong list when a batch overwrites a list number: each event
+// refers to the list received last before it, also if that was in an earlier batch.
 func TestListNumbersAreReused(t *testing.T) {
 	first, second := "11 0000 00000000 02000000", "11 0000 15000000 01000000"
-	use := "18 0000 2900000000000000 01"
-	in := append(frame(1, entries, to3, first, use, second, use), frame(2, nil, to3, use)...)
+	listChange := "18 0000 2900000000000000 01"
+	in := append(frame(1, listEntries, selectInstance3, first, listChange, second, listChange), frame(2, nil, selectInstance3, listChange)...)
 	d := NewDecoder(bytes.NewReader(in))
 	a, err := d.Next()
 	if err != nil {
@@ -120,67 +120,67 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range [][]policy.Endpoint{listed, listed[1:], listed[1:]} {
+	for i, want := range [][]policy.Endpoint{listEndpoints, listEndpoints[1:], listEndpoints[1:]} {
 		got := append(a.Events, b.Events...)[i].Value.(List)
 		if !reflect.DeepEqual(got.Entries, want) || got.Version != 0x29 || got.Mode != Full {
-			t.Fatalf("use %d: got %+v, want entries %+v", i, got, want)
+			t.Fatalf("event %d: got %+v, want entries %+v", i, got, want)
 		}
 	}
 	if _, err := d.Next(); !errors.Is(err, io.EOF) {
-		t.Fatalf("at the end: %v", err)
+		t.Fatalf("at the end of the input: got error %v, want io.EOF", err)
 	}
 }
 
-// TestApply brings an instance's own list up to date by deltas and full lists.
+// TestApply applies a cached list, a delta that removes an endpoint, and a full list, each to the result before.
 func TestApply(t *testing.T) {
-	gone := listed[0]
-	gone.State = policy.Removed
-	now := List{Mode: Cached, Entries: []policy.Endpoint{listed[1], listed[0]}}.Apply(nil)
-	if !reflect.DeepEqual(now, listed) {
-		t.Fatalf("cached: %+v", now)
+	removed := listEndpoints[0]
+	removed.State = policy.Removed
+	current := List{Mode: Cached, Entries: []policy.Endpoint{listEndpoints[1], listEndpoints[0]}}.Apply(nil)
+	if !reflect.DeepEqual(current, listEndpoints) {
+		t.Fatalf("cached: %+v", current)
 	}
-	if now = (List{Mode: Delta, Entries: []policy.Endpoint{gone}}).Apply(now); !reflect.DeepEqual(now, listed[1:]) {
-		t.Fatalf("delta: %+v", now)
+	if current = (List{Mode: Delta, Entries: []policy.Endpoint{removed}}).Apply(current); !reflect.DeepEqual(current, listEndpoints[1:]) {
+		t.Fatalf("delta: %+v", current)
 	}
-	if now = (List{Mode: Full, Entries: listed[:1]}).Apply(now); !reflect.DeepEqual(now, listed[:1]) {
-		t.Fatalf("full: %+v", now)
+	if current = (List{Mode: Full, Entries: listEndpoints[:1]}).Apply(current); !reflect.DeepEqual(current, listEndpoints[:1]) {
+		t.Fatalf("full: %+v", current)
 	}
 }
 
-// TestMalformed gives each kind of bad frame; none may pass, panic or end as a plain end of input.
+// TestMalformed guards against malformed frames that are accepted, cause a panic or are taken for the end of the input.
 func TestMalformed(t *testing.T) {
-	huge := frame(1, nil)
-	binary.LittleEndian.PutUint32(huge[4:], math.MaxUint32)
-	count := frame(1, nil)
-	binary.LittleEndian.PutUint32(count[0:], math.MaxUint32)
+	bodySizeTooLarge := frame(1, nil)
+	binary.LittleEndian.PutUint32(bodySizeTooLarge[4:], math.MaxUint32)
+	recordCountTooLarge := frame(1, nil)
+	binary.LittleEndian.PutUint32(recordCountTooLarge[0:], math.MaxUint32)
 	cases := map[string][]byte{
-		"cut header":         frame(1, nil)[:7],
-		"cut body":           frame(1, nil, to3)[:40],
-		"size without bytes": huge,
-		"impossible count":   count,
-		"unknown code":       frame(1, nil, to3, "63"),
-		"no instance":        frame(1, nil, "15"),
-		"outcome code":       frame(1, nil, to3, "12 c4913a5dbb660100 0000 074a1203 09"),
-		"report size":        frame(1, nil, to3, "16 78050000 f211902c 01 05"),
-		"tail offset":        frame(1, []byte("abc"), to3, "19 0700000000000000 01000000 03000000"),
-		"tail overflow":      frame(1, nil, to3, "11 0000 ffffffff ffffffff"),
-		"list never sent":    frame(1, nil, to3, "18 0000 0000000000000000 01"),
-		"list number":        frame(1, entries, to3, "11 1000 00000000 02000000"),
-		"list mode":          frame(1, nil, to3, "18 0000 0000000000000000 04"),
+		"truncated header":         frame(1, nil)[:7],
+		"truncated body":           frame(1, nil, selectInstance3)[:40],
+		"body size too large":      bodySizeTooLarge,
+		"record count too large":   recordCountTooLarge,
+		"unknown event code":       frame(1, nil, selectInstance3, "63"),
+		"no instance selected":     frame(1, nil, "15"),
+		"unknown status code":      frame(1, nil, selectInstance3, "12 c4913a5dbb660100 0000 074a1203 09"),
+		"load report too long":     frame(1, nil, selectInstance3, "16 78050000 f211902c 01 05"),
+		"tail offset out of range": frame(1, []byte("abc"), selectInstance3, "19 0700000000000000 01000000 03000000"),
+		"tail size overflow":       frame(1, nil, selectInstance3, "11 0000 ffffffff ffffffff"),
+		"list not received":        frame(1, nil, selectInstance3, "18 0000 0000000000000000 01"),
+		"list number out of range": frame(1, listEntries, selectInstance3, "11 1000 00000000 02000000"),
+		"unknown list mode":        frame(1, nil, selectInstance3, "18 0000 0000000000000000 04"),
 	}
 	for name, in := range cases {
 		if _, err := NewDecoder(bytes.NewReader(in)).Next(); !errors.Is(err, ErrFrame) {
-			t.Errorf("%s: got %v, want a malformed frame", name, err)
+			t.Errorf("%s: got error %v, want ErrFrame", name, err)
 		}
 	}
 }
 
-// TestGoldenReply encodes each action against bytes composed by hand.
-func TestGoldenReply(t *testing.T) {
+// TestGoldenActions guards the layout of each action on the wire: it compares the encoded actions with bytes composed by hand.
+func TestGoldenActions(t *testing.T) {
 	id := uint64(0x166bb5d3a91c4)
 	cases := []struct {
-		what any
-		want string
+		action any
+		want   string
 	}{
 		{policy.SendAttempt{PartID: id, ServerID: 0x03124a07, Timeout: 80000}, "10 c4913a5dbb660100 074a1203 80380100"},
 		{policy.Reject{QueryID: id, RetryAfter: 250000}, "11 c4913a5dbb660100 90d00300"},
@@ -199,7 +199,7 @@
 	}
 	for _, c := range cases {
 		var out bytes.Buffer
-		if err := WriteActions(&out, []Addressed{{3, c.what}}); err != nil {
+		if err := WriteActions(&out, []Addressed{{3, c.action}}); err != nil {
 			t.Fatal(err)
 		}
 		raw := unhex(c.want)
@@ -208,19 +208,19 @@
 		got := out.Bytes()
 		if n := binary.LittleEndian.Uint32(got[4:]); n != 2 || !bytes.Equal(got[8:8+2*actionSize], want) ||
 			int(binary.LittleEndian.Uint32(got)) != len(got)-8 {
-			t.Errorf("%T: got %x, want records %x", c.what, got, want)
+			t.Errorf("%T: got %x, want records %x", c.action, got, want)
 		}
 	}
 	if err := WriteActions(io.Discard, []Addressed{{1, 7}}); err == nil {
-		t.Error("an action without a code was written")
+		t.Error("WriteActions accepted a value that is not an action")
 	}
 }
 
-// FuzzDecoder: whatever comes in, the decoder ends with io.EOF or a malformed frame.
+// FuzzDecoder checks that the decoder ends with io.EOF or ErrFrame for any input.
 func FuzzDecoder(f *testing.F) {
-	f.Add(frame(1, entries, to3, "11 0000 00000000 02000000", "18 0000 2900000000000000 01", "15"))
-	f.Add(frame(1, []byte("a=b"), to3, "19 0700000000000000 00000000 03000000", "1b"))
-	f.Add(frame(1, nil, to3)[:40])
+	f.Add(frame(1, listEntries, selectInstance3, "11 0000 00000000 02000000", "18 0000 2900000000000000 01", "15"))
+	f.Add(frame(1, []byte("a=b"), selectInstance3, "19 0700000000000000 00000000 03000000", "1b"))
+	f.Add(frame(1, nil, selectInstance3)[:40])
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
 		for {
@@ -228,7 +228,7 @@
 				return
 			} else if err != nil {
 				if !errors.Is(err, ErrFrame) {
-					t.Fatalf("odd error %v", err)
+					t.Fatalf("got error %v, want io.EOF or ErrFrame", err)
 				}
 				return
 			}
--- a/internal/simnet/simfleet/aggregator.go
+++ b/internal/simnet/simfleet/aggregator.go
@@ -7,16 +7,17 @@
 	"alderproxy/policy"
 )
 
-// Aggregator is one aggregator of a fleet.
+// Aggregator is an aggregator of a fleet.
 type Aggregator struct {
 	fleet  *Fleet
-	node   simnet.NodeID // its index in the fleet
+	node   simnet.NodeID // the aggregator's index in the fleet
 	policy *policy.Aggregator
-	// connectionUsedAt is when the connection to the store of an ID was last used. Stores without one are missing.
+	// connectionUsedAt is the time of the last use of the connection to a store, by the store's ID. There is no
+	// connection to a store without an entry.
 	connectionUsedAt map[uint32]Micros
 	openQueries      map[uint64]*query
 	parts            map[uint64]*part
-	lastID           uint64 // of a query or part
+	lastID           uint64 // the last ID that was assigned to a query or part
 }
 
 // query is a query of a client.
@@ -45,13 +46,13 @@
 	finished  bool
 }
 
-// start starts a process of the aggregator.
+// start starts the aggregator with no state but the current endpoint list.
 func (a *Aggregator) start() {
-	settings := a.fleet.plan.Settings
+	settings := a.fleet.scenario.Settings
 	settings.InstanceIndex = int(a.node)
-	aggregator, err := policy.New(settings, a.fleet.plan.Seed)
+	aggregator, err := policy.New(settings, a.fleet.scenario.Seed)
 	if err != nil {
-		panic(err) // the test's own settings are invalid
+		panic(err) // the settings of the test's scenario are invalid
 	}
 	a.policy = aggregator
 	a.connectionUsedAt = map[uint32]Micros{}
@@ -60,7 +61,8 @@
 	a.step(policy.EndpointList{Endpoints: a.fleet.endpoints()})
 }
 
-// accept accepts a query.
+// accept accepts a query and passes it and its parts to the policy, or sends the parts to random replicas if the scenario
+// says so.
 func (a *Aggregator) accept(q *query) {
 	q.id = a.nextID()
 	a.openQueries[q.id] = q
@@ -72,7 +74,7 @@
 		a.parts[p.id] = p
 		events = append(events, policy.Part{ID: p.id, QueryNumber: q.id, Shard: p.shard, Weight: 1 / float64(len(q.parts))})
 	}
-	if !a.fleet.plan.RandomReplicas {
+	if !a.fleet.scenario.RandomReplicas {
 		a.step(events...)
 		return
 	}
@@ -86,14 +88,14 @@
 	return a.lastID
 }
 
-// step hands events to the policy and carries out its actions.
+// step passes events to the policy and performs the resulting actions.
 func (a *Aggregator) step(events ...policy.Event) {
 	for _, action := range a.policy.Step(a.fleet.Network.Now(), events) {
-		a.carryOut(action)
+		a.perform(action)
 	}
 }
 
-func (a *Aggregator) carryOut(action policy.Action) {
+func (a *Aggregator) perform(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
 		a.startAttempt(action)
@@ -103,11 +105,11 @@
 			a.finishAttempt(p, action.AttemptIndex, policy.Canceled, policy.NoLoadReport)
 		}
 	case policy.Answer:
-		a.finishQuery(a.openQueries[action.QueryID], served)
+		a.finishQuery(a.openQueries[action.QueryID], outcomeServed)
 	case policy.Reject:
-		a.finishQuery(a.openQueries[action.QueryID], rejected)
+		a.finishQuery(a.openQueries[action.QueryID], outcomeRejected)
 	case policy.Fail:
-		a.finishQuery(a.openQueries[action.QueryID], failed)
+		a.finishQuery(a.openQueries[action.QueryID], outcomeFailed)
 	case policy.HealthCheck:
 		a.checkHealth(action.ServerID)
 	case policy.CloseIdleConnections:
@@ -117,24 +119,24 @@
 	}
 }
 
-// stepLater hands an event to the policy at the same time, after the current step.
+// stepLater passes an event to the policy at the current time, but after the current step.
 func (a *Aggregator) stepLater(event policy.Event) {
 	a.fleet.Network.Schedule(a.node, 0, func() { a.step(event) })
 }
 
-// finishQuery adds the outcome of an open query to the result.
-func (a *Aggregator) finishQuery(q *query, end outcome) {
+// finishQuery closes a query and adds its outcome to the result. It does nothing if the query is not open.
+func (a *Aggregator) finishQuery(q *query, outcome queryOutcome) {
 	if q == nil || a.openQueries[q.id] != q {
 		return
 	}
 	delete(a.openQueries, q.id)
 	f := a.fleet
-	class := f.plan.Settings.Classes[q.class]
+	class := f.scenario.Settings.Classes[q.class]
 	result := &f.result
 	second := result.second(q.startedAt)
 	weight := class.PriorityWeight
-	switch end {
-	case served:
+	switch outcome {
+	case outcomeServed:
 		if f.Network.Now()-q.startedAt > class.LatencyObjective {
 			result.Late += weight
 			weight *= class.LateWeight
@@ -142,29 +144,29 @@
 		result.Served += weight
 		second.Served += weight
 		f.servedByClass[q.class] += weight
-	case failed:
+	case outcomeFailed:
 		result.Failed += weight
 		second.Failed += weight
-	case rejected:
+	case outcomeRejected:
 		result.Rejected += weight
 		second.Rejected += weight
 	}
 	for _, p := range q.parts {
-		a.dropFinishedPart(p)
+		a.dropPartIfFinished(p)
 	}
 }
 
-// dropFinishedPart drops a part whose query is finished and of which no attempt is in flight.
-func (a *Aggregator) dropFinishedPart(p *part) {
+// dropPartIfFinished removes a part if its query is finished and none of its attempts is in flight.
+func (a *Aggregator) dropPartIfFinished(p *part) {
 	inFlight := slices.ContainsFunc(p.attempts, func(t *attempt) bool { return !t.finished })
 	if a.openQueries[p.query.id] != p.query && !inFlight {
 		delete(a.parts, p.id)
 	}
 }
 
-// sendToRandomReplica is the baseline: it sends a part to a random replica, once.
+// sendToRandomReplica implements the baseline: it sends a part to a random replica, without retries.
 func (a *Aggregator) sendToRandomReplica(p *part) {
-	position := p.shard % a.fleet.plan.Settings.RingSize
+	position := p.shard % a.fleet.scenario.Settings.RingSize
 	var replicas []*Store
 	for _, store := range a.fleet.Stores {
 		if store.Endpoint.State == policy.Ready && store.Endpoint.RingPosition == position {
@@ -172,22 +174,23 @@
 		}
 	}
 	replica := replicas[a.fleet.Network.Rand().IntN(len(replicas))]
-	a.send(p, replica, func(status policy.Status, _ policy.LoadReport) { a.recordRandomReply(p, status) })
+	a.send(p, replica, func(status policy.Status, _ policy.LoadReport) { a.recordRandomReplicaResponse(p, status) })
 }
 
-// recordRandomReply finishes the query of a part with its last answer or with the first error.
-func (a *Aggregator) recordRandomReply(p *part, status policy.Status) {
+// recordRandomReplicaResponse records the response to a part of the baseline. The query fails with the first error and is
+// served once all its parts are answered.
+func (a *Aggregator) recordRandomReplicaResponse(p *part, status policy.Status) {
 	q := p.query
 	if a.openQueries[q.id] != q {
 		return
 	}
 	if status != policy.OK {
-		a.finishQuery(q, failed)
+		a.finishQuery(q, outcomeFailed)
 		return
 	}
 	p.answered = true
 	incomplete := slices.ContainsFunc(q.parts, func(p *part) bool { return !p.answered })
 	if !incomplete {
-		a.finishQuery(q, served)
+		a.finishQuery(q, outcomeServed)
 	}
 }
--- a/internal/simnet/simfleet/fleet.go
+++ b/internal/simnet/simfleet/fleet.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// firstStoreNode is the network node of the first store. Aggregators have the nodes from 0 on.
+	// firstStoreNode is the network node of the first store. The nodes of aggregators are numbered from 0.
 	firstStoreNode simnet.NodeID = 100_000
-	// noNode is the network node of events that no fault affects.
+	// noNode is the network node of events that belong to no node, so that no fault affects them.
 	noNode simnet.NodeID = -1
-	// The ID of the store of index i is firstStoreID + i*storeIDStep: IDs are not contiguous in operation either.
+	// The ID of the store of index i is firstStoreID + i*storeIDStep: production IDs are not contiguous either.
 	firstStoreID = 1000
 	storeIDStep  = 7919
 )
@@ -24,8 +24,9 @@
 	Stores      []*Store
 	Aggregators []*Aggregator
 
-	plan Scenario
-	// queryRand draws the queries. It is separate so that the queries do not depend on the aggregators' decisions.
+	scenario Scenario
+	// queryRand is the random number generator of the queries. It is separate from the network's, so that the queries do not
+	// depend on the decisions of the aggregators.
 	queryRand         *rand.Rand
 	shardWeights      []float64 // cumulative
 	aggregatorWeights []float64 // cumulative
@@ -34,27 +35,27 @@
 	servedByClass     []float64
 }
 
-// New returns the fleet of a scenario at its start.
-func New(plan Scenario) *Fleet {
-	plan.Settings.InstanceCount = plan.Aggregators
+// New returns the fleet of a scenario at the start of its run.
+func New(scenario Scenario) *Fleet {
+	scenario.Settings.InstanceCount = scenario.Aggregators
 	f := &Fleet{
-		Network:        simnet.New(plan.Seed, plan.Link),
-		plan:           plan,
-		queryRand:      rand.New(rand.NewPCG(plan.Seed, 1)),
-		offeredByClass: make([]float64, len(plan.Mix)),
-		servedByClass:  make([]float64, len(plan.Mix)),
+		Network:        simnet.New(scenario.Seed, scenario.Link),
+		scenario:       scenario,
+		queryRand:      rand.New(rand.NewPCG(scenario.Seed, 1)),
+		offeredByClass: make([]float64, len(scenario.Mix)),
+		servedByClass:  make([]float64, len(scenario.Mix)),
 	}
 	sum := 0.0
-	for shard := range plan.Settings.Shards {
-		sum += math.Pow(float64(1+shard), -plan.ShardSkew)
+	for shard := range scenario.Settings.Shards {
+		sum += math.Pow(float64(1+shard), -scenario.ShardSkew)
 		f.shardWeights = append(f.shardWeights, sum)
 	}
-	for i := range plan.Settings.RingSize * plan.Replicas {
-		f.AddStore(i%plan.Settings.RingSize, 0)
+	for i := range scenario.Settings.RingSize * scenario.Replicas {
+		f.AddStore(i%scenario.Settings.RingSize, 0)
 	}
 	sum = 0
-	for i := range plan.Aggregators {
-		sum += math.Exp(plan.AggregatorSkew * f.queryRand.NormFloat64())
+	for i := range scenario.Aggregators {
+		sum += math.Exp(scenario.AggregatorSkew * f.queryRand.NormFloat64())
 		f.aggregatorWeights = append(f.aggregatorWeights, sum)
 		aggregator := &Aggregator{fleet: f, node: simnet.NodeID(i)}
 		f.Aggregators = append(f.Aggregators, aggregator)
@@ -64,13 +65,13 @@
 	return f
 }
 
-// AddStore adds a store at a ring position. It was started at a time, or long ago if that is 0. The caller announces it
-// by List.
+// AddStore adds a store at a ring position. startedAt is the time of its start, from which its slow start is counted; 0
+// means that it is not in slow start. The aggregators learn of the store only by AnnounceEndpoints, which the caller calls.
 func (f *Fleet) AddStore(position int, startedAt Micros) *Store {
 	index := len(f.Stores)
-	rng := rand.New(rand.NewPCG(f.plan.Seed, uint64(index)+7))
+	rng := rand.New(rand.NewPCG(f.scenario.Seed, uint64(index)+7))
 	store := &Store{
-		Machine: f.plan.NewMachine(index, rng),
+		Machine: f.scenario.NewMachine(index, rng),
 		Endpoint: policy.Endpoint{
 			ID:           uint32(firstStoreID + storeIDStep*index),
 			State:        policy.Ready,
@@ -78,29 +79,30 @@
 			Capacity:     1,
 			StartedAt:    startedAt,
 		},
-		Stats:        StoreStats{Excess: math.Inf(-1)},
+		Stats:        StoreStats{ExcessParts: math.Inf(-1)},
 		network:      f.Network,
 		node:         firstStoreNode + simnet.NodeID(index),
 		rng:          rng,
-		settings:     &f.plan.Settings,
-		meanPartWork: f.plan.meanPartWork(),
+		settings:     &f.scenario.Settings,
+		meanPartWork: f.scenario.meanPartWork(),
 	}
 	f.Stores = append(f.Stores, store)
 	store.schedulePauses()
 	return store
 }
 
-// store returns the store of an ID.
+// store returns the store with an ID.
 func (f *Fleet) store(id uint32) *Store { return f.Stores[(id-firstStoreID)/storeIDStep] }
 
-// Replace drains a store and adds a new one, in slow start, at its position. The caller announces that by List.
-func (f *Fleet) Replace(index int) {
+// ReplaceStore marks a store as draining and adds a new one, in slow start, at its ring position. The aggregators learn of
+// it only by AnnounceEndpoints, which the caller calls.
+func (f *Fleet) ReplaceStore(index int) {
 	replaced := f.Stores[index]
 	replaced.Endpoint.State = policy.Draining
 	f.AddStore(replaced.Endpoint.RingPosition, f.Network.Now())
 }
 
-// AnnounceEndpoints sends the current endpoint list to every aggregator, each after a random delay up to a maximum.
+// AnnounceEndpoints sends the current endpoint list to each aggregator after a random delay of at most maxDelay.
 func (f *Fleet) AnnounceEndpoints(maxDelay Micros) {
 	endpoints := f.endpoints()
 	for _, aggregator := range f.Aggregators {
@@ -119,13 +121,13 @@
 	return endpoints
 }
 
-// ScheduleAt schedules a function at a time since the start.
-func (f *Fleet) ScheduleAt(at Micros, do func()) {
-	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), do)
+// ScheduleAt schedules a callback at a time relative to the start.
+func (f *Fleet) ScheduleAt(at Micros, callback func()) {
+	f.Network.Schedule(noNode, simnet.StartTime+at-f.Network.Now(), callback)
 }
 
-// Restart kills an aggregator and restarts it after a downtime, with the endpoint list and without other state.
-func (f *Fleet) Restart(index int, downtime Micros) {
+// RestartAggregator kills an aggregator and restarts it after a downtime, with no state but the current endpoint list.
+func (f *Fleet) RestartAggregator(index int, downtime Micros) {
 	aggregator := f.Aggregators[index]
 	f.Network.Kill(aggregator.node)
 	f.Network.Schedule(noNode, downtime, func() {
@@ -134,16 +136,16 @@
 	})
 }
 
-// Run runs the fleet until a time since the start and returns the result so far.
+// Run runs the fleet until a time relative to the start and returns the result so far.
 func (f *Fleet) Run(until Micros) Result {
 	f.Network.Run(simnet.StartTime + until)
 	result := f.result
-	result.Excess = math.Inf(-1)
+	result.ExcessParts = math.Inf(-1)
 	for _, store := range f.Stores {
 		result.addStore(store.Stats)
 	}
 	for class := range f.offeredByClass {
-		result.ByClass = append(result.ByClass, f.servedByClass[class]/math.Max(f.offeredByClass[class], minOffered))
+		result.ServedFractionByClass = append(result.ServedFractionByClass, f.servedByClass[class]/math.Max(f.offeredByClass[class], minOffered))
 	}
 	result.Digest = f.Network.Digest()
 	return result
--- a/peer/client.go
+++ b/peer/client.go
@@ -10,57 +10,59 @@
 )
 
 const (
-	clientReadBuffer = 64 << 10 // bytes
-	maxIdleConns     = 4        // connections kept open to one instance
-	maxIdleTime      = idleTimeout / 2
-	// livenessWait bounds the read that shows whether an idle connection is still open.
-	livenessWait = 50 * time.Microsecond
+	clientReadBufferSize = 64 << 10 // bytes
+	maxIdleConns         = 4        // idle connections kept open per target
+	// maxIdleTime is the time after which an idle connection is no longer used. It is shorter than idleTimeout, after
+	// which the server closes the connection.
+	maxIdleTime = idleTimeout / 2
+	// livenessTimeout limits the read that checks whether an idle connection is still open.
+	livenessTimeout = 50 * time.Microsecond
 )
 
 // Errors of calls.
 var (
-	// ErrNotSent is wrapped by errors of calls that the other instance has not received.
-	ErrNotSent = errors.New("never sent")
-	// ErrRemote is wrapped by errors that the other instance's handler returned.
-	ErrRemote = errors.New("the other instance says")
+	// ErrNotSent is wrapped by the errors of calls that failed before the request was sent.
+	ErrNotSent = errors.New("request not sent")
+	// ErrRemote is wrapped by the errors that the other instance sent in place of a result, such as its handler's.
+	ErrRemote = errors.New("remote error")
 )
 
-// Target is the instance that a call goes to.
+// Target is the destination of a call.
 type Target struct {
-	ID   string // empty: any instance at the address
+	ID   string // id of the instance; empty accepts any instance at the address
 	Addr string // host:port
 }
 
 // clientConn is a connection that this instance dialed. One goroutine at a time uses it.
 type clientConn struct {
 	net.Conn
-	reader   *bufio.Reader
-	lastCall uint64    // id of the newest call
-	lastUsed time.Time // end of the newest call
+	reader     *bufio.Reader
+	lastCallID uint64    // id of the most recent call
+	lastUsed   time.Time // time at which the most recent call ended
 }
 
-// Call makes a call and returns the result. stream, if not nil, is sent behind the body. The other instance may have
-// handled the call unless the error is an ErrNotSent.
+// Call makes a call of the given kind and returns the body of the response. stream, if not nil, is sent after the body.
+// Unless the error wraps ErrNotSent, the other instance may have handled the call.
 func (e *Endpoint) Call(target Target, kind byte, body []byte, stream io.Reader, timeout time.Duration) ([]byte, error) {
 	deadline := time.Now().Add(timeout)
 	conn, err := e.connection(target, deadline)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, target.Addr, err)
 	}
-	conn.lastCall++
-	answer, err := conn.call(Frame{Kind: kind, Call: conn.lastCall, Body: body}, stream, deadline)
+	conn.lastCallID++
+	response, err := conn.call(Frame{Kind: kind, CallID: conn.lastCallID, Body: body}, stream, deadline)
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
 	e.release(target, conn)
-	if answer.Kind == frameError {
-		return nil, fmt.Errorf("%w: %s", ErrRemote, answer.Body)
+	if response.Kind == frameError {
+		return nil, fmt.Errorf("%w: %s", ErrRemote, response.Body)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-// Identify returns the handshake message of the instance at an address.
+// Identify performs a handshake with the instance at an address and returns that instance's handshake message.
 func (e *Endpoint) Identify(addr string, timeout time.Duration) (Hello, error) {
 	conn, hello, err := e.dial(Target{Addr: addr}, time.Now().Add(timeout))
 	if err == nil {
@@ -69,34 +71,34 @@
 	return hello, err
 }
 
-// call sends a request and reads its answer: a result or an error frame.
+// call sends a request and returns its response, a result or an error frame.
 func (c *clientConn) call(request Frame, stream io.Reader, deadline time.Time) (Frame, error) {
 	c.SetDeadline(deadline)
 	if _, err := c.Write(request.Append(nil)); err != nil {
 		return Frame{}, err
 	}
 	if stream != nil {
-		if err := writeStream(c, request.Call, stream); err != nil {
+		if err := writeStream(c, request.CallID, stream); err != nil {
 			return Frame{}, err
 		}
 	}
 	for {
-		answer, err := ReadFrame(c.reader)
+		response, err := ReadFrame(c.reader)
 		if err != nil {
 			return Frame{}, err
 		}
-		isAnswer := answer.Kind == frameResult || answer.Kind == frameError
-		if answer.Call > request.Call || !isAnswer {
-			return Frame{}, fmt.Errorf("%w: answers call %d with kind %d", ErrFrame, answer.Call, answer.Kind)
+		isResponse := response.Kind == frameResult || response.Kind == frameError
+		if response.CallID > request.CallID || !isResponse {
+			return Frame{}, fmt.Errorf("%w: expected a response to call %d, got a frame of kind %d for call %d", ErrInvalidFrame, request.CallID, response.Kind, response.CallID)
 		}
-		if answer.Call == request.Call {
-			return answer, nil
+		if response.CallID == request.CallID {
+			return response, nil
 		}
-		// A smaller id is a duplicate of an earlier answer.
+		// A response with a smaller id is a duplicate of an earlier call's.
 	}
 }
 
-// connection returns an idle connection or dials one.
+// connection returns an idle connection to the target, or dials a new one.
 func (e *Endpoint) connection(target Target, deadline time.Time) (*clientConn, error) {
 	conn, err := e.idleConnection(target)
 	if conn != nil || err != nil {
@@ -106,18 +108,19 @@
 	return conn, err
 }
 
-// idleConnection returns the most recently used idle connection that is still open, or nil.
+// idleConnection returns the most recently used idle connection to the target that is still usable, or nil if there is
+// none. It closes the unusable ones that it finds. It fails if the endpoint is closed.
 func (e *Endpoint) idleConnection(target Target) (*clientConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
 		return nil, net.ErrClosed
 	}
-	for len(e.idle[target]) > 0 {
-		conns := e.idle[target]
+	for len(e.idleConns[target]) > 0 {
+		conns := e.idleConns[target]
 		last := len(conns) - 1
 		conn := conns[last]
-		e.idle[target] = conns[:last]
+		e.idleConns[target] = conns[:last]
 		if time.Since(conn.lastUsed) < maxIdleTime && conn.alive() {
 			return conn, nil
 		}
@@ -126,34 +129,36 @@
 	return nil, nil
 }
 
-// alive reports whether an idle connection is open as far as this side knows. It hardly waits.
+// alive reports whether an idle connection is open as far as this side can tell: whether a read returns data, or times
+// out after livenessTimeout.
 func (c *clientConn) alive() bool {
-	c.SetReadDeadline(time.Now().Add(livenessWait))
+	c.SetReadDeadline(time.Now().Add(livenessTimeout))
 	_, err := c.reader.Peek(1)
 	var netError net.Error
 	return err == nil || errors.As(err, &netError) && netError.Timeout()
 }
 
-// release keeps a connection for further calls, or closes it if there are enough.
+// release makes a connection available to further calls, or closes it if there are maxIdleConns idle ones already.
 func (e *Endpoint) release(target Target, conn *clientConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || len(e.idle[target]) >= maxIdleConns {
+	if e.closed || len(e.idleConns[target]) >= maxIdleConns {
 		conn.Close()
 		return
 	}
 	conn.lastUsed = time.Now()
-	e.idle[target] = append(e.idle[target], conn)
+	e.idleConns[target] = append(e.idleConns[target], conn)
 }
 
-// dial opens a connection and completes the handshake. It returns the server's handshake message.
+// dial opens a connection and completes the handshake. It also returns the server's handshake message, as far as it was
+// received.
 func (e *Endpoint) dial(target Target, deadline time.Time) (*clientConn, Hello, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	netConn, err := dialer.Dial("tcp", target.Addr)
 	if err != nil {
 		return nil, Hello{}, err
 	}
-	conn := &clientConn{Conn: netConn, reader: bufio.NewReaderSize(netConn, clientReadBuffer)}
+	conn := &clientConn{Conn: netConn, reader: bufio.NewReaderSize(netConn, clientReadBufferSize)}
 	server, err := e.clientHandshake(conn, target, deadline)
 	if err != nil {
 		conn.Close()
--- a/processtest/cluster_test.go
+++ b/processtest/cluster_test.go
@@ -39,8 +39,8 @@
 slices = 0-1
 `
 
-// cluster is three voting processes of the program with both fronts, connected through a network with injected faults,
-// and the followers that a test asks for.
+// cluster is a group of processes of the program, each with both fronts: three voters, and as many followers as a test asks
+// for. Their connections and datagrams pass through a network that injects faults.
 type cluster struct {
 	t              *testing.T
 	dir            string
@@ -57,24 +57,25 @@
 	name         string
 	cluster      *cluster
 	cmd          *exec.Cmd
-	peerProxy    *faultnet.ConnectionProxy // nil: the instance follows and has no listener for other instances
-	gossipProxy  *faultnet.DatagramProxy   // nil: the instance has no gossip
+	peerProxy    *faultnet.ConnectionProxy // nil for a follower, which has no listener for other instances
+	gossipProxy  *faultnet.DatagramProxy   // nil without gossip
 	searchAddr   string
 	platformAddr string
 	adminAddr    string
 	mu           sync.Mutex
 	log          *strings.Builder // guarded by mu
-	ended        chan struct{}    // closed when the process has ended
+	exited       chan struct{}    // closed when the process has exited
 }
 
-// startCluster starts three voters. The first one kills itself at the given step of a configuration change, if any.
-func startCluster(t *testing.T, bound time.Duration, dieAt string) *cluster {
+// startCluster starts three voters. The first of them kills itself at the given step of a configuration change; an empty
+// step means never.
+func startCluster(t *testing.T, bound time.Duration, killAtStep string) *cluster {
 	t.Helper()
-	return startClusterWithFollowers(t, bound, dieAt, false, 0)
+	return startClusterWithFollowers(t, bound, killAtStep, false, 0)
 }
 
-// startClusterWithFollowers starts three voters, n1 to n3, and a number of followers, f1 and on.
-func startClusterWithFollowers(t *testing.T, bound time.Duration, dieAt string, gossip bool, followers int) *cluster {
+// startClusterWithFollowers starts three voters, n1 to n3, and the given number of followers, named from f1.
+func startClusterWithFollowers(t *testing.T, bound time.Duration, killAtStep string, gossip bool, followerCount int) *cluster {
 	t.Helper()
 	r := &cluster{
 		t:              t,
@@ -86,28 +87,28 @@
 	}
 	r.startServers()
 	voters := []string{"n1", "n2", "n3"}
-	var following []string
-	for n := range followers {
-		following = append(following, fmt.Sprint("f", n+1))
+	var followers []string
+	for n := range followerCount {
+		followers = append(followers, fmt.Sprint("f", n+1))
 	}
 	for _, name := range voters {
 		r.addInstance(name, true)
 	}
-	for _, name := range following {
+	for _, name := range followers {
 		r.addInstance(name, false)
 	}
 	for _, i := range r.instances { // all addresses are known by now
 		i.writeConfig()
 	}
-	r.bootstrap(voters, dieAt)
-	for _, name := range following {
+	r.bootstrap(voters, killAtStep)
+	for _, name := range followers {
 		r.instances[name].start("")
 	}
-	r.waitUntilServing(1, append(voters, following...)...)
+	r.waitUntilServing(1, append(voters, followers...)...)
 	return r
 }
 
-// startServers starts the stores and the discovery service, and discards the record of the calls that they get.
+// startServers starts the stores and discovery, and discards the requests that they record.
 func (r *cluster) startServers() {
 	for range 2 {
 		s := testserver.NewSearchStore(r.t, "0 {\"_id\":\"a\",\"_score\":1}\n1 {\"_id\":\"b\",\"_score\":2}\n")
@@ -143,23 +144,25 @@
 }
 
 // bootstrap starts the voters, the first of them as the only member of a new group, and adds the others to it.
-func (r *cluster) bootstrap(voters []string, dieAt string) {
+func (r *cluster) bootstrap(voters []string, killAtStep string) {
 	first := r.instances[voters[0]]
 	c, err := config.Load(first.path("ini"))
 	require.NoError(r.t, err)
 	_, err = alderproxy.Init(c, fmt.Sprintf(documentTemplate, 1), "test")
 	require.NoError(r.t, err)
-	first.start(dieAt)
+	first.start(killAtStep)
 	for _, name := range voters[1:] {
 		r.instances[name].start("")
 		add := &sharedconfig.Member{Name: name, Addr: r.instances[name].peerProxy.Addr()}
-		o, err := first.client().Execute(raftnode.Command{Add: add})
+		o, err := first.client().Execute(raftnode.Command{AddMember: add})
 		require.NoError(r.t, err)
 		require.Equal(r.t, sharedconfig.StatusDone, o.Status, o.Reason)
 	}
 }
 
-func (i *instance) path(kind string) string { return filepath.Join(i.cluster.dir, i.name+"."+kind) }
+func (i *instance) path(extension string) string {
+	return filepath.Join(i.cluster.dir, i.name+"."+extension)
+}
 
 func (i *instance) writeConfig() {
 	r := i.cluster
@@ -170,10 +173,10 @@
 		"[agreement]\nstale_after = %s\nspeed = 2\n", i.name, i.path("folder"), i.path("json"), r.stalenessBound)
 	if i.peerProxy != nil {
 		text += "listen = 127.0.0.1:0\naddress = " + i.peerProxy.Addr() + "\n"
-	} else { // one of the voters, by chance of the order, and an address at which nobody is
+	} else { // two of the voters, after an address at which nothing listens
 		text += "follow = 127.0.0.1:1, " + r.instances["n1"].peerProxy.Addr() + ", " + r.instances["n2"].peerProxy.Addr() + "\n"
 	}
-	if r.gossip { // a fifth of the usual times
+	if r.gossip { // a fifth of the default period
 		text += fmt.Sprintf("[membership]\nlisten = 127.0.0.1:0\naddress = %s\nseeds = 127.0.0.1:1, %s, %s\nperiod = 200ms\ndatagrams_per_s = 100\nzone = z%d\n",
 			i.gossipProxy.Addr(), r.instances["n1"].gossipProxy.Addr(), r.instances["n2"].gossipProxy.Addr(), len(i.name)%2)
 	}
@@ -183,56 +186,56 @@
 	require.NoError(r.t, os.WriteFile(i.path("ini"), []byte(text), 0o600))
 }
 
-// listening matches the log lines that name an address on which the process serves.
-var listening = regexp.MustCompile(
+// listenLogPattern matches the log lines that contain the address on which a service of the process listens.
+var listenLogPattern = regexp.MustCompile(
 	`msg="?(reachable for instances|reachable for members|serving operators|serving OpenSearch-style queries|serving)"? .*listen="?([0-9.:]+)`)
 
-// listener is what one such line says.
-type listener struct{ service, addr string }
+// serviceAddress is a service of a process, as named in the log, and the address on which it listens.
+type serviceAddress struct{ service, addr string }
 
 // start starts the process and returns once it serves on all its addresses.
-func (i *instance) start(dieAt string) {
-	i.startCommand(dieAt, exec.CommandContext(i.cluster.t.Context(), os.Args[0]))
+func (i *instance) start(killAtStep string) {
+	i.startCommand(killAtStep, exec.CommandContext(i.cluster.t.Context(), os.Args[0]))
 }
 
-func (i *instance) startCommand(dieAt string, cmd *exec.Cmd) {
+func (i *instance) startCommand(killAtStep string, cmd *exec.Cmd) {
 	t := i.cluster.t
 	i.cmd = cmd
-	i.cmd.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+i.path("ini"), "ALDERPROXY_TEST_DIE_AT="+dieAt)
+	i.cmd.Env = append(os.Environ(), "ALDERPROXY_TEST=program", "EDGE_CONFIG=", "ALDERPROXY_CONFIG="+i.path("ini"), "ALDERPROXY_TEST_DIE_AT="+killAtStep)
 	out, err := i.cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, i.cmd.Start())
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	log := &strings.Builder{}
-	i.ended, i.log = ended, log
+	i.exited, i.log = exited, log
 	t.Cleanup(func() {
 		resumeAndKill(cmd)
-		<-ended
+		<-exited
 	})
-	found := make(chan listener, 16)
+	found := make(chan serviceAddress, 16)
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			i.mu.Lock()
 			log.WriteString(lines.Text() + "\n")
 			i.mu.Unlock()
-			if m := listening.FindStringSubmatch(lines.Text()); m != nil {
-				found <- listener{m[1], m[2]}
+			if m := listenLogPattern.FindStringSubmatch(lines.Text()); m != nil {
+				found <- serviceAddress{m[1], m[2]}
 			}
 		}
 		_ = cmd.Wait() // tests read the exit status from ProcessState
 	}()
-	i.awaitListeners(found)
+	i.awaitServices(found)
 }
 
-// resumeAndKill ends a process that may be stopped or may have ended.
+// resumeAndKill kills a process that may be suspended or may have exited already.
 func resumeAndKill(cmd *exec.Cmd) {
 	_ = cmd.Process.Signal(syscall.SIGCONT)
 	_ = cmd.Process.Kill()
 }
 
-// awaitListeners waits until the process has logged the address of each service that its configuration has.
-func (i *instance) awaitListeners(found <-chan listener) {
+// awaitServices waits until the process has logged the address of each service that its configuration enables.
+func (i *instance) awaitServices(found <-chan serviceAddress) {
 	t := i.cluster.t
 	services := 3
 	if i.peerProxy != nil {
@@ -244,16 +247,16 @@
 	for range services {
 		select {
 		case l := <-found:
-			i.connect(l)
-		case <-i.ended:
-			require.Fail(t, "ended: "+i.logged())
+			i.recordAddress(l)
+		case <-i.exited:
+			require.Fail(t, "the process exited: "+i.logged())
 		case <-time.After(20 * time.Second):
-			require.Fail(t, "did not start: "+i.logged())
+			require.Fail(t, "the process does not listen on all its addresses after 20 s: "+i.logged())
 		}
 	}
 }
 
-func (i *instance) connect(l listener) {
+func (i *instance) recordAddress(l serviceAddress) {
 	switch l.service {
 	case "reachable for members":
 		require.NoError(i.cluster.t, i.gossipProxy.SetTarget(l.addr))
@@ -291,7 +294,7 @@
 	}
 }
 
-// sendOnce sends one request on a connection of its own and reads the answer.
+// sendOnce sends one request on a new connection and returns the status and the configuration version of the answer.
 func sendOnce(addr string, request []byte) (status int, version string, err error) {
 	c, err := (&net.Dialer{Timeout: 5 * time.Second}).Dial("tcp", addr)
 	if err != nil {
@@ -327,18 +330,18 @@
 	return admin.ConfigChange{Request: request, Expect: expect, Text: fmt.Sprintf(documentTemplate, worth), Author: "test"}
 }
 
-// transferLeadershipToN1 waits until n1 leads.
+// transferLeadershipToN1 transfers the leadership to n1 and waits until n1 leads.
 func (r *cluster) transferLeadershipToN1() {
 	name := "n1"
 	require.Eventually(r.t, func() bool {
-		o, err := r.instances["n2"].client().Execute(raftnode.Command{TransferLeadership: &name})
+		o, err := r.instances["n2"].client().Execute(raftnode.Command{TransferLeadershipTo: &name})
 		s, err2 := r.instances[name].client().Status()
 		return err == nil && err2 == nil && o.Status == sharedconfig.StatusDone && s.Leader == name
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
-func without(all []string, out ...string) []string {
-	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(out, n) })
+func without(all []string, excluded ...string) []string {
+	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return slices.Contains(excluded, n) })
 }
 
 func (r *cluster) instanceNames() (all []string) {
--- a/raftnode/changes.go
+++ b/raftnode/changes.go
@@ -8,18 +8,19 @@
 	"alderproxy/sharedconfig"
 )
 
-// applyTimeout bounds the wait until Raft takes an entry.
-const applyTimeout = 2 * time.Second
+// applyEnqueueTimeout limits the wait until Raft accepts an entry into its queue, not the wait for the commit.
+const applyEnqueueTimeout = 2 * time.Second
 
 func (n *Node) notifyStep(step string) {
-	if n.config.OnStep != nil {
-		n.config.OnStep(step)
+	if n.config.OnChangeStep != nil {
+		n.config.OnChangeStep(step)
 	}
 }
 
-// appendEntry appends an entry to the log and waits until it is applied.
+// appendEntry appends an entry to the log and waits until it is committed and applied. A failure is reported to the event
+// loop if the entry belongs to a change.
 func (n *Node) appendEntry(action sharedconfig.AppendEntry) {
-	err := n.applyEntry(action.Entry)
+	err := n.submitEntry(action.Entry)
 	if action.RequestID == "" {
 		return
 	}
@@ -34,7 +35,7 @@
 	}
 }
 
-func (n *Node) applyEntry(entry sharedconfig.Entry) error {
+func (n *Node) submitEntry(entry sharedconfig.Entry) error {
 	encoded, err := entry.Encode()
 	if err != nil {
 		return err
@@ -44,10 +45,10 @@
 	} else {
 		n.notifyStep(StepPropose)
 	}
-	return n.raft.Apply(encoded, applyTimeout).Error()
+	return n.raft.Apply(encoded, applyEnqueueTimeout).Error()
 }
 
-// checkChange asks a member, perhaps this one, whether it could serve a change's document.
+// checkChange has a member, which may be this instance, check whether it could serve a change's document.
 func (n *Node) checkChange(action sharedconfig.CheckChange) {
 	result := sharedconfig.CheckResult{
 		RequestID:   action.Change.RequestID,
@@ -64,7 +65,7 @@
 	n.events.push(result)
 }
 
-// requestCheck returns why a member rejects a change, or an empty string.
+// requestCheck returns the reason why a member rejects a change, or an empty string if it accepts the change.
 func (n *Node) requestCheck(action sharedconfig.CheckChange) (rejection string, err error) {
 	body, err := json.Marshal(action.Change)
 	if err != nil {
@@ -72,7 +73,7 @@
 	}
 	var result []byte
 	target := memberTarget(action.Member)
-	if target.ID == string(n.directory.id) {
+	if target.ID == string(n.directory.serverID) {
 		result, err = n.handleCheck(target.ID, body, nil)
 	} else {
 		result, err = n.endpoint.Call(target, rpcCheckChange, body, nil, microseconds(n.settings.CheckTimeout))
@@ -80,13 +81,14 @@
 	return string(result), err
 }
 
-// handleCheck answers with the reason why this instance could not serve a change's document. An empty answer accepts it.
+// handleCheck replies with the reason why this instance could not serve a change's document. An empty reply accepts the
+// change.
 func (n *Node) handleCheck(_ string, body []byte, _ io.Reader) ([]byte, error) {
 	var change sharedconfig.Change
 	if err := json.Unmarshal(body, &change); err != nil {
 		return nil, err
 	}
-	if err := n.config.Check(change.Text); err != nil {
+	if err := n.config.CheckDocument(change.Text); err != nil {
 		return []byte(err.Error()), nil
 	}
 	return nil, nil
--- a/raftnode/faults_test.go
+++ b/raftnode/faults_test.go
@@ -17,38 +17,39 @@
 
 const (
 	faultClients = 6
-	// minAnswered is how many reads and writes have to be answered for a run to be conclusive.
-	minAnswered = 10
-	// maxFaultRun bounds a run on a busy machine, on which few calls are answered.
-	maxFaultRun = time.Minute
+	// minAnsweredCalls is the number of answered reads and writes that a conclusive run must exceed.
+	minAnsweredCalls = 10
+	// maxFaultRunDuration limits a run on a busy machine, on which few calls are answered.
+	maxFaultRunDuration = time.Minute
 )
 
-// faultRun lets clients read and write the configuration of a group whose messages are lost, delayed, duplicated and
-// blocked, and watches which versions are served.
+// faultRun is a run in which clients read and write the configuration of a group while messages between its instances are
+// lost, delayed, duplicated and blocked. It records which versions are served.
 type faultRun struct {
-	cluster *testCluster
-	seed    uint64
-	names   []string
-	began   time.Time
-	stop    chan struct{}
-	wg      sync.WaitGroup
+	cluster   *testCluster
+	seed      uint64
+	names     []string
+	startedAt time.Time
+	stop      chan struct{}
+	wg        sync.WaitGroup
 
 	mu          sync.Mutex
 	history     []porcupine.Operation
-	answered    int                  // reads, and writes that were done
-	firstServed map[uint64]time.Time // when a version was first served by any instance
+	answered    int                  // successful reads and writes
+	firstServed map[uint64]time.Time // time at which any instance first served a version
 	staleness   time.Duration        // longest time that a replaced version was served
 }
 
-// faultRunResult is what a run has shown.
+// faultRunResult is the result of a faultRun.
 type faultRunResult struct {
 	staleness                    time.Duration // longest time that a replaced version was served
 	done, unknown, reads, writes int
 	linearizable                 porcupine.CheckResult
 }
 
-// runUnderFaults runs for a time, and longer if fewer than minAnswered calls have been answered by then.
-func runUnderFaults(t *testing.T, seed uint64, stalenessBound, length time.Duration) faultRunResult {
+// runUnderFaults runs for the duration, and then until more than minAnsweredCalls calls are answered or
+// maxFaultRunDuration has passed since the start.
+func runUnderFaults(t *testing.T, seed uint64, stalenessBound, duration time.Duration) faultRunResult {
 	t.Helper()
 	cluster := newTestCluster(t, stalenessBound)
 	cluster.faults = faultnet.New(seed)
@@ -57,24 +58,24 @@
 		cluster:     cluster,
 		seed:        seed,
 		names:       []string{"n1", "n2", "n3"},
-		began:       time.Now(),
+		startedAt:   time.Now(),
 		stop:        make(chan struct{}),
 		firstServed: map[uint64]time.Time{},
 	}
 	for _, node := range cluster.nodes {
-		r.wg.Go(func() { r.watch(node) })
+		r.wg.Go(func() { r.watchServedVersions(node) })
 	}
 	for id := range faultClients {
 		r.wg.Go(func() { r.runClient(id) })
 	}
-	r.injectFaults(length)
+	r.injectFaults(duration)
 	close(r.stop)
 	r.wg.Wait()
 	return r.result()
 }
 
-// watch records when an instance serves which version.
-func (r *faultRun) watch(node *Node) {
+// watchServedVersions records when an instance serves each version.
+func (r *faultRun) watchServedVersions(node *Node) {
 	for {
 		select {
 		case <-r.stop:
@@ -83,7 +84,7 @@
 		}
 		version := node.ServedVersion()
 		at := time.Now()
-		if open, _ := node.Gate(version); open {
+		if open, _ := node.AllowsQueries(version); open {
 			r.recordServed(version, at)
 		}
 	}
@@ -102,7 +103,7 @@
 	}
 }
 
-// runClient reads, and writes after half of the reads.
+// runClient reads repeatedly, and writes after about half of the reads.
 func (r *faultRun) runClient(id int) {
 	rng := rand.New(rand.NewPCG(r.seed, uint64(id)))
 	node := r.cluster.nodes[r.names[id%len(r.names)]]
@@ -118,20 +119,21 @@
 			continue
 		}
 		active := state.Active()
-		r.record(id, called, registerCall{}, registerResult{version: active.Number, text: active.Text})
+		r.recordCall(id, called, registerCall{}, registerResult{version: active.Number, text: active.Text})
 		if rng.IntN(2) == 0 {
 			continue
 		}
 		call := registerCall{write: true, expected: active.Number, text: fmt.Sprint(id, ".", i)}
 		called = time.Now()
 		outcome := node.Execute(changeCommand(call.text, call.expected, call.text), 3*time.Second)
-		r.record(id, called, call, registerResult{status: outcome.Status, version: outcome.Version})
+		r.recordCall(id, called, call, registerResult{status: outcome.Status, version: outcome.Version})
 	}
 }
 
-// record adds a call to the history. A write whose outcome is unknown may take effect at any later time.
-func (r *faultRun) record(client int, called time.Time, call registerCall, result registerResult) {
-	returned := time.Since(r.began)
+// recordCall adds a call to the history. A write whose outcome is unknown may take effect at any later time, so it returns
+// after the end of the run.
+func (r *faultRun) recordCall(client int, called time.Time, call registerCall, result registerResult) {
+	returned := time.Since(r.startedAt)
 	if call.write && result.status == sharedconfig.StatusUnknown {
 		returned = time.Hour
 	}
@@ -140,7 +142,7 @@
 	r.history = append(r.history, porcupine.Operation{
 		ClientId: client,
 		Input:    call,
-		Call:     called.Sub(r.began).Nanoseconds(),
+		Call:     called.Sub(r.startedAt).Nanoseconds(),
 		Output:   result,
 		Return:   returned.Nanoseconds(),
 	})
@@ -149,11 +151,11 @@
 	}
 }
 
-// injectFaults changes the faults of the network until the run is over.
-func (r *faultRun) injectFaults(length time.Duration) {
+// injectFaults changes the faults of the network repeatedly until the run ends.
+func (r *faultRun) injectFaults(duration time.Duration) {
 	rng := rand.New(rand.NewPCG(r.seed, 99))
 	faults := r.cluster.faults
-	for r.continues(length) {
+	for r.shouldContinue(duration) {
 		a, b := r.names[rng.IntN(3)], r.names[rng.IntN(3)]
 		if rng.IntN(3) > 0 {
 			faults.Clear()
@@ -172,11 +174,11 @@
 	faults.Clear()
 }
 
-func (r *faultRun) continues(length time.Duration) bool {
+func (r *faultRun) shouldContinue(duration time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	elapsed := time.Since(r.began)
-	return elapsed < length || r.answered <= minAnswered && elapsed < maxFaultRun
+	elapsed := time.Since(r.startedAt)
+	return elapsed < duration || r.answered <= minAnsweredCalls && elapsed < maxFaultRunDuration
 }
 
 func (r *faultRun) result() faultRunResult {
@@ -197,7 +199,8 @@
 	return result
 }
 
-// No instance serves a replaced version beyond the staleness bound, and clients see one versioned text.
+// Under network faults, an instance must not serve a replaced version beyond the staleness bound, and the reads and writes
+// of all clients must be linearizable.
 func TestLinearizableUnderFaults(t *testing.T) {
 	const stalenessBound = time.Second
 	for seed := range uint64(4) {
@@ -205,9 +208,9 @@
 			t.Parallel()
 			result := runUnderFaults(t, seed, stalenessBound, 8*time.Second)
 			t.Logf("%+v", result)
-			assert.LessOrEqual(t, result.staleness, stalenessBound)
-			assert.NotEqual(t, porcupine.Illegal, result.linearizable)
-			assert.Greater(t, result.done+result.reads, minAnswered, "the run is not conclusive")
+			assert.LessOrEqual(t, result.staleness, stalenessBound, "a replaced version was served too long")
+			assert.NotEqual(t, porcupine.Illegal, result.linearizable, "the history is not linearizable")
+			assert.Greater(t, result.done+result.reads, minAnsweredCalls, "too few calls were answered for a conclusive run")
 		})
 	}
 }
--- a/raftnode/node_test.go
+++ b/raftnode/node_test.go
@@ -10,10 +10,11 @@
 	"alderproxy/sharedconfig"
 )
 
+// A change that is repeated at other instances must be executed once, and a change of a replaced version must fail.
 func TestChangeIsActiveEverywhereAndIdempotent(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
-	for _, node := range c.nodes { // any instance forwards it to the leader
+	for _, node := range c.nodes { // each forwards the change to the leader
 		outcome := node.Execute(changeCommand("a", 1, "two"), 10*time.Second)
 		assert.Equal(t, sharedconfig.Outcome{RequestID: "a", Status: sharedconfig.StatusDone, Version: 2}, outcome)
 	}
@@ -22,6 +23,7 @@
 	assert.Equal(t, sharedconfig.StatusConflict, outcome.Status)
 }
 
+// A change that one member cannot serve must not become active, and must not block the next change.
 func TestOneRejectionRefusesTheChange(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -33,7 +35,8 @@
 	c.waitUntilServing(2)
 }
 
-// The other instances change the configuration without a partitioned leader.
+// A partitioned leader must stop serving within the staleness bound after the other instances have changed the
+// configuration.
 func TestPartitionedInstanceStopsWithinStalenessBound(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
@@ -50,25 +53,26 @@
 	c.waitUntilServing(2)
 }
 
+// A restarted instance must not serve under its earlier lease: the version may have been replaced meanwhile.
 func TestRestartedInstanceServesNothingWithoutLease(t *testing.T) {
 	c := newTestCluster(t, time.Second)
 	c.bootstrap()
 	config := c.closeNode("n2")
 	require.Equal(t, sharedconfig.StatusDone, c.leader().Execute(changeCommand("a", 1, "two"), 10*time.Second).Status)
 	c.faults.Isolate("n2", "n1", "n3")
-	c.listenAgain(&config)
+	c.reopenListener(&config)
 	n2 := c.open(config)
 	require.Eventually(t, func() bool { return n2.ServedVersion() == 1 }, 10*time.Second, 5*time.Millisecond)
 	for range 50 {
-		require.False(t, isServing(n2), "it serves under the lease that it had before it was stopped")
+		require.False(t, isServing(n2), "serves without a lease granted since its restart")
 		time.Sleep(10 * time.Millisecond)
 	}
 	c.faults.Clear()
 	c.waitUntilServing(2)
 }
 
-// Without ServeWhenStale a partitioned instance stops; with it, it serves on, also after a restart, unless it was
-// removed.
+// With ServeWhenStale, a partitioned instance must continue to serve without a lease, even after a restart, unless it was
+// removed from the group.
 func TestServeWhenStale(t *testing.T) {
 	c := newTestCluster(t, 500*time.Millisecond)
 	c.bootstrap()
@@ -79,7 +83,7 @@
 	c.configs[name] = config
 	restart := func() *Node {
 		config := c.closeNode(name)
-		c.listenAgain(&config)
+		c.reopenListener(&config)
 		return c.open(config)
 	}
 	partition := func() { c.faults.Isolate(name, "n1", "n2", "n3") }
@@ -87,7 +91,7 @@
 	node := restart()
 	c.waitUntilServing(1)
 	partition()
-	require.Eventually(t, func() bool { return node.Status().LeaseRemaining == 0 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return node.Status().LeaseRemainingMillis == 0 }, 10*time.Second, 5*time.Millisecond)
 	assert.True(t, isServing(node))
 	node = restart()
 	assert.True(t, isServing(node))
@@ -95,9 +99,9 @@
 
 	c.faults.Clear()
 	c.waitUntilServing(1)
-	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{Remove: name}, 10*time.Second).Status)
+	require.Equal(t, sharedconfig.StatusDone, leader.Execute(Command{RemoveMember: name}, 10*time.Second).Status)
 	require.Eventually(t, func() bool { return !isServing(node) }, 10*time.Second, 5*time.Millisecond)
 	partition()
 	node = restart()
-	assert.False(t, isServing(node), "it does not know that it was removed")
+	assert.False(t, isServing(node), "serves after a restart although it was removed")
 }
--- a/raftnode/raft_log.go
+++ b/raftnode/raft_log.go
@@ -10,11 +10,11 @@
 	"alderproxy/internal/ratelog"
 )
 
-// raftLogWriter passes Raft's log lines on: errors as errors with a bounded rate, since a broken disk or peer causes
-// many, and all others as debug lines.
+// raftLogWriter writes Raft's log lines to the instance's log: errors as errors at a limited rate, since a failed disk or
+// instance causes many, and all others as debug lines.
 type raftLogWriter struct {
-	log    *logrus.Entry
-	errors ratelog.Line
+	log          *logrus.Entry
+	errorLimiter ratelog.Limiter
 }
 
 // newRaftLogger returns a logger for Raft that writes to the instance's log.
@@ -25,20 +25,20 @@
 	})
 }
 
-// Write takes one line. hclog calls it with complete lines.
+// Write writes one line. hclog calls it with complete lines only.
 func (w *raftLogWriter) Write(line []byte) (int, error) {
 	message := raftMessage(line)
 	if !bytes.Contains(line, []byte("[ERROR]")) {
 		w.log.Debug(message)
 		return len(line), nil
 	}
-	if suppressed, due := w.errors.Due(time.Now()); due {
+	if suppressed, due := w.errorLimiter.Due(time.Now()); due {
 		w.log.WithField("not_shown", suppressed).Error(message)
 	}
 	return len(line), nil
 }
 
-// raftMessage returns a line without its time and level.
+// raftMessage returns a line without its timestamp and level.
 func raftMessage(line []byte) string {
 	if _, message, found := bytes.Cut(line, []byte("] ")); found {
 		line = message
--- a/raftnode/rpc.go
+++ b/raftnode/rpc.go
@@ -9,7 +9,7 @@
 	"alderproxy/sharedconfig"
 )
 
-// Kinds of the calls between instances. The numbers are part of the protocol.
+// Types of the RPCs between instances. The numbers are part of the protocol.
 const (
 	rpcAppendEntries byte = 0x10 + iota
 	rpcRequestVote
@@ -23,7 +23,7 @@
 	rpcPollVoter
 )
 
-// handlers returns the handlers of all calls. They answer none before ready is closed.
+// handlers returns the handlers of all RPCs. They wait until ready is closed.
 func (n *Node) handlers(raftTransport *transport, ready <-chan struct{}) map[byte]peer.Handler {
 	handlers := map[byte]peer.Handler{
 		rpcRequestLease:   n.handleLeaseRequest,
@@ -33,8 +33,8 @@
 		rpcPollVoter:      n.handlePoll,
 	}
 	raftTransport.addHandlers(handlers, n.stop)
-	for kind, handler := range handlers {
-		handlers[kind] = func(clientID string, body []byte, stream io.Reader) ([]byte, error) {
+	for rpcType, handler := range handlers {
+		handlers[rpcType] = func(clientID string, body []byte, stream io.Reader) ([]byte, error) {
 			select {
 			case <-ready:
 				return handler(clientID, body, stream)
--- a/storepool/endpoints.go
+++ b/storepool/endpoints.go
@@ -35,7 +35,7 @@
 	// brokenAt is the time at which a connection last failed with attempts in flight.
 	brokenAt time.Time
 	// closeLog limits the rate of the log line for failed connections.
-	closeLog ratelog.Line
+	closeLog ratelog.Limiter
 }
 
 // UpdateEndpoints replaces the endpoint list. It must be called before the broker receives the list. Queued calls to
